--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,8 +22,11 @@
 
 def known_failures() -> list[KnownFailure]:
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    listed = [KnownFailure(*(part.strip() for part in line.split("|")))
-              for line in lines if line.strip() and not line.startswith("#")]
+    listed = [
+        KnownFailure(*(part.strip() for part in line.split("|")))
+        for line in lines
+        if line.strip() and not line.startswith("#")
+    ]
     if len(listed) > MOST_KNOWN_RED:
         raise pytest.UsageError(f"{KNOWN_RED.name} has {len(listed)} lines, {MOST_KNOWN_RED} at most")
     return listed
--- a/tests/data/e0ee873/make.py
+++ b/tests/data/e0ee873/make.py
@@ -201,38 +201,99 @@
     facts = facts | {"contract": facts["contract"] | spans}
 
     def ask(name: str, cls: str, dest: int, due: int, key: str | None = None) -> dict[str, Any]:
-        return {"type": "ASK", "forwarder_id": "f1", "msg_id": name, "dest": dest, "class": cls, "due_us": due,
-                "route_key": key, "account": "acme"}
+        return {
+            "type": "ASK",
+            "forwarder_id": "f1",
+            "msg_id": name,
+            "dest": dest,
+            "class": cls,
+            "due_us": due,
+            "route_key": key,
+            "account": "acme",
+        }
 
     def closed(name: str, attempt: int, target: int, result: str, **more: Any) -> dict[str, Any]:
-        return {"type": "CLOSED_ATTEMPT", "forwarder_id": "f1", "msg_id": name, "try": attempt, "target": target,
-                "result": result, "lag_us": 40_000, **more}
+        return {
+            "type": "CLOSED_ATTEMPT",
+            "forwarder_id": "f1",
+            "msg_id": name,
+            "try": attempt,
+            "target": target,
+            "result": result,
+            "lag_us": 40_000,
+            **more,
+        }
 
     row = {"hall": "x", "kind": "plain", "readiness": "SERVING", "power_hint": 100.0}
     elements = [{"target": n, "belongs_to": 7 + n % 2, **row} for n in (1, 2, 3, 4)]
     inboxes: list[tuple[int, list[dict[str, Any]]]] = [
-        (0, [{"type": "UP", "forwarder_id": "f1", "facts": facts, "entropy": 5},
-             {"type": "UP", "forwarder_id": "f2", "facts": facts, "entropy": 6}]),
-        (1_000, [{"type": "TABLE", "buffer": 1, "elements": elements},
-                 {"type": "MEMBERS", "forwarder_id": "f1", "how": "FULL", "buffer": 1},
-                 {"type": "MEMBERS", "forwarder_id": "f2", "how": "FAILED"}]),
+        (
+            0,
+            [
+                {"type": "UP", "forwarder_id": "f1", "facts": facts, "entropy": 5},
+                {"type": "UP", "forwarder_id": "f2", "facts": facts, "entropy": 6},
+            ],
+        ),
+        (
+            1_000,
+            [
+                {"type": "TABLE", "buffer": 1, "elements": elements},
+                {"type": "MEMBERS", "forwarder_id": "f1", "how": "FULL", "buffer": 1},
+                {"type": "MEMBERS", "forwarder_id": "f2", "how": "FAILED"},
+            ],
+        ),
         (2_000, [ask(f"m{n}", "status", 7 + n % 2, 3_000_000 + n) for n in range(12)]),
         (3_000, [ask("k1", "turn", 7, 4_000_000, "a"), ask("k2", "turn", 8, 4_000_000, "a"), ask("u", "none", 7, 9)]),
-        (50_000, [closed("m0", 0, 2, "Ok", telemetry=[0.5, 20.0]), closed("m1", 0, 1, "QueueFull", wait_ms=300),
-                  closed("m2", 0, 4, "Failed"), closed("m3", 0, 3, "ConnectError")]),
-        (60_000, [closed("m4", 0, 2, "ResetByPeer"), closed("m5", 0, 1, "TimedOut"),
-                  {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
-                  {"type": "CHECK_RESULT", "forwarder_id": "f1", "target": 1, "result": "Ok", "lag_us": 900}]),
-        (200_000, [{"type": "CLIENT_LEFT", "forwarder_id": "f1", "msg_id": "m6"},
-                   {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"}]),
-        (400_000, [closed("m7", 0, 1, "Ok"), closed("m8", 0, 2, "Ignored"), closed("m9", 0, 3, "Canceled"),
-                   {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"}]),
-        (1_500_000, [{"type": "TABLE", "buffer": 2, "elements": [elements[0] | {"readiness": "DRAINING"}]},
-                     {"type": "MEMBERS", "forwarder_id": "f1", "how": "INCREMENTAL", "buffer": 2},
-                     {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"}]),
+        (
+            50_000,
+            [
+                closed("m0", 0, 2, "Ok", telemetry=[0.5, 20.0]),
+                closed("m1", 0, 1, "QueueFull", wait_ms=300),
+                closed("m2", 0, 4, "Failed"),
+                closed("m3", 0, 3, "ConnectError"),
+            ],
+        ),
+        (
+            60_000,
+            [
+                closed("m4", 0, 2, "ResetByPeer"),
+                closed("m5", 0, 1, "TimedOut"),
+                {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
+                {"type": "CHECK_RESULT", "forwarder_id": "f1", "target": 1, "result": "Ok", "lag_us": 900},
+            ],
+        ),
+        (
+            200_000,
+            [
+                {"type": "CLIENT_LEFT", "forwarder_id": "f1", "msg_id": "m6"},
+                {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
+            ],
+        ),
+        (
+            400_000,
+            [
+                closed("m7", 0, 1, "Ok"),
+                closed("m8", 0, 2, "Ignored"),
+                closed("m9", 0, 3, "Canceled"),
+                {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
+            ],
+        ),
+        (
+            1_500_000,
+            [
+                {"type": "TABLE", "buffer": 2, "elements": [elements[0] | {"readiness": "DRAINING"}]},
+                {"type": "MEMBERS", "forwarder_id": "f1", "how": "INCREMENTAL", "buffer": 2},
+                {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
+            ],
+        ),
         (2_990_000, [{"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"}]),
-        (3_990_000, [{"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
-                     {"type": "DEADLINE_HIT", "forwarder_id": "f2", "token": "look"}]),
+        (
+            3_990_000,
+            [
+                {"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"},
+                {"type": "DEADLINE_HIT", "forwarder_id": "f2", "token": "look"},
+            ],
+        ),
         (4_500_000, [{"type": "DOWN", "forwarder_id": "f2"}]),
     ]
     host, pairs = Host(), []
@@ -246,21 +307,38 @@
     for now, inbox in inboxes:
         play(now, inbox)
     play(4_600_000, [{"type": "DOWN", "forwarder_id": "f1"}])
-    play(4_700_000, [{"type": "UP", "forwarder_id": "f1", "facts": facts, "entropy": 7},
-                     {"type": "MEMBERS", "forwarder_id": "f1", "how": "FULL", "buffer": 1}])
+    play(
+        4_700_000,
+        [
+            {"type": "UP", "forwarder_id": "f1", "facts": facts, "entropy": 7},
+            {"type": "MEMBERS", "forwarder_id": "f1", "how": "FULL", "buffer": 1},
+        ],
+    )
     # From here on every call that is made ends, each in another way than the one before.
-    ends = itertools.cycle([
-        {"result": "Ok", "telemetry": [0.5, 20.0]}, {"result": "QueueFull", "wait_ms": 30}, {"result": "QueueFull"},
-        {"result": "Failed"}, {"result": "Ok"}, {"result": "ConnectError"}, {"result": "ResetByPeer"},
-        {"result": "Ok", "closed": True}, {"result": "TimedOut"}, {"result": "Canceled"}, {"result": "Ignored"},
-    ])
+    ends = itertools.cycle(
+        [
+            {"result": "Ok", "telemetry": [0.5, 20.0]},
+            {"result": "QueueFull", "wait_ms": 30},
+            {"result": "QueueFull"},
+            {"result": "Failed"},
+            {"result": "Ok"},
+            {"result": "ConnectError"},
+            {"result": "ResetByPeer"},
+            {"result": "Ok", "closed": True},
+            {"result": "TimedOut"},
+            {"result": "Canceled"},
+            {"result": "Ignored"},
+        ]
+    )
     attempts: dict[str, int] = {}
     sent: list[dict[str, Any]] = []
     for n in range(60):
         now = 5_000_000 + n * 90_000
         inbox = [closed(a["msg_id"], attempts[a["msg_id"]], a["target"], **next(ends)) for a in sent]
-        inbox += [ask(f"r{n}-{k}", ("status", "order", "pay", "turn")[(n + k) % 4], 7 + k % 2, now + 900_000, f"key{k}")
-                  for k in range(3 if n < 50 else 0)]
+        inbox += [
+            ask(f"r{n}-{k}", ("status", "order", "pay", "turn")[(n + k) % 4], 7 + k % 2, now + 900_000, f"key{k}")
+            for k in range(3 if n < 50 else 0)
+        ]
         inbox.append({"type": "DEADLINE_HIT", "forwarder_id": "f1", "token": "look"})
         sent = [a for a in play(now, inbox) if a["type"] == "ISSUE"]
         for a in sent:
--- a/tests/members_sim.py
+++ b/tests/members_sim.py
@@ -17,8 +17,9 @@
 class Fleet:
     """Members by number. `cut(a, b)` tells whether datagrams from a to b are lost."""
 
-    def __init__(self, size: int, seed: int, timing: Timing | None = None, sealed: bool = False,
-                 seeds: int = 2) -> None:
+    def __init__(
+        self, size: int, seed: int, timing: Timing | None = None, sealed: bool = False, seeds: int = 2
+    ) -> None:
         self.random, self.now, self.timing = random.Random(seed), SECOND, timing or Timing()
         self.sealed, self.order = sealed, itertools.count()
         self.events: list[tuple[int, int, str, int, object]] = []
@@ -44,8 +45,16 @@
 
     def start(self, n: int, life: int | None = None) -> None:
         self.lives[n] = self.lives[n] + 1 if life is None else life
-        p = Protocol(f"n{n}", self.where(n), self.lives[n], f"{self.random.getrandbits(32):08x}", self.timing,
-                     self.random.getrandbits(32), self.now, self.first)
+        p = Protocol(
+            f"n{n}",
+            self.where(n),
+            self.lives[n],
+            f"{self.random.getrandbits(32):08x}",
+            self.timing,
+            self.random.getrandbits(32),
+            self.now,
+            self.first,
+        )
         self.members[n], self.codecs[n] = p, Codec("c", [KEY])
         self.stopped.pop(n, None)
         self.excused[n] = self.now
@@ -163,11 +172,24 @@
 
     def differences(self) -> list[str]:
         up = {f"n{n}" for n in self.members}
-        return [f"{p.view.me} misses {sorted(up - set(p.view.there()))[:5]}, has {sorted(set(p.view.there()) - up)[:5]}"
-                for p in self.members.values() if set(p.view.there()) != up][:5]
+        return [
+            f"{p.view.me} misses {sorted(up - set(p.view.there()))[:5]}, has {sorted(set(p.view.there()) - up)[:5]}"
+            for p in self.members.values()
+            if set(p.view.there()) != up
+        ][:5]
 
 
 def replace_body(body: Body) -> Body:
     """What comes is the receiver's own."""
-    return Body(body.kind, body.sender, body.life, body.id, body.number, body.seq, body.target,
-                [*body.news], body.digest, [*body.facts])
+    return Body(
+        body.kind,
+        body.sender,
+        body.life,
+        body.id,
+        body.number,
+        body.seq,
+        body.target,
+        [*body.news],
+        body.digest,
+        [*body.facts],
+    )
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -24,8 +24,11 @@
             i.MessageClass("once", 2 * S, 8 * S, i.Effect.ONCE),
             i.MessageClass("turns", 2 * S, 9 * S, i.Effect.KEYED, i.Scope.ALL, 4 * S, in_order=True),
         ),
-        "kinds": (i.DestinationKind("plain"), i.DestinationKind("lots", batch=4),
-                  i.DestinationKind("ways", routes_apart=True)),
+        "kinds": (
+            i.DestinationKind("plain"),
+            i.DestinationKind("lots", batch=4),
+            i.DestinationKind("ways", routes_apart=True),
+        ),
         "tenants": (i.Tenant("big", 20.0), i.Tenant("small", 2.0)),
         "over_share_worth": 0.1,
         "balancers": 2,
@@ -44,9 +47,11 @@
 
 
 ENTRIES = (
-    i.TargetEntry(1, 10, "north", "plain"), i.TargetEntry(2, 10, "south", "plain"),
+    i.TargetEntry(1, 10, "north", "plain"),
+    i.TargetEntry(2, 10, "south", "plain"),
     i.TargetEntry(3, 11, "north", "lots"),
-    i.TargetEntry(4, 12, "north", "ways"), i.TargetEntry(5, 12, "south", "ways"),
+    i.TargetEntry(4, 12, "north", "ways"),
+    i.TargetEntry(5, 12, "south", "ways"),
 )
 
 
@@ -129,8 +134,16 @@
             self.delivered += 1
         limit = self.r.choice([0.0, 3.0, 20.0])
         told = i.LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
-        return i.Ended(m.message, a["attempt"], a["target"], outcome, self.now - a["at"],
-                       closed=m.message in self.over, wait_us=wait, report=told)
+        return i.Ended(
+            m.message,
+            a["attempt"],
+            a["target"],
+            outcome,
+            self.now - a["at"],
+            closed=m.message in self.over,
+            wait_us=wait,
+            report=told,
+        )
 
     def close(self, name: str) -> None:
         assert name in self.open, f"{name} ended twice"
@@ -155,8 +168,7 @@
             t = self.r.choice(list(self.entries))
             state = self.r.choice([i.TargetState.SERVING, i.TargetState.DRAINING, i.TargetState.GONE])
             old = self.entries[t]
-            events.append(i.Listed(i.ListKind.CHANGES, (
-                i.TargetEntry(t, old.destination, old.zone, old.kind, state),)))
+            events.append(i.Listed(i.ListKind.CHANGES, (i.TargetEntry(t, old.destination, old.zone, old.kind, state),)))
             if state is i.TargetState.SERVING:
                 self.left_at.pop(t, None)
             else:
@@ -233,8 +245,14 @@
             if others and not before:
                 assert self.now >= self.rests[m.key], "the key still rests"
         assert a.timeout_us > 0 and self.now + a.timeout_us <= m.due_us
-        x = {"message": a.message, "attempt": len(before), "target": a.target, "at": self.now,
-             "until": self.now + a.timeout_us, "outcome": None}
+        x = {
+            "message": a.message,
+            "attempt": len(before),
+            "target": a.target,
+            "at": self.now,
+            "until": self.now + a.timeout_us,
+            "outcome": None,
+        }
         before.append(x)
         self.out.append(x)
         tries = [x for x in before if x["outcome"] is not i.Outcome.HELD_BACK]  # those never left this machine
@@ -244,9 +262,10 @@
 
     def run(self, rounds: int) -> None:
         for n in range(rounds):
-            mood = (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.FAILED,
-                    i.Outcome.NO_CONNECTION, i.Outcome.RESET)[n // 200 % 5]
+            mood = (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.FAILED, i.Outcome.NO_CONNECTION, i.Outcome.RESET)[
+                n // 200 % 5
+            ]
             self.round((0.1, 0.5, 0.02)[n // 300 % 3], mood)
         while self.open or self.out:
             self.round(0.0, i.Outcome.FAILED)
-            assert self.now < 10 ** 9
+            assert self.now < 10**9
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -95,8 +95,11 @@
                 if answer is None:
                     break
                 if isinstance(answer, Answer):
-                    lines = [f"HTTP/1.1 {answer.status} X", f"Content-Length: {len(answer.body)}",
-                             *(f"{k}: {v}" for k, v in answer.headers.items())]
+                    lines = [
+                        f"HTTP/1.1 {answer.status} X",
+                        f"Content-Length: {len(answer.body)}",
+                        *(f"{k}: {v}" for k, v in answer.headers.items()),
+                    ]
                     answer = "\r\n".join(lines).encode() + b"\r\n\r\n" + answer.body
                 writer.write(answer)
                 await writer.drain()
@@ -114,14 +117,17 @@
 
     async def handler(request: Request) -> Answer | bytes | None:
         return left.pop(0) if len(left) > 1 else left[0]
+
     return handler
 
 
 def once(free: asyncio.Event) -> Handler:
     """Answers as soon as a test lets it."""
+
     async def handler(request: Request) -> Answer:
         await free.wait()
         return OK
+
     return handler
 
 
@@ -158,8 +164,16 @@
     hosts: dict[str, dict[str, Any]]
 
     def host(self, name: str, port: int, block: int = 7, health: str = "up", kind: str = "plain") -> None:
-        self.hosts[name] = {"host": name, "dial": f"127.0.0.1:{port}", "site": "x", "class": kind,
-                            "block": block, "health": health, "share": 100.0, "born_ms": 0}
+        self.hosts[name] = {
+            "host": name,
+            "dial": f"127.0.0.1:{port}",
+            "site": "x",
+            "class": kind,
+            "block": block,
+            "health": health,
+            "share": 100.0,
+            "born_ms": 0,
+        }
 
     def listing(self) -> dict[str, Any]:
         return {"seq": self.seq, "whole": True, "hosts": list(self.hosts.values())}
@@ -219,29 +233,52 @@
 
 
 SETTINGS: dict[str, Any] = {
-    "allowed": {"conn_idle_us": 5_000_000, "dial_timeout_us": 1_000_000, "max_attempts": 6, "max_open": 50,
-                "max_retry_after_us": 3_000_000, "retry_after": True, "may_cancel": True},
-    "balancers": 1, "discovery": "on_request", "host_types": ["plain", "lots"],
+    "allowed": {
+        "conn_idle_us": 5_000_000,
+        "dial_timeout_us": 1_000_000,
+        "max_attempts": 6,
+        "max_open": 50,
+        "max_retry_after_us": 3_000_000,
+        "retry_after": True,
+        "may_cancel": True,
+    },
+    "balancers": 1,
+    "discovery": "on_request",
+    "host_types": ["plain", "lots"],
     "contract": {"grace_to_answer_us": 20_000, "drain_grace_us": 500_000, "ask_within_us": 10_000_000},
     "family_info": {"slots": 8, "kind_batch": [1, 5], "routes_apart": [False, False]},
-    "orgs": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}], "over_share_worth": 0.1,
+    "orgs": [{"name": "acme", "allowance_per_s": 1000.0, "fraction": 1.0}],
+    "over_share_worth": 0.1,
     "services": [
-        {"name": "order", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "by_key",
-         "key_scope": "all", "window_us": 30_000_000},
+        {
+            "name": "order",
+            "aim_us": 2_000_000,
+            "deadline_us": 60_000_000,
+            "effect": "by_key",
+            "key_scope": "all",
+            "window_us": 30_000_000,
+        },
         {"name": "status", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "repeatable"},
-        {"name": "turn", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once",
-         "by_arrival": True},
+        {"name": "turn", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once", "by_arrival": True},
         {"name": "pay", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once"},
     ],
-    "telemetry": {"fields": ["x0", "x1"], "how": "piggyback"}, "weight_source": "nominal",
+    "telemetry": {"fields": ["x0", "x1"], "how": "piggyback"},
+    "weight_source": "nominal",
 }
 
 
 class Node:
     """The real program, on its folder."""
 
-    def __init__(self, folder: Path, platform: Platform, known: dict[str, Any] | None = None,
-                 disk_mb: float = 3, discovery: str = "on_request", **allowed: Any) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        platform: Platform,
+        known: dict[str, Any] | None = None,
+        disk_mb: float = 3,
+        discovery: str = "on_request",
+        **allowed: Any,
+    ) -> None:
         self.folder, self.host = folder, own_host()
         self.port, self.control = free_ports(2, self.host)
         self.log: list[str] = []
@@ -249,10 +286,16 @@
         self.shim: Control | None = None  # set: the program runs with calls that fail (lab/shim.py)
         (folder / "state").mkdir(exist_ok=True)
         settings = {**SETTINGS, "discovery": discovery, "allowed": {**SETTINGS["allowed"], **allowed}}
-        config = {"name": "n0", "seed": "5", "listen": f"{self.host}:{self.port}",
-                  "control": f"{self.host}:{self.control}", "discovery": f"127.0.0.1:{platform.port}",
-                  "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": disk_mb},
-                  "known": known or platform.listing(), "settings": settings}
+        config = {
+            "name": "n0",
+            "seed": "5",
+            "listen": f"{self.host}:{self.port}",
+            "control": f"{self.host}:{self.control}",
+            "discovery": f"127.0.0.1:{platform.port}",
+            "limits": {"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": disk_mb},
+            "known": known or platform.listing(),
+            "settings": settings,
+        }
         (folder / "config.json").write_text(json.dumps(config))
 
     def configure(self, **changes: Any) -> None:
@@ -273,14 +316,21 @@
         await asyncio.sleep(4 * LOOK_S)
 
     async def start(self, ready: bool = True) -> Node:
-        env = {**os.environ, "LB_CONFIG": str(self.folder / "config.json"),
-               "LB_STATE": str(self.folder / "state"), "LB_CONTROL": f"{self.host}:{self.control}",
-               "LB_DISCOVERY": json.loads((self.folder / "config.json").read_text())["discovery"]}
-        program = ["-m", "lemonshunt"] if self.shim is None else [
-            str(ROOT / "lab/shim.py"), str(self.folder / "control.json"), str(self.folder / "state")]
+        env = {
+            **os.environ,
+            "LB_CONFIG": str(self.folder / "config.json"),
+            "LB_STATE": str(self.folder / "state"),
+            "LB_CONTROL": f"{self.host}:{self.control}",
+            "LB_DISCOVERY": json.loads((self.folder / "config.json").read_text())["discovery"],
+        }
+        program = (
+            ["-m", "lemonshunt"]
+            if self.shim is None
+            else [str(ROOT / "lab/shim.py"), str(self.folder / "control.json"), str(self.folder / "state")]
+        )
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *program, *self.arguments, cwd=ROOT, env=env,
-            stderr=asyncio.subprocess.PIPE)
+            sys.executable, *program, *self.arguments, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
+        )
         self.drain = asyncio.create_task(self.read_log())
         self.ready = asyncio.Event()
         if ready:
@@ -344,17 +394,25 @@
             first, headers, _ = await read_message(self.reader)
         return int(first.split(" ")[1]), headers
 
-    async def hand_in(self, name: str, cls: str = "order", left: str = "50", dest: object = 7,
-                      body: bytes = b"hello", **headers: str) -> tuple[int, dict[str, str]]:
+    async def hand_in(
+        self, name: str, cls: str = "order", left: str = "50", dest: object = 7, body: bytes = b"hello", **headers: str
+    ) -> tuple[int, dict[str, str]]:
         self.writer.write(message(name, cls, left, dest, body, **headers))
         return await self.answer()
 
 
-def message(name: str, cls: str = "order", left: str = "50", dest: object = 7, body: bytes = b"hello",
-            **changes: str | None) -> bytes:
+def message(
+    name: str, cls: str = "order", left: str = "50", dest: object = 7, body: bytes = b"hello", **changes: str | None
+) -> bytes:
     headers: dict[str, str | None] = {
-        "Host": "origin.svc", "X-Correlation-Id": name, "X-Account": "acme", "X-Time-Left": left,
-        "X-Session-Key": f"key-{name}", "Content-Length": str(len(body)), "X-Addressing": f"dest={dest}"}
+        "Host": "origin.svc",
+        "X-Correlation-Id": name,
+        "X-Account": "acme",
+        "X-Time-Left": left,
+        "X-Session-Key": f"key-{name}",
+        "Content-Length": str(len(body)),
+        "X-Addressing": f"dest={dest}",
+    }
     headers |= {k.replace("_", "-"): v for k, v in changes.items()}
     lines = [f"POST /{cls} HTTP/1.1", *(f"{k}: {v}" for k, v in headers.items() if v is not None)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -122,8 +122,9 @@
             await self.note()
 
 
-async def streaming(folder: Path, platform: Platform, table: dict[str, Any] | None = None, others: str = "",
-                    **more: Any) -> tuple[Node, int]:
+async def streaming(
+    folder: Path, platform: Platform, table: dict[str, Any] | None = None, others: str = "", **more: Any
+) -> tuple[Node, int]:
     """A node with streaming turned on, started, and the port of its streams."""
     node = Node(folder, platform, **more)
     port = free_port(node.host)
@@ -150,10 +151,16 @@
         await asyncio.get_running_loop().sock_connect(sock, (node.host, port))
         return cls(*await asyncio.open_connection(sock=sock, **more))
 
-    def ask(self, method: str = "GET", path: str = "/big?x=1", headers: str = "", body: bytes = b"",
-            dest: object = 7, version: str = "1.1") -> None:
-        head = (f"{method} {path} HTTP/{version}\r\nHost: origin.svc\r\nX-Addressing: dest={dest}\r\n"
-                f"{headers}\r\n")
+    def ask(
+        self,
+        method: str = "GET",
+        path: str = "/big?x=1",
+        headers: str = "",
+        body: bytes = b"",
+        dest: object = 7,
+        version: str = "1.1",
+    ) -> None:
+        head = f"{method} {path} HTTP/{version}\r\nHost: origin.svc\r\nX-Addressing: dest={dest}\r\n{headers}\r\n"
         self.writer.write(head.encode("latin-1") + body)
 
     async def answered(self) -> int:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -62,10 +62,17 @@
     assert b.counts == {"too old": 1} and len(b.facts) == 1
 
 
-@pytest.mark.parametrize(("before", "after", "stands"), [
-    ((1, 5, "out"), (1, 6, "back"), "back"), ((1, 6, "back"), (1, 5, "out"), "back"),
-    ((1, 9, "out"), (2, 1, "back"), "back"), ((2, 1, "out"), (1, 9, "back"), "out"),
-    ((1, 1, "ban"), (1, 2, "used"), "used"), ((1, 2, "holds"), (1, 3, "free"), "free")])
+@pytest.mark.parametrize(
+    ("before", "after", "stands"),
+    [
+        ((1, 5, "out"), (1, 6, "back"), "back"),
+        ((1, 6, "back"), (1, 5, "out"), "back"),
+        ((1, 9, "out"), (2, 1, "back"), "back"),
+        ((2, 1, "out"), (1, 9, "back"), "out"),
+        ((1, 1, "ban"), (1, 2, "used"), "used"),
+        ((1, 2, "holds"), (1, 3, "free"), "free"),
+    ],
+)
 def test_who_saw_it_has_the_last_word(before: tuple[int, int, str], after: tuple[int, int, str], stands: str) -> None:
     board = Board("me", 1)
     for life, number, kind in (before, after):
@@ -102,8 +109,11 @@
     for n in range(MOST_FACTS):
         board.take(0, [Item("out", f"s{n}", f"n{n}", 1, 1)])
     board.facts.clear()
-    board.take(0, [Item("out", f"endpoint-{n}", f"forwarder-{n % 70}", 1, n) for n in range(1500)]
-               + [Item("ban", "s1", "x", 1, 1), Item("ban", "s2", "asker", 1, 1)])
+    board.take(
+        0,
+        [Item("out", f"endpoint-{n}", f"forwarder-{n % 70}", 1, n) for n in range(1500)]
+        + [Item("ban", "s1", "x", 1, 1), Item("ban", "s2", "asker", 1, 1)],
+    )
     parts = board.all(0, "asker", ROOM, MOST_ANSWERS)
     assert [i.subject for i in parts[0][:2]] == ["s2", "s1"] and len(parts) == MOST_ANSWERS
     codec = Codec("c", [KEY])
@@ -122,9 +132,16 @@
     assert max(firsts.values()) < 20 and len(firsts) > 25
 
 
-items = st.builds(Item, st.sampled_from([k.value for k in Kind] + ["?"]), st.sampled_from(["s1", "s2"]),
-                  st.sampled_from(["a", "me", "b"]), st.integers(0, 3), st.integers(0, 9), st.integers(0, 1 << 41),
-                  st.integers(0, 1 << 41))
+items = st.builds(
+    Item,
+    st.sampled_from([k.value for k in Kind] + ["?"]),
+    st.sampled_from(["s1", "s2"]),
+    st.sampled_from(["a", "me", "b"]),
+    st.integers(0, 3),
+    st.integers(0, 9),
+    st.integers(0, 1 << 41),
+    st.integers(0, 1 << 41),
+)
 
 
 @profile(max_examples=150, deadline=None)
@@ -165,7 +182,7 @@
     fleet = with_boards(size, 1, loss)
     fleet.members[0].say(fleet.now, Kind.HOLDS, "s", urgent=True)
     fleet.post(0)
-    assert size - 1 in list(reached(fleet, Kind.HOLDS))[:8 if loss else 6]
+    assert size - 1 in list(reached(fleet, Kind.HOLDS))[: 8 if loss else 6]
     assert all(p.board and len(p.board.facts) == 1 for p in fleet.members.values())
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -177,11 +177,17 @@
     assert times[0] >= 500 * MS and times[2] >= 2 * S
 
 
-@pytest.mark.parametrize("bad", [
-    {"slots": 0}, {"balancers": 0}, {"max_open": 0}, {"cold_from": 2.0},
-    {"classes": (i.MessageClass("x", 1, 0),)},
-    {"classes": (i.MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        {"slots": 0},
+        {"balancers": 0},
+        {"max_open": 0},
+        {"cold_from": 2.0},
+        {"classes": (i.MessageClass("x", 1, 0),)},
+        {"classes": (i.MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
+    ],
+)
 def test_settings_that_cannot_hold_name_the_setting(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError) as told:
         settings(**bad)
@@ -236,8 +242,13 @@
 
 def test_key_rests_after_a_restart_cut_off_its_attempt() -> None:
     d = started(ONE)
-    told = d.handle(0, [i.Recalled("a", 10, CLASS["turns"], 8 * S, "k", None, 6, 0, 1, True),
-                        ask("b", cls="turns", due=8 * S, key="k")])
+    told = d.handle(
+        0,
+        [
+            i.Recalled("a", 10, CLASS["turns"], 8 * S, "k", None, 6, 0, 1, True),
+            ask("b", cls="turns", due=8 * S, key="k"),
+        ],
+    )
     assert [a.message for a in finals(told)] == ["a"] and not sends(told)
     got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, i.Send)]
     assert got and got[0] >= 300 * MS
@@ -270,10 +281,20 @@
 def test_a_message_keeps_its_class_when_the_settings_change() -> None:
     d = started(ONE, max_attempts=6)
     send = sends(d.handle(0, [ask("old", cls="once", due=8 * S)]))[0]
-    fresh = settings(max_attempts=2, classes=(
-        i.MessageClass("once", 2 * S, 8 * S), i.MessageClass("new", 2 * S, 8 * S, i.Effect.ONCE)))
-    told = d.handle(MS, [i.Retuned(fresh), i.Listed(i.ListKind.WHOLE, ONE), ask("gone", cls="safe"),
-                         ask("new", cls="new", due=8 * S), end(send, i.Outcome.UNREADABLE)])
+    fresh = settings(
+        max_attempts=2,
+        classes=(i.MessageClass("once", 2 * S, 8 * S), i.MessageClass("new", 2 * S, 8 * S, i.Effect.ONCE)),
+    )
+    told = d.handle(
+        MS,
+        [
+            i.Retuned(fresh),
+            i.Listed(i.ListKind.WHOLE, ONE),
+            ask("gone", cls="safe"),
+            ask("new", cls="new", due=8 * S),
+            end(send, i.Outcome.UNREADABLE),
+        ],
+    )
     assert sorted(a.message for a in finals(told)) == ["gone", "old"]
     assert all(isinstance(a, i.Fail) for a in finals(told))
     send = sends(told)[0]
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -42,8 +42,16 @@
 
     def __getattr__(self, name: str) -> Any:
         real = getattr(os, name)
-        play = {"open": self._open, "write": self._write, "replace": self._replace, "fdatasync": self._fdatasync,
-                "fsync": self._fsync, "unlink": self._unlink, "ftruncate": os.ftruncate, "close": os.close}.get(name)
+        play = {
+            "open": self._open,
+            "write": self._write,
+            "replace": self._replace,
+            "fdatasync": self._fdatasync,
+            "fsync": self._fsync,
+            "unlink": self._unlink,
+            "ftruncate": os.ftruncate,
+            "close": os.close,
+        }.get(name)
         if play is None:
             return real
 
@@ -55,6 +63,7 @@
                 self.fails[name] -= 1
                 raise OSError(errno.EIO, f"{name} failed")
             return play(*args)
+
         return counted
 
     @staticmethod
@@ -70,7 +79,7 @@
         return fd
 
     def _write(self, fd: int, data: Any) -> int:
-        return os.write(fd, bytes(data)[:self.chance.randrange(1, len(data) + 1)])  # short writes are allowed
+        return os.write(fd, bytes(data)[: self.chance.randrange(1, len(data) + 1)])  # short writes are allowed
 
     def _replace(self, old: Any, new: Any) -> None:
         self.pending += [(Path(new).name, str(Path(old).stat().st_ino)), (Path(old).name, "")]
@@ -93,19 +102,19 @@
         """What a disk may hold: names up to any point, and of each file what was synced and any part of the rest."""
         now = {str(p.stat().st_ino): p.read_bytes() for p in self.folder.iterdir() if p.is_file()}
         entries = dict(self.entries)
-        entries.update(self.pending[:self.chance.randrange(len(self.pending) + 1)])
+        entries.update(self.pending[: self.chance.randrange(len(self.pending) + 1)])
         to.mkdir()
         for name, inode in entries.items():
             if not inode:
                 continue  # it was given away, or removed
             synced = self.contents.get(inode, b"")
             rest = now.get(inode, synced)
-            if rest[:len(synced)] != synced:
+            if rest[: len(synced)] != synced:
                 rest = synced
-            data = bytearray(rest[:self.chance.randrange(len(synced), len(rest) + 1)])
+            data = bytearray(rest[: self.chance.randrange(len(synced), len(rest) + 1)])
             for at in range(len(synced), len(data), 64):  # blocks may come in any order: some are not there yet
                 if self.chance.random() < 0.3:
-                    data[at:at + 64] = bytes(len(data[at:at + 64]))
+                    data[at : at + 64] = bytes(len(data[at : at + 64]))
             (to / name).write_bytes(data)
 
 
@@ -128,8 +137,9 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_what_was_promised_is_there_after_a_power_cut_at_any_call(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                                  seed: int) -> None:
+def test_what_was_promised_is_there_after_a_power_cut_at_any_call(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
+) -> None:
     chance = random.Random(seed)
     for n in range(14):
         folder = tmp_path / f"life{n}"
@@ -143,6 +153,7 @@
         def promised(disk: Disk = disk, store: Store = store, sure: Any = sure) -> None:
             disk.fdatasync(store.fd)
             sure.append(({*store.messages, *store.ended}, {m.id: {*m.out} for m in store.messages.values()}))
+
         disk.dies_at = chance.randrange(5, 400)
         try:
             store.own()
@@ -167,8 +178,9 @@
 
 
 @pytest.mark.parametrize("first", range(5, 13))
-def test_a_process_that_dies_at_any_call_finds_all_it_wrote_and_no_damage(tmp_path: Path, first: int,
-                                                                         monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_that_dies_at_any_call_finds_all_it_wrote_and_no_damage(
+    tmp_path: Path, first: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Without the power going: what was written is there. Every eighth call from the first on."""
     for dies_at in range(first, 400, 8):
         folder = tmp_path / str(dies_at)
@@ -234,6 +246,7 @@
         async with asyncio.timeout(PATIENCE):
             await scene(store, Syncer(store, slow), slow)
         store.close()
+
     asyncio.run(played())
 
 
@@ -255,6 +268,7 @@
         slow.go.release()
         await until(lambda: done == [*range(50)])
         assert syncer.syncs == 2 and syncer.most_waiting >= 49
+
     syncing(tmp_path, scene)
 
 
@@ -276,12 +290,14 @@
         await until(lambda: done == ["a"])
         assert os.fstat(store.fd).st_ino != inode and not syncer.broken
         assert Store(tmp_path, MB).knows("a") and syncer.syncs == 1
+
     syncing(tmp_path, scene)
 
 
 @pytest.mark.parametrize("what", ["write", "fdatasync"])
 def test_what_the_store_failed_to_write_or_sync_is_not_let_go_by_a_later_sync(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
+) -> None:
     """The disk is full at a round's records; or the sync of a journal that is being closed fails."""
     monkeypatch.setattr("lemonshunt.net.durable.AGAIN_S", 0.01)
 
@@ -302,6 +318,7 @@
         await until(lambda: done == ["a"])
         monkeypatch.setattr(module, "os", os)
         assert Store(tmp_path, MB).knows("a") and not store.failed
+
     syncing(tmp_path, scene)
 
 
@@ -311,8 +328,9 @@
     return part
 
 
-def test_a_barrier_lets_go_all_that_waits_and_after_the_end_nothing_goes(tmp_path: Path,
-                                                                        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_barrier_lets_go_all_that_waits_and_after_the_end_nothing_goes(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
         done: list[int] = []
         syncer.after(lambda: done.append(1))
@@ -329,6 +347,7 @@
         syncer.after(lambda: done.append(2))
         await asyncio.sleep(0.02)
         assert done == [1]
+
     syncing(tmp_path, scene)
 
 
@@ -362,4 +381,5 @@
         assert (await other.hand_in("after"))[0] == 202
         await peer.got(7)
         assert await other.end(15) == 0
+
     asyncio.run(played())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -57,9 +57,17 @@
     """An engine in this process, with real sockets to a platform, a target and its clients."""
 
     def __init__(self, folder: Path, platform: Platform, **settings: Any) -> None:
-        (folder / "config.json").write_text(json.dumps({
-            "name": "n", "listen": "127.0.0.1:9", "discovery": f"127.0.0.1:{platform.port}",
-            "settings": {**SETTINGS, **settings}, "known": platform.listing()}))
+        (folder / "config.json").write_text(
+            json.dumps(
+                {
+                    "name": "n",
+                    "listen": "127.0.0.1:9",
+                    "discovery": f"127.0.0.1:{platform.port}",
+                    "settings": {**SETTINGS, **settings},
+                    "known": platform.listing(),
+                }
+            )
+        )
         self.folder, self.platform = folder, platform
 
     async def start(self) -> Scene:
@@ -146,6 +154,7 @@
             await scene(platform)
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
+
     asyncio.run(run())
 
 
@@ -157,10 +166,13 @@
     assert EDGE_US <= LOOK_US
 
 
-@pytest.mark.parametrize(("before_us", "over"), [
-    (2 * SECOND, True), (EDGE_US + 5_000, True), (EDGE_US - 5_000, False), (1_000, False), (-1_000, False)])
+@pytest.mark.parametrize(
+    ("before_us", "over"),
+    [(2 * SECOND, True), (EDGE_US + 5_000, True), (EDGE_US - 5_000, False), (1_000, False), (-1_000, False)],
+)
 def test_a_delivery_heard_at_the_end_of_its_time_is_not_surely_one(before_us: int, over: bool) -> None:
     """Its time began when the client sent it, which was before it was read: the platform may have counted it out."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         clock = Skewed()
@@ -169,6 +181,7 @@
         async def answer(request: Request) -> Answer:
             clock.until(due - before_us)
             return OK
+
         peer = await Peer(answer).start()
         pool = Pool(clock, ends.append, (), SECOND, SECOND, 10)
         pool.serving({1: Address("127.0.0.1", peer.port)})
@@ -177,12 +190,14 @@
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.closed) for e in ends] == [(i.Outcome.DELIVERED, over)]
         pool.close()
+
     play(scene)
 
 
 @pytest.mark.parametrize(("cls", "state"), [("turn", "failed"), ("status", "returned")])
 def test_a_delivery_that_may_have_come_too_late_is_ended_by_a_notice_too(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cls: str, state: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cls: str, state: str
+) -> None:
     """Seen on split+brink: counted as lost, and the next of its key as sent out of order. A notice of what is over
     does no harm; until it is answered the key waits."""
     monkeypatch.setattr(engine_module, "AnchoredClock", lambda folder, base: Skewed(base))
@@ -192,6 +207,7 @@
             if request.headers["x-correlation-id"] == "late":
                 at.clock.until(due - 1_000)
             return OK
+
         peer = await Peer(answer).start()
         platform.host("s1", peer.port)
         platform.accepts = False
@@ -209,18 +225,25 @@
         assert (await platform.notice("late"))["state"] == state
         await peer.until(lambda: any(r.headers["x-correlation-id"] == "next" for r in peer.requests))
         at.end()
+
     play(scene)
 
 
 # A connection that comes up when its messages may not leave any more
 
 
-@pytest.mark.parametrize(("cls", "outcome", "window"), [
-    ("keyed", i.Outcome.RESET, 3 * S), ("zoned", i.Outcome.TIMED_OUT, 3 * S), ("keyed", i.Outcome.FULL, None),
-    ("safe", i.Outcome.RESET, None)])
+@pytest.mark.parametrize(
+    ("cls", "outcome", "window"),
+    [
+        ("keyed", i.Outcome.RESET, 3 * S),
+        ("zoned", i.Outcome.TIMED_OUT, 3 * S),
+        ("keyed", i.Outcome.FULL, None),
+        ("safe", i.Outcome.RESET, None),
+    ],
+)
 def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: i.Outcome, window: int | None) -> None:
     d = Dispatcher(settings(), 1, 0)
-    first, = sends(d.handle(0, [i.Listed(i.ListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
+    (first,) = sends(d.handle(0, [i.Listed(i.ListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
     assert first.leave_by_us == NEVER
     again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
     while not again:
@@ -232,6 +255,7 @@
 def test_what_may_not_leave_any_more_stays_when_its_connection_comes_up() -> None:
     """A third of the connections may come up late: a repeat left after the window in which endpoints drop it. What
     else is in the call goes."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         clock = Skewed()
@@ -240,6 +264,7 @@
         async def accept(request: Request) -> Answer:
             many = json.loads(request.body) if request.path == "/hook/batch" else []
             return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
+
         peer = await Peer(accept).start()
         pool = Pool(clock, ends.append, (), SECOND, SECOND, 10)
         pool.serving({1: Address("127.0.0.1", peer.port)})
@@ -253,10 +278,14 @@
             while pool.out:
                 await asyncio.sleep(0.005)
         assert [(e.message, e.outcome) for e in ends] == [
-            ("late-True", i.Outcome.NOT_SENT), ("late-False", i.Outcome.NOT_SENT),
-            ("a", i.Outcome.DELIVERED), ("b", i.Outcome.DELIVERED)]
+            ("late-True", i.Outcome.NOT_SENT),
+            ("late-False", i.Outcome.NOT_SENT),
+            ("a", i.Outcome.DELIVERED),
+            ("b", i.Outcome.DELIVERED),
+        ]
         assert [r.path for r in peer.requests] == ["/hook/batch"]
         pool.close()
+
     play(scene)
 
 
@@ -280,7 +309,7 @@
     sending = asyncio.create_task(loop.sock_sendall(sock, FLOOD))
     while not server.doors:
         await asyncio.sleep(0.005)
-    door, = server.doors
+    (door,) = server.doors
     assert door.transport is not None
     while door.transport.is_reading() and not sending.done():
         await asyncio.sleep(0.005)
@@ -294,6 +323,7 @@
 
 def test_a_flood_is_read_no_faster_than_its_answers_are() -> None:
     """Answers to a client that reads none piled up in memory, as much as it sent. Nothing is lost by the pause."""
+
     async def scene(platform: Platform) -> None:
         server = Server(settings_of(SETTINGS), Skewed(), 10, refuse)
         sock, door, sending = await flooded(server)
@@ -305,6 +335,7 @@
         await sending
         sock.close()
         server.close()
+
     play(scene)
 
 
@@ -312,16 +343,19 @@
 def test_a_flood_holds_no_other_client_up_for_longer_than_a_piece_of_it_takes(floods: int) -> None:
     """All that they sent and its request lie in the kernel. One read took up to 256 KB of a flood, some thousand
     requests answered in one turn of the loop, and clients wait for 0.4 s."""
+
     async def scene(platform: Platform) -> None:
         server, handled = Server(settings_of(SETTINGS), Skewed(), 20, refuse), list[str]()
         server.handle = lambda door, request: (  # type: ignore[method-assign]
-            handled.append(request.path), door.answer(HTTPStatus.NOT_FOUND))[1]
+            handled.append(request.path),
+            door.answer(HTTPStatus.NOT_FOUND),
+        )[1]
         loop, doors, clients = asyncio.get_running_loop(), [], []
         with socket.create_server(("127.0.0.1", 0)) as listener:
             for n in range(floods + 1):
                 clients.append(socket.create_connection(listener.getsockname()))
                 clients[-1].setblocking(False)
-                clients[-1].send(FLOOD[:1 << 20] if n < floods else b"GET /up HTTP/1.1\r\n\r\n")
+                clients[-1].send(FLOOD[: 1 << 20] if n < floods else b"GET /up HTTP/1.1\r\n\r\n")
                 doors.append(listener.accept()[0])
                 doors[-1].setblocking(False)
         await asyncio.gather(*(loop.connect_accepted_socket(lambda: ClientConnection(server), sock) for sock in doors))
@@ -331,11 +365,13 @@
         for sock in clients:
             sock.close()
         server.close()
+
     play(scene)
 
 
 def test_a_client_that_reads_nothing_loses_its_connection() -> None:
     """It held its socket for ever: a close in order waits until all is read."""
+
     async def scene(platform: Platform) -> None:
         clock = Skewed()
         server = Server(settings_of(SETTINGS), clock, 10, refuse)
@@ -347,6 +383,7 @@
             await sending
         sock.close()
         server.close()
+
     play(scene)
 
 
@@ -398,7 +435,8 @@
 @pytest.mark.parametrize("cut", [b"", b"HTTP/1.1 200 OK\r\nContent-Le"])
 @pytest.mark.parametrize("silent", [1, 2])
 def test_what_a_silent_watch_missed_is_learned_by_the_next_one(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, silent: int, cut: bytes) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, silent: int, cut: bytes
+) -> None:
     """From the first question of the process on, and though the watch that follows falls silent too."""
     monkeypatch.setattr(discovery, "HOLD_MS", 100)
     monkeypatch.setattr(engine_module, "AnchoredClock", lambda folder, base: Skewed(base))
@@ -416,6 +454,7 @@
             await asyncio.sleep(0.005)
         assert len(platform.requests) >= silent + 1
         at.end()
+
     play(scene)
 
 
@@ -434,6 +473,7 @@
 @pytest.mark.parametrize("cut", [b"", b"HTTP/1.1 204 No Con"])
 def test_a_notice_leaves_the_connection_that_fell_silent_and_is_posted_again(silent: int, cut: bytes) -> None:
     """Each time on a new one; what the old ones still say is not heard."""
+
     async def scene(_: Platform) -> None:
         at = await Asked().start()
         told: list[str] = []
@@ -444,6 +484,7 @@
 
             def acknowledged(self, names: list[str]) -> None:
                 told.extend(names)
+
         notices = discovery.Notices(at.where, Book())
         notices.kick()
         writers: list[asyncio.StreamWriter] = []
@@ -452,12 +493,13 @@
             assert path == "/v1/notices" and not told and writer not in writers
             writers.append(writer)
             writer.write(cut)
-        writers[-1].write(b"HTTP/1.1 204 No Content\r\n\r\n"[len(cut):])
+        writers[-1].write(b"HTTP/1.1 204 No Content\r\n\r\n"[len(cut) :])
         while not told:
             await asyncio.sleep(0.002)
         assert told == ["m"] and at.questions.empty()
         notices.client.close()
         at.server.close()
+
     play(scene)
 
 
@@ -516,6 +558,7 @@
 @pytest.mark.parametrize("crossing", ["half a line", "a second answer", "an end", "a reset"])
 def test_a_call_does_not_take_a_connection_on_which_something_has_come(crossing: str) -> None:
     """The answer to no call was taken for the next one's; an end, for a call that may have run."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         wire = Wire()
@@ -539,13 +582,16 @@
             await asyncio.sleep(0.005)
         assert ends[1].outcome is i.Outcome.FAILED
         pool.close()
+
     play(scene)
 
 
 CUT = [
-    (b"", i.Outcome.RESET), (b"HTTP/1.1 2", i.Outcome.UNREADABLE),
+    (b"", i.Outcome.RESET),
+    (b"HTTP/1.1 2", i.Outcome.UNREADABLE),
     (b"HTTP/1.1 429 X\r\nX-RateLimit", i.Outcome.UNREADABLE),
-    (b"HTTP/1.1 200 OK\r\nContent-Le", i.Outcome.DELIVERED), (WHOLE, i.Outcome.DELIVERED),
+    (b"HTTP/1.1 200 OK\r\nContent-Le", i.Outcome.DELIVERED),
+    (WHOLE, i.Outcome.DELIVERED),
     (b"what is this", i.Outcome.UNREADABLE),
 ]
 
@@ -553,9 +599,11 @@
 @pytest.mark.parametrize("broken", ["reset", "end"])
 @pytest.mark.parametrize(("answer", "outcome"), CUT)
 def test_an_answer_that_breaks_off_is_believed_by_its_first_line_only(
-        broken: str, answer: bytes, outcome: i.Outcome) -> None:
+    broken: str, answer: bytes, outcome: i.Outcome
+) -> None:
     """Reset or ended after the call's last byte, within its answer, and after the answer's last byte. A reset may take
     bytes along that the forwarder has not read; then as much is believed as came."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         wire = Wire()
@@ -573,6 +621,7 @@
             await asyncio.sleep(0.005)
         assert [e.outcome for e in ends] == [outcome]
         pool.close()
+
     play(scene)
 
 
@@ -590,19 +639,26 @@
 
 @pytest.mark.parametrize("crossing", ["before", "between", "split", "never"])
 @pytest.mark.parametrize("how", GIVE_UPS)
-@pytest.mark.parametrize(("answer", "outcome"), [
-    (TURNED_AWAY, i.Outcome.FULL), (WHOLE, i.Outcome.DELIVERED), (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-                                                                 i.Outcome.FULL)])
+@pytest.mark.parametrize(
+    ("answer", "outcome"),
+    [
+        (TURNED_AWAY, i.Outcome.FULL),
+        (WHOLE, i.Outcome.DELIVERED),
+        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", i.Outcome.FULL),
+    ],
+)
 def test_an_answer_that_crosses_the_giving_up_of_its_call_counts(
-        answer: bytes, outcome: i.Outcome, how: str, crossing: str) -> None:
+    answer: bytes, outcome: i.Outcome, how: str, crossing: str
+) -> None:
     """It lies in the kernel as its call is given up, or comes before the connection is closed: the wait that it tells
     counts as told, and a delivery is one."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
-        call, = pool.calls.values()
+        (call,) = pool.calls.values()
         give_up, alone = GIVE_UPS[how]
         if crossing == "split" or how == "quiet":
             sock.send(answer[:9])
@@ -621,12 +677,14 @@
         assert ends[0].wait_us == (WAIT_MS * 1000 if told else 0) and bool(pool.waits) == told
         assert pool.out == 0 and not pool.calls and not pool.all
         pool.close()
+
     play(scene)
 
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_call_that_is_given_up_is_not_handed_over(answered: bool) -> None:
     """The process that takes over would take it for one that never ran, and send its message again."""
+
     async def scene(platform: Platform) -> None:
         ends: list[i.Ended] = []
         wire = Wire()
@@ -639,6 +697,7 @@
         told, going = pool.hand_over()
         assert told["calls"] == [] and going == []
         assert [e.outcome for e in ends] == [i.Outcome.DELIVERED if answered else i.Outcome.TIMED_OUT]
+
     play(scene)
 
 
@@ -650,12 +709,14 @@
 def test_a_request_that_crosses_the_close_is_answered_or_never_taken_on(ending: str, sent: str) -> None:
     """One that lies unread in the kernel keeps its connection open, unless the process ends. One that comes later is
     never taken on: its client hears an end with no answer, and sends it once more elsewhere."""
+
     async def scene(platform: Platform) -> None:
         handed: list[str] = []
 
         def hand_in(got: Submission, door: ClientConnection) -> None:
             handed.append(got.id)
             door.answer(HTTPStatus.ACCEPTED)
+
         server = Server(settings_of(SETTINGS), Skewed(), 1, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
@@ -682,6 +743,7 @@
             assert not answered
         assert handed == (["first", "crossing"] if answered else ["first"])
         server.close()
+
     play(scene)
 
 
@@ -705,11 +767,13 @@
         assert (await node.hand_in("more", "pay"))[0] == 202
         await peer.got(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["out", "more"]
+
     real.play(scene, tmp_path)
 
 
 def test_sigterm_before_it_is_ready_loses_nothing(tmp_path: Path) -> None:
     """It waits for its address, which another socket has."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await real.target(platform, hang)
         node = await real.node_on(folder, platform)
@@ -728,11 +792,13 @@
         await node.start()
         again = (await peer.got(2))[1]
         assert again.headers["x-correlation-id"] == "held"
+
     real.play(scene, tmp_path)
 
 
 def test_a_limit_that_shrinks_below_what_is_held_gives_up_the_last_by_a_notice(tmp_path: Path) -> None:
     """As a buffer that fills does: the largest pile gives up its last in order, and the rest goes on."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
         peer = await real.target(platform, once(free))
@@ -749,6 +815,7 @@
         await peer.until(lambda: {"a", "b"} <= {r.headers["x-correlation-id"] for r in peer.requests})
         assert (await platform.notice("c"))["state"] == "returned"
         assert {n["id"] for n in platform.notices}.isdisjoint({"a", "b"})
+
     real.play(scene, tmp_path)
 
 
@@ -758,6 +825,7 @@
 @pytest.mark.parametrize("aim_us", [2 * SECOND, 40 * SECOND, 60 * SECOND])
 def test_what_a_restart_finds_untried_is_tried(tmp_path: Path, aim_us: int) -> None:
     """Also where the aim is near the deadline, so that the expected call is a large part of the time that is left."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await real.target(platform, hang)
         node = await real.node_on(folder, platform)
@@ -774,6 +842,7 @@
         untried = set(names) - tried
         await peer.until(lambda: untried <= {r.headers["x-correlation-id"] for r in peer.requests})
         assert untried and not untried & {n["id"] for n in platform.notices}
+
     real.play(scene, tmp_path)
 
 
@@ -803,8 +872,12 @@
 
 
 @profile(derandomize=True, max_examples=150, deadline=None)
-@given(answer=st.sampled_from(sorted(ANSWERS)), cuts=st.lists(st.integers(0, 70), max_size=4),
-       came=st.integers(0, 70), breaks=st.lists(st.sampled_from(BREAKS), min_size=1, max_size=3))
+@given(
+    answer=st.sampled_from(sorted(ANSWERS)),
+    cuts=st.lists(st.integers(0, 70), max_size=4),
+    came=st.integers(0, 70),
+    breaks=st.lists(st.sampled_from(BREAKS), min_size=1, max_size=3),
+)
 def test_a_call_has_one_end_in_any_order_of_steps(answer: bytes, cuts: list[int], came: int, breaks: list[str]) -> None:
     came = min(came, len(answer))
     ends: list[i.Ended] = []
@@ -836,14 +909,18 @@
                 break
         await asyncio.sleep(0)
         pool.idle.clear()
+
     asyncio.run(run())
     how = breaks[0] if came or breaks[0] != "quiet" else "time-out"
     assert [e.outcome for e in ends] == [expected_end(answer, came, how)]
 
 
 @profile(derandomize=True, max_examples=150, deadline=None)
-@given(steps=st.lists(st.sampled_from(["message", "half", "rest", "junk", "answer", "let go", "half-close", "gone"]),
-                      max_size=14))
+@given(
+    steps=st.lists(
+        st.sampled_from(["message", "half", "rest", "junk", "answer", "let go", "half-close", "gone"]), max_size=14
+    )
+)
 def test_a_clients_connection_owes_each_whole_request_one_answer(steps: list[str]) -> None:
     """In their order, as long as it may: nothing that comes after the close, after junk or after the client's end is
     handed on, and nobody is answered twice."""
@@ -890,6 +967,7 @@
         assert [name for name, _ in handed] == [f"m{n}" for n in range(len(handed))]
         if open_:
             assert answered == asked == paper.written.count(b"HTTP/1.1 202")
+
     handed.clear()
     asyncio.run(run())
 
@@ -921,8 +999,12 @@
 
 WATCH_STEPS = ["news", "nothing", "whole", "junk", "cut", "refused", "reset", "silent", "moved", "moved and answered"]
 FAILURES: dict[str, bytes] = {
-    "junk": json_answer(seq="x", hosts=[3]), "cut": json_answer(seq=99, whole=True, hosts=[])[:-1],
-    "refused": b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", "reset": b"", "silent": b""}
+    "junk": json_answer(seq="x", hosts=[3]),
+    "cut": json_answer(seq=99, whole=True, hosts=[])[:-1],
+    "refused": b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
+    "reset": b"",
+    "silent": b"",
+}
 
 
 @profile(derandomize=True, max_examples=80, deadline=None)
@@ -931,6 +1013,7 @@
     """One question is out at a time, from the version that is known; what fails is told once and changes nothing, and a
     connection that breaks is replaced, for one question as often as AGAIN_S says; an answer of the old place that
     crosses a move is not heard, and asked for again at the new one."""
+
     async def run() -> None:
         loop = asyncio.get_running_loop()
         real_time, ahead = loop.time, [0.0]
@@ -987,15 +1070,20 @@
             place.server.close()
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
+
     asyncio.run(run())
 
 
 def test_a_clock_that_was_set_back_lets_nothing_run_twice() -> None:
     """Its first attempt was sent at a time that is still to come: what must not run twice has no time to go again."""
     d = Dispatcher(settings(), 1, 0)
-    actions = d.handle(0, [
-        i.Listed(i.ListKind.SAVED, ENTRIES[:1]),
-        i.Recalled("m", 10, d.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].target, False)])
+    actions = d.handle(
+        0,
+        [
+            i.Listed(i.ListKind.SAVED, ENTRIES[:1]),
+            i.Recalled("m", 10, d.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].target, False),
+        ],
+    )
     assert not sends(actions) and [type(a) for a in finals(actions)] == [i.Fail]
 
 
@@ -1003,29 +1091,48 @@
 
 
 OTHER: dict[str, Any] = {
-    "allowed": {"conn_idle_us": 2_000_000, "dial_timeout_us": 700_000, "max_attempts": 3, "max_open": 8,
-                "may_cancel": True},
-    "balancers": 3, "discovery": "pushed", "host_types": ["sea", "rail"], "zones": ["west", "east"], "zone": "east",
+    "allowed": {
+        "conn_idle_us": 2_000_000,
+        "dial_timeout_us": 700_000,
+        "max_attempts": 3,
+        "max_open": 8,
+        "may_cancel": True,
+    },
+    "balancers": 3,
+    "discovery": "pushed",
+    "host_types": ["sea", "rail"],
+    "zones": ["west", "east"],
+    "zone": "east",
     "contract": {"grace_to_answer_us": 5_000, "drain_grace_us": 200_000, "ask_within_us": 10_000_000},
     "family_info": {"slots": 2, "kind_batch": [1, 2], "routes_apart": [True, False], "carriage": [0.1, 0.0]},
-    "orgs": [{"name": "north", "allowance_per_s": 50.0, "fraction": 1.0}], "over_share_worth": 0.2,
+    "orgs": [{"name": "north", "allowance_per_s": 50.0, "fraction": 1.0}],
+    "over_share_worth": 0.2,
     "services": [
-        {"name": "waybill", "aim_us": 9_000_000, "deadline_us": 12_000_000, "effect": "by_key",
-         "key_scope": "zone", "window_us": 6_000_000},
+        {
+            "name": "waybill",
+            "aim_us": 9_000_000,
+            "deadline_us": 12_000_000,
+            "effect": "by_key",
+            "key_scope": "zone",
+            "window_us": 6_000_000,
+        },
         {"name": "pickup-call", "aim_us": 9_000_000, "deadline_us": 10_000_000, "effect": "once", "by_arrival": True},
     ],
-    "telemetry": {"fields": [], "how": "silent"}, "weight_source": "silent",
+    "telemetry": {"fields": [], "how": "silent"},
+    "weight_source": "silent",
 }
 
 
 def test_other_names_effects_and_limits_hold_from_the_settings_alone(tmp_path: Path) -> None:
     """A keyed message that may have run goes again, twice, within its zone only, though the other zone's endpoint is
     free; its class keeps no order and its clients send no session key. Classes of this site's are unknown there."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         answers = [None, None, OK]
 
         async def answer(request: Request) -> Answer | None:
             return answers.pop(0) if len(answers) > 1 else OK
+
         peers = [await real.target(platform, answer, zone, kind="sea") for zone in ("west", "east")]
         for zone in ("west", "east"):
             platform.hosts[zone]["site"] = zone
@@ -1042,4 +1149,5 @@
         assert [(await node.hand_in("c", "order"))[0], (await node.hand_in("d", "waybill"))[0]] == [404, 400]
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
+
     real.play(scene, tmp_path)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -69,12 +69,14 @@
         await node.restart()
         await asyncio.sleep(0.5)
         assert set(ids(peer)) == {"before", taken}
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize(("cls", "leaves"), [("status", True), ("pay", False)])
 def test_only_calls_that_may_be_repeated_leave_unrecorded(tmp_path: Path, cls: str, leaves: bool) -> None:
     """The others end in time by a notice, or go once their attempt can be written."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
         node = await shimmed(folder, platform)
@@ -87,6 +89,7 @@
         await peer.got(2)
         assert ids(peer) == ["long", "long"] and not platform.notices
         assert "violations: none" in await node.call(b"RULES\n")
+
     play(scene, tmp_path)
 
 
@@ -100,6 +103,7 @@
         await node.fail(*FULL_DISK)
         await platform.notice("held")
         assert time.monotonic() - handed_s > 0  # it came; the lab's judge bounds how late
+
     play(scene, tmp_path)
 
 
@@ -108,6 +112,7 @@
 def test_any_call_on_the_state_folder_may_fail(tmp_path: Path, call: str, moment: str) -> None:
     """At the start, in service with a snapshot under way, or at the end; then SIGKILL and a healthy start. Each client
     is answered, what was taken on is delivered, and what was refused is not."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         failure = Failure(call, "EIO")
@@ -131,6 +136,7 @@
         assert not platform.notices
         assert await until_taken(node)
         assert set(ids(peer)) <= taken | {name for name in ids(peer) if name.startswith("again")}
+
     play(scene, tmp_path)
 
 
@@ -138,6 +144,7 @@
 @pytest.mark.parametrize("running", [True, False], ids=["while it runs", "over a restart"])
 def test_a_step_of_the_wall_clock_moves_no_time(tmp_path: Path, steps: tuple[float, float], running: bool) -> None:
     """A message that is held with time left is delivered once its destination's wait is over, no sooner."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
         node = await shimmed(folder, platform, clock_s=steps[0])
@@ -154,6 +161,7 @@
         assert not running or time.monotonic() - told_s > 1.4
         await asyncio.sleep(0.2)
         assert ids(peer) == ["held"] * 3 and not platform.notices
+
     play(scene, tmp_path)
 
 
@@ -172,7 +180,8 @@
 
 @pytest.mark.parametrize(("anchor", "boot", "monotonic", "wall", "says"), ANCHORS.values(), ids=ANCHORS)
 def test_the_clock_goes_on_over_restarts(
-        anchor: Anchor | None, boot: str, monotonic: int, wall: int, says: int) -> None:
+    anchor: Anchor | None, boot: str, monotonic: int, wall: int, says: int
+) -> None:
     assert base_ns(anchor, boot, monotonic, wall) + monotonic == says
 
 
@@ -181,7 +190,8 @@
 
 @pytest.mark.parametrize(("call", "error"), LOCAL)
 def test_a_failure_of_this_machine_costs_no_try_and_tells_nothing_of_an_endpoint(
-        tmp_path: Path, call: str, error: str) -> None:
+    tmp_path: Path, call: str, error: str
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -193,12 +203,20 @@
         await node.fail()
         await peer.got(1)
         assert "in outage" not in "".join(node.log)
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("failure", [Failure("accept", "ECONNABORTED", 0.5), Failure("accept", "ENFILE", 0.5),
-                                     Failure("accept", "ENOBUFS", 0.5), Failure("short", share=0.7)],
-                         ids=lambda failure: f"{failure.call}-{failure.errno}")
+@pytest.mark.parametrize(
+    "failure",
+    [
+        Failure("accept", "ECONNABORTED", 0.5),
+        Failure("accept", "ENFILE", 0.5),
+        Failure("accept", "ENOBUFS", 0.5),
+        Failure("short", share=0.7),
+    ],
+    ids=lambda failure: f"{failure.call}-{failure.errno}",
+)
 def test_clients_are_served_through_failing_accepts_and_short_reads(tmp_path: Path, failure: Failure) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
@@ -207,12 +225,14 @@
         assert set((await answers(node, names, body=bytes(range(256)))).values()) == {202}
         await peer.got(20)
         assert sorted(ids(peer)) == sorted(names) and {r.body for r in peer.requests} == {bytes(range(256))}
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize(("error", "tries"), [(errno.EIO, 3), (errno.EMFILE, 3), (errno.ENOENT, 1)])
 def test_a_configuration_that_cannot_be_read_for_a_moment_ends_no_start(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int, tries: int) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int, tries: int
+) -> None:
     """A passing failure is tried again; one that names no file is told at once."""
     left, made = [OSError(error, "for the test")] * 2, []
 
@@ -221,6 +241,7 @@
         if left:
             raise left.pop()
         return b"{}"
+
     monkeypatch.setattr(Path, "read_bytes", read_bytes)
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     with pytest.raises(ConfigError):
@@ -255,6 +276,7 @@
             if failing:
                 raise failing.pop()
             return await real(*args, **named)
+
         notices.client.ask = ask  # type: ignore[assignment, method-assign]
         notices.kick()
         await platform.notice("m")
@@ -262,6 +284,7 @@
             while book.owed:
                 await asyncio.sleep(0.01)
         assert supervisor.failures == {"notices": 2}
+
     asyncio.run(scene())
 
 
@@ -276,11 +299,12 @@
     while left:
         body, told = post_body(left)
         assert len(body) <= MOST_BODY and len(body.splitlines()) == len(told) > 0
-        left = left[len(told):]
+        left = left[len(told) :]
 
 
 def test_nothing_is_handed_over_that_the_journal_lacks(tmp_path: Path) -> None:
     """Found by the soak: a process that took over while the old one could not write went by the list before a drain."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -298,6 +322,7 @@
         async def slow(request: Request) -> Answer | bytes | None:
             await answer_now.wait()
             return await answered(request)
+
         platform.handler = slow
         new = node.beside()
         new.shim = None
@@ -311,6 +336,7 @@
         assert not drained.requests
         answer_now.set()
         await other.got(1)
+
     play(scene, tmp_path)
 
 
@@ -318,6 +344,7 @@
 def test_an_upgrade_outlasts_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
     """Found by the soak: the process that had taken over ended as it closed its own lock, and all went with it; one
     that could not open the lock for longer took the address for free, and ended as it was not."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -331,11 +358,13 @@
         await starting
         assert (await new.hand_in("m", "status"))[0] == 202
         await peer.got(1)
+
     play(scene, tmp_path)
 
 
 def test_a_list_whose_connection_ends_unread_is_asked_for_again_at_once() -> None:
     """Found by the soak: what discovery had written counts as told, and the next question came 1.2 s later."""
+
     async def scene() -> None:
         listing = json.dumps(Platform().listing()).encode()
         peer = await Peer(always(None, None, None, Answer(200, body=listing), None)).start()
@@ -347,11 +376,13 @@
                 await asyncio.sleep(0.01)
         assert told[0] is not None and told[0].whole
         watch.client.close()
+
     asyncio.run(scene())
 
 
 def test_the_list_is_asked_for_again_after_an_error_in_taking_it_on() -> None:
     """An error beside the watch ended it untold, so that nobody asked again."""
+
     async def scene() -> None:
         platform = await Platform().start()
         told: list[HostList | None] = []
@@ -360,6 +391,7 @@
             told.append(news)
             if len(told) == 1:
                 raise RuntimeError("unforeseen")
+
         supervisor = Supervisor()
         watch = Watch(Address("127.0.0.1", platform.port), -1, listed, supervisor=supervisor)
         watch.subscribe()
@@ -370,4 +402,5 @@
         watch.subscribe()
         await platform.until(lambda: len(platform.requests) > 1)
         watch.client.close()
+
     asyncio.run(scene())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -92,8 +92,12 @@
 
     def slack(self) -> float:
         """What the rule allows beyond the whole: who left by its word and is back where some do not hear it."""
-        lost = {other for name in self.shares for other in self.heard_left[name]
-                if other in self.shares and self.now - self.back_at[other] <= BELIEVE + DETECT}
+        lost = {
+            other
+            for name in self.shares
+            for other in self.heard_left[name]
+            if other in self.shares and self.now - self.back_at[other] <= BELIEVE + DETECT
+        }
         deaf = {name for name in self.shares if self.heard_left[name] & set(self.shares)} if lost else set()
         return (len(lost) + len(deaf) / 2) / self.size
 
@@ -102,8 +106,10 @@
     """Random cuts, deaths, leavings and returns; the sum of the shares at each step."""
     model = Model(size, seed, settle, detect)
     for _ in range(12):
-        what, name = model.random.choice(["cut", "heal", "stop", "leave", "start", "quiet"]), model.random.choice(
-            model.names)
+        what, name = (
+            model.random.choice(["cut", "heal", "stop", "leave", "start", "quiet"]),
+            model.random.choice(model.names),
+        )
         if what == "cut":
             parts = model.random.choice([2, 2, 3])
             model.cut({n: model.random.randrange(parts) for n in model.names})
@@ -163,11 +169,21 @@
     return Seen(frozenset(f"n{n}" for n in range(there)), frozenset(f"l{n}" for n in range(left)), stale)
 
 
-@pytest.mark.parametrize(("view", "after_s", "size", "mode"), [
-    (seen(10), 17, 20.0, Mode.AGREED),  # until it has proved to be there it may be that others hold its part
-    (seen(10), 18, 10.0, Mode.AGREED), (seen(5), 60, 20.0, Mode.CUT_OFF), (seen(1), 60, 20.0, Mode.ALONE),
-    (seen(9, stale=True), 60, 20.0, Mode.ALONE), (seen(6), 60, 10.0, Mode.UNSURE), (seen(4, 6), 29, 10.0, Mode.AGREED),
-    (seen(4, 6), 30, 4.0, Mode.AGREED), (seen(4, 6), 120, 20.0, Mode.CUT_OFF), (seen(12), 18, 12.0, Mode.AGREED)])
+@pytest.mark.parametrize(
+    ("view", "after_s", "size", "mode"),
+    [
+        (seen(10), 17, 20.0, Mode.AGREED),  # until it has proved to be there it may be that others hold its part
+        (seen(10), 18, 10.0, Mode.AGREED),
+        (seen(5), 60, 20.0, Mode.CUT_OFF),
+        (seen(1), 60, 20.0, Mode.ALONE),
+        (seen(9, stale=True), 60, 20.0, Mode.ALONE),
+        (seen(6), 60, 10.0, Mode.UNSURE),
+        (seen(4, 6), 29, 10.0, Mode.AGREED),
+        (seen(4, 6), 30, 4.0, Mode.AGREED),
+        (seen(4, 6), 120, 20.0, Mode.CUT_OFF),
+        (seen(12), 18, 12.0, Mode.AGREED),
+    ],
+)
 def test_the_size_that_a_view_comes_to(view: Seen, after_s: int, size: float, mode: Mode) -> None:
     shares = shares_of(10)
     for second in range(after_s + 1):
@@ -206,6 +222,7 @@
 
     def kept() -> int:
         return Lease(tmp_path, lambda: now[0]).read(20 * S)
+
     lease, boot = Lease(tmp_path, lambda: now[0]), [50 * S]
     monkeypatch.setattr("lemonshunt.net.lease.since_boot", lambda: boot[0])
     assert kept() == 0
@@ -222,7 +239,7 @@
     boot[0] = 57 * S
     data = (tmp_path / "lease").read_bytes()
     for at in range(len(data) - 1):
-        (tmp_path / "lease").write_bytes(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:])
+        (tmp_path / "lease").write_bytes(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
         assert kept() == 0, at
     (tmp_path / "lease").write_bytes(data)
     monkeypatch.setattr("lemonshunt.net.lease.boot_id", lambda: "another")
@@ -272,6 +289,7 @@
 
     def refused(*args: object) -> None:
         raise AssertionError("opened or cut again")
+
     for call in ("open", "ftruncate", "truncate", "replace"):
         monkeypatch.setattr(f"os.{call}", refused)
     for n in range(5):
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -40,9 +40,11 @@
     """Each door, and the reader of each connection to targets and discovery, as it is made."""
     refs: list[weakref.ref[Any]] = []
     for cls in (ClientConnection, ResponseReader):
+
         def first(self: Any, *args: Any, begin: Callable[..., None] = cls.__init__, **named: Any) -> None:
             begin(self, *args, **named)
             refs.append(weakref.ref(self))
+
         monkeypatch.setattr(cls, "__init__", first)
     return refs
 
@@ -65,10 +67,13 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize(
-    "data", [b"GET /up HTTP/1.1\r\n\r\n", message("bad", dest="none"), b"no request\r\n\r\n", HALF],
-    ids=["up", "refused", "unreadable", "half"])
-def test_a_closed_door_is_freed_without_the_collector(uncollected: None, made: list[weakref.ref[Any]],
-                                                      data: bytes, reset: bool) -> None:
+    "data",
+    [b"GET /up HTTP/1.1\r\n\r\n", message("bad", dest="none"), b"no request\r\n\r\n", HALF],
+    ids=["up", "refused", "unreadable", "half"],
+)
+def test_a_closed_door_is_freed_without_the_collector(
+    uncollected: None, made: list[weakref.ref[Any]], data: bytes, reset: bool
+) -> None:
     async def scene() -> None:
         server = Server(settings(SETTINGS), Clock(), 100, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
@@ -77,19 +82,23 @@
             await ask_and_close(server.listener.where(), data, reset)
         await freed(made, COUNT)
         server.close()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("answer", [OK, None, b"HTTP/1.1 200 OK\r\nContent-Len", b"garbage\r\n\r\n"],
-                         ids=["whole", "none", "cut", "garbled"])
+@pytest.mark.parametrize(
+    "answer", [OK, None, b"HTTP/1.1 200 OK\r\nContent-Len", b"garbage\r\n\r\n"], ids=["whole", "none", "cut", "garbled"]
+)
 def test_a_closed_connection_to_a_target_is_freed_without_the_collector(
-        uncollected: None, made: list[weakref.ref[Any]], answer: Answer | bytes | None) -> None:
+    uncollected: None, made: list[weakref.ref[Any]], answer: Answer | bytes | None
+) -> None:
     async def scene() -> None:
         async def once(request: Request) -> Answer | bytes | None:
             if isinstance(answer, bytes):
                 request.writer.write(answer)
                 return None
             return answer
+
         peer, ends = await Peer(once).start(), []
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -102,11 +111,13 @@
         ends.clear()
         await freed(made, COUNT)
         p.close()
+
     asyncio.run(scene())
 
 
 def test_a_closed_channel_to_discovery_is_freed_without_the_collector(
-        uncollected: None, made: list[weakref.ref[Any]]) -> None:
+    uncollected: None, made: list[weakref.ref[Any]]
+) -> None:
     async def scene() -> None:
         peer = await Peer(always(OK)).start()
         client, unused = Client(Address("127.0.0.1", peer.port)), Channel()
@@ -116,4 +127,5 @@
             client.close()
             client.channel = unused
         await freed(made, COUNT)
+
     asyncio.run(scene())
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -133,11 +133,20 @@
 
 
 GATES: dict[Gate, tuple[Callable[[Dispatcher], object], str]] = {
-    Gate.WAIT: (waits, "safe"), Gate.REST: (rests, "safe"), Gate.PACE: (paces, "safe"),
-    Gate.WINDOW: (lambda d: out(d, "x"), "safe"), Gate.CAP: (sickens, "safe"), Gate.SLOTS: (fills, "safe"),
-    Gate.OUTAGE: (falls, "safe"), Gate.COLD: (comes_back, "safe"), Gate.SURE: (doubted, "once"),
-    Gate.KEY: (key_out, "turns"), Gate.KEY_REST: (key_rests, "turns"), Gate.BAN: (is_banned, "safe"),
-    Gate.DRAIN: (drains, "safe"), Gate.UNLISTED: (goes, "safe"),
+    Gate.WAIT: (waits, "safe"),
+    Gate.REST: (rests, "safe"),
+    Gate.PACE: (paces, "safe"),
+    Gate.WINDOW: (lambda d: out(d, "x"), "safe"),
+    Gate.CAP: (sickens, "safe"),
+    Gate.SLOTS: (fills, "safe"),
+    Gate.OUTAGE: (falls, "safe"),
+    Gate.COLD: (comes_back, "safe"),
+    Gate.SURE: (doubted, "once"),
+    Gate.KEY: (key_out, "turns"),
+    Gate.KEY_REST: (key_rests, "turns"),
+    Gate.BAN: (is_banned, "safe"),
+    Gate.DRAIN: (drains, "safe"),
+    Gate.UNLISTED: (goes, "safe"),
 }
 
 
@@ -194,10 +203,17 @@
 def test_logs_of_a_fleet_are_added_up(tmp_path: Path) -> None:
     """A restart begins from nothing; lines of other kinds are passed over."""
     line = "2026 INFO lemonshunt.engine: state: serving; held by: "
-    (tmp_path / "n0.log").write_text("\n".join((
-        line + "window 1.0 s; told wait 0.5 s", "state: 3 held", line + "window 4.0 s; told wait 0.5 s",
-        line + "outage 2.0 s",
-        "x: refused: ab for destination 7, held by: outage; 3 refused since the last such line")))
+    (tmp_path / "n0.log").write_text(
+        "\n".join(
+            (
+                line + "window 1.0 s; told wait 0.5 s",
+                "state: 3 held",
+                line + "window 4.0 s; told wait 0.5 s",
+                line + "outage 2.0 s",
+                "x: refused: ab for destination 7, held by: outage; 3 refused since the last such line",
+            )
+        )
+    )
     (tmp_path / "n1").mkdir()
     (tmp_path / "n1/log").write_text(line + "pace by our share of the limit 2.5 s\n" + line + "nothing")
     rows, refused = gates.added(tmp_path)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -18,8 +18,17 @@
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request
 
-LIMITS = Limits(half_life_us=10 * S, least_samples=5, run_calls=5, least_share=0.2, most_ejected=0.5,
-                eject_us=5 * S, eject_top_us=60 * S, again_us=S, trial_calls=3)
+LIMITS = Limits(
+    half_life_us=10 * S,
+    least_samples=5,
+    run_calls=5,
+    least_share=0.2,
+    most_ejected=0.5,
+    eject_us=5 * S,
+    eject_top_us=60 * S,
+    again_us=S,
+    trial_calls=3,
+)
 Fate = Callable[[int, int], Outcome]
 
 
@@ -30,8 +39,14 @@
         self.d = Dispatcher(settings(slots=8, balancers=1, max_attempts=50), seed, 0)
         self.health = Health(self.d, limits)
         self.d.parts.append(self.health)
-        self.d.handle(0, [i.Listed(i.ListKind.SAVED, tuple(
-            i.TargetEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1)))])
+        self.d.handle(
+            0,
+            [
+                i.Listed(
+                    i.ListKind.SAVED, tuple(i.TargetEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
+                )
+            ],
+        )
         self.now, self.number = 0, 0
         self.calls: Counter[int] = Counter()
         self.attempts: Counter[str] = Counter()
@@ -73,8 +88,9 @@
 
 
 @pytest.mark.parametrize("endpoints", [2, 3, 8])
-@pytest.mark.parametrize("outcome", [Outcome.FAILED, Outcome.UNREADABLE, Outcome.RESET, Outcome.TIMED_OUT,
-                                     Outcome.NO_CONNECTION])
+@pytest.mark.parametrize(
+    "outcome", [Outcome.FAILED, Outcome.UNREADABLE, Outcome.RESET, Outcome.TIMED_OUT, Outcome.NO_CONNECTION]
+)
 def test_one_that_fails_is_ejected_and_the_others_are_not(endpoints: int, outcome: Outcome) -> None:
     fleet = Fleet(endpoints).run(20, failing(2, outcome=outcome))
     assert fleet.verdicts()[1] in (Verdict.EJECTED, Verdict.ON_TRIAL) and fleet.health.records[2].times
@@ -86,8 +102,7 @@
 def test_a_share_of_failures_is_enough_where_the_others_have_none() -> None:
     """Half of its calls fail: no two running need to, and the Dispatcher's own sign may not show."""
     r = random.Random(5)
-    fleet = Fleet(3).run(
-        30, lambda t, now: Outcome.FAILED if t == 2 and r.random() < 0.5 else Outcome.DELIVERED)
+    fleet = Fleet(3).run(30, lambda t, now: Outcome.FAILED if t == 2 and r.random() < 0.5 else Outcome.DELIVERED)
     assert fleet.health.records[2].times >= 1 and fleet.health.records[1].times == 0
 
 
@@ -143,7 +158,7 @@
             lengths.append(r.until - r.since)
         fleet.run(0.5, failing(2))
     for n, length in enumerate(lengths):
-        assert 5 * 2 ** n * S <= length <= 1.5 * 5 * 2 ** n * S
+        assert 5 * 2**n * S <= length <= 1.5 * 5 * 2**n * S
     fleet.run(100, failing())
     assert fleet.verdicts() == [Verdict.HEALTHY] * 3
     assert [n for n in fleet.notes if n == "health: target 2 is on trial"]
@@ -166,8 +181,9 @@
         sick = {n: r.random() for n in range(1, 9)}
         period = r.choice((1, 3, 7)) * S
 
-        def fate(target: int, now: int, r: random.Random = r, sick: dict[int, float] = sick,
-                 period: int = period) -> Outcome:
+        def fate(
+            target: int, now: int, r: random.Random = r, sick: dict[int, float] = sick, period: int = period
+        ) -> Outcome:
             return Outcome.FAILED if now // period % 2 and r.random() < sick[target] else Outcome.DELIVERED
 
         fleet = Fleet(8, seed=seed).run(20, fate)
@@ -176,9 +192,19 @@
 
 def test_the_list_may_replace_or_drop_an_ejected_endpoint() -> None:
     fleet = Fleet(3).until_ejected(2, failing(2))
-    fleet.d.handle(fleet.now, [i.Listed(i.ListKind.WHOLE, (
-        i.TargetEntry(1, 10, "north", "plain"), i.TargetEntry(3, 10, "north", "plain"),
-        i.TargetEntry(2, 11, "north", "plain")))])  # the id now serves another destination
+    fleet.d.handle(
+        fleet.now,
+        [
+            i.Listed(
+                i.ListKind.WHOLE,
+                (
+                    i.TargetEntry(1, 10, "north", "plain"),
+                    i.TargetEntry(3, 10, "north", "plain"),
+                    i.TargetEntry(2, 11, "north", "plain"),
+                ),
+            )
+        ],
+    )  # the id now serves another destination
     assert not fleet.d.targets[2].ejected
     fleet.run(20, failing())
     fleet.d.handle(fleet.now, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 10, "north", "plain"),))])
@@ -198,20 +224,23 @@
 
 def test_a_quick_wrong_endpoint_is_told_and_returns_when_mended(tmp_path: Path) -> None:
     """As an operator sees it: break one of three, read the verdict and its reason, mend it, see it return."""
+
     async def scene() -> None:
         broken = {"s2": True}
         platform = Platform()
         await platform.start()
         peers: dict[str, Peer] = {}
         for name in ("s1", "s2", "s3"):
+
             async def handler(request: Request, name: str = name) -> Answer:
                 return Answer(500) if broken.get(name) else OK
+
             peers[name] = await Peer(handler).start()
             platform.host(name, peers[name].port)
         node = Node(tmp_path, platform)
         (tmp_path / "parts.toml").write_text(
-            "[health.passive]\neject_s = 0.5\neject_top_s = 0.5\ntrial_calls = 1\n"
-            "run_calls = 2\nagain_s = 0.1\n")
+            "[health.passive]\neject_s = 0.5\neject_top_s = 0.5\ntrial_calls = 1\nrun_calls = 2\nagain_s = 0.1\n"
+        )
         node.arguments = ["--parts", str(tmp_path / "parts.toml")]
         await node.start()
         number = 0
@@ -237,4 +266,5 @@
             assert any("health: target" in line and "ejected for" in line for line in node.log)
         finally:
             await node.end()
+
     asyncio.run(scene())
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -42,6 +42,7 @@
 @pytest.mark.parametrize("ask", [True, False], ids=["that have asked", "that are silent"])
 def test_bursts_of_resting_clients_leave_descriptors_for_all_else(tmp_path: Path, ask: bool) -> None:
     """incident-1: hundreds of idle clients took every descriptor, and nothing gave one back until they left."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -60,11 +61,13 @@
         assert "cannot accept" not in "".join(node.log)
         for client in clients:
             client.writer.close()
+
     play(scene, tmp_path)
 
 
 def test_a_restart_sends_nothing_by_its_saved_list_while_discovery_is_about_to_answer(tmp_path: Path) -> None:
     """incident-2: an endpoint drained while the process was down got calls until discovery's first answer was read."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await target(platform, always(Answer(503)))
         node = await node_on(folder, platform)
@@ -82,6 +85,7 @@
         async def slow(request: Request) -> Answer | bytes | None:
             await answer_now.wait()
             return await answered(request)
+
         platform.handler = slow
         await node.start()
         await asyncio.sleep(0.8)  # well over the grace of a drain
@@ -89,11 +93,13 @@
         answer_now.set()
         await other.got(1)
         assert ids(other) == ["held"] and len(drained.requests) == calls_before
+
     play(scene, tmp_path)
 
 
 def test_a_drain_that_lies_unread_after_a_standstill_is_heeded_before_anything_is_sent(tmp_path: Path) -> None:
     """Found by the soak: an answer and a drain were both in the kernel, and the answer's round sent to the drained."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
         drained = await target(platform, once(free))
@@ -113,11 +119,13 @@
         node.process.send_signal(signal.SIGCONT)
         await other.got(1)
         assert ids(drained) == ["out"] and ids(other) == ["held"]
+
     play(scene, tmp_path)
 
 
 def test_a_start_waits_for_a_socket_that_cannot_be_had_for_a_moment(tmp_path: Path) -> None:
     """Found by the soak: ENFILE as the listening socket was made ended the start."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
@@ -126,11 +134,13 @@
         await asyncio.sleep(1.5)
         await node.fail()
         await node.until_ready()
+
     play(scene, tmp_path)
 
 
 def test_a_wait_that_is_told_as_its_call_is_given_up_is_heeded(tmp_path: Path) -> None:
     """Suspected behind a broken wait of the soak day: a refusal that was written just after the giving up."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         came_s: list[float] = []
 
@@ -140,12 +150,14 @@
                 return OK
             await asyncio.sleep(float(request.headers["x-time-left"]) + 0.04)
             return Answer(429, {"X-RateLimit-Wait-Ms": "1500"})
+
         peer = await target(platform, late)
         node = await node_on(folder, platform)
         assert (await node.hand_in("held", "status"))[0] == 202
         left_s = float((await peer.got(1))[0].headers["x-time-left"])
         await peer.got(2)
         assert came_s[1] - came_s[0] > left_s + 1.4
+
     play(scene, tmp_path)
 
 
@@ -159,4 +171,5 @@
         assert (await half.answer())[0] == 503
         for client in clients:
             client.writer.close()
+
     play(scene, tmp_path)
--- a/tests/test_incident_lost_and_order.py
+++ b/tests/test_incident_lost_and_order.py
@@ -28,6 +28,7 @@
 
 def test_what_was_refused_is_not_forwarded_by_the_next_process(tmp_path: Path) -> None:
     """`lost`: refused, since a snapshot could not be begun, but on record: a restart sent it."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -46,11 +47,13 @@
         await peer.until(lambda: told.keys() - refused <= set(ids(peer)))
         await asyncio.sleep(0.5)
         assert not refused & set(ids(peer))
+
     play(scene, tmp_path)
 
 
 def test_a_key_rests_after_a_call_that_may_still_run_over_a_restart_too(tmp_path: Path) -> None:
     """`order`: the next message of a key left within the rest that a lost call had begun before the restart."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         came_s: dict[str, float] = {}
 
@@ -58,6 +61,7 @@
             name = request.headers["x-correlation-id"]
             came_s[name] = asyncio.get_running_loop().time()
             return None if name == "first" else OK
+
         await target(platform, breaks_off)
         node = Node(folder, platform)
         folder_nodes[-1].append(node)
@@ -72,6 +76,7 @@
             while "second" not in came_s:
                 await asyncio.sleep(0.02)
         assert came_s["second"] - came_s["first"] >= KEY_REST_S
+
     play(scene, tmp_path)
 
 
@@ -81,6 +86,7 @@
 @pytest.mark.parametrize("report", GARBAGE)
 def test_a_garbled_report_costs_nothing_else(tmp_path: Path, report: str) -> None:
     """One endpoint's report of nan made every later round fail, and then the loop stand still for ever."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         garbled = await target(platform, always(Answer(200, {"X-Backend-Load": report})))
         other = await target(platform, always(OK), "s2", block=8)
@@ -90,6 +96,7 @@
             assert (await node.hand_in(f"{name}-other", "status", dest=8))[0] == 202
         await asyncio.gather(garbled.got(3), other.got(3))
         assert "failures: none" in await node.call(b"RULES\n")
+
     play(scene, tmp_path)
 
 
@@ -117,13 +124,15 @@
         config.rmdir()
         aside.rename(config)
         await moved.until(lambda: bool(moved.requests))
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("call", ["client-recv", "client-send"])
 @pytest.mark.parametrize("handed_over", [False, True])
 def test_a_passing_shortage_on_a_clients_connection_leaves_no_request_unanswered(
-        tmp_path: Path, call: str, handed_over: bool) -> None:
+    tmp_path: Path, call: str, handed_over: bool
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -139,11 +148,13 @@
         assert set((await answers(node, names[10:])).values()) == {202}
         names.append("first")
         await peer.until(lambda: sorted(ids(peer)) == sorted(names))
+
     play(scene, tmp_path)
 
 
 def test_time_counts_from_before_a_request_was_read(tmp_path: Path) -> None:
     """It waits in the kernel while the process stands still, and its time goes on."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
         node = await node_on(folder, platform)
@@ -158,17 +169,23 @@
         if status == 202:
             await platform.notice("late")
         assert status in (202, 429) and asyncio.get_running_loop().time() - handed_s < 1.2 + 0.3
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize(("began", "before", "returned", "timeout", "earliest"), [
-    (10, 7, 10, 0.1, 7),
-    (10, 7, 60, 0.1, 60),
-    (10, 7, 700, 0.1, 10),
-    (10, 7, 700, None, 700),
-], ids=["at once", "it slept", "it overslept", "for as long as it takes"])
+@pytest.mark.parametrize(
+    ("began", "before", "returned", "timeout", "earliest"),
+    [
+        (10, 7, 10, 0.1, 7),
+        (10, 7, 60, 0.1, 60),
+        (10, 7, 700, 0.1, 10),
+        (10, 7, 700, None, 700),
+    ],
+    ids=["at once", "it slept", "it overslept", "for as long as it takes"],
+)
 def test_what_a_poll_reports_came_no_sooner(
-        began: int, before: int, returned: int, timeout: float | None, earliest: int) -> None:
+    began: int, before: int, returned: int, timeout: float | None, earliest: int
+) -> None:
     ms = 1_000_000
     assert earliest_ns(began * ms, before * ms, returned * ms, timeout) == earliest * ms
 
@@ -176,6 +193,7 @@
 @pytest.mark.parametrize("step_s", [3600.0, -3600.0])
 def test_times_go_on_though_the_clocks_anchor_cannot_be_read_at_once(tmp_path: Path, step_s: float) -> None:
     """`lost`: a start went by the wall clock, an hour off: messages ended at once, or never."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
         node = await shimmed(folder, platform)
@@ -190,12 +208,14 @@
         await starting
         await platform.notice("held")
         assert 3.0 < asyncio.get_running_loop().time() - handed_s < 8.0
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("first", [signal.SIGTERM, signal.SIGINT])
 def test_signals_in_series_end_no_process_by_themselves(tmp_path: Path, first: int) -> None:
     """Found by the soak: SIGHUP as the process was ending, its handlers taken back already."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -209,6 +229,7 @@
                         os.kill(node.process.pid, again)  # send_signal() would reap it, and its status with it
                 await asyncio.sleep(0.001)
         assert node.process.returncode == 0
+
     play(scene, tmp_path)
 
 
@@ -256,6 +277,7 @@
 @pytest.mark.parametrize("ends", ["given up", "SIGKILL", "SIGTERM"])
 def test_a_call_that_has_ended_does_not_arrive_later(tmp_path: Path, ends: str) -> None:
     """`lost` and `order`: it lay in the send buffer, and arrived after its message's end and the next of its key."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         endpoint = await SlowReader().start()
         platform.host("s1", endpoint.port)
@@ -277,12 +299,14 @@
                 await asyncio.sleep(0.01)
         assert b"second" in endpoint.answered[0]
         assert await endpoint.rest_of_the_first() < len(LARGER_THAN_THE_WINDOW)
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOSPC"])
 def test_a_connection_that_cannot_be_watched_yet_is_served_all_the_same(tmp_path: Path, error: str) -> None:
     """epoll_ctl(2): a request was never read, or the answer to its call never heard."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -293,11 +317,13 @@
         await peer.until(lambda: sorted(ids(peer)) == sorted(names))
         await asyncio.sleep(0.5)
         assert not platform.notices
+
     play(scene, tmp_path)
 
 
 def test_a_failure_to_look_at_a_descriptor_ends_no_rounds(tmp_path: Path) -> None:
     """poll(2): one that failed before a round left that round marked as under way for ever."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
@@ -309,4 +335,5 @@
         assert (await during)[0] in (202, 503)
         assert (await node.hand_in("after", "status"))[0] == 202
         await peer.until(lambda: {"before", "after"} <= set(ids(peer)))
+
     play(scene, tmp_path)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -89,16 +89,23 @@
         assert name in TRUTH or m.doubtful, f"{name} is over"
         if name in whole.messages:
             assert (m.body, m.cls, m.due_us, m.key) == (
-                whole.messages[name].body, whole.messages[name].cls, whole.messages[name].due_us,
-                whole.messages[name].key)
+                whole.messages[name].body,
+                whole.messages[name].cls,
+                whole.messages[name].due_us,
+                whole.messages[name].key,
+            )
     a = back.messages.get("a")
     assert a is None or a.out or a.ran_at_us >= 0 or a.doubtful, "an attempt was forgotten"
     assert set(back.owed) <= {"e"} and set(back.bans) <= {"s2"}
 
 
-@pytest.mark.parametrize(("name", "kinds"), [
-    ("journal", {"list", "names", "taken", "attempt", "outcome", "over", "owed", "outage", "ban"}),
-    (SNAPSHOT, {"list", "ended", "taken", "sealed"})])
+@pytest.mark.parametrize(
+    ("name", "kinds"),
+    [
+        ("journal", {"list", "names", "taken", "attempt", "outcome", "over", "owed", "outage", "ban"}),
+        (SNAPSHOT, {"list", "ended", "taken", "sealed"}),
+    ],
+)
 def test_every_byte_changed_costs_no_more_than_the_record_it_is_in(tmp_path: Path, name: str, kinds: set[str]) -> None:
     whole = filled(tmp_path)
     data = (tmp_path / name).read_bytes()
@@ -131,7 +138,7 @@
     for size in range(len(data)):
         found = journal.scan(data[:size], 1234)
         assert not found.damaged or size < journal.HEADER, size
-        assert [r.number for r in found.records] == numbers[:len(found.records)]
+        assert [r.number for r in found.records] == numbers[: len(found.records)]
         back = reread(tmp_path, data[:size]).own()
         assert back.found.torn <= size and not [*back.found.records()], "bodies kept for nothing"
         assert Store(tmp_path, MB, salt=1234).messages.keys() == back.messages.keys()
@@ -140,14 +147,17 @@
 
 
 BLOCKS = {
-    "zeroed": lambda data, at, size, other: data[:at] + bytes(size) + data[at + size:],
-    "missing": lambda data, at, size, other: data[:at] + data[at + size:],
-    "doubled": lambda data, at, size, other: data[:at + size] + data[at:at + size] + data[at + size:],
+    "zeroed": lambda data, at, size, other: data[:at] + bytes(size) + data[at + size :],
+    "missing": lambda data, at, size, other: data[:at] + data[at + size :],
+    "doubled": lambda data, at, size, other: data[: at + size] + data[at : at + size] + data[at + size :],
     "swapped": lambda data, at, size, other: (
-        data[:at] + data[other:other + size] + data[at + size:other] + data[at:at + size] + data[other + size:]
-        if other >= at + size else data),
-    "lost and written over": lambda data, at, size, other: data[:at] + os.urandom(0) + b"\xe7\x4a" * (size // 2)
-    + data[at + size:],
+        data[:at] + data[other : other + size] + data[at + size : other] + data[at : at + size] + data[other + size :]
+        if other >= at + size
+        else data
+    ),
+    "lost and written over": lambda data, at, size, other: (
+        data[:at] + os.urandom(0) + b"\xe7\x4a" * (size // 2) + data[at + size :]
+    ),
 }
 
 
@@ -273,7 +283,11 @@
 
 def same(back: Store, whole: Store) -> bool:
     return (back.messages, back.ended.keys(), back.owed, back.bans) == (
-        whole.messages, whole.ended.keys(), whole.owed, whole.bans) and back.live == whole.live
+        whole.messages,
+        whole.ended.keys(),
+        whole.owed,
+        whole.bans,
+    ) and back.live == whole.live
 
 
 def test_the_generation_before_is_kept_and_stands_in_for_a_bad_snapshot(tmp_path: Path) -> None:
@@ -281,7 +295,7 @@
     assert files(tmp_path) == {"snapshot-2", "journal-2", "snapshot-3", "journal"} and same(Store(tmp_path, MB), whole)
     data = (tmp_path / "snapshot-3").read_bytes()
     for at in range(0, len(data), 7):
-        spoilt = data[:at] + bytes([data[at] ^ 16]) + data[at + 1:]
+        spoilt = data[:at] + bytes([data[at] ^ 16]) + data[at + 1 :]
         back = reread(tmp_path, spoilt, "snapshot-3")
         assert same(back, whole) and not any(m.doubtful for m in back.messages.values()), at
         assert back.found.bad == ["snapshot-3"] and back.found.snapshot == 2
@@ -289,8 +303,10 @@
     assert files(tmp_path) == {"snapshot-4", "journal", "snapshot-3.bad-1"} and same(Store(tmp_path, MB), whole)
 
 
-@pytest.mark.parametrize(("lost", "doubt", "held"), [
-    ("snapshot-3", False, 5), ("journal-2", False, 5), ("snapshot-2", False, 5), ("journal", True, 5)])
+@pytest.mark.parametrize(
+    ("lost", "doubt", "held"),
+    [("snapshot-3", False, 5), ("journal-2", False, 5), ("snapshot-2", False, 5), ("journal", True, 5)],
+)
 def test_each_file_that_is_gone(tmp_path: Path, lost: str, doubt: bool, held: int) -> None:
     """What the newest snapshot makes needless is not missed; a journal since is noticed."""
     whole = generations(tmp_path)
@@ -314,7 +330,8 @@
 
 
 def test_who_dies_while_the_journal_is_replaced_and_dies_again_at_the_next_start_misses_nothing(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     whole = generations(tmp_path)
     os.replace(tmp_path / "journal", tmp_path / "journal-3")
     with (tmp_path / "journal-3").open("ab") as file:
@@ -327,6 +344,7 @@
         if Path(path).name == "journal.new":
             raise KeyboardInterrupt
         return real(path, *args, **named)
+
     monkeypatch.setattr(os, "open", dies)
     for _ in range(2):
         with pytest.raises(KeyboardInterrupt):
@@ -384,8 +402,9 @@
 
 
 @pytest.mark.parametrize("call", ["open", "write", "replace", "unlink"])
-def test_a_failed_call_while_files_change_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                        call: str) -> None:
+def test_a_failed_call_while_files_change_loses_nothing(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
+) -> None:
     """The disk full, or an error, at each call of a snapshot, a switch and a compaction, one after the other."""
     for at in range(1, 12):
         folder = tmp_path / str(at)
@@ -397,6 +416,7 @@
             if left[0] == 0:
                 raise OSError(28, "no space left on device")
             return real(*args, **named)
+
         store.take(taken("a"))
         store.flush()
         monkeypatch.setattr(os, call, fails)
@@ -416,8 +436,9 @@
         store.close()
 
 
-def test_a_folder_that_becomes_read_only_ends_nothing_and_is_written_anew_later(tmp_path: Path,
-                                                                              monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_folder_that_becomes_read_only_ends_nothing_and_is_written_anew_later(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     store = Store(tmp_path, MB).own()
     for n in range(200):
         store.take(taken(f"m{n}", SAFE, b"x" * 500))
@@ -426,6 +447,7 @@
 
     def refused(*args: Any, **named: Any) -> None:
         raise OSError(30, "Read-only file system")
+
     for call in ("write", "ftruncate", "unlink", "replace", "open"):
         monkeypatch.setattr(os, call, refused)
     for name in ("a", "b"):
@@ -443,8 +465,9 @@
 
 @pytest.mark.parametrize("name", ["journal", "snapshot-3"])
 @pytest.mark.parametrize("how", ["link", "folder", "no rights to read"])
-def test_what_is_no_plain_file_is_not_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str,
-                                           how: str) -> None:
+def test_what_is_no_plain_file_is_not_read(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, how: str
+) -> None:
     """A snapshot has another to stand in for it; a journal has not, and the folder is left as it is."""
     folder = tmp_path / "s"
     folder.mkdir()
@@ -463,6 +486,7 @@
             if Path(what) == path:
                 raise PermissionError(13, "Permission denied", str(what))
             return real(what, *args, **named)
+
         monkeypatch.setattr(os, "open", refused)
     if name == "journal":
         before = files(folder)
@@ -476,14 +500,35 @@
 
 
 NAMES = st.sampled_from(["m1", "m2", "m3", "m4"])
-STEPS = st.lists(st.tuples(st.sampled_from(["take", "attempt", "outcome", "over", "owe", "told", "ban", "crash",
-                                            "compact", "torn", "snapshot", "snapshot"]), NAMES), max_size=60)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            [
+                "take",
+                "attempt",
+                "outcome",
+                "over",
+                "owe",
+                "told",
+                "ban",
+                "crash",
+                "compact",
+                "torn",
+                "snapshot",
+                "snapshot",
+            ]
+        ),
+        NAMES,
+    ),
+    max_size=60,
+)
 
 
 @profile(derandomize=True, max_examples=120, deadline=None)
 @given(STEPS, st.integers(0, 2**32 - 1))
-def test_the_store_is_a_plain_dictionary_that_survives_crashes(tmp_path_factory: pytest.TempPathFactory,
-                                                               steps: list[tuple[str, str]], noise: int) -> None:
+def test_the_store_is_a_plain_dictionary_that_survives_crashes(
+    tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, str]], noise: int
+) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(module, "STEP", 1)  # one record of a snapshot a round
         survives(tmp_path_factory, steps, noise)
@@ -522,7 +567,7 @@
             store.close()
             if what == "torn":
                 with (folder / "journal").open("ab") as file:
-                    file.write(journal.record(store.salt, store.number + 1, ("over", name))[:1 + noise % 20])
+                    file.write(journal.record(store.salt, store.number + 1, ("over", name))[: 1 + noise % 20])
             store = Store(folder, MB).own()
         elif what == "compact":
             store.flush()
@@ -559,15 +604,20 @@
     assert identity.claim(tmp_path, "n1") == (None, identity.Start.UNKNOWN)
 
 
-@pytest.mark.parametrize(("spoil", "status", "verdict"), [
-    (lambda folder: None, 0, "sound"),
-    (lambda folder: (folder / "journal").write_bytes((folder / "journal").read_bytes()[:-5]), 0, "sound"),
-    (lambda folder: (folder / "journal").write_bytes((folder / "journal").read_bytes()[5:]), 1, "damaged"),
-    (lambda folder: (folder / "identity").write_bytes(b"?"), 1, "damaged"),
-    (lambda folder: ((folder / "journal").unlink(), (folder / "journal").mkdir()), 2, "unreadable")],
-    ids=["sound", "torn", "damaged", "identity", "no file"])
-def test_a_folder_is_checked_without_touching_it(tmp_path: Path, capsys: pytest.CaptureFixture[str], spoil: Any,
-                                                 status: int, verdict: str) -> None:
+@pytest.mark.parametrize(
+    ("spoil", "status", "verdict"),
+    [
+        (lambda folder: None, 0, "sound"),
+        (lambda folder: (folder / "journal").write_bytes((folder / "journal").read_bytes()[:-5]), 0, "sound"),
+        (lambda folder: (folder / "journal").write_bytes((folder / "journal").read_bytes()[5:]), 1, "damaged"),
+        (lambda folder: (folder / "identity").write_bytes(b"?"), 1, "damaged"),
+        (lambda folder: ((folder / "journal").unlink(), (folder / "journal").mkdir()), 2, "unreadable"),
+    ],
+    ids=["sound", "torn", "damaged", "identity", "no file"],
+)
+def test_a_folder_is_checked_without_touching_it(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], spoil: Any, status: int, verdict: str
+) -> None:
     filled(tmp_path)
     identity.begin(None, tmp_path, "n1", 1234)
     spoil(tmp_path)
@@ -579,8 +629,9 @@
     assert before == {p.name: p.read_bytes() for p in tmp_path.iterdir() if p.is_file()}
 
 
-def test_a_folder_whose_files_are_replaced_meanwhile_is_read_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                                   capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_folder_whose_files_are_replaced_meanwhile_is_read_again(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     whole, real, left = generations(tmp_path), Files.read, [2]
 
     def read(self: Files, name: str) -> bytes:
@@ -590,6 +641,7 @@
             while whole.files.writing is not None:
                 whole.step()
         return real(self, name)
+
     monkeypatch.setattr(Files, "read", read)
     assert state(["show", str(tmp_path)]) == 0 and not left[0]
     told = json.loads(capsys.readouterr().out)
@@ -623,4 +675,5 @@
             assert await node.process.wait() == 1
             await node.drain
         assert "is the folder of n0, not of n7" in "".join(node.log)
+
     asyncio.run(scene())
--- a/tests/test_lab_clients.py
+++ b/tests/test_lab_clients.py
@@ -14,6 +14,7 @@
 @pytest.mark.parametrize("read", [False, True])
 def test_a_reset_behind_the_end_tells_that_a_request_was_never_read(read: bool) -> None:
     """The soak's seed 2: the end of a resting connection crossed a request, and was read before the reset behind it."""
+
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -32,4 +33,5 @@
                     await answer
         assert visit.reset is not read
         assert visit.link == ("n0", PARTY)
+
     asyncio.run(scene())
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -27,12 +27,20 @@
 
 
 def scenario(*faults: Fault, seed: int = 1, **more: Any) -> Scenario:
-    return Scenario("test", seed=seed, fleet=more.pop("fleet", SMALL), time=more.pop("time", QUICK), faults=faults,
-                    limits=Limits(late_ms=2000.0), **more)
-
-
-def play(told: Scenario, out: Path, program: Path = ROOT, parts: str | None = None,
-         ask_gates: bool = False) -> tuple[run.Result, run.Lab]:
+    return Scenario(
+        "test",
+        seed=seed,
+        fleet=more.pop("fleet", SMALL),
+        time=more.pop("time", QUICK),
+        faults=faults,
+        limits=Limits(late_ms=2000.0),
+        **more,
+    )
+
+
+def play(
+    told: Scenario, out: Path, program: Path = ROOT, parts: str | None = None, ask_gates: bool = False
+) -> tuple[run.Result, run.Lab]:
     return asyncio.run(run.run(plan.make(told), out, program, parts, ask_gates=ask_gates))
 
 
@@ -45,9 +53,13 @@
         Fault(at_s=2.5, kind="kill", share=0.7, back_s=0.3),
         Fault(at_s=3.2, kind="kill", names=("n0", "n1"), back_s=0.3),
         Fault(at_s=4.0, kind="cut", between="endpoints", of=0.5, for_s=1.5),
-        Fault(at_s=5.0, kind="term", names=("n2",), back_s=0.2), Fault(at_s=6.0, kind="stop", names=("n3",), for_s=1.0),
-        Fault(at_s=6.5, kind="call", names=("n4",), line="OFFLINE s-1"), Fault(at_s=6.6, kind="discovery", for_s=1.0),
-        Fault(at_s=6.0, kind="replace", names=("s-3",)), Fault(at_s=5.0, kind="outage", names=("s-2",), for_s=1.0))
+        Fault(at_s=5.0, kind="term", names=("n2",), back_s=0.2),
+        Fault(at_s=6.0, kind="stop", names=("n3",), for_s=1.0),
+        Fault(at_s=6.5, kind="call", names=("n4",), line="OFFLINE s-1"),
+        Fault(at_s=6.6, kind="discovery", for_s=1.0),
+        Fault(at_s=6.0, kind="replace", names=("s-3",)),
+        Fault(at_s=5.0, kind="outage", names=("s-2",), for_s=1.0),
+    )
     result, lab = play(told, tmp_path)
     assert result.findings == []
     assert len(events(lab, "fault")) == 9 and len(events(lab, "banned")) == 1
@@ -58,27 +70,35 @@
 
 RETURNS = {
     "all at once, discovery silent, an endpoint replaced meanwhile": (
-        Fault(at_s=2.5, kind="kill", share=1.0, back_s=0.5), Fault(at_s=2.6, kind="discovery", for_s=4.0),
-        Fault(at_s=2.8, kind="replace", names=("s-4",))),
+        Fault(at_s=2.5, kind="kill", share=1.0, back_s=0.5),
+        Fault(at_s=2.6, kind="discovery", for_s=4.0),
+        Fault(at_s=2.8, kind="replace", names=("s-4",)),
+    ),
     "twice, and an endpoint that comes back cold": (
-        Fault(at_s=2.5, kind="kill", share=0.7, back_s=0.3), Fault(at_s=2.6, kind="outage", names=("s-0",), for_s=2.0),
-        Fault(at_s=5.0, kind="kill", share=0.7, back_s=0.3)),
+        Fault(at_s=2.5, kind="kill", share=0.7, back_s=0.3),
+        Fault(at_s=2.6, kind="outage", names=("s-0",), for_s=2.0),
+        Fault(at_s=5.0, kind="kill", share=0.7, back_s=0.3),
+    ),
     "a crash loop": tuple(Fault(at_s=2.0 + 1.2 * n, kind="kill", names=("n0", "n1"), back_s=0.2) for n in range(5)),
     "wall clocks an hour back and forth, and two of them short of processor time": (
         Fault(at_s=2.5, kind="kill", names=("n0", "n1", "n2"), back_s=0.3, clock_s=-3600.0),
         Fault(at_s=2.6, kind="kill", names=("n3", "n4", "n5"), back_s=0.3, clock_s=3600.0),
-        Fault(at_s=3.6, kind="slow", names=("n0", "n3"), times=0.4, for_s=3.0)),
+        Fault(at_s=3.6, kind="slow", names=("n0", "n3"), times=0.4, for_s=3.0),
+    ),
     "while it recovers: drained, banned, told to leave and to stop": (
-        Fault(at_s=2.5, kind="kill", share=1.0, back_s=0.2), Fault(at_s=3.4, kind="drain", names=("s-5",)),
+        Fault(at_s=2.5, kind="kill", share=1.0, back_s=0.2),
+        Fault(at_s=3.4, kind="drain", names=("s-5",)),
         Fault(at_s=3.6, kind="call", names=("n1",), line="OFFLINE s-1"),
         Fault(at_s=3.6, kind="call", names=("n2",), line="LEAVE"),
-        Fault(at_s=3.7, kind="term", names=("n3",), back_s=0.2)),
+        Fault(at_s=3.7, kind="term", names=("n3",), back_s=0.2),
+    ),
 }
 
 
 @pytest.mark.parametrize("faults", RETURNS.values(), ids=RETURNS)
-def test_a_return_keeps_every_rule_and_asks_for_no_more_than_once_each(tmp_path: Path,
-                                                                       faults: tuple[Fault, ...]) -> None:
+def test_a_return_keeps_every_rule_and_asks_for_no_more_than_once_each(
+    tmp_path: Path, faults: tuple[Fault, ...]
+) -> None:
     """Counters, not clocks: what a start costs discovery, and a cold endpoint, is bounded by how many start."""
     result, lab = play(scenario(*faults, seed=3), tmp_path)
     assert result.findings == []
@@ -90,10 +110,15 @@
 def test_full_and_unequal_journals_come_back_in_order(tmp_path: Path) -> None:
     """Every endpoint but a few is down, so that all that is taken on stays; one forwarder has a third of it; all are
     killed, and what they hold goes out within the same bounds as new work."""
-    told = scenario(Fault(at_s=1.0, kind="outage", share=0.7, for_s=3.0), Fault(at_s=3.5, kind="kill", share=1.0,
-                                                                              back_s=0.3),
-                    fleet=Fleet(nodes=6, endpoints=8, destinations=4, max_open=20), front=Front(first_share=0.34),
-                    load=Load(per_node_s=8.0, once_share=0.7), time=Time(warm_s=1.0, load_s=7.0, drain_s=10.0), seed=4)
+    told = scenario(
+        Fault(at_s=1.0, kind="outage", share=0.7, for_s=3.0),
+        Fault(at_s=3.5, kind="kill", share=1.0, back_s=0.3),
+        fleet=Fleet(nodes=6, endpoints=8, destinations=4, max_open=20),
+        front=Front(first_share=0.34),
+        load=Load(per_node_s=8.0, once_share=0.7),
+        time=Time(warm_s=1.0, load_s=7.0, drain_s=10.0),
+        seed=4,
+    )
     result, lab = play(told, tmp_path)
     assert result.findings == [] and result.figures["cold_ratio"] <= 1.0
     logs = "".join((node.root / "log").read_text() for node in lab.nodes.values())
@@ -104,9 +129,13 @@
 
 
 def test_cut_off_from_half_of_the_endpoints_service_comes_back_and_what_held_is_known(tmp_path: Path) -> None:
-    told = scenario(Fault(at_s=4.0, kind="cut", between="endpoints", of=0.5, for_s=2.0),
-                    Fault(at_s=6.0, kind="limit", share=0.3, times=0.2, for_s=1.5), seed=2,
-                    time=Time(warm_s=1.0, load_s=16.0, drain_s=8.0), endpoints=Endpoints(warm_s=3.0))
+    told = scenario(
+        Fault(at_s=4.0, kind="cut", between="endpoints", of=0.5, for_s=2.0),
+        Fault(at_s=6.0, kind="limit", share=0.3, times=0.2, for_s=1.5),
+        seed=2,
+        time=Time(warm_s=1.0, load_s=16.0, drain_s=8.0),
+        endpoints=Endpoints(warm_s=3.0),
+    )
     result, lab = play(told, tmp_path, ask_gates=True)
     assert result.findings == []
     served = figures.Served(lab.record.events)
@@ -115,7 +144,9 @@
     rows = gates.rows(gates.load(tmp_path))
     gate_of = {row.gate for row in rows}
     assert gate_of & {"outage", "window", "pace by our share of the limit"} and {row.cls for row in rows} == {
-        "statusvarsel", "refusjon"}
+        "statusvarsel",
+        "refusjon",
+    }
     assert sum(row.held_s for row in rows) > 1.0 and all(0 <= row.needless_s <= row.held_s for row in rows)
     shown = CliRunner().invoke(cli, ["gates", str(tmp_path), "--step", "2"])
     assert shown.exit_code == 0 and "of them needless" in shown.output
@@ -125,11 +156,15 @@
 def test_where_nothing_tells_a_limit_no_rule_breaks_and_service_goes_on(tmp_path: Path) -> None:
     """Every limit falls to half while sixteen forwarders are at them, a third of these is killed, and all refusals tell
     a wait."""
-    told = scenario(Fault(at_s=3.0, kind="limit", share=1.0, times=0.5, for_s=60.0),
-                    Fault(at_s=6.0, kind="kill", share=0.33, back_s=0.3), seed=3,
-                    fleet=Fleet(nodes=16, endpoints=8, destinations=4), load=Load(per_node_s=2.0, of_limits=0.8),
-                    time=Time(warm_s=2.0, load_s=14.0, drain_s=8.0),
-                    endpoints=Endpoints(tells_limits=False, told_share=1.0, wait_s=(0.5, 1.0), unlimited_share=0.0))
+    told = scenario(
+        Fault(at_s=3.0, kind="limit", share=1.0, times=0.5, for_s=60.0),
+        Fault(at_s=6.0, kind="kill", share=0.33, back_s=0.3),
+        seed=3,
+        fleet=Fleet(nodes=16, endpoints=8, destinations=4),
+        load=Load(per_node_s=2.0, of_limits=0.8),
+        time=Time(warm_s=2.0, load_s=14.0, drain_s=8.0),
+        endpoints=Endpoints(tells_limits=False, told_share=1.0, wait_s=(0.5, 1.0), unlimited_share=0.0),
+    )
     result, lab = play(told, tmp_path)
     assert result.findings == []
     calls = Counter(e.status for e in events(lab, "answered"))
@@ -140,10 +175,16 @@
 @pytest.mark.parametrize(("rooms", "needless"), [((True, True, True), 3.0), ((True, False, True), 0.0), ((), 0.0)])
 def test_seconds_are_needless_only_where_there_was_room_all_the_time(rooms: tuple[bool, ...], needless: float) -> None:
     said = 'ok {"held":[[7,"refusjon","window",%d]],"refused":[[7,"refusjon","window",%d]]}'
-    looks = [gates.look(at, "n0", start, said % (us, n)) for at, start, us, n in (
-        (1.0, 1, 1_000_000, 2), (2.0, 1, 4_000_000, 5), (3.0, 2, 500_000, 1))]
-    found = gates.rows(gates.Looks([look for look in looks if look is not None], [
-        gates.Room(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(rooms)]))
+    looks = [
+        gates.look(at, "n0", start, said % (us, n))
+        for at, start, us, n in ((1.0, 1, 1_000_000, 2), (2.0, 1, 4_000_000, 5), (3.0, 2, 500_000, 1))
+    ]
+    found = gates.rows(
+        gates.Looks(
+            [look for look in looks if look is not None],
+            [gates.Room(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(rooms)],
+        )
+    )
     assert [(row.held_s, row.refused) for row in found] == [(1.0, 2), (3.0, 3), (0.5, 1)], "a restart begins anew"
     assert found[1].needless_s == needless and found[1].worth == 6.0
     assert gates.look(1.0, "n0", 1, "fail not open") is None and gates.table([], 1.0) == ["nothing was held"]
@@ -151,26 +192,45 @@
 
 def test_kills_aimed_at_the_narrowest_moments_break_no_rule(tmp_path: Path) -> None:
     """Between a journal's write and the 202, a call's last byte and its answer, a notice and its 204; each twice."""
-    aimed = [Fault(at_s=2.0 + 2.5 * again, kind="kill", names=(f"n{n}",), back_s=0.2, on=on, within_ms=within)
-             for again in (0, 1) for n, (on, within) in enumerate(AIMED)]
-    told = scenario(*aimed, Fault(at_s=1.0, kind="outage", share=0.8, for_s=5.0),
-                    load=Load(per_node_s=8.0, of_limits=1.2, keys=20, once_share=0.7))
+    aimed = [
+        Fault(at_s=2.0 + 2.5 * again, kind="kill", names=(f"n{n}",), back_s=0.2, on=on, within_ms=within)
+        for again in (0, 1)
+        for n, (on, within) in enumerate(AIMED)
+    ]
+    told = scenario(
+        *aimed,
+        Fault(at_s=1.0, kind="outage", share=0.8, for_s=5.0),
+        load=Load(per_node_s=8.0, of_limits=1.2, keys=20, once_share=0.7),
+    )
     result, lab = play(told, tmp_path)
     assert result.findings == []
     kinds = [(e.kind, e.node) for e in lab.record.events]
     before = {kinds[k - 1] for k, what in enumerate(kinds) if what[0] == "killed"}
     assert {on for n, (on, within) in enumerate(AIMED) if not within and (on, f"n{n}") in before} == {
-        "call", "notice", "answered"}
+        "call",
+        "notice",
+        "answered",
+    }
     assert lab.nodes["n0"].starts == lab.nodes["n5"].starts == 3
 
 
-AIMED: list[tuple[Any, float]] = [("handed", 4.0), ("call", 0.0), ("notice", 0.0), ("notice", 0.0), ("answered", 0.0),
-                                  ("handed", 1.0)]
+AIMED: list[tuple[Any, float]] = [
+    ("handed", 4.0),
+    ("call", 0.0),
+    ("notice", 0.0),
+    ("notice", 0.0),
+    ("answered", 0.0),
+    ("handed", 1.0),
+]
 
 
 def test_lost_and_damaged_folders_are_the_schedules_and_break_no_rule(tmp_path: Path) -> None:
-    told = scenario(*(Fault(at_s=2.5 + 0.4 * n, kind="kill", names=(f"n{n}",), back_s=0.2, folder=folder, old_s=1.0)
-                      for n, folder in enumerate(("lost", "old", "short", "byte", "block"))))
+    told = scenario(
+        *(
+            Fault(at_s=2.5 + 0.4 * n, kind="kill", names=(f"n{n}",), back_s=0.2, folder=folder, old_s=1.0)
+            for n, folder in enumerate(("lost", "old", "short", "byte", "block"))
+        )
+    )
     result, lab = play(told, tmp_path)
     assert [f for f in result.findings if f.rule != "duplicate"] == []
     assert {e.state for e in events(lab, "folder")} == {"lost", "old", "short", "byte", "block"}
@@ -179,34 +239,60 @@
 
 Edit = tuple[str, str, str]  # a file of the program, a line of it, what stands in its place
 BROKEN: dict[str, tuple[tuple[Edit, ...], str, tuple[Fault, ...]]] = {  # edits, the rule broken, faults that show it
-    "the attempt's record before the call": ((
-        ("net/effects.py", "        self.store.attempt(m, number, now, target.name)\n",
-         "        m.out[number] = (now, target.name); m.attempts = number + 1\n"),), "duplicate", ()),
-    "the line of a key": ((
-        ("choice.py", "if line.queue[0] is not m or line.out or any(", "if line.out or any("),), "order", ()),
-    "told waits": ((  # decided by, and asked for again as a call leaves
-        ("choice.py", "        place.wait_until = max(place.wait_until, self.now + wait_us)\n", ""),
-        ("net/rules.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", "")), "wait",
-        (Fault(at_s=1.5, kind="limit", share=1.0, times=0.25),)),
-    "the message's record before its 202": ((
-        ("net/store.py", "        self.pending.append(self._record(self._line(m), m.body))\n", ""),), "lost", ()),
+    "the attempt's record before the call": (
+        (
+            (
+                "net/effects.py",
+                "        self.store.attempt(m, number, now, target.name)\n",
+                "        m.out[number] = (now, target.name); m.attempts = number + 1\n",
+            ),
+        ),
+        "duplicate",
+        (),
+    ),
+    "the line of a key": (
+        (("choice.py", "if line.queue[0] is not m or line.out or any(", "if line.out or any("),),
+        "order",
+        (),
+    ),
+    "told waits": (
+        (  # decided by, and asked for again as a call leaves
+            ("choice.py", "        place.wait_until = max(place.wait_until, self.now + wait_us)\n", ""),
+            ("net/rules.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", ""),
+        ),
+        "wait",
+        (Fault(at_s=1.5, kind="limit", share=1.0, times=0.25),),
+    ),
+    "the message's record before its 202": (
+        (("net/store.py", "        self.pending.append(self._record(self._line(m), m.body))\n", ""),),
+        "lost",
+        (),
+    ),
 }
 
 
 @pytest.mark.parametrize(("edits", "rule", "more"), BROKEN.values(), ids=BROKEN)
-def test_a_program_with_a_line_taken_out_is_caught(tmp_path: Path, edits: tuple[Edit, ...], rule: str,
-                                                   more: tuple[Fault, ...]) -> None:
+def test_a_program_with_a_line_taken_out_is_caught(
+    tmp_path: Path, edits: tuple[Edit, ...], rule: str, more: tuple[Fault, ...]
+) -> None:
     """Waits are long beside the lab's own lateness, which the judge lets pass, and limits so low that many are told."""
     shutil.copytree(ROOT / "lemonshunt", tmp_path / "lemonshunt", ignore=shutil.ignore_patterns("__pycache__"))
     for file, line, instead in edits:
         path = tmp_path / "lemonshunt" / file
         assert path.read_text().count(line) == 1
         path.write_text(path.read_text().replace(line, instead))
-    told = scenario(Fault(at_s=4.0, kind="kill", share=1.0, back_s=0.3),
-                    Fault(at_s=2.5, kind="outage", share=0.3, for_s=1.0), *more,
-                    load=Load(per_node_s=8.0, of_limits=1.3, keys=3, once_share=0.7, skew=0.2))
-    told = msgspec.structs.replace(told, endpoints=msgspec.structs.replace(
-        told.endpoints, service_s=(0.2, 0.3), told_share=1.0, wait_s=(3.0, 4.0), unlimited_share=0.0))
+    told = scenario(
+        Fault(at_s=4.0, kind="kill", share=1.0, back_s=0.3),
+        Fault(at_s=2.5, kind="outage", share=0.3, for_s=1.0),
+        *more,
+        load=Load(per_node_s=8.0, of_limits=1.3, keys=3, once_share=0.7, skew=0.2),
+    )
+    told = msgspec.structs.replace(
+        told,
+        endpoints=msgspec.structs.replace(
+            told.endpoints, service_s=(0.2, 0.3), told_share=1.0, wait_s=(3.0, 4.0), unlimited_share=0.0
+        ),
+    )
     result, _ = play(told, tmp_path / "out", tmp_path)
     assert rule in {f.rule for f in result.findings}
 
@@ -215,15 +301,22 @@
 
 
 def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "lab", *words], cwd=ROOT, capture_output=True, text=True, timeout=100,
-                          env={**os.environ, **environment})
+    return subprocess.run(
+        [sys.executable, "-m", "lab", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=100,
+        env={**os.environ, **environment},
+    )
 
 
 def test_a_program_that_does_not_start_is_no_result(tmp_path: Path) -> None:
     (tmp_path / "lemonshunt").mkdir()
     (tmp_path / "lemonshunt/__main__.py").write_text("raise SystemExit('no such luck')\n")
-    done = command("run", "lab/scenarios/herd.toml", "--nodes", "2", "--program", str(tmp_path), "--out",
-                   str(tmp_path / "out"))
+    done = command(
+        "run", "lab/scenarios/herd.toml", "--nodes", "2", "--program", str(tmp_path), "--out", str(tmp_path / "out")
+    )
     assert done.returncode == 2 and "did not start: no such luck" in done.stderr
     assert not (tmp_path / "out/result.json").exists()
 
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -61,10 +61,13 @@
     async def agree(self, *groups: set[str]) -> None:
         """Each of a group sees just its group, and says so by one digest."""
         for group in groups:
+
             async def same(group: set[str] = group) -> bool:
                 views = [await self.view(name) for name in sorted(group)]
                 return len({v["digest"] for v in views}) == 1 and all(
-                    [await self.there(name) == group for name in group])
+                    [await self.there(name) == group for name in group]
+                )
+
             await self.until(same)
 
     async def shares(self, name: str) -> str:
@@ -80,15 +83,26 @@
         self.cut(set(self.names))
 
 
-def fleet(tmp_path: Path, scene: Callable[[Watched], Awaitable[None]], nodes: int = NODES, seed: int = 1,
-          endpoints: int = 6, parts: str = PARTS, load: Load = Load(per_node_s=2.0),  # noqa: B008
-          tweak: Callable[[run.Lab], None] = lambda lab: None,
-          believed: tuple[float, float] = (1.0, 1.0)) -> tuple[run.Result, run.Lab]:
+def fleet(
+    tmp_path: Path,
+    scene: Callable[[Watched], Awaitable[None]],
+    nodes: int = NODES,
+    seed: int = 1,
+    endpoints: int = 6,
+    parts: str = PARTS,
+    load: Load = Load(per_node_s=2.0),  # noqa: B008
+    tweak: Callable[[run.Lab], None] = lambda lab: None,
+    believed: tuple[float, float] = (1.0, 1.0),
+) -> tuple[run.Result, run.Lab]:
     """Play a scene while messages pass. No rule may be broken meanwhile."""
-    told = Scenario("members", seed=seed,
-                    fleet=Fleet(nodes=nodes, endpoints=endpoints, destinations=3, believed=believed),
-                    load=load, time=Time(warm_s=1.0, load_s=60.0, drain_s=8.0),
-                    limits=Limits(late_ms=2000.0))
+    told = Scenario(
+        "members",
+        seed=seed,
+        fleet=Fleet(nodes=nodes, endpoints=endpoints, destinations=3, believed=believed),
+        load=load,
+        time=Time(warm_s=1.0, load_s=60.0, drain_s=8.0),
+        limits=Limits(late_ms=2000.0),
+    )
     result: list[tuple[run.Result, run.Lab]] = []
 
     async def played() -> None:
@@ -104,6 +118,7 @@
         finally:
             await lab.close()
         result.append((lab.result(), lab))
+
     asyncio.run(played())
     assert result[0][0].findings == [], result[0][0].findings[:3]
     return result[0]
@@ -125,6 +140,7 @@
         await w.agree(everybody)
         lives = {m["name"]: m["life"] for m in (await w.view("n0"))["members"]}
         assert lives["n7"] == lives["n6"] == 2 and lives["n0"] == 1
+
     fleet(tmp_path, scene)
 
 
@@ -134,6 +150,7 @@
 
         async def settled() -> bool:
             return all(["agreed: divides by 8.0" in await w.shares(name) for name in w.names])
+
         await w.agree(everybody)
         await w.until(settled)
         w.cut(few, everybody - few)
@@ -145,19 +162,25 @@
 
         async def shrunk() -> bool:
             return all(["cut off: divides by 16.0" in await w.shares(name) for name in few])
+
         await w.until(shrunk)
         await w.until(grown)  # 8 / (1 + 3/2/5): half of the others' bases, divided by five
         w.heal()
         await w.agree(everybody)
         await w.until(settled)
+
     fleet(tmp_path, scene)
 
 
 def test_a_restart_has_its_share_by_its_lease_and_without_its_folder_half_of_it(tmp_path: Path) -> None:
     async def scene(w: Watched) -> None:
         async def settled() -> bool:
-            return all(["agreed: divides by 8.0" in (said := await w.shares(name)) and "its own for" not in said
-                        for name in w.names])
+            return all(
+                [
+                    "agreed: divides by 8.0" in (said := await w.shares(name)) and "its own for" not in said
+                    for name in w.names
+                ]
+            )
 
         async def came_back(name: str) -> list[str]:
             said: list[str] = []
@@ -168,8 +191,10 @@
                 except OSError:  # it does not listen yet
                     return False
                 return "agreed: divides by 8.0" in said[-1] and "its own for" not in said[-1]
+
             await w.until(proved)
             return said
+
         await w.until(settled)
         for name in ("n6", "n7"):
             await w.lab.nodes[name].end(hard=True)
@@ -182,6 +207,7 @@
         assert not any("held back" in said for said in kept) and any("its own for" in said for said in kept)
         assert "50% of its share held back" in lost[0]
         await w.until(settled)
+
     fleet(tmp_path, scene, parts=PARTS + "settle_s = 20.0\n")
 
 
@@ -202,9 +228,11 @@
 
         async def alone() -> bool:
             return all(["n2" not in await w.there(name) for name in everybody - {"n2"}])
+
         await w.until(alone)
         w.heal()
         await w.agree(everybody)
+
     fleet(tmp_path, scene)
 
 
@@ -221,11 +249,13 @@
             await w.agree(set(w.names))
         told = await w.view("n3")
         assert told["former_life"] == 2 and "others remember life 2 of n3" in (node.root / "log").read_text()
+
     fleet(tmp_path, scene, nodes=4)
 
 
-@pytest.mark.parametrize("effect", [Effect(loss=0.2, doubled=0.2, swapped=0.2), Effect(delay_s=0.05, jitter_s=0.2)],
-                         ids=["loss", "delay"])
+@pytest.mark.parametrize(
+    "effect", [Effect(loss=0.2, doubled=0.2, swapped=0.2), Effect(delay_s=0.05, jitter_s=0.2)], ids=["loss", "delay"]
+)
 def test_bad_links_get_nobody_failed(tmp_path: Path, effect: Effect) -> None:
     async def scene(w: Watched) -> None:
         await w.agree(set(w.names))
@@ -239,6 +269,7 @@
         for name in w.names:
             assert " is failed" not in (w.lab.nodes[name].root / "log").read_text()
         assert sum(n for what, n in w.lab.net.counts.items() if what.startswith("datagrams")) > 50
+
     fleet(tmp_path, scene, nodes=6)
 
 
@@ -246,12 +277,16 @@
     """A program of tomorrow: its datagrams have a field more, and it says things that today's does not know."""
     shutil.copytree(ROOT / "lemonshunt", folder / "lemonshunt", ignore=shutil.ignore_patterns("__pycache__"))
     for file, line, instead in (
-            ("__init__.py", '__version__ = "0.1.0"', '__version__ = "0.2.0"'),
-            ("members/codec.py", '    digest: Text = ""\n', '    digest: Text = ""\n    later: int = 7\n'),
-            ("members/protocol.py", "        if self.asking and now >= self.ask_at:\n",
-             '        for name in self.view.others(State.ALIVE)[:1]:\n'
-             '            self._send(self.view.members[name].news.where, "later", 1)\n'
-             "        if self.asking and now >= self.ask_at:\n")):
+        ("__init__.py", '__version__ = "0.1.0"', '__version__ = "0.2.0"'),
+        ("members/codec.py", '    digest: Text = ""\n', '    digest: Text = ""\n    later: int = 7\n'),
+        (
+            "members/protocol.py",
+            "        if self.asking and now >= self.ask_at:\n",
+            "        for name in self.view.others(State.ALIVE)[:1]:\n"
+            '            self._send(self.view.members[name].news.where, "later", 1)\n'
+            "        if self.asking and now >= self.ask_at:\n",
+        ),
+    ):
         path = folder / "lemonshunt" / file
         assert path.read_text().count(line) == 1
         path.write_text(path.read_text().replace(line, instead))
@@ -268,6 +303,7 @@
 
         async def handed_over() -> bool:
             return all(node.former is None for node in w.lab.nodes.values())
+
         await w.agree(everybody)
         for name in half:  # one after the other, messages and calls under way
             await w.lab.nodes[name].upgrade(later)
@@ -277,6 +313,7 @@
         async def told() -> bool:
             views = [await w.view(name) for name in w.names]
             return all({m["version"] for m in v["members"]} == {"0.1.0", "0.2.0"} for v in views)
+
         await w.until(told)
         await asyncio.sleep(3.0)
         for name in w.names:
@@ -295,6 +332,7 @@
 
 def test_short_of_descriptors_or_room_in_the_socket_they_stay_members(tmp_path: Path) -> None:
     """Many connections beside it, until the process may open no more."""
+
     async def scene(w: Watched) -> None:
         everybody = set(w.names)
         await w.agree(everybody)
@@ -307,4 +345,5 @@
             writer.close()
         await w.agree(everybody)
         assert not [n for n in w.names if " is failed" in (w.lab.nodes[n].root / "log").read_text()]
+
     fleet(tmp_path, scene, nodes=4)
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -76,6 +76,7 @@
         await said(reader, b"after")
         writer.close()
         listener.close()
+
     played(scene)
 
 
@@ -101,6 +102,7 @@
         net.heal(LINK)
         assert came == ([b"before"] if reset else [b"before", b"late"])
         listener.close()
+
     assert played(scene).counts.get("dropped by a reset", 0) == reset
 
 
@@ -117,6 +119,7 @@
         await said(reader, b"x")
         writer.close()
         listener.close()
+
     played(scene)
 
 
@@ -136,6 +139,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(*listener.where)
         listener.close()
+
     assert played(scene).counts["reset"] == 1
 
 
@@ -151,6 +155,7 @@
         await said(reader, bytes(range(30)))
         writer.close()
         listener.close()
+
     assert played(scene).counts["delayed"] >= 2
 
 
@@ -164,6 +169,7 @@
         writer.close()
         one.close()
         other.close()
+
     played(scene)
 
 
@@ -174,22 +180,30 @@
     return sock
 
 
-@pytest.mark.parametrize(("effect", "counted", "came"), [
-    (Effect(), "", lambda n: n == 40),
-    (Effect(silent_out=True), "datagrams lost", lambda n: n == 0),
-    (Effect(loss=0.5), "datagrams lost", lambda n: 5 < n < 35),
-    (Effect(doubled=0.5), "datagrams doubled", lambda n: 45 < n < 75),
-    (Effect(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
-    (Effect(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40)],
-    ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"])
+@pytest.mark.parametrize(
+    ("effect", "counted", "came"),
+    [
+        (Effect(), "", lambda n: n == 40),
+        (Effect(silent_out=True), "datagrams lost", lambda n: n == 0),
+        (Effect(loss=0.5), "datagrams lost", lambda n: 5 < n < 35),
+        (Effect(doubled=0.5), "datagrams doubled", lambda n: 45 < n < 75),
+        (Effect(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
+        (Effect(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40),
+    ],
+    ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"],
+)
 def test_datagrams_between_two_forwarders(effect: Effect, counted: str, came: Callable[[int], bool]) -> None:
     """What comes bears the sender's advertised address; the way back is another link and is not touched."""
+
     async def scene(net: Net) -> None:
         hosts = [own_host(), own_host()]
         socks = [member(host) for host in hosts]
         posts = [(own_host(), free_port()) for _ in hosts]
-        exchange = Exchange(net, {f"n{n}": sock.getsockname() for n, sock in enumerate(socks)},
-                            {f"n{n}": where for n, where in enumerate(posts)})
+        exchange = Exchange(
+            net,
+            {f"n{n}": sock.getsockname() for n, sock in enumerate(socks)},
+            {f"n{n}": where for n, where in enumerate(posts)},
+        )
         await exchange.open()
         net.put(("n0", "n1"), effect)
         got: list[tuple[bytes, Any]] = []
@@ -215,6 +229,7 @@
         exchange.close()
         for sock in socks:
             sock.close()
+
     played(scene)
 
 
@@ -247,18 +262,22 @@
     assert report == (f"x0=1.000,x1={one.limit:.3f}" if told else None)
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    ('name = "x"\nsize = 3', "size"),
-    ('name = "x"\n[fleet]\nnodes = 0', "fleet.nodes"),
-    ('name = "x"\n[fleet]\nnodse = 3', "nodse"),
-    ('name = "x"\n[[faults]]\nat_s = 1\nkind = "melt"', "faults[0].kind"),
-    ('name = "x"\n[[faults]]\nat_s = 1\nkind = "stop"', "faults[0].for_s"),
-    ('name = "x"\n[[faults]]\nat_s = 99\nkind = "kill"', "faults[0].at_s"),
-    ('name = "x"\n[[faults]]\nat_s = 9\nkind = "stop"\nfor_s = 1\nfolder = "lost"', "faults[0].folder"),
-    ('name = "x"\n[load]\nper_node_s = 1e9', "load"),
-    ('name = "x"\n[front]\nnotice_s = [2.0, 1.0]', "front.notice_s"),
-    ('name = "x"\n[time]\nwarm_s = 50', "time.warm_s"),
-    ('name = "x', "x")])
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [
+        ('name = "x"\nsize = 3', "size"),
+        ('name = "x"\n[fleet]\nnodes = 0', "fleet.nodes"),
+        ('name = "x"\n[fleet]\nnodse = 3', "nodse"),
+        ('name = "x"\n[[faults]]\nat_s = 1\nkind = "melt"', "faults[0].kind"),
+        ('name = "x"\n[[faults]]\nat_s = 1\nkind = "stop"', "faults[0].for_s"),
+        ('name = "x"\n[[faults]]\nat_s = 99\nkind = "kill"', "faults[0].at_s"),
+        ('name = "x"\n[[faults]]\nat_s = 9\nkind = "stop"\nfor_s = 1\nfolder = "lost"', "faults[0].folder"),
+        ('name = "x"\n[load]\nper_node_s = 1e9', "load"),
+        ('name = "x"\n[front]\nnotice_s = [2.0, 1.0]', "front.notice_s"),
+        ('name = "x"\n[time]\nwarm_s = 50', "time.warm_s"),
+        ('name = "x', "x"),
+    ],
+)
 def test_a_bad_scenario_is_refused_and_the_key_named(tmp_path: Path, text: str, named: str) -> None:
     (tmp_path / "x.toml").write_text(text)
     with pytest.raises(scenario.BadScenario, match=named.replace("[", r"\[").replace("]", r"\]")):
@@ -278,8 +297,12 @@
 def station() -> Station:
     made = plan.make(Scenario("x"))
     e = made.endpoints[0]
-    return Station(e, Shop(made.destinations[e.destination - 1], plan.random.Random(1), (1.0, 1.0)),
-                   made.scenario.endpoints, plan.random.Random(2))
+    return Station(
+        e,
+        Shop(made.destinations[e.destination - 1], plan.random.Random(1), (1.0, 1.0)),
+        made.scenario.endpoints,
+        plan.random.Random(2),
+    )
 
 
 def test_a_limit_lets_its_rate_through_and_no_more() -> None:
@@ -319,6 +342,7 @@
 
         async def start(text: str) -> Process:
             return await launcher.start([sys.executable, "-c", text], tmp_path, {}, tmp_path / "log", codes.append)
+
         short, struck, left = await start("raise SystemExit(3)"), await start(LONG), await start(LONG)
         async with asyncio.timeout(PATIENCE):
             while codes != [3]:
@@ -342,8 +366,22 @@
 
 def test_many_seeds_are_added_up_and_a_late_one_is_told() -> None:
     found = Finding("wait", 1.0, "m1", "n0", "")
-    results = [Result("x", seed, 6, [found] * (seed == 2), 0, {"served": 0.9 + seed / 100, "names": "no number"}, {},
-                      {"crashes": 0}, {}, [], seed != 3) for seed in (1, 2, 3)]
+    results = [
+        Result(
+            "x",
+            seed,
+            6,
+            [found] * (seed == 2),
+            0,
+            {"served": 0.9 + seed / 100, "names": "no number"},
+            {},
+            {"crashes": 0},
+            {},
+            [],
+            seed != 3,
+        )
+        for seed in (1, 2, 3)
+    ]
     lines = swept(results)
     assert lines[0].startswith("x, 6 forwarders, 3 seeds: 1 with broken rules, 1 wait; 1 do not count")
     assert lines[1:] == ["  served             0.920 (0.910 to 0.930)"]
--- a/tests/test_lab_news.py
+++ b/tests/test_lab_news.py
@@ -31,14 +31,20 @@
     await w.agree(set(w.names))
 
     async def settled() -> bool:
-        return all(["agreed: divides by" in await w.shares(name) and "held back" not in await w.shares(name)
-                    for name in w.names])
+        return all(
+            [
+                "agreed: divides by" in await w.shares(name) and "held back" not in await w.shares(name)
+                for name in w.names
+            ]
+        )
+
     await w.until(settled)
 
 
 async def all_hear(w: Watched, names: set[str], subject: str, kind: str) -> None:
     async def heard() -> bool:
         return all([await said_of(w, name, subject, kind) for name in names])
+
     await w.until(heard)
 
 
@@ -58,9 +64,11 @@
 
         async def asked() -> bool:
             return "others told what they have heard; 1 bans taken up" in (node.root / "log").read_text()
+
         await w.until(asked)
         assert (await node.call("OFFLINE s-1")) == "ok s-1 is left out"
         await asyncio.sleep(3.0)
+
     _, lab = fleet(tmp_path, scene, nodes=6, parts=NEWS + "ask_s = 6.0\n", load=BUSY)  # also where all is slow
     log = (tmp_path / "nodes/n3/log").read_text()
     assert "s-1 is left out again" in log and "s-2 is left out again" not in log
@@ -73,14 +81,17 @@
     async def scene(w: Watched) -> None:
         async def all_went_on() -> bool:
             return all("the folder was new or lost" in (n.root / "log").read_text() for n in w.lab.nodes.values())
+
         await w.until(all_went_on)
         await asyncio.sleep(2.0)
+
     result, _ = fleet(tmp_path, scene, nodes=4, parts=NEWS)
     assert result.figures["delivered"] > 0
 
 
 def test_cut_in_two_an_endpoint_falls_and_comes_back_cold_and_all_keep_to_its_budget(tmp_path: Path) -> None:
     """The two sides' calls are summed by the judge; a limit falls meanwhile."""
+
     async def scene(w: Watched) -> None:
         await agreed(w)
         few = {"n0", "n1", "n2"}
@@ -99,18 +110,21 @@
         await all_hear(w, set(w.names), "s-0", "back")
         await agreed(w)
         shop.lowered(1.0)
+
     result, lab = fleet(tmp_path, scene, parts=NEWS, load=BUSY, endpoints=3)
     assert result.figures["cold_ratio"] <= 1.0 and not [e for e in lab.record.events if e.kind == "fell"]
 
 
 def test_each_believes_another_size_and_all_together_take_no_more_than_the_whole(tmp_path: Path) -> None:
     """From the true one to twice as many; an endpoint falls meanwhile and comes back cold."""
+
     async def scene(w: Watched) -> None:
         await w.agree(set(w.names))
 
         async def proved() -> bool:
             said = [await w.shares(name) for name in w.names]
             return sum("unsure" in line and "held back" not in line for line in said) >= 3
+
         await w.until(proved)
         w.lab.sites["s-0"].fail(silent=False)
         await all_hear(w, {"n0"}, "s-0", "(?:out|holds)")
@@ -119,6 +133,7 @@
             sizes = [float(re.findall(r"divides by ([\d.]+)", await w.shares(name))[0]) for name in w.names]
             assert sum(1 / size for size in sizes) <= 1.0 + 1e-9 and len(set(sizes)) > 2
             await asyncio.sleep(0.2)
+
     result, lab = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, believed=(1.0, 2.0))
     assert lab.plan.believed != (6,) * 6 and result.figures["cold_ratio"] <= 1.0
     assert not [e for e in lab.record.events if e.kind == "fell"]
@@ -133,6 +148,7 @@
 
         async def complains() -> bool:
             return bool(re.search(r"n1: s-\d+ out", await told(w, "n0")))
+
         await w.until(complains)
         for _ in range(10):
             for name in set(w.names) - {"n1"}:
@@ -141,16 +157,19 @@
             await asyncio.sleep(0.2)
         for site in w.lab.sites:
             w.lab.net.heal(("n1", site))
+
     fleet(tmp_path, scene, nodes=6, seed=seed, parts=NEWS, load=BUSY)
 
 
 def test_with_the_part_on_half_of_them_those_that_have_it_hear_each_other(tmp_path: Path) -> None:
     """As in a release that is under way. Who has no board neither hears nor passes on; nobody's budget grows by it."""
+
     def half(lab: run.Lab) -> None:
         whole = lab.parts_of
 
         def parts_of(n: int) -> str | None:
             return (whole(n) or "").replace("news = true\n", "") if n % 2 else whole(n)
+
         lab.parts_of = parts_of  # type: ignore[method-assign]
 
     async def scene(w: Watched) -> None:
@@ -161,5 +180,6 @@
         w.lab.sites["s-0"].come_back()
         await all_hear(w, {"n0", "n2", "n4"}, "s-0", "(?:back|well)")
         await asyncio.sleep(3.0)
+
     result, lab = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, tweak=half)
     assert result.figures["cold_ratio"] <= 1.0 and not [e for e in lab.record.events if e.kind == "fell"]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -68,11 +68,13 @@
     assert most_in_window(times, 20 * S, 1500 * MS) <= 45
 
 
-@pytest.mark.parametrize(("number", "left", "wait_us", "shut"),
-                         [(40, 0.9, 0, True), (40, 0.1, 0, False), (40, 0.9, 50 * MS, False),
-                          (2, 0.1, 0, True), (2, 0.9, 50 * MS, True)])
+@pytest.mark.parametrize(
+    ("number", "left", "wait_us", "shut"),
+    [(40, 0.9, 0, True), (40, 0.1, 0, False), (40, 0.9, 50 * MS, False), (2, 0.1, 0, True), (2, 0.9, 50 * MS, True)],
+)
 def test_refusals_that_a_limit_explains_are_no_outage_to_many(
-        number: int, left: float, wait_us: int, shut: bool) -> None:
+    number: int, left: float, wait_us: int, shut: bool
+) -> None:
     """155f06ef: 79 outages were seen by refusals alone, each paced like a cold return for 13 s. 3d180b13: of
     two forwarders either meets a limit so often that five refusals running still tell of more than that."""
     d = fleet(number)[0]
@@ -194,7 +196,8 @@
 
 @pytest.mark.parametrize(("number", "refusals", "closed"), [(2, 3, False), (60, 0, False), (60, 3, True)])
 def test_many_forwarders_keep_the_idle_connections_that_a_target_has_room_for(
-        number: int, refusals: int, closed: bool) -> None:
+    number: int, refusals: int, closed: bool
+) -> None:
     """d08e7732: idle connections of all filled what a target accepts; two in three attempts got none.
     c43c08c6: none was kept for longer than 0.2 s, and nearly every call cost a handshake."""
     d, now = fleet(number, conn_idle_us=5 * S)[0], 0
@@ -291,7 +294,9 @@
         def count(self: Dispatcher, *args: object) -> object:
             looked.append(name)
             return plain(self, *args)
+
         monkeypatch.setattr(Dispatcher, name, count)
+
     counted("expected")
     counted("gate")
     while len(out) < 9:
@@ -350,8 +355,9 @@
     times = []
     for n in range(number):
         d = Dispatcher(settings(balancers=number, weights_told=True, slots=3), seed * 10_000 + n, 100 * S)
-        actions = d.handle(100 * S, [i.Listed(i.ListKind.SAVED, TOLD), i.OutageRecalled(1, 80 * S),
-                                     ask("m", due=900 * S)])
+        actions = d.handle(
+            100 * S, [i.Listed(i.ListKind.SAVED, TOLD), i.OutageRecalled(1, 80 * S), ask("m", due=900 * S)]
+        )
         while not sends(actions):
             [timer] = [a for a in actions if isinstance(a, i.SetTimer)]
             actions = d.handle(d.now + timer.delay_us, [i.TimerDue("look")])
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -28,14 +28,23 @@
     return News("a", ("h", 1), incarnation, state, **more)  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize(("old", "new", "over"), [
-    (news(State.ALIVE), news(State.SUSPECT), True), (news(State.SUSPECT), news(State.ALIVE), False),
-    (news(State.SUSPECT), news(State.ALIVE, LIFE + 1), True), (news(State.FAILED), news(State.ALIVE), False),
-    (news(State.FAILED), news(State.ALIVE, LIFE + 1), True), (news(State.ALIVE, LIFE + 1), news(State.FAILED), False),
-    (news(State.LEFT), news(State.ALIVE), False), (news(State.LEFT), news(State.FAILED), False),
-    (news(State.LEFT), news(State.ALIVE, 2 * LIFE), True), (news(State.ALIVE, LIFE + 3), news(State.LEFT), True),
-    (news(State.ALIVE, 2 * LIFE), news(State.LEFT, LIFE + 9), False),
-    (news(State.ALIVE), news(State.ALIVE, phase=Phase.LEAVING), True)])
+@pytest.mark.parametrize(
+    ("old", "new", "over"),
+    [
+        (news(State.ALIVE), news(State.SUSPECT), True),
+        (news(State.SUSPECT), news(State.ALIVE), False),
+        (news(State.SUSPECT), news(State.ALIVE, LIFE + 1), True),
+        (news(State.FAILED), news(State.ALIVE), False),
+        (news(State.FAILED), news(State.ALIVE, LIFE + 1), True),
+        (news(State.ALIVE, LIFE + 1), news(State.FAILED), False),
+        (news(State.LEFT), news(State.ALIVE), False),
+        (news(State.LEFT), news(State.FAILED), False),
+        (news(State.LEFT), news(State.ALIVE, 2 * LIFE), True),
+        (news(State.ALIVE, LIFE + 3), news(State.LEFT), True),
+        (news(State.ALIVE, 2 * LIFE), news(State.LEFT, LIFE + 9), False),
+        (news(State.ALIVE), news(State.ALIVE, phase=Phase.LEAVING), True),
+    ],
+)
 def test_of_two_news_one_goes_first(old: News, new: News, over: bool) -> None:
     view = View("me")
     view.take(old, Known.TOLD, 5)
@@ -91,9 +100,17 @@
     fleet.until_agreed(10 * SECOND)
 
 
-@pytest.mark.parametrize(("loss", "delay", "nobody"), [
-    (0.05, (200, 2000), True), (0.2, (200, 2000), True), (0.05, (200, 60_000), True), (0.0, (200, 140_000), True),
-    (0.2, (200, 120_000), False), (0.5, (200, 120_000), False)])
+@pytest.mark.parametrize(
+    ("loss", "delay", "nobody"),
+    [
+        (0.05, (200, 2000), True),
+        (0.2, (200, 2000), True),
+        (0.05, (200, 60_000), True),
+        (0.0, (200, 140_000), True),
+        (0.2, (200, 120_000), False),
+        (0.5, (200, 120_000), False),
+    ],
+)
 def test_bad_links_get_nobody_failed_for_good(loss: float, delay: tuple[int, int], nobody: bool) -> None:
     fleet = settled(12)
     fleet.false.clear()
@@ -175,8 +192,9 @@
     fleet = settled(5)
     rivals = []
     for k, n in enumerate((5, 6)):
-        rivals.append(Protocol("n9", fleet.where(n), lives[k], f"{k == stays:x}" * 8, fleet.timing, n, fleet.now,
-                               fleet.first))
+        rivals.append(
+            Protocol("n9", fleet.where(n), lives[k], f"{k == stays:x}" * 8, fleet.timing, n, fleet.now, fleet.first)
+        )
         fleet.add(n, rivals[k])
         fleet.run(2 * SECOND)
     fleet.run(40 * SECOND)
@@ -274,7 +292,9 @@
 
 STEPS: dict[str, Callable[[Fleet, int], object]] = {
     "stop": lambda f, n: f.stop(n) if n in f.members and len(f.members) > 1 else None,
-    "start": lambda f, n: f.start(n), "alone": lambda f, n: f.split({n}), "heal": lambda f, n: f.heal(),
+    "start": lambda f, n: f.start(n),
+    "alone": lambda f, n: f.split({n}),
+    "heal": lambda f, n: f.heal(),
     "deaf": lambda f, n: setattr(f, "cuts", {(m, n) for m in f.lives if m != n}),
 }
 
@@ -317,11 +337,19 @@
     return Body("ping", "n1", life, ident, number, 7, news=[Row("n1", "h1", 1, LIFE, 1, "i", 0, "0.1", "")])
 
 
-@pytest.mark.parametrize(("spoil", "reason"), [
-    (lambda d: d[:1] + bytes(16) + d[17:], "forged"), (lambda d: d[:-1] + bytes([d[-1] ^ 1]), "forged"),
-    (lambda d: b"\x09" + d[1:], "other version"), (lambda d: d[:10], "other version"), (lambda d: b"", "other version"),
-    (lambda d: d + bytes(MOST_BYTES), "too long"), (lambda d: codec(b"x" * 32).seal(ping()), "forged"),
-    (lambda d: codec(KEY, "other").seal(ping()), "forged")])
+@pytest.mark.parametrize(
+    ("spoil", "reason"),
+    [
+        (lambda d: d[:1] + bytes(16) + d[17:], "forged"),
+        (lambda d: d[:-1] + bytes([d[-1] ^ 1]), "forged"),
+        (lambda d: b"\x09" + d[1:], "other version"),
+        (lambda d: d[:10], "other version"),
+        (lambda d: b"", "other version"),
+        (lambda d: d + bytes(MOST_BYTES), "too long"),
+        (lambda d: codec(b"x" * 32).seal(ping()), "forged"),
+        (lambda d: codec(KEY, "other").seal(ping()), "forged"),
+    ],
+)
 def test_what_is_forged_garbled_or_of_another_cluster_is_dropped(spoil: Callable[[bytes], bytes], reason: str) -> None:
     with pytest.raises(Dropped, match=reason):
         codec().open(spoil(codec().seal(ping())))
@@ -353,6 +381,7 @@
 
 def test_fields_and_kinds_of_a_later_version_are_passed_over() -> None:
     import msgspec
+
     told = msgspec.msgpack.decode(msgspec.msgpack.encode(ping())) | {"new": [1, 2], "k": "later", "c": 5}
     told["g"][0]["zz"], told["g"][0]["f"] = 1, 9
     c = codec()
@@ -377,14 +406,41 @@
 
 
 @profile(derandomize=True, max_examples=300, deadline=None)
-@given(st.lists(st.builds(
-    Body, st.sampled_from(["ping", "ack", "nack", "probe", "join", "full", "former", "what"]),
-    st.sampled_from(["me", "n1", "n2"]), st.integers(0, 5), st.sampled_from(["", "x", "y"]), st.integers(0, 9),
-    st.integers(0, 9), st.none() | st.builds(Row, st.sampled_from(["me", "n1"]), st.just("h"), st.just(1),
-                                             st.integers(0, 5 * LIFE), st.integers(0, 4)),
-    st.lists(st.builds(Row, st.sampled_from(["me", "n1", "n2", "n3"]), st.just("h"), st.just(1),
-                       st.integers(0, 5 * LIFE), st.integers(0, 4), st.sampled_from(["", "x", "z"])), max_size=5)),
-    max_size=30))
+@given(
+    st.lists(
+        st.builds(
+            Body,
+            st.sampled_from(["ping", "ack", "nack", "probe", "join", "full", "former", "what"]),
+            st.sampled_from(["me", "n1", "n2"]),
+            st.integers(0, 5),
+            st.sampled_from(["", "x", "y"]),
+            st.integers(0, 9),
+            st.integers(0, 9),
+            st.none()
+            | st.builds(
+                Row,
+                st.sampled_from(["me", "n1"]),
+                st.just("h"),
+                st.just(1),
+                st.integers(0, 5 * LIFE),
+                st.integers(0, 4),
+            ),
+            st.lists(
+                st.builds(
+                    Row,
+                    st.sampled_from(["me", "n1", "n2", "n3"]),
+                    st.just("h"),
+                    st.just(1),
+                    st.integers(0, 5 * LIFE),
+                    st.integers(0, 4),
+                    st.sampled_from(["", "x", "z"]),
+                ),
+                max_size=5,
+            ),
+        ),
+        max_size=30,
+    )
+)
 def test_odd_but_sealed_bodies_leave_a_sound_protocol(bodies: list[Body]) -> None:
     p = Protocol("me", ("h", 1), 1, "x", Timing(), 1, 0, ())
     for n, body in enumerate(bodies):
--- a/tests/test_members_socket.py
+++ b/tests/test_members_socket.py
@@ -36,19 +36,38 @@
 
 def played(tmp_path: Path, scene: Callable[[MembersPart, Transport], Any]) -> MembersPart:
     (tmp_path / "key").write_text(KEY.hex())
-    told = Settings(Address("127.0.0.1", 1), Address("127.0.0.1", 1), "c", (Address("127.0.0.1", 2),), tmp_path / "key",
-                    Timing(period=10_000, probe=5_000), False, 1, 1, 1, False, 1, 1)
-    engine: Any = SimpleNamespace(config=SimpleNamespace(name="me"), identity=None,
-                                  life=SimpleNamespace(phase=Phase.SERVING), supervisor=Supervisor())
+    told = Settings(
+        Address("127.0.0.1", 1),
+        Address("127.0.0.1", 1),
+        "c",
+        (Address("127.0.0.1", 2),),
+        tmp_path / "key",
+        Timing(period=10_000, probe=5_000),
+        False,
+        1,
+        1,
+        1,
+        False,
+        1,
+        1,
+    )
+    engine: Any = SimpleNamespace(
+        config=SimpleNamespace(name="me"),
+        identity=None,
+        life=SimpleNamespace(phase=Phase.SERVING),
+        supervisor=Supervisor(),
+    )
     part, transport = MembersPart(engine, told), Transport()
 
     async def run() -> None:
         async def bound(make: Callable[[], Any], **more: Any) -> None:
             part.connection_made(transport)  # type: ignore[arg-type]
+
         asyncio.get_running_loop().create_datagram_endpoint = bound  # type: ignore[assignment, method-assign]
         await part.open()
         await scene(part, transport)
         part.timer.cancel()  # type: ignore[union-attr]
+
     asyncio.run(run())
     return part
 
@@ -64,6 +83,7 @@
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
+
     played(tmp_path, scene)
 
 
@@ -75,23 +95,28 @@
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
+
     part = played(tmp_path, scene)
     assert sum(n for what, n in part.counts.items() if what.startswith("socket: ")) == 1
 
 
-def test_a_flood_from_one_address_is_dropped_unread_and_others_are_heard(tmp_path: Path,
-                                                                        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_flood_from_one_address_is_dropped_unread_and_others_are_heard(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(members, "EACH_S", 0.0)
     opened: list[bytes] = []
 
     async def scene(part: MembersPart, transport: Transport) -> None:
         taken = part.codec.open
-        part.codec = SimpleNamespace(open=lambda data: (opened.append(data), taken(data))[1],  # type: ignore[assignment]
-                                     seal=part.codec.seal)
+        part.codec = SimpleNamespace(
+            open=lambda data: (opened.append(data), taken(data))[1],  # type: ignore[assignment]
+            seal=part.codec.seal,
+        )
         for n in range(int(BURST) + 50):
             part.datagram_received(b"junk %d" % n, ("127.9.9.9", 5))
         assert len(opened) == BURST and part.counts["dropped: too much from one address"] == 50
         body = Body("ping", "friend", 1, "f" * 8, seq=3)
         part.datagram_received(Codec("c", [KEY]).seal(body), ("127.9.9.8", 5))
         assert len(transport.sent) and part.counts["dropped: other version"] + part.counts["dropped: forged"] == BURST
+
     played(tmp_path, scene)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -101,6 +101,7 @@
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests and [e.outcome for e in ends] == [i.Outcome.NOT_SENT]
         assert p.out == 0
+
     asyncio.run(scene())
 
 
@@ -120,6 +121,7 @@
             await asyncio.sleep(0.005)
         assert ends[1].outcome is i.Outcome.NOT_SENT and len(peer.requests) == 1
         p.close()
+
     asyncio.run(scene())
 
 
@@ -130,6 +132,7 @@
         async def accept(request: Request) -> Answer:
             states = [{"id": x["id"], "state": "accepted"} for x in json.loads(request.body)]
             return Answer(200, {"X-RateLimit-Wait-Ms": "700"}, json.dumps(states).encode())
+
         peer = await Peer(accept).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -138,6 +141,7 @@
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.wait_us) for e in ends] == [(i.Outcome.DELIVERED, 700_000)] * 2
         p.close()
+
     asyncio.run(scene())
 
 
@@ -190,6 +194,7 @@
 
 def test_idle_connection_is_closed_before_its_target_would() -> None:
     """The module closes some by itself; the pool must close what it leaves."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(always(OK)).start()
@@ -198,6 +203,7 @@
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] and not p.idle and not p.sweeping
+
     asyncio.run(scene())
 
 
@@ -237,6 +243,7 @@
 
 def test_a_call_that_finds_its_connection_dead_takes_another() -> None:
     """It counted as written, so that what must not run twice was lost though not a byte had left."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(always(OK)).start()
@@ -252,6 +259,7 @@
                 await asyncio.sleep(0.005)
         assert [e.outcome for e in ends] == [i.Outcome.DELIVERED] and len(peer.requests) == 1
         p.close()
+
     asyncio.run(scene())
 
 
@@ -270,6 +278,7 @@
             connection.connection_lost(None)
         assert [e.outcome for e in ends] == [i.Outcome.NO_CONNECTION, i.Outcome.RESET]
         p.idle.clear()
+
     asyncio.run(scene())
 
 
@@ -295,22 +304,29 @@
             await asyncio.sleep(0.01)
         assert ends[1].outcome is i.Outcome.CANCELED and p.out == 0 and not p.all
         p.close()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize(("begun", "outcome"), [
-    (b"HTTP/1.1 200 OK\r\n", i.Outcome.DELIVERED),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", i.Outcome.DELIVERED),
-    (b"HTTP/1.1 200 O", i.Outcome.UNREADABLE),
-    (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", i.Outcome.UNREADABLE)])
+@pytest.mark.parametrize(
+    ("begun", "outcome"),
+    [
+        (b"HTTP/1.1 200 OK\r\n", i.Outcome.DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", i.Outcome.DELIVERED),
+        (b"HTTP/1.1 200 O", i.Outcome.UNREADABLE),
+        (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", i.Outcome.UNREADABLE),
+    ],
+)
 def test_an_answer_that_falls_quiet_holds_no_slot(begun: bytes, outcome: i.Outcome) -> None:
     """The connection stays open, and the call has a minute."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
 
         async def quiet(request: Request) -> None:
             request.writer.write(begun)
             await asyncio.sleep(3600)
+
         peer = await Peer(quiet).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -321,11 +337,13 @@
         assert [(e.outcome, e.closed) for e in ends] == [(outcome, outcome is i.Outcome.DELIVERED)]
         assert p.out == 0 and not p.calls
         p.close()
+
     asyncio.run(scene())
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
     """AcceptedMessage for broken, a batch that was delivered in whole was taken for one that may have run."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
 
@@ -335,6 +353,7 @@
             else:
                 states = [{"id": x["id"], "state": "accepted"} for x in json.loads(request.body)]
                 request.writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + json.dumps(states).encode())
+
         peer = await Peer(answer).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -346,9 +365,13 @@
             while len(ends) < 3:
                 await asyncio.sleep(0.01)
         assert [(e.message, e.outcome) for e in ends] == [
-            ("a", i.Outcome.DELIVERED), ("b", i.Outcome.DELIVERED), ("c", i.Outcome.FULL)]
+            ("a", i.Outcome.DELIVERED),
+            ("b", i.Outcome.DELIVERED),
+            ("c", i.Outcome.FULL),
+        ]
         assert ends[2].wait_us == 700_000 and not p.idle.get(1)
         p.close()
+
     asyncio.run(scene())
 
 
@@ -361,6 +384,7 @@
                 request.writer.write(bytes([byte]))
                 await asyncio.sleep(0.01)
             await asyncio.sleep(3600)
+
         peer = await Peer(pieces).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -370,11 +394,13 @@
                 await asyncio.sleep(0.01)
         assert (ends[0].outcome, ends[0].wait_us) == (i.Outcome.FULL, 700_000) and len(p.idle[1]) == 1
         p.close()
+
     asyncio.run(scene())
 
 
 def test_no_message_of_a_call_times_out_while_the_call_still_carries_it() -> None:
     """Told that it had, the module sent it a second time beside the first."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         free = asyncio.Event()
@@ -383,41 +409,59 @@
             await free.wait()
             states = [{"id": x["id"], "state": "accepted"} for x in json.loads(request.body)]
             return Answer(200, body=json.dumps(states).encode())
+
         peer = await Peer(slow).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
-        p.start(Call(1, (7, -1), now, [
-            Item("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
-            Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6)]))
+        p.start(
+            Call(
+                1,
+                (7, -1),
+                now,
+                [
+                    Item("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
+                    Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
+                ],
+            )
+        )
         await peer.got(1)
         await asyncio.sleep(0.2)
         assert not ends
         free.set()
         while p.out:
             await asyncio.sleep(0.01)
-        assert [(e.message, e.outcome) for e in ends] == [
-            ("short", i.Outcome.DELIVERED), ("long", i.Outcome.DELIVERED)]
+        assert [(e.message, e.outcome) for e in ends] == [("short", i.Outcome.DELIVERED), ("long", i.Outcome.DELIVERED)]
         p.close()
+
     asyncio.run(scene())
 
 
 def test_no_call_carries_a_message_past_its_time() -> None:
     """Its end was told while the call was still out, and the next of its key went beside it."""
+
     async def scene() -> None:
         ends: list[i.Ended] = []
         peer = await Peer(hang).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
-        p.start(Call(1, (7, -1), now, [
-            Item("due", 0, None, b"x", now + 100_000, now + 200_000),
-            Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6)]))
+        p.start(
+            Call(
+                1,
+                (7, -1),
+                now,
+                [
+                    Item("due", 0, None, b"x", now + 100_000, now + 200_000),
+                    Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
+                ],
+            )
+        )
         while not ends:
             await asyncio.sleep(0.01)
-        assert {(e.message, e.outcome) for e in ends} == {
-            ("due", i.Outcome.TIMED_OUT), ("long", i.Outcome.TIMED_OUT)}
+        assert {(e.message, e.outcome) for e in ends} == {("due", i.Outcome.TIMED_OUT), ("long", i.Outcome.TIMED_OUT)}
         while p.all:
             await asyncio.sleep(0.01)
         p.close()
+
     asyncio.run(scene())
 
 
@@ -435,6 +479,7 @@
         p.close_idle(1)
         await peer.until(lambda: peer.closed == 1)
         p.close()
+
     asyncio.run(scene())
 
 
@@ -446,6 +491,7 @@
         def hand_in(handed: Submission, door: ClientConnection) -> None:
             door.left = gone.set
             came.put_nowait(handed)
+
         server = Server(settings(SETTINGS), Clock(), 10, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
@@ -457,19 +503,30 @@
         async with asyncio.timeout(20):
             await gone.wait()
         server.close()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("gone", ["", "closed here", "its end is unread", "its end behind more is unread",
-                                  "its reset is unread"])
+@pytest.mark.parametrize(
+    "gone", ["", "closed here", "its end is unread", "its end behind more is unread", "its reset is unread"]
+)
 def test_a_message_whose_client_has_gone_is_not_taken_on(tmp_path: Path, gone: str) -> None:
     """It cannot hear of it, and hands the message in elsewhere. Its end may lie in the kernel: a process that was
     stopped for longer than clients wait finds each request and its client's end there at once."""
+
     async def scene() -> None:
         host = {"host": "s1", "dial": "127.0.0.1:9", "site": "x", "class": "a", "block": 7, "health": "up"}
-        (tmp_path / "config.json").write_text(json.dumps({
-            "name": "n", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "settings": SETTINGS,
-            "known": {"seq": 1, "whole": True, "hosts": [host]}}))
+        (tmp_path / "config.json").write_text(
+            json.dumps(
+                {
+                    "name": "n",
+                    "listen": "127.0.0.1:9",
+                    "discovery": "127.0.0.1:9",
+                    "settings": SETTINGS,
+                    "known": {"seq": 1, "whole": True, "hosts": [host]},
+                }
+            )
+        )
         config = load({"LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path)})
         engine = Engine(config, Ownership(tmp_path), Control(), await bind(Address("127.0.0.1", 0)))
         engine.clock.keep()
@@ -495,13 +552,14 @@
         engine.pool.close()
         engine.clients.close()
         client.close()
+
     asyncio.run(scene())
 
 
-@pytest.mark.parametrize("sent", [b"", b"POST /order HTTP/1.1\r\nHost: x\r\n",
-                                  message("m", body=b"abc")[:-1]])
+@pytest.mark.parametrize("sent", [b"", b"POST /order HTTP/1.1\r\nHost: x\r\n", message("m", body=b"abc")[:-1]])
 def test_a_peer_that_sends_no_whole_request_is_let_go_and_a_client_stays(sent: bytes) -> None:
     """They filled the table of connections, and clients' own were closed for them."""
+
     async def scene() -> None:
         clock = Skewed()
         server = Server(settings(SETTINGS), clock, 10, lambda handed, door: None)
@@ -522,6 +580,7 @@
         client[1].write(b"GET /up HTTP/1.1\r\n\r\n")
         await client[0].readuntil(b"up\n")
         server.close()
+
     asyncio.run(scene())
 
 
@@ -538,4 +597,5 @@
         async with asyncio.timeout(20):
             assert (await others[1][0].readline()).startswith(b"HTTP/1.1 200")
         server.close()
+
     asyncio.run(scene())
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -47,8 +47,13 @@
         self.unsure: set[str] = set()
 
     def believed(self, name: str) -> Heard:
-        return Heard(holders={1: frozenset(other for other in self.names
-                                           if other != name and self.heard.get((name, other), (0, False))[1])})
+        return Heard(
+            holders={
+                1: frozenset(
+                    other for other in self.names if other != name and self.heard.get((name, other), (0, False))[1]
+                )
+            }
+        )
 
     def step(self, for_us: int = S // 4) -> float:
         """The sum of all parts of the budget, after some time has passed."""
@@ -64,8 +69,11 @@
             t.see(self.now, {1} if name in self.holding else set(), heard)
             if self.said[name] != (1 in t.since):
                 self.said[name] = 1 in t.since
-                self.due += [(self.now + self.random.randrange(TOLD), other, name, (self.now, self.said[name]))
-                             for other in self.names if other != name]
+                self.due += [
+                    (self.now + self.random.randrange(TOLD), other, name, (self.now, self.said[name]))
+                    for other in self.names
+                    if other != name
+                ]
             if name in self.unsure:
                 total += 1 / (2 * self.size)  # what `Shares` gives it
             else:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -46,6 +46,7 @@
             for node in nodes:
                 await node.end()
             folder_nodes.pop()
+
     asyncio.run(run())
 
 
@@ -80,6 +81,7 @@
         await asyncio.sleep(0)
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
+
     play(scene, tmp_path)
 
 
@@ -92,11 +94,13 @@
         assert (await node.hand_in("good"))[0] == 202
         await peer.got(1)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["good"]
+
     play(scene, tmp_path)
 
 
 def test_what_is_given_up_ends_at_once_by_one_notice(tmp_path: Path) -> None:
     """The message has 50 s left: a notice within the test's patience was not held back to its deadline."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
         node = await node_on(folder, platform)
@@ -106,12 +110,14 @@
         told = await platform.notice("spent")
         assert told["state"] == "returned" and told["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
+
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
 def test_call_cut_by_a_restart_may_have_run(tmp_path: Path, sign: int) -> None:
     """A keyed message goes again under its key, one that may not be repeated never does."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -131,6 +137,7 @@
         assert again.headers["x-correlation-id"] == "keyed"
         assert again.headers["x-session-key"] == "key-keyed" and again.body == b"hello"
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -140,6 +147,7 @@
 
 def test_messages_of_one_key_go_one_at_a_time_also_after_a_restart(tmp_path: Path) -> None:
     """The second destination stands open all the time: only the key holds its message back."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         shut = Answer(429, {"X-RateLimit-Wait-Ms": "40000"})
         one = await target(platform, always(OK, shut))
@@ -159,6 +167,7 @@
         assert (await node.hand_in("f", "turn", dest=8, X_Session_Key="third"))[0] == 202
         await two.got(3)
         assert ids(one) == ["a", "c", "c"] and ids(two) == ["b", "e", "f"]
+
     play(scene, tmp_path)
 
 
@@ -180,6 +189,7 @@
         platform.accepts = True
         await two.got(3)
         assert ids(two) == ["c", "d", "b"] and platform.notices[0]["id"] == "a"
+
     play(scene, tmp_path)
 
 
@@ -199,6 +209,7 @@
             assert await node.end(signal.SIGTERM) == 0  # what it had out is over then
             await node.start()
         assert ids(peer) == ["done", "lost", "next0", "next1"]
+
     play(scene, tmp_path)
 
 
@@ -213,6 +224,7 @@
         await node.restart()
         assert (await platform.notice("m"))["state"] == "returned"
         assert len(peer.requests) == 2
+
     play(scene, tmp_path)
 
 
@@ -233,6 +245,7 @@
         assert (await node.hand_in("o", "pay"))[0] == 202
         await platform.notice("o")
         assert [n["id"] for n in platform.notices].count("m") == 1
+
     play(scene, tmp_path)
 
 
@@ -247,6 +260,7 @@
         await node.start()
         assert (await platform.notice("m"))["state"] == "returned"
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -268,6 +282,7 @@
         await peer.got(3)
         await node.restart()
         assert (await peer.got(4))[3].headers["x-correlation-id"] == "n"
+
     play(scene, tmp_path)
 
 
@@ -279,11 +294,13 @@
         await platform.got(1)
         await platform.change("s1", "draining")
         await platform.until(lambda: any("from=2" in r.path for r in platform.requests))
+
     play(scene, tmp_path)
 
 
 def test_a_list_of_version_0_is_waited_on_like_any_other(tmp_path: Path) -> None:
     """Asked for in whole again and again, it took the loop's time and filled the journal."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         platform.seq = 0
@@ -293,9 +310,11 @@
             assert (await node.hand_in(f"m{n}"))[0] == 202
         await peer.got(20)
         assert [r.path for r in platform.requests] == [
-            f"/discovery/hosts?from=0&hold_ms={hold_ms}" for hold_ms in (FIRST_HOLD_MS, HOLD_MS)]
+            f"/discovery/hosts?from=0&hold_ms={hold_ms}" for hold_ms in (FIRST_HOLD_MS, HOLD_MS)
+        ]
         await platform.change("s1", "draining")
         await platform.until(lambda: any("from=1" in r.path for r in platform.requests))
+
     play(scene, tmp_path)
 
 
@@ -317,6 +336,7 @@
             assert (await node.hand_in(f"m{n}", "status"))[0] == 202
         await two.got(16)
         assert len(one.requests) == before
+
     play(scene, tmp_path)
 
 
@@ -331,22 +351,33 @@
         assert len(breaks.requests) == 1
         assert (await node.hand_in("refused", "pay", left="2"))[0] == 202
         assert (await platform.notice("refused"))["state"] == "returned"
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("cut", [b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nab", b"HTTP/1.1 503 No\r\n",
-                                 b"HTTP/1.1 429 No\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-                                 b"HTTP/1.1 410 Gone\r\nContent-Length: x\r\n\r\n", b"HTTP/1.1 200 O"])
+@pytest.mark.parametrize(
+    "cut",
+    [
+        b"HTTP/1.1 503 No\r\nContent-Length: 9\r\n\r\nab",
+        b"HTTP/1.1 503 No\r\n",
+        b"HTTP/1.1 429 No\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 410 Gone\r\nContent-Length: x\r\n\r\n",
+        b"HTTP/1.1 200 O",
+    ],
+)
 def test_a_refusal_that_cannot_be_read_may_have_run(tmp_path: Path, cut: bytes) -> None:
     """Believed, it had what must not run twice sent once more."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         async def answer(request: Any) -> None:
             request.writer.write(cut)
+
         peer = await target(platform, answer)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "pay"))[0] == 202
         assert (await platform.notice("m"))["state"] == "failed"
         assert len(peer.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -356,17 +387,21 @@
             if ids(request.peer)[-1] == "m":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: zz\r\n\r\n"
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+
         await target(platform, answer)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "pay"))[0] == 202
         assert (await node.hand_in("n", "pay"))[0] == 202
         await platform.notice("n")
         assert [n["id"] for n in platform.notices] == ["n"]
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("garbage", [b"\x16\x03\x01 not http\r\n\r\n", b"HTTP/1.1 2x0 ?\r\n\r\n",
-                                     b"HTTP/1.1 500 No\r\nContent-Length: zz\r\n\r\n"])
+@pytest.mark.parametrize(
+    "garbage",
+    [b"\x16\x03\x01 not http\r\n\r\n", b"HTTP/1.1 2x0 ?\r\n\r\n", b"HTTP/1.1 500 No\r\nContent-Length: zz\r\n\r\n"],
+)
 def test_garbage_from_a_target_is_an_outcome(tmp_path: Path, garbage: bytes) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(garbage, OK))
@@ -375,6 +410,7 @@
         await peer.got(2)
         assert (await node.hand_in("n", "order"))[0] == 202
         await peer.got(3)
+
     play(scene, tmp_path)
 
 
@@ -382,6 +418,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         async def cut(request: Any) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
+
         peer = await target(platform, cut)
         node = await node_on(folder, platform)
         assert (await node.hand_in("m", "status"))[0] == 202
@@ -390,6 +427,7 @@
         assert (await node.hand_in("n", "status"))[0] == 202
         await peer.got(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["m", "n"]
+
     play(scene, tmp_path)
 
 
@@ -406,6 +444,7 @@
         assert (await node.hand_in("spent", "status", left="3"))[0] == 202
         assert (await platform.notice("spent"))["state"] == "returned"
         assert [n["id"] for n in platform.notices] == ["expired", "spent"]
+
     play(scene, tmp_path)
 
 
@@ -416,6 +455,7 @@
         async def handler(request: Any) -> Answer:
             times.append(asyncio.get_running_loop().time())
             return Answer(429, {"X-RateLimit-Wait-Ms": "700"}) if len(times) == 1 else OK
+
         peer = await target(platform, handler)
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "status"))[0] == 202
@@ -423,6 +463,7 @@
         assert (await node.hand_in("b", "status"))[0] == 202
         await peer.got(3)
         assert times[1] - times[0] >= 0.69
+
     play(scene, tmp_path)
 
 
@@ -436,8 +477,8 @@
                 return OK
             items = json.loads(request.body)
             states = {"b": "accepted", "c": "fault", "d": "expired", "e": "no_more"}
-            return Answer(200, body=json.dumps(
-                [{"id": x["id"], "state": states[x["id"]]} for x in items]).encode())
+            return Answer(200, body=json.dumps([{"id": x["id"], "state": states[x["id"]]} for x in items]).encode())
+
         peer = await target(platform, handler, kind="lots")
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "pay"))[0] == 202
@@ -453,11 +494,13 @@
         assert (await platform.notice("c"))["state"] == "failed"
         assert await node.end(signal.SIGTERM) == 0
         assert sorted(n["id"] for n in platform.notices) == ["c", "d"]
+
     play(scene, tmp_path)
 
 
 def test_an_idempotency_key_reaches_the_target_as_it_came_also_after_a_restart(tmp_path: Path) -> None:
     """In a single call as a header, in a call of several as its key; a keyed class needs no key of its order."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         async def accept(request: Any) -> Answer:
             many = json.loads(request.body) if request.path == "/hook/batch" else []
@@ -465,6 +508,7 @@
             if not many:
                 seen[request.headers["x-correlation-id"]] = request.headers["idempotency-key"]
             return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
+
         given, seen = {"a": '"8e03-97 8e"', "b": "3b93d724", "c": "0f0f"}, {}
         peer = await target(platform, hang, kind="lots")
         node = await node_on(folder, platform)
@@ -479,6 +523,7 @@
         await peer.until(lambda: len(seen) == 4)
         assert seen == given | {"d": "key-d"}
         assert any(r.path == "/hook/batch" for r in peer.requests)
+
     play(scene, tmp_path)
 
 
@@ -519,6 +564,7 @@
         client.writer.write(message("p1") + message("p2", body=b"x" * 65_536))
         assert [(await client.answer())[0], (await client.answer())[0]] == [202, 202]
         assert {r.headers["x-correlation-id"] for r in await peer.got(2)} == {"p1", "p2"}
+
     play(scene, tmp_path)
 
 
@@ -529,11 +575,13 @@
         assert (await node.hand_in("a"))[0] == 202
         status, headers = await node.hand_in("b")
         assert status == 503 and float(headers["retry-after"]) > 0
+
     play(scene, tmp_path)
 
 
 def test_folder_stays_within_its_limit(tmp_path: Path) -> None:
     """Large bodies fill the journal before the buffer: new work is refused, the folder never overflows."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform, disk_mb=1)
@@ -546,6 +594,7 @@
         peer.handler = always(OK)
         await node.restart()
         await peer.got(3)
+
     play(scene, tmp_path)
 
 
@@ -559,6 +608,7 @@
             await asyncio.sleep(0.05)
         await peer.got(1)
         assert sum("the list cannot be had" in line for line in node.log) == 2
+
     play(scene, tmp_path)
 
 
@@ -578,8 +628,8 @@
         assert await node.end(signal.SIGTERM) == 0
         peer.handler = always(OK)
         await node.start()
-        await peer.until(
-            lambda: {"a", "b", "c"} <= {r.headers["x-correlation-id"] for r in peer.requests[1:]})
+        await peer.until(lambda: {"a", "b", "c"} <= {r.headers["x-correlation-id"] for r in peer.requests[1:]})
+
     play(scene, tmp_path)
 
 
@@ -609,17 +659,27 @@
         assert (await new.notice("m"))["state"] == "failed"
         assert not platform.notices
         assert await node.end(signal.SIGTERM) == 0
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("config", [None, "{", "{}", json.dumps({"settings": {**SETTINGS, "services": 3}}),
-                                    json.dumps({"settings": SETTINGS, "listen": "here", "name": "n"})])
+@pytest.mark.parametrize(
+    "config",
+    [
+        None,
+        "{",
+        "{}",
+        json.dumps({"settings": {**SETTINGS, "services": 3}}),
+        json.dumps({"settings": SETTINGS, "listen": "here", "name": "n"}),
+    ],
+)
 def test_bad_configuration_is_one_line(tmp_path: Path, config: str | None) -> None:
     env = {k: v for k, v in os.environ.items() if not k.startswith("LB_")} | {"LB_STATE": str(tmp_path)}
     if config is not None:
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
-    done = subprocess.run([sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=env, capture_output=True,
-                          text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
     assert done.stderr.startswith("lemonshunt: ")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -32,6 +32,7 @@
                 assert (await reader.read()).startswith(b"fail")
             writer.close()
         assert (await node.call(b"HEALTH\n")).startswith("ok")
+
     play(scene, tmp_path)
 
 
@@ -45,6 +46,7 @@
         async with asyncio.timeout(PATIENCE):
             assert (await reader.read()).startswith(b"fail")
         writer.close()
+
     play(scene, tmp_path)
 
 
@@ -58,6 +60,7 @@
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
         assert (await node.call(b"HEALTH\n")).startswith("fail")
+
     play(scene, tmp_path)
 
 
@@ -105,6 +108,7 @@
         await node.restart()
         names = {"before0", "before1", "during", "late", "half", "after0", "after1"}
         await peer.until(lambda: {r.headers["x-correlation-id"] for r in peer.requests} == names)
+
     play(scene, tmp_path)
 
 
@@ -136,6 +140,7 @@
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
         await one.got(before + 1)
         assert names(one) == {"waits"} and len(two.requests) == 16
+
     play(scene, tmp_path)
 
 
@@ -154,6 +159,7 @@
             assert (await node.call(line)).startswith("fail"), line
         for line in (b"OFFLINE s2\n", b"ONLINE s2\n", b"ONLINE s2\n", b"ONLINE s1\n"):
             assert (await node.call(line)).startswith("ok"), line
+
     play(scene, tmp_path)
 
 
@@ -197,6 +203,7 @@
         assert (await platform.notice("new"))["state"] == "failed"
         await peer.got(before + 1)  # it may still be repeated
         assert names(peer) == {"old"} and len(other.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -224,8 +231,11 @@
         node = await node_on(folder, platform)
         path = folder / "config.json"
         good = json.loads(path.read_text())
-        better = {**good, "discovery": "127.0.0.1:9",
-                  "settings": {**SETTINGS, "services": [STRICT, *SETTINGS["services"][1:]]}}
+        better = {
+            **good,
+            "discovery": "127.0.0.1:9",
+            "settings": {**SETTINGS, "services": [STRICT, *SETTINGS["services"][1:]]},
+        }
         broken = ["", "{", "[]", "null", json.dumps(better)[:-40]]
         broken += [json.dumps(without(better, key)) for key in good]
         broken += [json.dumps(without(better, "settings", key)) for key in SETTINGS]
@@ -246,4 +256,5 @@
         path.write_text(json.dumps(better))
         await hup(node, "classes strict,")
         assert (await node.hand_in("m", "strict"))[0] == 202
+
     play(scene, tmp_path)
--- a/tests/test_order_model.py
+++ b/tests/test_order_model.py
@@ -19,8 +19,16 @@
 
 MS = 1000
 KEYS = ("k1", "k2")
-OUTCOMES = (i.Outcome.DELIVERED, i.Outcome.FAILED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.RESET,
-            i.Outcome.NO_CONNECTION, i.Outcome.UNREADABLE, i.Outcome.HELD_BACK)
+OUTCOMES = (
+    i.Outcome.DELIVERED,
+    i.Outcome.FAILED,
+    i.Outcome.FULL,
+    i.Outcome.TIMED_OUT,
+    i.Outcome.RESET,
+    i.Outcome.NO_CONNECTION,
+    i.Outcome.UNREADABLE,
+    i.Outcome.HELD_BACK,
+)
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace")
 
 
@@ -43,6 +51,7 @@
             if name in self.failing and not reads:
                 raise OSError(errno.EIO, "for the test")
             return call(*arguments, **named)
+
         return replaced
 
     def teardown(self) -> None:
