--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -18,8 +18,21 @@
 from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
 from tests.streams import streaming
 
-CONFIG = Config("n0", Address("127.0.0.1", 3000), Address("127.0.0.1", 8500), None, Path("state"), 1, 192,
-                256, 3_000_000, HostList(1, True, ()), settings(), (), {})
+CONFIG = Config(
+    "n0",
+    Address("127.0.0.1", 3000),
+    Address("127.0.0.1", 8500),
+    None,
+    Path("state"),
+    1,
+    192,
+    256,
+    3_000_000,
+    HostList(1, True, ()),
+    settings(),
+    (),
+    {},
+)
 GOOD = '[streaming]\nlisten = "127.0.0.1:3100"\nmemory_bytes = 1_000_000\n'
 
 
@@ -54,8 +67,7 @@
     assert "health.passive is missing" in refused("[health]", tmp_path)
     assert "health.passive is no table" in refused("[health]\npassive = 1", tmp_path)
     assert "health.passive.most_ejected is 2" in refused("[health.passive]\nmost_ejected = 2", tmp_path)
-    assert "health.passive.eject_top_s is 1, not from 5" in refused(
-        "[health.passive]\neject_top_s = 1", tmp_path)
+    assert "health.passive.eject_top_s is 1, not from 5" in refused("[health.passive]\neject_top_s = 1", tmp_path)
     assert "health.passive.colour is unknown" in refused("[health.passive]\ncolour = 1", tmp_path)
     assert "health.active is unknown" in refused("[health.passive]\n[health.active]", tmp_path)
     assert "journal.durability is missing" in refused("[journal]", tmp_path)
@@ -97,19 +109,31 @@
     assert len(parts.prepare(tmp_path / "parts.toml", MAY_TELL)) == len(parts.MODULES)
 
 
-@pytest.mark.parametrize(("line", "told"), [
-    ("colour = 1", "members.colour is unknown"), ("period_s = 0", "members.period_s is 0, not from 0.02"),
-    ("probe_s = 9", "members.probe_s is 9, not from 0.005 to 0.5"), ("helpers = 1.5", "members.helpers is no whole"),
-    ("seeds = 3", "members.seeds is no list and no file"),
-    ('seeds = ["here"]', "members.seeds has what is not an address"),
-    ('seeds = "nowhere"', "members.seeds: "), ('advertise = "x"', "members.advertise is not an address"),
-    ('key_file = "nowhere"', "members.key_file: "), ('key_file = "short.key"', "has not one or two keys"),
-    ('key_file = "odd.key"', "members.key_file: "), ('cluster = ""', "members.cluster is no name"),
-    ("news = true", "members.news needs divide"), ("ask_s = 0", "members.ask_s is 0, not from 0.5"),
-    ("divide = 1", "members.divide is neither true nor false"), ("settle_s = 1", "members.settle_s is 1, not from"),
-    ("listen = 3", "members.listen is not an address")])
-def test_a_table_of_members_that_cannot_hold_names_its_key(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: str,
-                                                           told: str) -> None:
+@pytest.mark.parametrize(
+    ("line", "told"),
+    [
+        ("colour = 1", "members.colour is unknown"),
+        ("period_s = 0", "members.period_s is 0, not from 0.02"),
+        ("probe_s = 9", "members.probe_s is 9, not from 0.005 to 0.5"),
+        ("helpers = 1.5", "members.helpers is no whole"),
+        ("seeds = 3", "members.seeds is no list and no file"),
+        ('seeds = ["here"]', "members.seeds has what is not an address"),
+        ('seeds = "nowhere"', "members.seeds: "),
+        ('advertise = "x"', "members.advertise is not an address"),
+        ('key_file = "nowhere"', "members.key_file: "),
+        ('key_file = "short.key"', "has not one or two keys"),
+        ('key_file = "odd.key"', "members.key_file: "),
+        ('cluster = ""', "members.cluster is no name"),
+        ("news = true", "members.news needs divide"),
+        ("ask_s = 0", "members.ask_s is 0, not from 0.5"),
+        ("divide = 1", "members.divide is neither true nor false"),
+        ("settle_s = 1", "members.settle_s is 1, not from"),
+        ("listen = 3", "members.listen is not an address"),
+    ],
+)
+def test_a_table_of_members_that_cannot_hold_names_its_key(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: str, told: str
+) -> None:
     monkeypatch.chdir(tmp_path)
     for name, text in (("k", "00" * 32), ("short.key", "00"), ("odd.key", "no hex")):
         (tmp_path / name).write_text(text)
@@ -125,6 +149,7 @@
         platform = Platform()
         await platform.start()
         await scene(platform)
+
     asyncio.run(played())
 
 
@@ -138,6 +163,7 @@
             assert await node.process.wait() == 2
         await node.drain
         assert node.log == ["lemonshunt: parts: streaming.colour is unknown\n"]
+
     run(scene)
 
 
@@ -147,10 +173,24 @@
     return {name.strip() for _, _, name in lines}
 
 
-OFF = ("lemonshunt.net.health", "lemonshunt.fleet", "lemonshunt.members", "lemonshunt.net.members",
-       "lemonshunt.net.news", "lemonshunt.net.durable", "lemonshunt.statecheck", "msgspec")
-PARTS = ("lemonshunt.parts", "lemonshunt.streams", "lemonshunt.net.streaming", "lemonshunt.health",
-         "argparse", "tomllib")
+OFF = (
+    "lemonshunt.net.health",
+    "lemonshunt.fleet",
+    "lemonshunt.members",
+    "lemonshunt.net.members",
+    "lemonshunt.net.news",
+    "lemonshunt.net.durable",
+    "lemonshunt.statecheck",
+    "msgspec",
+)
+PARTS = (
+    "lemonshunt.parts",
+    "lemonshunt.streams",
+    "lemonshunt.net.streaming",
+    "lemonshunt.health",
+    "argparse",
+    "tomllib",
+)
 
 
 def test_without_the_flag_nothing_of_it_is_loaded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,11 +210,13 @@
         await node.end()
         for part in PARTS:
             assert [name for name in imported(node) if name.startswith(part)]
+
     run(scene)
 
 
 def test_without_the_flag_the_bytes_on_the_wire_are_as_ever(tmp_path: Path) -> None:
     """To the letter: what a client reads, and what an endpoint reads."""
+
     async def scene(platform: Platform) -> None:
         read = asyncio.get_running_loop().create_future()
 
@@ -194,12 +236,16 @@
             got = await read
         assert re.fullmatch(
             rb"POST /hook HTTP/1\.1\r\nHost: 127\.0\.0\.1:%d\r\nX-Correlation-Id: a1\r\n"
-            rb"X-Time-Left: [0-9.]+\r\nX-Session-Key: key-a1\r\nContent-Length: 5\r\n\r\nhello" % port, got)
+            rb"X-Time-Left: [0-9.]+\r\nX-Session-Key: key-a1\r\nContent-Length: 5\r\n\r\nhello" % port,
+            got,
+        )
         client.writer.write(b"GET /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n\r\n")
         assert await client.reader.readuntil(b"message\n") == (
             b"HTTP/1.1 404 Not Found\r\nContent-Length: 25\r\nContent-Type: text/plain; charset=utf-8\r\n\r\n"
-            b"no such class of message\n")
+            b"no such class of message\n"
+        )
         client.writer.close()
         server.close()
         await node.end()
+
     run(scene)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,10 +17,13 @@
 S = 1_000_000
 
 
-@pytest.mark.parametrize(("listed_s", "over_s", "recovering_s", "serving_s"), [
-    (1, 3, 1, 3), (1, 0, 1, 1), (None, 0, 10, 10), (2, None, 2, 32), (None, None, 10, 40), (50, 0, 10, 10)])
-def test_each_phase_ends_in_time_whatever_stays_down(listed_s: int | None, over_s: int | None, recovering_s: int,
-                                                     serving_s: int) -> None:
+@pytest.mark.parametrize(
+    ("listed_s", "over_s", "recovering_s", "serving_s"),
+    [(1, 3, 1, 3), (1, 0, 1, 1), (None, 0, 10, 10), (2, None, 2, 32), (None, None, 10, 40), (50, 0, 10, 10)],
+)
+def test_each_phase_ends_in_time_whatever_stays_down(
+    listed_s: int | None, over_s: int | None, recovering_s: int, serving_s: int
+) -> None:
     life, seen = Life(0, ["a"]), {}
     life.ready(0)
     for tenth in range(600):
@@ -50,10 +53,15 @@
                 await asyncio.sleep(0.05)
         assert "recovering" in told and await node.call(b"PHASE x\n") == "fail this call stands alone\n"
         assert "first seconds after a start" in await node.call(b"WHY\n")  # until discovery had answered
-        for line, said in ((b"WHY dest=7\n", "ok"), (b"WHY dest=x\n", "fail a destination is a number"),
-                           (b"WHY id=none\n", "fail no message of that id"), (b"WHY me\n", "fail WHY stands alone")):
+        for line, said in (
+            (b"WHY dest=7\n", "ok"),
+            (b"WHY dest=x\n", "fail a destination is a number"),
+            (b"WHY id=none\n", "fail no message of that id"),
+            (b"WHY me\n", "fail WHY stands alone"),
+        ):
             assert (await node.call(line)).startswith(said)
         await node.end()
+
     asyncio.run(scene())
 
 
@@ -70,6 +78,7 @@
         assert (await node.call(b"WHY id=b\n")).startswith("ok ban or ejection ")
         assert "window" in await node.call(b"WHY\n")
         await node.end()
+
     asyncio.run(scene())
 
 
--- a/tests/test_store_random.py
+++ b/tests/test_store_random.py
@@ -54,6 +54,7 @@
                     real(*arguments)
                 raise OSError(errno.EIO, "for the test")
             return real(*arguments, **named)
+
         return replaced
 
     def half(self, name: str, real: Callable[..., Any], arguments: Any, named: Any) -> None:
@@ -122,7 +123,8 @@
 
 @pytest.mark.parametrize("first", range(0, SCHEDULES, 50))
 def test_what_was_promised_is_found_and_what_was_refused_is_not(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: int) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: int
+) -> None:
     monkeypatch.setattr(store_module, "LEAST_COMPACT", 3000)
     monkeypatch.setattr(store_module, "STEP", 800)
     clock_s = itertools.count(0.0, 0.02)
@@ -152,7 +154,8 @@
 
 
 def test_a_restart_finds_the_same_tries_though_a_snapshot_and_a_journal_tell_of_them(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Attempts that this machine could not make, and that a snapshot had left out, counted as tries once more came."""
     monkeypatch.setattr(store_module, "STEP", 300)
     store = Store(tmp_path, 3_000_000).own()
@@ -165,6 +168,7 @@
             store.attempt(m, m.attempts, 5, "host")
             store.held(m, m.attempts - 1)
         store.flush()
+
     not_made()
     store.begin_snapshot()
     while store.files.writing is not None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -39,27 +39,58 @@
 
 def fields(m: AcceptedMessage) -> dict[str, Any]:
     return {
-        "destination": m.destination, "due_us": m.due_us, "key": m.key, "tenant": m.tenant, "body": m.body,
-        "attempts": m.attempts, "held": m.held, "ran_at_us": m.ran_at_us, "ran_on": m.ran_on, "out": m.out,
-        "idempotency_key": m.idempotency_key, "doubtful": m.doubtful}
+        "destination": m.destination,
+        "due_us": m.due_us,
+        "key": m.key,
+        "tenant": m.tenant,
+        "body": m.body,
+        "attempts": m.attempts,
+        "held": m.held,
+        "ran_at_us": m.ran_at_us,
+        "ran_on": m.ran_on,
+        "out": m.out,
+        "idempotency_key": m.idempotency_key,
+        "doubtful": m.doubtful,
+    }
 
 
 PLAIN: dict[str, Any] = {
-    "destination": 7, "due_us": 10**15, "key": None, "tenant": "acme", "attempts": 0, "held": set(), "ran_at_us": -1,
-    "ran_on": "", "out": {}, "idempotency_key": None, "doubtful": False}
+    "destination": 7,
+    "due_us": 10**15,
+    "key": None,
+    "tenant": "acme",
+    "attempts": 0,
+    "held": set(),
+    "ran_at_us": -1,
+    "ran_on": "",
+    "out": {},
+    "idempotency_key": None,
+    "doubtful": False,
+}
 
 
 def test_a_snapshot_and_every_kind_of_record_are_read_field_by_field(tmp_path: Path) -> None:
     store = Store(copied("records", tmp_path), MB)
     assert (store.found.version, store.salt, store.found.damaged, store.found.torn) == (3, 1234, False, 0)
     assert {name: fields(m) for name, m in store.messages.items()} == {
-        "tried": PLAIN | {"body": b"body of tried\n\0", "key": "k-tried", "attempts": 7, "held": {1, 2, 3, 5},
-                          "ran_at_us": 40, "ran_on": "s1", "out": {6: (70, "s2")}},
+        "tried": PLAIN
+        | {
+            "body": b"body of tried\n\0",
+            "key": "k-tried",
+            "attempts": 7,
+            "held": {1, 2, 3, 5},
+            "ran_at_us": 40,
+            "ran_on": "s1",
+            "out": {6: (70, "s2")},
+        },
         "once": PLAIN | {"body": b"body of once\n\0", "key": "k-once", "attempts": 1},
-        "safe": PLAIN | {"body": b"body of safe\n\0", "attempts": 1, "held": {0}, "idempotency_key": "idem"}}
+        "safe": PLAIN | {"body": b"body of safe\n\0", "attempts": 1, "held": {0}, "idempotency_key": "idem"},
+    }
     assert [m.cls for m in store.messages.values()] == [
         MessageClass("keyed", 10**6, 10**7, Effect.KEYED, Scope.ZONE, 30_000_000, False, 2.5, 0.5),
-        MessageClass("once", 10**6, 10**7, Effect.ONCE, in_order=True), MessageClass("safe", 10**6, 10**7)]
+        MessageClass("once", 10**6, 10**7, Effect.ONCE, in_order=True),
+        MessageClass("safe", 10**6, 10**7),
+    ]
     assert store.owed == {"owed": PendingNotice("returned", 500, "k-owed")}
     assert list(store.ended) == ["over", "owed", "told"]
     assert (store.seq, list(store.hosts), store.hosts["s2"]["dial"]) == (41, ["s1", "s2"], "127.0.0.1:9")
@@ -67,18 +98,33 @@
     assert (store.rests, list(store.names)) == ({"k-once": 12345}, ["s1", "s2", "s3"])
 
 
-@pytest.mark.parametrize(("version", "cls", "idempotency_key"), [
-    (1, MessageClass("order", 10**6, 10**6, Effect.ONCE), None),
-    (2, MessageClass("keyed", 10**6, 10**7, Effect.KEYED, Scope.ZONE, 30_000_000, False, 2.5, 0.5), "idem")])
+@pytest.mark.parametrize(
+    ("version", "cls", "idempotency_key"),
+    [
+        (1, MessageClass("order", 10**6, 10**6, Effect.ONCE), None),
+        (2, MessageClass("keyed", 10**6, 10**7, Effect.KEYED, Scope.ZONE, 30_000_000, False, 2.5, 0.5), "idem"),
+    ],
+)
 def test_journals_of_older_formats_are_read_field_by_field_and_carried_over(
-        tmp_path: Path, version: int, cls: MessageClass, idempotency_key: str | None) -> None:
+    tmp_path: Path, version: int, cls: MessageClass, idempotency_key: str | None
+) -> None:
     folder = copied(f"version{version}", tmp_path)
     for read_as in (version, 3):
         store = Store(folder, MB)
         assert (store.found.version, store.found.damaged) == (read_as, False)
-        assert {name: fields(m) for name, m in store.messages.items()} == {"old": PLAIN | {
-            "body": b"body", "key": "k", "tenant": None, "attempts": 2, "ran_at_us": 40, "ran_on": "s1",
-            "out": {1: (50, "s2")}, "idempotency_key": idempotency_key}}
+        assert {name: fields(m) for name, m in store.messages.items()} == {
+            "old": PLAIN
+            | {
+                "body": b"body",
+                "key": "k",
+                "tenant": None,
+                "attempts": 2,
+                "ran_at_us": 40,
+                "ran_on": "s1",
+                "out": {1: (50, "s2")},
+                "idempotency_key": idempotency_key,
+            }
+        }
         assert store.messages["old"].cls == cls
         assert store.owed == {"end": PendingNotice("failed", 0, None)}
         assert (store.bans, store.outages) == ({"s1": 5}, {"s2": (7, -1)})
@@ -91,12 +137,18 @@
     assert not store.found.damaged and not store.found.torn
     at = {c["attempts"][0][0]: c["sent_us"] for c in TOLD["memory"]["calls"]}
     assert {name: (m.cls.name, m.destination, m.key, m.attempts, m.out) for name, m in store.messages.items()} == {
-        "out": ("turn", 7, "claim", 1, {0: (at["out"], "s1")}), "behind": ("turn", 7, "claim", 0, {}),
-        "rests": ("turn", 11, "other", 0, {}), "banned": ("order", 12, "key-banned", 0, {})}
+        "out": ("turn", 7, "claim", 1, {0: (at["out"], "s1")}),
+        "behind": ("turn", 7, "claim", 0, {}),
+        "rests": ("turn", 11, "other", 0, {}),
+        "banned": ("order", 12, "key-banned", 0, {}),
+    }
     assert store.messages["out"].body == b"body of out" and store.messages["out"].tenant == "acme"
     assert store.owed == {
-        "waits": PendingNotice("returned", 3000, "key-waits"), "failed": PendingNotice("failed", 0, "key-failed"),
-        "reset": PendingNotice("failed", 0, "other"), "unreached": PendingNotice("returned", 1000, "key-unreached")}
+        "waits": PendingNotice("returned", 3000, "key-waits"),
+        "failed": PendingNotice("failed", 0, "key-failed"),
+        "reset": PendingNotice("failed", 0, "other"),
+        "unreached": PendingNotice("returned", 1000, "key-unreached"),
+    }
     assert list(store.ended) == ["done", "done-again", "waits", "failed", "reset", "unreached"]
     assert set(store.bans) == {"s6"} and set(store.outages) == {"s4", "s5", "s7"}
     assert store.rests == TOLD["memory"]["rests"]
@@ -104,11 +156,18 @@
     found = identity.read(folder)
     told = json.loads((folder / "identity").read_bytes().partition(b" ")[2])
     assert found is not None and (found.name, found.id, found.starts, found.salt) == (
-        told["name"], told["id"], told["starts"], store.salt)
+        told["name"],
+        told["id"],
+        told["starts"],
+        store.salt,
+    )
     anchor = clock.Anchor.read(folder)
     told = json.loads((folder / "clock").read_bytes().partition(b" ")[2])
     assert anchor is not None and (anchor.boot, anchor.monotonic_ns, anchor.clock_ns) == (
-        told["boot"], told["monotonic_ns"], told["clock_ns"])
+        told["boot"],
+        told["monotonic_ns"],
+        told["clock_ns"],
+    )
     assert anchor.clock_ns - anchor.monotonic_ns == TOLD["clock"]
 
 
@@ -141,11 +200,13 @@
     assert [[*row] for row in found.targets] == told["targets"] and len(found.targets) == 7
     assert (found.rests, found.purses, found.idle_us) == (told["rests"], told["purses"], told["idle_us"])
     assert [(c.target, c.sent_us, c.idle_us, c.gap_us, c.judged, c.attempts) for c in found.calls] == [
-        (c["target"], c["sent_us"], c["idle_us"], c["gap_us"], c["judged"], (("out", 0),)) for c in told["calls"]]
+        (c["target"], c["sent_us"], c["idle_us"], c["gap_us"], c["judged"], (("out", 0),)) for c in told["calls"]
+    ]
 
 
 def test_what_is_handed_over_has_the_fields_that_it_had(tmp_path: Path) -> None:
     """The same story as the data's, told by this program: the same keys, at every depth."""
+
     def shape(told: Any) -> Any:
         if isinstance(told, dict):
             return {key: shape(value) for key, value in told.items()}
@@ -161,6 +222,7 @@
         want = TOLD | {"numbers": {}, "memory": {**TOLD["memory"], "rests": {}, "purses": {}}}
         assert shape(told) == shape(want)
         assert await node.end() != 0 and peers
+
     play(scene, tmp_path)
 
 
@@ -209,8 +271,7 @@
     return near, far
 
 
-async def handed_over(
-        platform: Platform, folder: Path) -> tuple[Node, Peer, socket.socket, list[socket.socket]]:
+async def handed_over(platform: Platform, folder: Path) -> tuple[Node, Peer, socket.socket, list[socket.socket]]:
     """A process that has taken over from that of the data, and the endpoint that it calls now.
 
     With them its connection to endpoint s1, on which a call is out, by its far end; and the far ends of its two
@@ -229,8 +290,12 @@
     call, far_call = connected()
     idle, far_idle = connected()
     doors = [connected() for _ in told["doors"]]
-    at = {told["clients"]: listener, told["connections"][0]: call, told["connections"][1]: idle,
-          told["controls"][0]: control}
+    at = {
+        told["clients"]: listener,
+        told["connections"][0]: call,
+        told["connections"][1]: idle,
+        told["controls"][0]: control,
+    }
     at |= {door["fd"]: near for door, (near, _) in zip(told["doors"], doors, strict=True)}
     assert len(at) == HANDED["descriptors"]
     Owner(node, told, [at[n].fileno() for n in range(len(at))])
@@ -260,6 +325,7 @@
         assert b"X-Correlation-Id: half\r\n" in await loop.sock_recv(idle, 1000)
         assert "out" not in {notice["id"] for notice in platform.notices}
         assert not peer.requests, "the others wait: for a ban, for their key, or are over"
+
     play(scene, tmp_path)
 
 
--- a/tests/test_stream_exchange.py
+++ b/tests/test_stream_exchange.py
@@ -20,8 +20,18 @@
 from lemonshunt.streams import Route, TurnAway
 from tests import streams as peers
 
-LIMITS = Limits(Address("127.0.0.1", 1), 1 << 20, 4096, 0.5, head_s=20.0, idle_s=20.0, silent_s=20.0,
-                least_bytes_per_s=0, tries=1, connections=1)
+LIMITS = Limits(
+    Address("127.0.0.1", 1),
+    1 << 20,
+    4096,
+    0.5,
+    head_s=20.0,
+    idle_s=20.0,
+    silent_s=20.0,
+    least_bytes_per_s=0,
+    tries=1,
+    connections=1,
+)
 Handler = Callable[[peers.Exchange], Awaitable[None]]
 
 
@@ -109,25 +119,25 @@
             await asyncio.get_running_loop().sock_sendall(sock, piece)
             for _ in range(6):
                 await asyncio.sleep(0)
+
     return say
 
 
 REQUESTS = {
     "none": b"GET /big?a=b HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n\r\n",
-    "sized": b"POST /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\nContent-Length: 11\r\n\r\n"
-             b"hello\r\n\r\nyo",
+    "sized": b"POST /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\nContent-Length: 11\r\n\r\nhello\r\n\r\nyo",
     "chunked": b"POST /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\nTransfer-Encoding: chunked\r\n\r\n"
-               b"5;ext=1\r\nhello\r\n006\r\n\r\n\r\nyo\r\n0\r\nX-Sum: 3\r\n\r\n",
+    b"5;ext=1\r\nhello\r\n006\r\n\r\n\r\nyo\r\n0\r\nX-Sum: 3\r\n\r\n",
 }
 BODIES = {"none": b"", "sized": b"hello\r\n\r\nyo", "chunked": b"hello\r\n\r\nyo"}
 DATE = b"Date: Tue, 01 Dec 2026 12:00:00 GMT\r\n"  # without it the forwarder adds one, of another second
 ANSWERS = {
     "sized": b"HTTP/1.1 200 OK\r\n" + DATE + b"X-A: b\r\nContent-Length: 11\r\n\r\nhello\r\n\r\nyo",
     "chunked": b"HTTP/1.1 200 OK\r\n" + DATE + b"Transfer-Encoding: chunked\r\n\r\n"
-               b"005\r\nhello\r\n6;x\r\n\r\n\r\nyo\r\n0\r\nX-Sum: 3\r\n\r\n",
+    b"005\r\nhello\r\n6;x\r\n\r\n\r\nyo\r\n0\r\nX-Sum: 3\r\n\r\n",
     "to its end": b"HTTP/1.1 200 OK\r\n" + DATE + b"\r\nhello\r\n\r\nyo",
     "after hints": b"HTTP/1.1 103 Hints\r\nLink: a\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
-                   b"HTTP/1.1 200 OK\r\n" + DATE + b"Content-Length: 11\r\n\r\nhello\r\n\r\nyo",
+    b"HTTP/1.1 200 OK\r\n" + DATE + b"Content-Length: 11\r\n\r\nhello\r\n\r\nyo",
     "none": b"HTTP/1.1 204 No Content\r\n" + DATE + b"X-A: b\r\n\r\n",
 }
 
@@ -136,7 +146,7 @@
     """Cut at every byte, and into single bytes."""
     for at in range(1, len(data)):
         yield data[:at], data[at:]
-    yield tuple(data[at:at + 1] for at in range(len(data)))
+    yield tuple(data[at : at + 1] for at in range(len(data)))
 
 
 async def read_through(data: bytes) -> tuple[bytes, bytes, bytes]:
@@ -162,6 +172,7 @@
     async def scene() -> None:
         seen = set()
         for pieces in splits(REQUESTS[kind]):
+
             async def answering(exchange: peers.Exchange) -> None:
                 await exchange.read()
                 await exchange.answer(b"ok")
@@ -174,8 +185,9 @@
             seen.add((got.head, bytes(got.body), getattr(got, "trailers", b"")))
             assert front.ledger.held == 0 and len(front.kept) == 1 and front.ended == 1
         assert len(seen) == 1
-        (_, body, trailers), = seen
+        ((_, body, trailers),) = seen
         assert body == BODIES[kind] and trailers == (b"X-Sum: 3\r\n" if kind == "chunked" else b"")
+
     asyncio.run(scene())
 
 
@@ -184,6 +196,7 @@
     async def scene() -> None:
         seen = set()
         for pieces in splits(ANSWERS[kind]):
+
             async def answering(exchange: peers.Exchange, pieces: tuple[bytes, ...] = pieces) -> None:
                 for piece in pieces:
                     await exchange.say(piece)
@@ -195,10 +208,11 @@
             assert result is None
             seen.add(await read_through(heard))
             assert front.ledger.held == 0 and front.told_outcomes == [Outcome.DELIVERED]
-        (heads, body, trailers), = seen
+        ((heads, body, trailers),) = seen
         assert body == (b"" if kind == "none" else b"hello\r\n\r\nyo")
         assert trailers == (b"X-Sum: 3\r\n" if kind == "chunked" else b"")
         assert heads.count(b"HTTP/1.1 ") == (3 if kind == "after hints" else 1)
+
     asyncio.run(scene())
 
 
@@ -207,7 +221,7 @@
     made, at = b"", 0
     while at < len(body):
         size = min(len(body) - at, r.choice((1, 2, 15, 16, 17, 255, 4000, 4096, 9000)))
-        made += b"%x\r\n%s\r\n" % (size, body[at:at + size])
+        made += b"%x\r\n%s\r\n" % (size, body[at : at + size])
         at += size
     return made + b"0\r\n\r\n"
 
@@ -221,12 +235,15 @@
         request = head + b"Content-Length: %d\r\n\r\n" % len(up) + up
     else:
         request = head + b"Transfer-Encoding: chunked\r\n\r\n" + chunks_of(r, up)
-    told = (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks_of(r, down) if r.random() < 0.5
-            else b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(down) + down)
+    told = (
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks_of(r, down)
+        if r.random() < 0.5
+        else b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(down) + down
+    )
     pieces, at = [], 0
     while at < len(request):
         size = r.choice((1, 7, 100, 4096, 20_000))
-        pieces.append(request[at:at + size])
+        pieces.append(request[at : at + size])
         at += size
 
     async def answering(exchange: peers.Exchange) -> None:
@@ -242,16 +259,18 @@
         result, heard = await exchanged(front, in_pieces(*pieces))
         got = await front.endpoints[0]
         assert (await read_through(heard))[1] == down
-        assert got.body[:len(got.body)] == up[:len(got.body)] and (not got.whole or got.body == up)
+        assert got.body[: len(got.body)] == up[: len(got.body)] and (not got.whole or got.body == up)
         assert result is None and front.ledger.held == 0
         assert 0 < front.ledger.peak <= LIMITS.stream_bytes
         assert asyncio.all_tasks() == before  # no task is left over
         assert all(link.closed for link in front.links)  # and no socket
+
     asyncio.run(scene())
 
 
 def test_a_read_is_no_larger_than_the_high_water_mark_and_waits_for_the_write() -> None:
     """The endpoint takes nothing: counted bytes stand at one read, whatever the client has sent."""
+
     async def scene() -> None:
         stop = asyncio.Event()
 
@@ -261,8 +280,10 @@
             exchange.reset()
 
         front = Front(still)
-        say = in_pieces(b"POST /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n"
-                        b"Content-Length: 9000000\r\n\r\n" + bytes(9_000_000))
+        say = in_pieces(
+            b"POST /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n"
+            b"Content-Length: 9000000\r\n\r\n" + bytes(9_000_000)
+        )
         running = asyncio.create_task(exchanged(front, say))
         held = -1
         while not front.links or front.ledger.held != held or not held:  # until nothing moves any more
@@ -273,6 +294,7 @@
         result, _ = await running
         assert isinstance(result, EndpointFailed) and front.ledger.held == 0
         await asyncio.gather(*front.endpoints, return_exceptions=True)
+
     asyncio.run(scene())
 
 
@@ -288,18 +310,41 @@
         quick.step(0.0, 1)  # it never kept us waiting, however little it sent
 
 
-@pytest.mark.parametrize("path", [
-    "/hook", "/hook/batch", "/HOOK", "//hook", "/./hook", "/x/../hook", "/%68ook", "/%2568ook",
-    "/hook%2fbatch", "/hook;x=1",
-    "/hook?x", "/hook/", "/\\hook", "/%5chook", "/%2e/hook", "/x/%2e%2e/hook", "/hook%20",
-    "/hook%00", "/x/../../hook", "/%2525252568ook", "/;a/hook", "/hook%23x", "/hook%3fx", "/hook/../x",
-    "/%0ahook"])
+@pytest.mark.parametrize(
+    "path",
+    [
+        "/hook",
+        "/hook/batch",
+        "/HOOK",
+        "//hook",
+        "/./hook",
+        "/x/../hook",
+        "/%68ook",
+        "/%2568ook",
+        "/hook%2fbatch",
+        "/hook;x=1",
+        "/hook?x",
+        "/hook/",
+        "/\\hook",
+        "/%5chook",
+        "/%2e/hook",
+        "/x/%2e%2e/hook",
+        "/hook%20",
+        "/hook%00",
+        "/x/../../hook",
+        "/%2525252568ook",
+        "/;a/hook",
+        "/hook%23x",
+        "/hook%3fx",
+        "/hook/../x",
+        "/%0ahook",
+    ],
+)
 def test_paths_of_messages_are_told_however_they_are_written(path: str) -> None:
     assert reserved(path.encode(), frozenset({b"hook"}))
 
 
-@pytest.mark.parametrize("path", [
-    "/", "/hooks", "/a/hook", "/a/../b", "/?hook", "/a%2fhook", "/%E6%97%A5", "*"])
+@pytest.mark.parametrize("path", ["/", "/hooks", "/a/hook", "/a/../b", "/?hook", "/a%2fhook", "/%E6%97%A5", "*"])
 def test_other_paths_are_free(path: str) -> None:
     assert not reserved(path.encode(), frozenset({b"hook"}))
 
@@ -307,11 +352,13 @@
 def test_an_absolute_target_is_read_as_its_path_and_host() -> None:
     async def scene() -> None:
         front = Front(peers_answer)
-        result, _ = await exchanged(front, in_pieces(
-            b"GET http://other:80/big?x HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n\r\n"))
+        result, _ = await exchanged(
+            front, in_pieces(b"GET http://other:80/big?x HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n\r\n")
+        )
         got = await front.endpoints[0]
         assert result is None
         assert got.first == "GET /big?x HTTP/1.1" and got.headers["host"] == "other:80"
+
     asyncio.run(scene())
 
 
@@ -325,10 +372,15 @@
 
     async def scene() -> None:
         front = Front(reads)
-        result, _ = await exchanged(front, in_pieces(
-            REQUESTS["chunked"].partition(b"X-Sum")[0]
-            + b"".join(b"X%d: %s\r\n" % (n, 900 * b"x") for n in range(40)) + b"\r\n"))
+        result, _ = await exchanged(
+            front,
+            in_pieces(
+                REQUESTS["chunked"].partition(b"X-Sum")[0]
+                + b"".join(b"X%d: %s\r\n" % (n, 900 * b"x") for n in range(40))
+                + b"\r\n"
+            ),
+        )
         assert isinstance(result, ClientFailed) and result.status == 431
         await asyncio.gather(*front.endpoints, return_exceptions=True)
-    asyncio.run(scene())
 
+    asyncio.run(scene())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -99,6 +99,7 @@
                 visitor.close()
             for node in stage.nodes:
                 await node.end()
+
     asyncio.run(run())
 
 
@@ -111,19 +112,25 @@
         messages = await Peer(always(OK)).start()
         stage.platform.host("m1", messages.port, block=8)
         endpoint = await stage.open(echo)
-        visitor = await stage.ask("POST", "/big/file?a=b&c=%2F",
-                                  f"X-Own: é\r\nContent-Length: {len(BIG)}\r\n", BIG)
+        visitor = await stage.ask("POST", "/big/file?a=b&c=%2F", f"X-Own: é\r\nContent-Length: {len(BIG)}\r\n", BIG)
         assert await visitor.whole() == (200, BIG)
         assert visitor.header("Content-Type") == "text/x-echo" and visitor.header("Via") == "1.1 lemonshunt"
         exchange = endpoint.exchanges[0]
         assert exchange.first == "POST /big/file?a=b&c=%2F HTTP/1.1"
-        assert exchange.fields == [("Host", "origin.svc"), ("X-Addressing", "dest=7"), ("X-Own", "é"),
-                                   ("Via", "1.1 lemonshunt"), ("Content-Length", str(len(BIG)))]
+        assert exchange.fields == [
+            ("Host", "origin.svc"),
+            ("X-Addressing", "dest=7"),
+            ("X-Own", "é"),
+            ("Via", "1.1 lemonshunt"),
+            ("Content-Length", str(len(BIG))),
+        ]
         assert (await stage.nodes[0].hand_in("m", dest=8))[0] == 202
         assert (await messages.got(1))[0].path == "/hook"
         assert not stage.platform.notices
+
     play(scene, tmp_path)
 
+
 # Both ways, slower or faster
 
 
@@ -134,8 +141,7 @@
     go = asyncio.Event()
 
     async def slow(exchange: Exchange) -> None:
-        exchange.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                              + chunked(*parts(much)))
+        exchange.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(*parts(much)))
         await go.wait()
         await exchange.read()
         await exchange.writer.drain()
@@ -156,11 +162,12 @@
         await endpoint.until(lambda: endpoint.exchanges[0].whole)
         assert endpoint.exchanges[0].body == much
         assert (await stage.until_none())["most"] <= 2 * (16_384 + 4096 + 64)
+
     play(scene, tmp_path)
 
 
 def parts(data: bytes, size: int = 50_000) -> list[bytes]:
-    return [data[at:at + size] for at in range(0, len(data), size)]
+    return [data[at : at + size] for at in range(0, len(data), size)]
 
 
 def chunked(*pieces: bytes, trailers: bytes = b"") -> bytes:
@@ -185,6 +192,7 @@
             assert await visitor.chunk() == b"data: %d\n" % n
             event.set()
         assert await visitor.chunk() == b""
+
     play(scene, tmp_path)
 
 
@@ -194,6 +202,7 @@
 @pytest.mark.parametrize("status", ["413 Too Large", "200 OK"])
 def test_an_answer_before_the_end_of_the_upload_reaches_the_client(tmp_path: Path, status: str) -> None:
     """The endpoint answers and closes over unread bytes, which resets its connection."""
+
     async def early(exchange: Exchange) -> None:
         await exchange.answer(b"enough", status)
         await exchange.read(1000)
@@ -208,13 +217,14 @@
         assert await visitor.gone() == b""
         assert not endpoint.exchanges[0].whole
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("headers,body", [("Content-Length: 300000\r\n", BIG[:100_000]),
-                                          (CHUNKED, b"c350\r\n" + BIG[:50_000] + b"\r\n")])
-def test_a_client_that_goes_in_its_upload_leaves_a_cut_request(tmp_path: Path, headers: str,
-                                                               body: bytes) -> None:
+@pytest.mark.parametrize(
+    "headers,body", [("Content-Length: 300000\r\n", BIG[:100_000]), (CHUNKED, b"c350\r\n" + BIG[:50_000] + b"\r\n")]
+)
+def test_a_client_that_goes_in_its_upload_leaves_a_cut_request(tmp_path: Path, headers: str, body: bytes) -> None:
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", headers=headers, body=body)
@@ -223,6 +233,7 @@
         await endpoint.until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut and not endpoint.ended[0].whole
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -235,6 +246,7 @@
         assert (await visitor.whole())[0] == 400
         await endpoint.until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
+
     play(scene, tmp_path)
 
 
@@ -251,6 +263,7 @@
         visitor.writer.transport.abort()
         await endpoint.until(lambda: len(endpoint.ended) == 1)
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -263,6 +276,7 @@
         reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         visitor.writer.transport.abort()
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -282,6 +296,7 @@
         go.set()
         assert await visitor.whole() == (200, BIG)
         assert await visitor.gone() == b""
+
     play(scene, tmp_path)
 
 
@@ -313,6 +328,7 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
             await visitor.body()
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -321,11 +337,21 @@
         await exchange.read()
         exchange.writer.close()
 
-    said = [text.replace("|", "\r\n") for text in (
-        "HTTP/1.1 200 OK|Content-Length: 3|Content-Length: 4||abcd", "HTTP/1.1 200 OK|Transfer-Encoding: x||",
-        "HTTP/1.1 200 OK|Content-Length: 3|Transfer-Encoding: chunked||", "HTTP/1.1 200 OK|Bad Header: x||",
-        "HTTP/1.1 2000 OK||", "HTTP/1.1 101 Up||", "SMTP||", "HTTP/1.1 200 OK|X: " + 20_000 * "x" + "||",
-        "HTTP/1.1 200 OK\n\n", 20 * "HTTP/1.1 103 Hint||")]
+    said = [
+        text.replace("|", "\r\n")
+        for text in (
+            "HTTP/1.1 200 OK|Content-Length: 3|Content-Length: 4||abcd",
+            "HTTP/1.1 200 OK|Transfer-Encoding: x||",
+            "HTTP/1.1 200 OK|Content-Length: 3|Transfer-Encoding: chunked||",
+            "HTTP/1.1 200 OK|Bad Header: x||",
+            "HTTP/1.1 2000 OK||",
+            "HTTP/1.1 101 Up||",
+            "SMTP||",
+            "HTTP/1.1 200 OK|X: " + 20_000 * "x" + "||",
+            "HTTP/1.1 200 OK\n\n",
+            20 * "HTTP/1.1 103 Hint||",
+        )
+    ]
 
     async def garbles(exchange: Exchange) -> None:
         await exchange.read()
@@ -349,6 +375,7 @@
             assert status == 502, text
             await visitor.body()
         assert len(endpoint.exchanges) == len(said)
+
     play(scene, tmp_path)
 
 
@@ -424,6 +451,7 @@
         assert endpoint.exchanges[0].headers["max-forwards"] == "4"
         lines = [line for line in stage.nodes[0].log if "refused with" in line]
         assert len(lines) == 1  # one line of its kind in ten seconds
+
     play(scene, tmp_path)
 
 
@@ -436,39 +464,61 @@
         assert (await visitor.whole())[0] == 400
         await endpoint.until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut and not endpoint.ended[0].whole
+
     play(scene, tmp_path)
 
 
 def test_paths_of_messages_are_out_of_reach(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(echo)
-        for path in ("/hook", "/hook/batch", "/x/../hook", "/%68ook", "/order", "/Status/1", "/up", "/notice",
-                     "http://x/hook"):
+        for path in (
+            "/hook",
+            "/hook/batch",
+            "/x/../hook",
+            "/%68ook",
+            "/order",
+            "/Status/1",
+            "/up",
+            "/notice",
+            "http://x/hook",
+        ):
             visitor = await stage.ask(
-                "POST", path, "X-Correlation-Id: a\r\nX-Time-Left: 5\r\nContent-Length: 2\r\n", b"hi")
+                "POST", path, "X-Correlation-Id: a\r\nX-Time-Left: 5\r\nContent-Length: 2\r\n", b"hi"
+            )
             assert (await visitor.whole())[0] == 403, path
             visitor.close()
         assert not endpoint.connections
+
     play(scene, tmp_path)
 
 
 def test_hop_by_hop_headers_are_dropped_both_ways(tmp_path: Path) -> None:
     async def answering(exchange: Exchange) -> None:
         await exchange.answer(
-            b"x", headers="Connection: X-Mine, keep-alive, Via\r\nX-Mine: 1\r\nX-Yours: 2\r\n"
-                          "Keep-Alive: timeout=5\r\nProxy-Connection: y\r\nVia: 1.0 other\r\n")
+            b"x",
+            headers="Connection: X-Mine, keep-alive, Via\r\nX-Mine: 1\r\nX-Yours: 2\r\n"
+            "Keep-Alive: timeout=5\r\nProxy-Connection: y\r\nVia: 1.0 other\r\n",
+        )
 
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(answering)
         visitor = await stage.ask(
             headers="Connection: x-secret, Host,, keep-alive\r\nX-Secret: 1\r\nTE: trailers\r\n"
-                    "Keep-Alive: 1\r\nX-Kept: 3\r\nVia: 1.0 before\r\nProxy-Connection: x\r\nTrailer: X\r\n")
+            "Keep-Alive: 1\r\nX-Kept: 3\r\nVia: 1.0 before\r\nProxy-Connection: x\r\nTrailer: X\r\n"
+        )
         assert await visitor.whole() == (200, b"x")
         assert [k for k, _ in endpoint.exchanges[0].fields] == [
-            "Host", "X-Addressing", "X-Kept", "Via", "Trailer", "Via"]
+            "Host",
+            "X-Addressing",
+            "X-Kept",
+            "Via",
+            "Trailer",
+            "Via",
+        ]
         assert "X-Yours: 2" in visitor.head and visitor.head.count("Via: ") == 2
         for name in ("X-Mine", "Keep-Alive", "Proxy-Connection", "Connection"):
             assert visitor.header(name) is None
+
     play(scene, tmp_path)
 
 
@@ -494,14 +544,16 @@
         assert await visitor.whole() == (417, b"no") and visitor.header("Connection") == "close"
         old = await stage.ask(version="1.0")
         assert await old.whole() == (200, b"") and old.header("Connection") == "close"
+
     play(scene, tmp_path)
 
 
 def test_answers_without_a_body_end_with_their_head(tmp_path: Path) -> None:
     async def short(exchange: Exchange) -> None:
         status = exchange.first.split("/")[1].split(" ")[0]
-        await exchange.say(f"HTTP/1.1 {status} X\r\n"
-                           + ("" if status == "204" else "Content-Length: 1000\r\n") + "\r\n")
+        await exchange.say(
+            f"HTTP/1.1 {status} X\r\n" + ("" if status == "204" else "Content-Length: 1000\r\n") + "\r\n"
+        )
 
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(short)
@@ -509,33 +561,44 @@
         visitor.ask("HEAD", "/200")
         assert await visitor.answered() == 200
         await endpoint.until(lambda: endpoint.open == 0)  # after a first call it is not known when the next comes
-        for method, status, length in (("HEAD", 200, "1000"), ("GET", 304, "1000"), ("GET", 204, None),
-                                       ("HEAD", 404, "1000")):
+        for method, status, length in (
+            ("HEAD", 200, "1000"),
+            ("GET", 304, "1000"),
+            ("GET", 204, None),
+            ("HEAD", 404, "1000"),
+        ):
             visitor.ask(method, f"/{status}")
             assert await visitor.answered() == status
             assert visitor.header("Content-Length") == length
             assert visitor.header("Transfer-Encoding") is None
             await asyncio.sleep(ROUNDS_S)  # the decisions have seen the end of the call
         assert endpoint.connections == 2 and endpoint.open == 1  # both connections were kept from the second call on
+
     play(scene, tmp_path)
 
 
 def test_trailers_pass_both_ways_but_for_those_that_frame_or_route(tmp_path: Path) -> None:
     async def trailing(exchange: Exchange) -> None:
         body = await exchange.read()
-        await exchange.say(("HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n").encode()
-                           + chunked(body, trailers=b"X-Sum: 9\r\nSet-Cookie: a=b\r\nHost: y\r\n"))
+        await exchange.say(
+            ("HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n").encode()
+            + chunked(body, trailers=b"X-Sum: 9\r\nSet-Cookie: a=b\r\nHost: y\r\n")
+        )
 
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(trailing)
-        visitor = await stage.ask("POST", headers=CHUNKED, body=chunked(
-            b"hello", b"you", trailers=b"Digest: x\r\nX-Addressing: dest=8\r\nAuthorization: y\r\n"))
+        visitor = await stage.ask(
+            "POST",
+            headers=CHUNKED,
+            body=chunked(b"hello", b"you", trailers=b"Digest: x\r\nX-Addressing: dest=8\r\nAuthorization: y\r\n"),
+        )
         assert await visitor.answered() == 200 and await visitor.body() == b"helloyou"
         assert endpoint.exchanges[0].trailers == b"Digest: x\r\n" and visitor.trailers == b"X-Sum: 9\r\n"
         assert visitor.header("Connection") is None
         for framing in (b"Content-Length: 3\r\n", b"Transfer-Encoding: x\r\n"):
             visitor = await stage.ask("POST", headers=CHUNKED, body=chunked(b"x", trailers=framing))
             assert (await visitor.whole())[0] == 400
+
     play(scene, tmp_path)
 
 
@@ -558,6 +621,7 @@
             old = await stage.ask(version="1.0", dest=dest)
             assert await old.whole() == (200, body)
             assert old.header("Transfer-Encoding") is None and old.header("Connection") == "close"
+
     play(scene, tmp_path)
 
 
@@ -575,6 +639,7 @@
         assert await visitor.whole() == (200, b"last") and visitor.header("Connection") == "close"
         assert await visitor.gone() == b""
         assert len(endpoint.exchanges) == 6
+
     play(scene, tmp_path)
 
 
@@ -602,6 +667,7 @@
         assert (await waits.whole())[0] == 504
         assert len(silent.exchanges) == 1
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -612,6 +678,7 @@
         visitor = await stage.ask("POST", headers="Content-Length: 90000000\r\n", body=bytes(20_000_000))
         assert (await visitor.whole())[0] == 504
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -626,11 +693,13 @@
         visitor.ask()
         assert await visitor.answered() == 200
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
 def test_a_silent_but_live_answer_has_time_of_its_own(tmp_path: Path) -> None:
     """Three times as long as anybody else may stand still."""
+
     async def slow(exchange: Exchange) -> None:
         await asyncio.sleep(0.6)
         await exchange.say("HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n1\r\na\r\n")
@@ -642,6 +711,7 @@
         await stage.node({"idle_s": 0.2, "silent_s": 30.0})
         visitor = await stage.ask()
         assert await visitor.whole() == (200, b"ab")
+
     play(scene, tmp_path)
 
 
@@ -650,6 +720,7 @@
 
 def test_only_what_does_no_harm_is_sent_again(tmp_path: Path) -> None:
     """Of two endpoints one dies under each request; the other answers."""
+
     async def dies(exchange: Exchange) -> None:
         await exchange.read()
         exchange.reset()
@@ -669,6 +740,7 @@
         assert statuses <= {200, 502, 503}
         sent = [e for e in [*bad.exchanges, *good.exchanges[before:]] if e.first.startswith("POST")]
         assert len(sent) <= 12  # none of them twice
+
     play(scene, tmp_path)
 
 
@@ -681,6 +753,7 @@
             visitor = await stage.ask("POST", headers=f"Content-Length: {len(BIG)}\r\n", body=BIG)
             assert await visitor.whole() == (200, BIG)
         assert all(e.body == BIG for e in endpoint.exchanges) and endpoint.exchanges
+
     play(scene, tmp_path)
 
 
@@ -719,6 +792,7 @@
         assert await asked() >= count  # a stale one is passed over
         count = await asked(path="/more")
         assert await asked() == count + 1
+
     play(scene, tmp_path)
 
 
@@ -730,6 +804,7 @@
         await exchange.say("HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n1\r\na\r\n")
         await go.wait()
         await exchange.say("1\r\nb\r\n0\r\n\r\n")
+
     return handler
 
 
@@ -750,6 +825,7 @@
         assert (await stage.nodes[0].call(b"JOIN\n")).startswith("ok")
         again = await stage.ask()
         assert await again.whole() == (200, b"ab")
+
     play(scene, tmp_path)
 
 
@@ -770,6 +846,7 @@
         assert await visitor.body() == b"ab"
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
         await stage.until_none()
+
     play(scene, tmp_path)
 
 
@@ -797,6 +874,7 @@
             assert await node.process.wait() == 0
         await node.drain
         assert any("streams were cut" in line for line in node.log) == (not ends)
+
     play(scene, tmp_path)
 
 
@@ -817,6 +895,7 @@
         go.set()
         again = await stage.ask()
         assert await again.whole() == (200, b"ab")
+
     play(scene, tmp_path)
 
 
@@ -828,6 +907,7 @@
         stage.nodes[0].process.kill()
         with pytest.raises(ConnectionResetError):
             await visitor.gone()
+
     play(scene, tmp_path)
 
 
@@ -854,6 +934,7 @@
         await stage.until_none()
         third = await stage.ask()  # a client that has nothing out makes room
         assert await third.whole() == (200, b"ab")
+
     play(scene, tmp_path)
 
 
@@ -873,6 +954,7 @@
         await stage.until_none()
         late.ask(dest=12)
         assert await late.whole() == (200, b"ab")
+
     play(scene, tmp_path)
 
 
@@ -897,11 +979,13 @@
         for visitor in stage.visitors:
             visitor.writer.transport.abort()
         assert (await stage.until_none())["most"] <= 4 * each
+
     play(scene, tmp_path)
 
 
 def test_a_flood_of_connections_takes_no_descriptors_from_messages(tmp_path: Path) -> None:
     """The process may hold what streams were promised and a few for messages; 60 clients come at once."""
+
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
         stage.platform.host("m1", messages.port, block=8)
@@ -918,4 +1002,5 @@
         await messages.got(5)
         assert await running.chunk() == b"a"
         assert not [line for line in node.log if "cannot accept" in line]
+
     play(scene, tmp_path)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -117,8 +117,7 @@
     d = joined()
     d.handle(0, [i.Banned(3, 0)])
     assert turned(d.handle(0, [Asked(1, 11)]))
-    d.handle(0, [i.Listed(i.ListKind.CHANGES, (
-        i.TargetEntry(1, 10, "north", "plain", i.TargetState.DRAINING),))])
+    d.handle(0, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(1, 10, "north", "plain", i.TargetState.DRAINING),))])
     (made,) = routes(d.handle(0, [Asked(2, 10)]))
     assert made.target == 2
 
@@ -188,9 +187,9 @@
                         place = d.targets[a.target].place
                         assert place.out <= max(place.window, place.streams + 1)
             assert len(out) <= most_streams(8, 0.5)
-            assert sum(t.place.streams for t in {t.place.destination: t for t in d.targets.values()
-                                                 if not t.apart}.values()) + sum(
-                t.place.streams for t in d.targets.values() if t.apart) == len(out)
+            assert sum(
+                t.place.streams for t in {t.place.destination: t for t in d.targets.values() if not t.apart}.values()
+            ) + sum(t.place.streams for t in d.targets.values() if t.apart) == len(out)
             for destination, targets in d.by_destination.items():
                 streams = sum(t.place.streams for t in targets) // (1 if targets[0].apart else len(targets))
                 assert streams < int(0.75 * 8), destination
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -55,6 +55,7 @@
     async def handler(request: Request) -> Answer:
         await free.wait()
         return Answer(status)
+
     peer.handler = handler
 
 
@@ -85,6 +86,7 @@
         assert ids(one) == ["a"] and ids(two) == ["c", "b", "d"]
         assert await new.end(signal.SIGTERM) == 0
         assert not platform.notices and not (folder / "state/journal.new").exists()
+
     play(scene, tmp_path)
 
 
@@ -114,6 +116,7 @@
         assert (await new.call(b"ONLINE s2\n")).startswith("ok")
         await two.got(1)
         assert ids(two) == ["banned"] and len(one.requests) == len(three.requests) == 1
+
     play(scene, tmp_path)
 
 
@@ -132,6 +135,7 @@
                 assert status == 202
                 taken.add(name)
                 n += 1
+
         clients = [asyncio.create_task(client(n)) for n in range(6)]
         last = node
         for _ in range(3):
@@ -145,6 +149,7 @@
             while set(ids(peer)) != taken:
                 await asyncio.sleep(0.05)
         assert len(peer.requests) == len(taken), "each was sent once"
+
     play(scene, tmp_path)
 
 
@@ -179,7 +184,8 @@
 
 @pytest.mark.parametrize("heir", [dies_at_once, dies_when_it_has_all, says_nonsense, says_nothing])
 def test_a_new_process_that_fails_leaves_the_old_one_as_it_was(
-        tmp_path: Path, heir: Callable[[socket.socket], None]) -> None:
+    tmp_path: Path, heir: Callable[[socket.socket], None]
+) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         free = asyncio.Event()
@@ -199,6 +205,7 @@
         await peer.got(3)
         assert await new.end(signal.SIGTERM) == 0
         assert ids(peer) == ["a", "b", "c"] and not platform.notices
+
     play(scene, tmp_path)
 
 
@@ -212,11 +219,13 @@
         assert await broken.process.wait() == 2
         assert (await node.hand_in("a", "pay"))[0] == 202
         await peer.got(1)
+
     play(scene, tmp_path)
 
 
 def test_an_owner_that_dies_while_it_hands_over_leaves_the_journal(tmp_path: Path) -> None:
     """The new process waits for as long as the lock is held, says no to operators, and then starts alone."""
+
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
@@ -240,6 +249,7 @@
         os.close(lock)
         await node.until_ready()
         assert (await peer.got(2))[1].headers["x-correlation-id"] == "a"
+
     play(scene, tmp_path)
 
 
@@ -254,6 +264,7 @@
         node = await node_on(folder, platform)
         assert (await node.hand_in("a", "pay"))[0] == 202
         await peer.got(1)
+
     play(scene, tmp_path)
 
 
@@ -271,9 +282,11 @@
     first = sends(d.handle(0, [ask("a", 11, cls="turns", due=9 * S, key="k")]))[0]
     full = sends(d.handle(0, [ask("x")]))[0]
     d.handle(MS, [end(full, i.Outcome.FULL, wait_us=3 * S), ask("b", 11, cls="turns", due=9 * S, key="k")])
-    held: list[i.Event] = [i.Recalled("x", 10, settings().classes[0], 6 * S, attempts=1),
-                           i.Recalled("a", 11, cls, 9 * S, "k", attempts=1),
-                           i.Recalled("b", 11, cls, 9 * S, "k")]
+    held: list[i.Event] = [
+        i.Recalled("x", 10, settings().classes[0], 6 * S, attempts=1),
+        i.Recalled("a", 11, cls, 9 * S, "k", attempts=1),
+        i.Recalled("b", 11, cls, 9 * S, "k"),
+    ]
     new = heir_of(d, held, 2 * MS)
     assert not sends(new.handle(S, [ask("y")])), "the wait still binds, and the key is still out"
     after = sends(new.handle(2 * S, [end(first, i.Outcome.DELIVERED)]))
@@ -283,8 +296,10 @@
 
 
 def test_what_the_platform_refuses_of_an_upgrade_is_logged_once_and_left_out(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     """No Unix socket and no lock: the process owns its folder and serves."""
+
     def refused(*_: object) -> None:
         raise OSError(errno.ENOSYS, os.strerror(errno.ENOSYS))
 
@@ -296,10 +311,12 @@
         async def make(heritage: object) -> str:
             assert heritage is None
             return "serving"
+
         assert await ownership.obtain(make) == "serving"
         ownership.listen(lambda link: None)
         assert ownership.listener is None
         ownership.close()
+
     asyncio.run(scene())
     told = [r.getMessage() for r in caplog.records if r.name == "lemonshunt.upgrade"]
     assert len(told) == 2 and all("not implemented" in text for text in told)
@@ -319,4 +336,5 @@
                 while "operators cannot call" not in "".join(node.log):
                     await asyncio.sleep(0.1)
             assert (await (await node.client()).hand_in("b"))[0] == 202
+
     play(scene, tmp_path)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 FACTS = {
     "allowed": {"max_attempts": 6, "max_open": 100, "retry_after": True, "max_retry_after_us": 1000},
-    "balancers": 2, "discovery": "on_request", "family_info": {"slots": 4, "kind_batch": [1]},
-    "host_types": ["plain"], "unheard_of": {"x": 1}, "telemetry": {"fields": ["x0", "x1"]},
+    "balancers": 2,
+    "discovery": "on_request",
+    "family_info": {"slots": 4, "kind_batch": [1]},
+    "host_types": ["plain"],
+    "unheard_of": {"x": 1},
+    "telemetry": {"fields": ["x0", "x1"]},
     "contract": {"grace_to_answer_us": 20000},
     "services": [{"name": "order", "aim_us": 2000000, "deadline_us": 9000000, "effect": "repeatable"}],
 }
@@ -22,13 +26,22 @@
 
 def run(lines: list[Any], **env: str) -> subprocess.CompletedProcess[str]:
     text = "".join((x if isinstance(x, str) else json.dumps(x)) + "\n" for x in lines)
-    return subprocess.run([sys.executable, "-m", "lemonshunt.wirehost"], input=text, text=True, cwd=ROOT,
-                          capture_output=True, timeout=60, env={**os.environ, **env})
+    return subprocess.run(
+        [sys.executable, "-m", "lemonshunt.wirehost"],
+        input=text,
+        text=True,
+        cwd=ROOT,
+        capture_output=True,
+        timeout=60,
+        env={**os.environ, **env},
+    )
 
 
 def up(name: str, seed: int = 1) -> list[dict[str, Any]]:
-    return [{"type": "UP", "forwarder_id": name, "entropy": seed, "facts": FACTS},
-            {"type": "MEMBERS", "forwarder_id": name, "how": "SAVED", "epoch": 1, "buffer": 0}]
+    return [
+        {"type": "UP", "forwarder_id": name, "entropy": seed, "facts": FACTS},
+        {"type": "MEMBERS", "forwarder_id": name, "how": "SAVED", "epoch": 1, "buffer": 0},
+    ]
 
 
 def table(target: int = 5) -> dict[str, Any]:
@@ -49,11 +62,27 @@
 
 
 def test_a_message_goes_out_and_its_outcome_comes_back() -> None:
-    closed = {"type": "CLOSED_ATTEMPT", "forwarder_id": "forwarder/0", "msg_id": "a", "try": 0, "target": 5,
-              "result": "Ok", "lag_us": 900, "closed": True, "telemetry": [0.5, 3.0], "news": 1}
-    first, second, third = done(run([
-        batch(0), batch(1000, table(), *up("forwarder/0"), ask("forwarder/0", "a")),
-        batch(2000, closed, {"type": "NEVER_HEARD", "forwarder_id": "forwarder/0"})]))
+    closed = {
+        "type": "CLOSED_ATTEMPT",
+        "forwarder_id": "forwarder/0",
+        "msg_id": "a",
+        "try": 0,
+        "target": 5,
+        "result": "Ok",
+        "lag_us": 900,
+        "closed": True,
+        "telemetry": [0.5, 3.0],
+        "news": 1,
+    }
+    first, second, third = done(
+        run(
+            [
+                batch(0),
+                batch(1000, table(), *up("forwarder/0"), ask("forwarder/0", "a")),
+                batch(2000, closed, {"type": "NEVER_HEARD", "forwarder_id": "forwarder/0"}),
+            ]
+        )
+    )
     assert first == []
     assert [a["type"] for a in second] == ["STREAM_CHANGES", "ISSUE"]
     assert second[1]["target"] == 5 and second[1]["msg_id"] == "a"
@@ -61,21 +90,38 @@
 
 
 def test_up_down_up_in_one_batch_and_lists_in_event_order() -> None:
-    actions, = done(run([batch(0, table(5), *up("forwarder/0"), ask("forwarder/0", "old"),
-                               {"type": "DOWN", "forwarder_id": "forwarder/0"},
-                               table(6), *up("forwarder/0", 2), ask("forwarder/0", "new"), table(7))]))
+    (actions,) = done(
+        run(
+            [
+                batch(
+                    0,
+                    table(5),
+                    *up("forwarder/0"),
+                    ask("forwarder/0", "old"),
+                    {"type": "DOWN", "forwarder_id": "forwarder/0"},
+                    table(6),
+                    *up("forwarder/0", 2),
+                    ask("forwarder/0", "new"),
+                    table(7),
+                )
+            ]
+        )
+    )
     issues = [a for a in actions if a["type"] == "ISSUE"]
     assert [(a["msg_id"], a["target"]) for a in issues] == [("new", 6)]
 
 
 def test_bad_input_gets_one_plain_line() -> None:
     cases: list[Any] = [
-        "no json", "[]", {"clock_us": 1}, {"inbox": []}, batch(0, {"forwarder_id": "forwarder/0"}),
+        "no json",
+        "[]",
+        {"clock_us": 1},
+        {"inbox": []},
+        batch(0, {"forwarder_id": "forwarder/0"}),
         batch(0, {"type": "UP", "forwarder_id": "forwarder/0"}),
         batch(0, table(), *up("forwarder/0"), {"type": "ASK", "forwarder_id": "forwarder/0", "msg_id": "a"}),
         batch(0, {"type": "TABLE", "buffer": 0, "elements": [{"target": 1}]}),
-        batch(0, table(), *up("forwarder/0"), {"type": "MEMBERS", "forwarder_id": "forwarder/0",
-                                              "how": "FULL"}),
+        batch(0, table(), *up("forwarder/0"), {"type": "MEMBERS", "forwarder_id": "forwarder/0", "how": "FULL"}),
     ]
     for case in cases:
         result = run([case])
@@ -86,7 +132,7 @@
 def test_settings_that_cannot_hold_are_an_internal_error() -> None:
     bad = up("forwarder/0")
     bad[0] = {**bad[0], "facts": {**FACTS, "family_info": {"slots": 0}}}
-    actions, = done(run([batch(0, table(), *bad)]))
+    (actions,) = done(run([batch(0, table(), *bad)]))
     assert actions[0]["type"] == "INTERNAL_ERROR" and "slots" in actions[0]["reason_text"]
     assert "\n" not in actions[0]["reason_text"]
 
@@ -94,10 +140,13 @@
 def script(names: list[str]) -> list[dict[str, Any]]:
     lines = [batch(0, table(), *[e for n in names for e in up(n, int(n[-1]))])]
     for n in range(60):
-        lines.append(batch(5000 * n, *[ask(name, f"{name[-1]}{n}x{k}", 5000 * n + 400000 + 7000 * k)
-                                       for name in names for k in range(3)], *[
-                               {"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"}
-                               for name in names]))
+        lines.append(
+            batch(
+                5000 * n,
+                *[ask(name, f"{name[-1]}{n}x{k}", 5000 * n + 400000 + 7000 * k) for name in names for k in range(3)],
+                *[{"type": "DEADLINE_HIT", "forwarder_id": name, "token": "look"} for name in names],
+            )
+        )
     return lines
 
 
