--- a/measure/accept.py
+++ b/benchmarks/accept.py
@@ -1,6 +1,6 @@
 """Time from a hand-in to its 202, of two checkouts in interleaved pairs.
 
-    python -m measure.accept OTHER [PAIRS] [MESSAGES]
+    python -m benchmarks.accept OTHER [PAIRS] [MESSAGES]
 
 A is the checkout in OTHER, B the one this runs in. Clients hand in one message after another on kept connections; an
 endpoint answers at once. Prints median and 99th percentile of both, the messages taken on for each second of processor
--- a/measure/durable.py
+++ b/benchmarks/durable.py
@@ -1,6 +1,6 @@
 """What durability costs: time to the 202 and messages a second, one process at each level in turn.
 
-    python -m measure.durable [PAIRS]
+    python -m benchmarks.durable [PAIRS]
 
 The folder is under the working directory, so that its disk is a real one where that is.
 """
--- a/measure/flood.py
+++ b/benchmarks/flood.py
@@ -1,6 +1,6 @@
 """Memory and descriptors of one forwarder while many clients send without end and read nothing.
 
-    python -m measure.flood [CLIENTS] [SECONDS]
+    python -m benchmarks.flood [CLIENTS] [SECONDS]
 
 Beside them one client hands messages in as usual: each has to be taken on.
 """
@@ -69,7 +69,7 @@
     before = used(node.process.pid)
     took, refused = list[float](), list[int]()
     sending = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "measure.flood", str(clients), str(seconds), node.host, str(node.port)
+        sys.executable, "-m", "benchmarks.flood", str(clients), str(seconds), node.host, str(node.port)
     )
     beside = asyncio.create_task(steady(node, took, refused))
     looks = [before]
--- a/measure/gates.py
+++ b/benchmarks/gates.py
@@ -1,6 +1,6 @@
 """Adds up what held messages back over a whole fleet, from the forwarders' logs.
 
-    python -m measure.gates LOGS [--plot FILE]
+    python -m benchmarks.gates LOGS [--plot FILE]
 
 Prints seconds held by gate in stretches between two state lines (the three largest of each forwarder are told there),
 and messages refused by destination and gate. LOGS is a folder of `*.log` files, or of folders with a `log` each.
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m measure.gates", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.gates", description=__doc__.splitlines()[0])
     parser.add_argument("logs", type=Path)
     parser.add_argument("--plot", type=Path)
     asked = parser.parse_args()
--- a/measure/health.py
+++ b/benchmarks/health.py
@@ -1,6 +1,6 @@
 """Measures verdicts on endpoints: how soon a fault is told, how many are false, what they are worth.
 
-    python -m measure.health [detection|quiet|worth ...]
+    python -m benchmarks.health [detection|quiet|worth ...]
 
 The decisions are played by themselves, on a clock of their own: a call takes 100 ms, a quick failure 1 ms.
 """
@@ -14,10 +14,18 @@
 from collections import Counter
 from collections.abc import Callable
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.health import Health
-from lemonshunt.interface import Outcome
+from forwarder.decisions.actions import FailMessage, RejectMessage, SendAttempt, SetTimer
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.outlier_detection import Health
 from tests.scripts import MS, S, ask, settings
 from tests.test_health import LIMITS
 
@@ -34,14 +42,14 @@
         self.health = Health(self.d, LIMITS)
         if on:
             self.d.parts.append(self.health)
-        entries = tuple(i.TargetEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
-        self.d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
+        entries = tuple(EndpointEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
+        self.d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
         self.now, self.sent, self.lost, self.ends = 0, 0, 0, Counter[str]()
         self.ejected_at = -1
-        self.heap: list[tuple[int, int, i.Event]] = []
+        self.heap: list[tuple[int, int, Event]] = []
         self.count = 0
 
-    def later(self, at: int, event: i.Event) -> None:
+    def later(self, at: int, event: Event) -> None:
         self.count += 1
         heapq.heappush(self.heap, (at, self.count, event))
 
@@ -59,18 +67,18 @@
                 events.append(heapq.heappop(self.heap)[2])
             for a in self.d.handle(self.now, events):
                 match a:
-                    case i.Send(message, target):
+                    case SendAttempt(message, target):
                         told = self.fate(target, self.now, self.random)
                         took = 1 * MS if told is Outcome.FAILED else 100 * MS
                         self.later(
                             self.now + took,
-                            i.Ended(message, attempts[message], target, told, took, told is Outcome.DELIVERED),
+                            AttemptEnded(message, attempts[message], target, told, took, told is Outcome.DELIVERED),
                         )
                         attempts[message] += 1
                         self.lost += told is not Outcome.DELIVERED
-                    case i.SetTimer(delay, token):
-                        self.later(self.now + delay, i.TimerDue(token))
-                    case i.Fail() | i.Refuse():
+                    case SetTimer(delay, token):
+                        self.later(self.now + delay, TimerFired(token))
+                    case FailMessage() | RejectMessage():
                         self.ends[type(a).__name__] += 1
             if self.ejected_at < 0 and self.health.ejections:
                 self.ejected_at = self.now
--- a/measure/members.py
+++ b/benchmarks/members.py
@@ -1,6 +1,6 @@
 """Membership in simulated time: how soon a death is known, false failures, traffic against size; and in real processes.
 
-    python -m measure.members [deaths|loss|traffic|split|cost|real] [--sizes 12 40 200] [--seeds 5]
+    python -m benchmarks.members [deaths|loss|traffic|split|cost|real] [--sizes 12 40 200] [--seeds 5]
 
 The protocol and the codec are the real ones; datagrams take 0.2 to 2 ms. Times are of the defaults of `Timing`.
 `cost` is the processor time and memory of one forwarder among so many. `real` starts so many processes by the lab,
@@ -20,13 +20,13 @@
 from datetime import datetime
 from pathlib import Path
 
+from forwarder.membership import protocol
+from forwarder.membership.codec import Body, Codec, row
+from forwarder.membership.gossip_store import Board, Kind
+from forwarder.membership.protocol import SECOND, Protocol, Timing
+from forwarder.membership.view import LIFE, Known, News, State
 from lab import plan, run
 from lab import scenario as lab_scenario
-from lemonshunt.members import protocol
-from lemonshunt.members.board import Board, Kind
-from lemonshunt.members.codec import Body, Codec, row
-from lemonshunt.members.protocol import SECOND, Protocol, Timing
-from lemonshunt.members.view import LIFE, Known, News, State
 from tests.members_sim import KEY, Fleet
 from tests.sockets import ROOT
 
@@ -236,7 +236,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m measure.members", description=__doc__.splitlines()[0])
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.members", description=__doc__.splitlines()[0])
     todo = {"deaths": deaths, "loss": loss, "traffic": traffic, "split": split, "cost": cost, "real": real}
     parser.add_argument("what", choices=todo)
     parser.add_argument("--sizes", type=int, nargs="+", default=[12, 40])
--- a/measure/start.py
+++ b/benchmarks/start.py
@@ -1,6 +1,6 @@
 """From exec to the first yes of /up, by step, on an empty, a usual and a full journal.
 
-    python -m measure.start [RUNS]
+    python -m benchmarks.start [RUNS]
 
 Steps, each by a process of its own so that they can be told apart: the interpreter alone, the program's imports (less
 the interpreter), reading the journal, and the rest up to the answer of /up. Times in milliseconds.
@@ -16,8 +16,8 @@
 import time
 from pathlib import Path
 
-from lemonshunt.interface import MessageClass
-from lemonshunt.net.store import AcceptedMessage, Store
+from forwarder.decisions.settings import MessageClass
+from forwarder.storage.store import AcceptedMessage, Store
 from tests.sockets import ROOT, Node, Platform
 
 SAFE = MessageClass("status", 10**6, 3_600_000_000)
@@ -86,9 +86,9 @@
 
 def main() -> None:
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    timed("-c", "import lemonshunt.__main__")  # compiled files are there from here on
+    timed("-c", "import forwarder.__main__")  # compiled files are there from here on
     bare = [timed("-c", "pass") for _ in range(runs)]
-    imports = [timed("-c", "import lemonshunt.__main__") - statistics.median(bare) for _ in range(runs)]
+    imports = [timed("-c", "import forwarder.__main__") - statistics.median(bare) for _ in range(runs)]
     print(f"the interpreter {spread(bare)}; imports {spread(imports)}")
     for name, held in HELD.items():
         rows = []
--- a/measure/store.py
+++ b/benchmarks/store.py
@@ -1,6 +1,6 @@
 """What the store costs: time and memory of a start, the longest stop of the loop, bytes on disk for each message.
 
-    PYTHONPATH=CHECKOUT python measure/store.py recovery|turnover [RUNS]
+    PYTHONPATH=CHECKOUT python benchmarks/store.py recovery|turnover [RUNS]
 
 It asks nothing of the store but what all versions have, so that checkouts can be compared.
 """
@@ -18,8 +18,8 @@
 from pathlib import Path
 from statistics import median
 
-from lemonshunt.interface import MessageClass
-from lemonshunt.net.store import AcceptedMessage, Store
+from forwarder.decisions.settings import MessageClass
+from forwarder.storage.store import AcceptedMessage, Store
 
 SAFE = MessageClass("safe", 10**6, 10**7)
 LIMIT = 200_000_000
--- a/measure/streaming.py
+++ b/benchmarks/streaming.py
@@ -1,6 +1,6 @@
 """Measures streaming on this machine: memory, time to the first byte, throughput, what messages feel of it.
 
-    python -m measure.streaming [memory|speed|messages ...]
+    python -m benchmarks.streaming [memory|speed|messages ...]
 
 Each question is played in interleaved pairs, with and without what is asked about; medians and spreads are
 printed. The endpoints and the clients are plain blocking sockets, the endpoints in a process of their own.
--- a/lemonshunt/__main__.py
+++ b/forwarder/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real forwarder: python -m lemonshunt."""
+"""Starts one real forwarder: python -m forwarder."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from dataclasses import astuple
 from typing import TypeVar
 
-from lemonshunt.journal import NewerFormat
-from lemonshunt.net.arrival import event_loop
-from lemonshunt.net.config import Config, ConfigError, ConfigUnreadable, load
-from lemonshunt.net.control import Control
-from lemonshunt.net.engine import Engine, Maker
-from lemonshunt.net.identity import ForeignState
-from lemonshunt.net.listen import bind
-from lemonshunt.net.upgrade import HandoverState, Ownership
+from forwarder.admin.server import Control
+from forwarder.clients.arrival_time import event_loop
+from forwarder.clients.listener import bind
+from forwarder.config.config import Config, ConfigError, ConfigUnreadable, load
+from forwarder.runtime.engine import Engine, Maker
+from forwarder.runtime.ownership import HandoverState, Ownership
+from forwarder.storage.identity import ForeignState
+from forwarder.storage.journal import NewerFormat
 
 READ_PATIENCE_S = 20.0  # a start has to be ready within 30 s
 READ_AGAIN_S = 0.2
 SIGNALS = frozenset({signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 """Those that are heeded while it runs, and no more once it ends."""
 Made = TypeVar("Made")
-log = logging.getLogger("lemonshunt")
+log = logging.getLogger("forwarder")
 
 
 def retried(make: Callable[[], Made], passing: Callable[[Exception], bool]) -> Made:
@@ -104,7 +104,7 @@
     """The parts that the command line asks for. What is not asked for is not even imported."""
     if not arguments:
         return []
-    from lemonshunt.parts import file_named, prepare
+    from forwarder.config.extensions_file import file_named, prepare
 
     path = file_named(arguments)
     return [] if path is None else prepare(path, config)
@@ -113,20 +113,20 @@
 def main() -> int:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if sys.argv[1:2] == ["state"]:
-        from lemonshunt.statecheck import main as look
+        from forwarder.storage.state_check import main as look
 
         return look(sys.argv[2:])
     try:
         config = retried(load, passing_read)
         parts = turned_on(sys.argv[1:], config)
     except ConfigError as error:
-        print(f"lemonshunt: {error}", file=sys.stderr)
+        print(f"forwarder: {error}", file=sys.stderr)
         return 2
     try:
         with asyncio.Runner(loop_factory=lambda: retried(event_loop, passing_call)) as runner:
             runner.run(serve(config, parts))
     except (OSError, NewerFormat, ForeignState) as error:
-        print(f"lemonshunt: cannot serve: {error}", file=sys.stderr)
+        print(f"forwarder: cannot serve: {error}", file=sys.stderr)
         return 1
     return 0
 
--- /dev/null
+++ b/forwarder/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin interface for operators."""
--- a/lemonshunt/net/operators.py
+++ b/forwarder/admin/commands.py
@@ -6,15 +6,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from lemonshunt import interface as i
-from lemonshunt.net.control import Calls, Refused, alone
-from lemonshunt.net.reasons import Subject
+from forwarder.admin.server import Calls, Refused, alone
+from forwarder.decisions.events import EndpointDisabled, EndpointEnabled
+from forwarder.runtime.reason_counts import Subject
 
 if TYPE_CHECKING:
-    from lemonshunt.net.engine import Engine
+    from forwarder.runtime.engine import Engine
 
 SECOND = 1_000_000
-log = logging.getLogger("lemonshunt.operators")
+log = logging.getLogger("forwarder.operators")
 
 
 class Operators:
@@ -49,7 +49,7 @@
         self._check_listed(name)
         if name not in self.engine.store.bans:
             self.engine.store.ban(name, self.engine.clock())
-            self.engine.carry_out(i.Banned(self.engine.number(name), self.engine.store.bans[name]))
+            self.engine.carry_out(EndpointDisabled(self.engine.number(name), self.engine.store.bans[name]))
             log.info("maintenance: %s is left out", name)
         return f"{name} is left out"
 
@@ -58,7 +58,7 @@
         self._check_listed(name)
         if name in self.engine.store.bans:
             self.engine.store.ban(name, -1)
-            self.engine.carry_out(i.Unbanned(self.engine.number(name)))
+            self.engine.carry_out(EndpointEnabled(self.engine.number(name)))
             log.info("maintenance: %s is used again", name)
         return f"{name} is used"
 
--- a/lemonshunt/net/control.py
+++ b/forwarder/admin/server.py
@@ -11,15 +11,15 @@
 import socket
 from collections.abc import Callable, Mapping
 
-from lemonshunt.net.config import Address
-from lemonshunt.net.listen import Listener
+from forwarder.clients.listener import Listener
+from forwarder.config.config import Address
 
 MOST_LINE = 256
 MOST_CALLERS = 32
 PATIENCE_S = 0.5  # a caller that has sent no whole line by then is told so
 LINGER_S = 1.0  # after an answer, for callers that are still sending
 BACKLOG = 128
-log = logging.getLogger("lemonshunt.control")
+log = logging.getLogger("forwarder.control")
 
 
 class Refused(Exception):
--- /dev/null
+++ b/forwarder/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Connections of clients, which submit messages over HTTP."""
--- a/lemonshunt/net/arrival.py
+++ b/forwarder/clients/arrival_time.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from lemonshunt.net.watching import PatientEpoll
+from forwarder.runtime.descriptor_watch import PatientEpoll
 
 BLOCKED_NS = 200_000
 """A poll that took longer had nothing to report as it began: what it reports came as it returned."""
--- a/lemonshunt/net/drain.py
+++ b/forwarder/clients/drain.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lemonshunt.net.server import Server
-from lemonshunt.net.supervise import Repeating, Supervisor
+from forwarder.clients.server import Server
+from forwarder.runtime.supervisor import Repeating, Supervisor
 
 LATE_S = 1.0  # new connections come for a while, until the front has asked and heeded the no
 STEP_S = 0.05
--- a/lemonshunt/net/listen.py
+++ b/forwarder/clients/listener.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from lemonshunt.net.arrival import PatientSocket, waited_us
-from lemonshunt.net.config import Address
-from lemonshunt.net.watching import ready_now
+from forwarder.clients.arrival_time import PatientSocket, waited_us
+from forwarder.config.config import Address
+from forwarder.runtime.descriptor_watch import ready_now
 
 BIND_S = 5.0
 BURST = 64  # connections taken at once
@@ -39,7 +39,7 @@
 )
 """Errors of accept that tell of the connection that was waiting, and not of this process (accept(2))."""
 RESET, NO_RESET = struct.pack("ii", 1, 0), struct.pack("ii", 0, 0)
-log = logging.getLogger("lemonshunt.listen")
+log = logging.getLogger("forwarder.listen")
 
 
 async def bind(where: Address, patience_s: float = BIND_S) -> socket.socket:
--- a/lemonshunt/net/server.py
+++ b/forwarder/clients/server.py
@@ -16,13 +16,13 @@
 
 import httptools
 
-from lemonshunt import interface as i
-from lemonshunt.net.arrival import PatientSocket, waited_us
-from lemonshunt.net.http import MOST_BODY, destination
-from lemonshunt.net.listen import Listener, descriptor, fileno, unread
-from lemonshunt.net.reasons import Reasons, Subject
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.net.watching import ready_now
+from forwarder.clients.arrival_time import PatientSocket, waited_us
+from forwarder.clients.listener import Listener, descriptor, fileno, unread
+from forwarder.decisions.settings import MessageClass, Settings
+from forwarder.protocol.http1 import MOST_BODY, destination
+from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.supervisor import Supervisor
 
 MOST_HEAD = 16 * 1024
 MOST_READ = 16 * 1024  # read at once from one client: what it has sent besides must not hold up the others
@@ -37,7 +37,7 @@
 FLUSH_S, FLUSH_STEP_S = 0.2, 0.01  # answers that have not left as the process ends have so long, looked at so often
 BACKLOG = 512
 ONLY_ONCE = frozenset({"x-correlation-id", "x-time-left", "x-addressing", "x-session-key", "idempotency-key"})
-log = logging.getLogger("lemonshunt.server")
+log = logging.getLogger("forwarder.server")
 
 
 class BadRequest(Exception):
@@ -62,7 +62,7 @@
     """A message as a client handed it in, well-formed but not yet taken on."""
 
     id: str
-    cls: i.MessageClass
+    cls: MessageClass
     destination: int
     due_us: int
     key: str | None
@@ -78,7 +78,7 @@
     return len(text) <= most and text.isascii() and text.isprintable()
 
 
-def message(request: Request, settings: i.Settings) -> Submission:
+def message(request: Request, settings: Settings) -> Submission:
     """Read a message from a request, or say what is wrong with it."""
     name, bad = request.path.partition("?")[0].strip("/"), HTTPStatus.BAD_REQUEST
     cls = next((c for c in settings.classes if c.name == name.partition("/")[0]), None)
@@ -406,7 +406,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         clock: Callable[[], int],
         most: int,
         hand_in: Callable[[Submission, ClientConnection], None],
--- /dev/null
+++ b/forwarder/config/__init__.py
@@ -0,0 +1,1 @@
+"""The configuration file, and the file that turns extensions on."""
--- a/lemonshunt/net/config.py
+++ b/forwarder/config/config.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.wirehost import Malformed, entry, need, settings
+from forwarder.decisions.events import EndpointEntry
+from forwarder.decisions.settings import Settings
+from forwarder.simulator.adapter import Malformed, entry, need, settings
 
 PASSING = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
 """Errors of open and read that may be over in a moment (open(2), read(2))."""
@@ -48,7 +49,7 @@
     health: str
     raw: dict[str, Any]
 
-    def entry(self, number: int) -> i.TargetEntry:
+    def entry(self, number: int) -> EndpointEntry:
         """The module's entry, by way of the adapter's own translation."""
         return entry(
             {
@@ -82,7 +83,7 @@
     sockets: int
     disk_bytes: int
     known: HostList
-    settings: i.Settings
+    settings: Settings
     report_fields: tuple[str, ...]
     told: dict[str, Any]
     """The file as it was read."""
--- a/lemonshunt/parts.py
+++ b/forwarder/config/extensions_file.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.net.config import Address, Config, ConfigError, address
-from lemonshunt.net.engine import Maker
-from lemonshunt.wirehost import Malformed
+from forwarder.config.config import Address, Config, ConfigError, address
+from forwarder.runtime.engine import Maker
+from forwarder.simulator.adapter import Malformed
 
 MODULES = {
-    "streaming": "lemonshunt.net.streaming.part",
-    "health": "lemonshunt.net.health",
-    "members": "lemonshunt.net.members",
-    "journal": "lemonshunt.net.durable",
+    "streaming": "forwarder.streaming.extension",
+    "health": "forwarder.health.extension",
+    "members": "forwarder.membership.extension",
+    "journal": "forwarder.storage.durability",
 }
 """Where each part lives: a module with `prepare(table, config)`, which returns what makes the part."""
 
@@ -81,7 +81,7 @@
 
 def file_named(arguments: Sequence[str]) -> Path | None:
     """The parts file that the command line names."""
-    parser = argparse.ArgumentParser(prog="python -m lemonshunt")
+    parser = argparse.ArgumentParser(prog="python -m forwarder")
     parser.add_argument("--parts", type=Path, metavar="FILE", help="a TOML file, one table for each part")
     found: Path | None = parser.parse_args(arguments).parts
     return found
--- a/lemonshunt/choice.py
+++ b/forwarder/decisions/dispatcher.py
@@ -1,4 +1,4 @@
-"""Every decision of lemonshunt, read top to bottom. Types, events and actions: lemonshunt/interface.py.
+"""Decides for one forwarder: events (forwarder/decisions/events.py) in, actions out.
 
 The ordinary path: held messages leave by groups of near deadlines, shortest expected call first in each;
 what cannot finish in time is refused unsent; a window that grows with success bounds each destination.
@@ -12,9 +12,44 @@
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Gate, Outcome
-from lemonshunt.state import (
+from forwarder.decisions.actions import (
+    Action,
+    CloseIdleConnections,
+    EjectionChanged,
+    FailMessage,
+    KeyBackoffStarted,
+    LogLine,
+    RejectMessage,
+    RequestEndpointList,
+    SendAttempt,
+    SetTimer,
+)
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EjectionRecovered,
+    EndpointDisabled,
+    EndpointEnabled,
+    EndpointListAwaited,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    ExtensionEvent,
+    HandoverReceived,
+    KeyBackoffRecovered,
+    LoadReport,
+    MessageArrived,
+    MessageRecovered,
+    MessageWithdrawn,
+    NoticeAcknowledged,
+    PendingNoticeRecovered,
+    SettingsChanged,
+)
+from forwarder.decisions.extension import DecisionExtension
+from forwarder.decisions.hold_reason import HoldReason
+from forwarder.decisions.learned_state import CallInFlight, LearnedState
+from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, TELLS_NOTHING, TOO_MUCH, Outcome
+from forwarder.decisions.records import (
     PLACE_KEPT,
     TARGET_KEPT,
     Attempt,
@@ -29,6 +64,8 @@
     kept,
     restore,
 )
+from forwarder.decisions.settings import DestinationKind, Effect, MessageClass, Scope, Settings
+from forwarder.units import NEVER_US
 
 SECOND = 1_000_000  # us
 GROUP_RANGE = 0.4  # Gr, share of the least time left: the paper's value; larger was no better
@@ -67,7 +104,7 @@
 FORGET_US = 30 * SECOND  # idle destinations are forgotten after this
 LOOK_US = 40_000  # least time between two looks at a destination where nothing happened
 HELD_BACK_US = 50_000  # after a failure of this machine nothing is sent for so long: it would fail alike
-NEVER = i.NEVER  # a gate that only an event can open
+NEVER = NEVER_US  # a gate that only an event can open
 THE_LIST = -1  # stands among the destinations' appointments for asking for the list
 LEAST_AWAY_US = SECOND  # a refused client always hears when to come back, and not at once
 MOST_TARGETS = 2000  # known at most, those long gone among them
@@ -80,7 +117,7 @@
 class Dispatcher:
     """Decides for one forwarder. Feed it every event; carry out, in order, the actions it returns."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: int) -> None:
+    def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.now, self.random = now, random.Random(seed)
         self.targets: dict[int, Target] = {}
         self.by_destination: dict[int, list[Target]] = {}  # those that messages may go to
@@ -99,13 +136,13 @@
         self.list_awaited_until = self.machine_rests_until = now
         self.round_calls: dict[int, Call] = {}
         self.shortest: dict[tuple[int, str, int], float] = {}
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
         self.faults: list[Exception] = []  # of the round
-        self.parts: list[i.Part] = []
+        self.parts: list[DecisionExtension] = []
         if settings.subscribe:
             self.timers.add(now, THE_LIST)
 
-    def tune(self, settings: i.Settings) -> None:
+    def tune(self, settings: Settings) -> None:
         """Take on settings, the first or new ones. Held messages keep the class that they came with."""
         self.s = settings
         self.classes = {c.name: c for c in settings.classes}
@@ -114,7 +151,7 @@
         self.many, self.size = settings.balancers > FEW, float(settings.balancers)
         self.idle_top = min(settings.conn_idle_us, FORGET_US)
 
-    def handle(self, now: int, events: Iterable[i.Event]) -> list[i.Action]:
+    def handle(self, now: int, events: Iterable[Event]) -> list[Action]:
         """Absorb the events of one round, then decide once. An error in one step is kept in `faults` and costs that
         step alone: the other events still count, and whatever was to be looked at is looked at again.
         """
@@ -127,20 +164,20 @@
         for part in self.parts:
             self.guard(part.prepare)
         if THE_LIST in self.looks:
-            self.actions.append(i.Subscribe())
+            self.actions.append(RequestEndpointList())
         self.guard(self.drop)
         self.guard(self.release)
         for part in self.parts:
             self.guard(part.decide)
         for call in self.came_back:
             if call.gap > self.idle_us > 0 and not call.target.out:
-                self.actions.append(i.CloseIdle(call.target.id))
+                self.actions.append(CloseIdleConnections(call.target.id))
         if self.faults:
             for destination in self.looks & self.held.piles.keys():
                 self.timers.add(now + LOOK_US, destination)
         if self.timers.entries and not now < self.armed <= self.timers.entries[0][0]:
             self.armed = self.timers.entries[0][0]
-            self.actions.append(i.SetTimer(max(1, self.armed - now), "look"))
+            self.actions.append(SetTimer(max(1, self.armed - now), "look"))
         return self.actions
 
     def guard(self, step: Callable[[], None]) -> None:
@@ -150,49 +187,49 @@
         except Exception as error:
             self.faults.append(error)
 
-    def absorb(self, event: i.Event) -> None:
+    def absorb(self, event: Event) -> None:
         """Take in one event; what it changes is decided on once all are in."""
         match event:
-            case i.Arrived():
+            case MessageArrived():
                 self.arrived(event)
-            case i.Recalled():
+            case MessageRecovered():
                 self.recalled(event)
-            case i.OutageRecalled(target, since, back) if target in self.targets:
+            case EjectionRecovered(target, since, back) if target in self.targets:
                 t = self.targets[target]
                 t.outage_at, t.back_at, t.failing, t.tried_at = since, back, SURE_MARK, self.now
                 t.spread = self.rest_of_turn()
-            case i.Banned(target, since):
+            case EndpointDisabled(target, since):
                 self.banned.setdefault(target, since)
                 self.index()
-            case i.Unbanned(target) if target in self.banned:
+            case EndpointEnabled(target) if target in self.banned:
                 self.unbanned(target)
-            case i.Inherited(memory):
+            case HandoverReceived(memory):
                 self.inherit(memory)
-            case i.ListAwaited(until):
+            case EndpointListAwaited(until):
                 self.list_awaited_until = until
-            case i.Retuned(new):
+            case SettingsChanged(new):
                 self.tune(new)
                 self.idle_us = min(self.idle_us, self.idle_top)
                 self.looks.update(self.held.piles)
-            case i.EndRecalled():
+            case PendingNoticeRecovered():
                 self.lines.setdefault(event.key, KeyQueue()).ending[event.message] = 0
-            case i.KeyRestRecalled(key, until):
+            case KeyBackoffRecovered(key, until):
                 line = self.lines.setdefault(key, KeyQueue())
                 line.rest_until = max(line.rest_until, until)
-            case i.Confirmed() if event.key in self.lines:
+            case NoticeAcknowledged() if event.key in self.lines:
                 self.lines[event.key].ending.pop(event.message, None)
                 self.next_in(self.lines[event.key])
-            case i.Ended():
+            case AttemptEnded():
                 self.ended(event)
-            case i.Listed():
+            case EndpointListReceived():
                 self.listed(event)
-            case i.Withdrawn() if event.message in self.messages:
+            case MessageWithdrawn() if event.message in self.messages:
                 self.over(self.messages[event.message])
-            case i.PartEvent():
+            case ExtensionEvent():
                 for part in self.parts:
                     part.absorb(event)
 
-    def why(self, name: str) -> list[tuple[Gate, int]]:
+    def why(self, name: str) -> list[tuple[HoldReason, int]]:
         """What has held a message that is not over, in microseconds, with what holds it now first."""
         m = self.messages[name]
         waited = dict(m.waited)
@@ -200,22 +237,24 @@
             waited[m.gate] = waited.get(m.gate, 0) + self.now - m.gate_at
         return sorted(waited.items(), key=lambda row: (row[0] is not m.gate, -row[1]))
 
-    def memory(self) -> i.Memory:
+    def memory(self) -> LearnedState:
         """What was learned and is out, for the process that takes over."""
         calls: dict[int, list[tuple[str, int]]] = {}
         of = {id(a.call): a.call for a in self.attempts.values()}
         for attempt, a in self.attempts.items():
             calls.setdefault(id(a.call), []).append(attempt)
-        return i.Memory(
+        return LearnedState(
             tuple((*whose, kept(place, PLACE_KEPT)) for whose, place in self.places.items()),
             tuple((t.id, kept(t, TARGET_KEPT)) for t in self.targets.values()),
             {key: line.rest_until for key, line in self.lines.items() if line.rest_until > self.now},
             dict(self.purses),
             self.idle_us,
-            tuple(i.CallOut(c.target.id, c.sent_at, c.idle, c.gap, c.judged, tuple(calls[n])) for n, c in of.items()),
+            tuple(
+                CallInFlight(c.target.id, c.sent_at, c.idle, c.gap, c.judged, tuple(calls[n])) for n, c in of.items()
+            ),
         )
 
-    def inherit(self, memory: i.Memory) -> None:
+    def inherit(self, memory: LearnedState) -> None:
         """Go on with the memory of the process before: its calls still hold their slots and their keys."""
         for destination, which, row in memory.places:
             if (destination, which) in self.places:
@@ -248,22 +287,22 @@
         place = self.places.setdefault((destination, -1), Place(destination, 1.0, share=1.0 / self.size))
         return Target(number, destination, "", 0.0, place, serving=False)
 
-    def listed(self, event: i.Listed) -> None:
+    def listed(self, event: EndpointListReceived) -> None:
         """Follow the list. A drained or gone target gets nothing new from this round on."""
-        if event.kind is i.ListKind.FAILED:
+        if event.kind is EndpointListKind.FAILED:
             self.timers.add(self.now + self.ask_pause + self.random.randrange(self.ask_pause), THE_LIST)
             self.ask_pause = min(2 * self.ask_pause, 4 * ASK_AGAIN_US)
             return
         self.ask_pause, self.lists = ASK_AGAIN_US, self.lists + 1
-        if event.kind is not i.ListKind.SAVED:
+        if event.kind is not EndpointListKind.SAVED:
             self.list_awaited_until = self.now
-        if event.kind is not i.ListKind.CHANGES:
+        if event.kind is not EndpointListKind.CHANGES:
             for target in self.targets.values():
                 target.serving = False
         for e in event.entries:
             known = self.targets.get(e.target)
             if known is None or known.destination != e.destination:
-                kind = self.kinds.get(e.kind, i.DestinationKind(e.kind))
+                kind = self.kinds.get(e.kind, DestinationKind(e.kind))
                 whose = (e.destination, e.target if kind.routes_apart else -1)
                 place = self.places.setdefault(whose, Place(e.destination, 1.0, share=1.0 / self.size))
                 known = self.targets[e.target] = Target(
@@ -271,7 +310,7 @@
                 )
             if e.kind in self.kinds:
                 known.batch = self.kinds[e.kind].batch
-            known.zone, known.weight, known.serving = e.zone, e.weight, e.state is i.TargetState.SERVING
+            known.zone, known.weight, known.serving = e.zone, e.weight, e.state is EndpointState.SERVING
         if len(self.targets) > MOST_TARGETS:  # replaced targets must not pile up over months
             gone = [t.id for t in self.targets.values() if not t.serving and not t.out]
             for number in gone[: len(self.targets) - MOST_TARGETS]:
@@ -291,19 +330,19 @@
         since, t = self.banned.pop(number), self.targets.get(number)
         if t is not None:
             t.outage_at, t.back_at = (t.outage_at if self.cold(t) else since), self.now
-            self.actions.append(i.Outage(t.id, t.outage_at, t.back_at))
+            self.actions.append(EjectionChanged(t.id, t.outage_at, t.back_at))
         self.index()
 
     def eject(self, t: Target) -> None:
         """A part has found a target sick: it gets nothing, and counts as in an outage."""
         t.ejected, t.outage_at, t.back_at = True, t.outage_at if self.cold(t) else self.now, -1
-        self.actions.append(i.Outage(t.id, t.outage_at))
+        self.actions.append(EjectionChanged(t.id, t.outage_at))
         self.index()
 
     def give_back(self, t: Target) -> None:
         """An ejected target is used again, and is as cold as after any outage."""
         t.ejected, t.back_at = False, self.now
-        self.actions.append(i.Outage(t.id, t.outage_at, t.back_at))
+        self.actions.append(EjectionChanged(t.id, t.outage_at, t.back_at))
         self.index()
 
     def divide(self, size: float) -> None:
@@ -317,15 +356,15 @@
         for part in self.parts:
             part.noticed(t.id, outcome)
 
-    def arrived(self, event: i.Arrived) -> None:
+    def arrived(self, event: MessageArrived) -> None:
         """Take a message. One of an unknown class is failed: its effect is not known."""
         cls = self.classes.get(event.class_name)
         if cls is None:
-            self.actions.append(i.Fail(event.message))
+            self.actions.append(FailMessage(event.message))
         else:
             self.take(event, cls)
 
-    def take(self, event: i.Arrived | i.Recalled, cls: i.MessageClass) -> Message:
+    def take(self, event: MessageArrived | MessageRecovered, cls: MessageClass) -> Message:
         """Hold a message, in its key's line if its class has one."""
         self.taken += 1
         key = event.key if cls.in_order else None
@@ -347,7 +386,7 @@
             self.lines.setdefault(key, KeyQueue()).queue.append(m)
         return m
 
-    def recalled(self, event: i.Recalled) -> None:
+    def recalled(self, event: MessageRecovered) -> None:
         """Go on with a message of before a restart: what it may do depends on what it did till then."""
         m = self.take(event, event.cls)
         m.attempts, m.held_back = event.attempts, event.held_back
@@ -390,16 +429,16 @@
         line, until = self.lines[key], self.now + self.s.key_rest_us
         if until > max(self.now, line.rest_until):
             line.rest_until = until
-            self.actions.append(i.KeyRest(key, until))
+            self.actions.append(KeyBackoffStarted(key, until))
 
     def answer(self, m: Message) -> None:
         """The only place that gives final answers. Refuse where a new try does no harm, else fail."""
         safe = (
-            m.cls.effect is i.Effect.REPEATABLE
+            m.cls.effect is Effect.REPEATABLE
             or (m.ran_at < 0 and not m.out)
-            or (m.cls.effect is i.Effect.KEYED and m.cls.scope is i.Scope.ALL)
+            or (m.cls.effect is Effect.KEYED and m.cls.scope is Scope.ALL)
         )
-        self.actions.append(i.Refuse(m.id, self.retry_after(m), m.gate) if safe else i.Fail(m.id))
+        self.actions.append(RejectMessage(m.id, self.retry_after(m), m.gate) if safe else FailMessage(m.id))
         if m.key is not None and self.s.ends_confirmed:  # rule 6: not over for its key until it is heard
             self.lines[m.key].ending[m.id] = m.number
         self.over(m)
@@ -438,7 +477,7 @@
         pile.sort(key=lambda m: (m.ran_at < 0, m.over_share, m.due, m.number))
         if self.now - self.shed_at >= FORGET_US:
             self.shed_at = self.now
-            self.actions.append(i.Note(f"buffer nearly full: destination {worst} gives up its last"))
+            self.actions.append(LogLine(f"buffer nearly full: destination {worst} gives up its last"))
         for m in pile[1:][-max(1, int(len(self.messages) - BUFFER_MARK * self.s.max_open)) :]:
             self.answer(m)
 
@@ -455,18 +494,18 @@
 
     def leave_by(self, m: Message) -> int:
         """By when a further attempt has to leave: of one that may have run, within its window if it has one."""
-        free = m.ran_at < 0 or m.cls.effect is i.Effect.REPEATABLE
-        return NEVER if free else m.ran_at + m.cls.window_us if m.cls.effect is i.Effect.KEYED else 0
+        free = m.ran_at < 0 or m.cls.effect is Effect.REPEATABLE
+        return NEVER if free else m.ran_at + m.cls.window_us if m.cls.effect is Effect.KEYED else 0
 
     def usable(self, m: Message) -> list[Target]:
         """Serving targets of the message's destination within its key's scope."""
         targets = self.by_destination.get(m.destination, [])
-        if m.ran_at < 0 or m.cls.effect is not i.Effect.KEYED or m.cls.scope is i.Scope.ALL:
+        if m.ran_at < 0 or m.cls.effect is not Effect.KEYED or m.cls.scope is Scope.ALL:
             return targets
         first = self.targets.get(m.ran_on)  # of before a restart, it may be gone
-        return [t for t in targets if t is first or (first and m.cls.scope is i.Scope.ZONE and t.zone == first.zone)]
+        return [t for t in targets if t is first or (first and m.cls.scope is Scope.ZONE and t.zone == first.zone)]
 
-    def ended(self, event: i.Ended) -> None:
+    def ended(self, event: AttemptEnded) -> None:
         """Book an outcome: the slot, the message, its key, and once for each call its target and place."""
         attempt = self.attempts.pop((event.message, event.attempt), None)
         if attempt is None:
@@ -482,10 +521,10 @@
         if m.key is not None:
             line = self.lines[m.key]
             line.out -= 1
-            if event.outcome in i.MAY_STILL_RUN:
+            if event.outcome in MAY_STILL_RUN:
                 self.rest_key(m.key)
             self.next_in(line)
-        if event.outcome not in i.NEVER_RAN and m.ran_at < 0:
+        if event.outcome not in NEVER_RAN and m.ran_at < 0:
             m.ran_at, m.ran_on = call.sent_at, target.id
         self.guard(partial(self.learn_outcome, m, call, event))
         if m.id in self.messages and event.closed:
@@ -494,7 +533,7 @@
             m.avoid = target.id
             self.held.add(m)
 
-    def learn_outcome(self, m: Message, call: Call, event: i.Ended) -> None:
+    def learn_outcome(self, m: Message, call: Call, event: AttemptEnded) -> None:
         """What an outcome tells of its target, its destination and this machine."""
         target = call.target
         if event.report is not None:
@@ -504,7 +543,7 @@
             self.machine_rests_until = self.now + HELD_BACK_US
         else:
             self.noticed(target, event.outcome)
-        if not call.judged and event.outcome not in i.TELLS_NOTHING:
+        if not call.judged and event.outcome not in TELLS_NOTHING:
             call.judged = True
             self.judge(call, m, event)
         self.told_wait(target.place, event.wait_us)
@@ -523,7 +562,7 @@
             spread = max(wait_us, 0 if place.limit else place.rest)
             place.rest_until = place.wait_until + int(self.random.random() * spread)
 
-    def reported(self, place: Place, report: i.LoadReport) -> None:
+    def reported(self, place: Place, report: LoadReport) -> None:
         """Of many forwarders each follows what the limit has left: all use it up together, and each is told
         what is left to all. By time, so that many that call seldom move as fast as fewer that call often; up
         only while some are held, since a share that is not used up need not grow.
@@ -563,7 +602,7 @@
         else:
             self.idle_us = min(self.idle_top, self.idle_us + self.idle_us // IDLE_GROW)
 
-    def judge(self, call: Call, m: Message, event: i.Ended) -> None:
+    def judge(self, call: Call, m: Message, event: AttemptEnded) -> None:
         """Learn from one call of messages: their expected call, and what any call tells of its target."""
         place, outcome = call.target.place, event.outcome
         if (outcome is Outcome.TIMED_OUT and event.took_us < m.cls.aim_us) or self.idle_lost(call, outcome):
@@ -577,7 +616,7 @@
     def learn(self, call: Call, outcome: Outcome, wait_us: int) -> None:
         """Learn from any call: window, pace, and whether the target is in an outage."""
         target, place = call.target, call.target.place
-        cut = call.sent_at > place.cut_at and outcome in i.TOO_MUCH
+        cut = call.sent_at > place.cut_at and outcome in TOO_MUCH
         news = min(NEWS_TOP, 1 - 0.5 ** (call.gap / EASE_US))
         if outcome is Outcome.DELIVERED:
             self.connections_kept(target)
@@ -606,21 +645,21 @@
         if outcome is Outcome.DELIVERED:
             if self.cold(target) and target.back_at < 0 and target.failing <= FAIL_MARK:
                 target.back_at = self.now
-                self.actions.append(i.Outage(target.id, target.outage_at, target.back_at))
-                self.actions.append(i.Note(f"target {target.id} answers again: warming"))
+                self.actions.append(EjectionChanged(target.id, target.outage_at, target.back_at))
+                self.actions.append(LogLine(f"target {target.id} answers again: warming"))
         elif target.failing > FAIL_MARK:
             if not self.cold(target):
-                self.actions.append(i.Note(f"target {target.id} in outage: {outcome.value}"))
+                self.actions.append(LogLine(f"target {target.id} in outage: {outcome.value}"))
                 target.outage_at = self.now
             if target.back_at >= 0 or target.outage_at == self.now:
-                self.actions.append(i.Outage(target.id, target.outage_at))
+                self.actions.append(EjectionChanged(target.id, target.outage_at))
             target.back_at = -1
 
     def cold(self, t: Target) -> bool:
         """Whether the target is in an outage, or back from one and not yet warm."""
         return t.outage_at >= 0 and (t.back_at < 0 or self.now - t.back_at < self.s.warm_us)
 
-    def expected(self, place: Place, cls: i.MessageClass) -> float:
+    def expected(self, place: Place, cls: MessageClass) -> float:
         """The expected call: decayed mean, seeded from the class aim, easing back while nothing is out."""
         seed = cls.aim_us / AIM_PER_CALL
         if place.mean_at < 0:
@@ -685,15 +724,15 @@
             self.random.random(),
         )
 
-    def book(self, destination: int, shut: Gate | None) -> None:
+    def book(self, destination: int, shut: HoldReason | None) -> None:
         """Book what holds each message of a destination now. Of several gates the one that opens last."""
         for m in self.held.piles[destination].values():
             held = self.key_gate(m) or shut
             if held is None:  # its destination has room, but not for it
-                held = next((g for t in self.usable(m) if (g := self.gate(m, t))), Gate.SLOTS)
+                held = next((g for t in self.usable(m) if (g := self.gate(m, t))), HoldReason.SLOTS)
             self.books.turn(m, held, self.now)
 
-    def opening(self, destination: int) -> tuple[int, Gate | None]:
+    def opening(self, destination: int) -> tuple[int, HoldReason | None]:
         """When a destination opens, by the target that opens first, and what shuts all of it until then; None if
         it is open.
         """
@@ -704,42 +743,42 @@
         )
         return at, self.nowhere(destination) if gate is None and at == NEVER else gate
 
-    def nowhere(self, destination: int) -> Gate:
+    def nowhere(self, destination: int) -> HoldReason:
         """Why a destination has no target that messages may go to."""
         known = [t for t in self.targets.values() if t.destination == destination]
         if any(t.serving for t in known):
-            return Gate.BAN
-        return Gate.DRAIN if known else Gate.UNLISTED if self.lists > 1 else Gate.START
+            return HoldReason.BAN
+        return HoldReason.DRAIN if known else HoldReason.UNLISTED if self.lists > 1 else HoldReason.START
 
-    def gate(self, m: Message, t: Target) -> Gate | None:
+    def gate(self, m: Message, t: Target) -> HoldReason | None:
         """The one gate that every send passes; what holds the message, None to let it go. Each line keeps a
         rule or a bound.
         """
         held = self.key_gate(m)
         if held is not None or not self.may_repeat(m):
-            return held or Gate.SURE
-        if t.failing > SURE_MARK and m.cls.effect is i.Effect.ONCE and m.due - self.now >= m.cls.deadline_us / 2:
-            return Gate.SURE
+            return held or HoldReason.SURE
+        if t.failing > SURE_MARK and m.cls.effect is Effect.ONCE and m.due - self.now >= m.cls.deadline_us / 2:
+            return HoldReason.SURE
         return self.room_at(t)[1]
 
-    def key_gate(self, m: Message) -> Gate | None:
+    def key_gate(self, m: Message) -> HoldReason | None:
         """Rule 6: one message of a key at a time, in their order."""
         if m.key is None:
             return None
         line = self.lines[m.key]
         if line.queue[0] is not m or line.out or any(n < m.number for n in line.ending.values()):
-            return Gate.KEY
-        return Gate.KEY_REST if self.now < line.rest_until and not m.attempts else None
+            return HoldReason.KEY
+        return HoldReason.KEY_REST if self.now < line.rest_until and not m.attempts else None
 
-    def room_at(self, t: Target) -> tuple[int, Gate | None]:
+    def room_at(self, t: Target) -> tuple[int, HoldReason | None]:
         """The gate's part that is the same for every message: slots, window, pace, rest, turn. When it opens,
         and what shuts it until then; NEVER where only an event can open it.
         """
         unknown_until = max(self.asking_until, self.list_awaited_until)
         if self.now < unknown_until:  # what discovery, or others, know of targets is not known here yet
-            return unknown_until, Gate.START
+            return unknown_until, HoldReason.START
         if self.now < self.machine_rests_until:
-            return self.machine_rests_until, Gate.MACHINE
+            return self.machine_rests_until, HoldReason.MACHINE
         call = self.round_calls.get(t.id)
         joins = call is not None and call.joined < t.batch
         if joins and (not self.cold(t) or t.back_at >= 0):
@@ -747,30 +786,30 @@
         full = None if joins else self.full(t)
         return (NEVER, full) if full is not None else self.opens_at(t)
 
-    def full(self, t: Target) -> Gate | None:
+    def full(self, t: Target) -> HoldReason | None:
         """What has no room for one more call, of slots and window. The window never shuts messages out for as
         long as streams fill it: one call of messages has room beside them.
         """
         here = sum(other.out for other in self.by_destination[t.destination])
         if self.calls_out >= self.s.slots or here >= max(1, int(HEALTHY_CAP * self.s.slots)):
-            return Gate.SLOTS
+            return HoldReason.SLOTS
         window, cap = max(t.place.window, t.place.streams + 1), self.cap(t.place)
         if t.place.out < int(min(window, cap)):
             return None
-        return Gate.CAP if cap < window else Gate.WINDOW
+        return HoldReason.CAP if cap < window else HoldReason.WINDOW
 
-    def opens_at(self, t: Target) -> tuple[int, Gate | None]:
+    def opens_at(self, t: Target) -> tuple[int, HoldReason | None]:
         """When waits, rests, our pace and our turn let a call go, and the last of them to do so."""
-        place, gate = t.place, Gate.WAIT
+        place, gate = t.place, HoldReason.WAIT
         at = place.wait_until
         if place.rest_until > at:
-            at, gate = place.rest_until, Gate.REST
+            at, gate = place.rest_until, HoldReason.REST
         if place.pace_at > at:
-            at, gate = place.pace_at, Gate.PACE
+            at, gate = place.pace_at, HoldReason.PACE
         if self.cold(t):
             turn = t.tried_at + int(t.spread * self.turn(t))
             if turn > at:
-                at, gate = turn, Gate.OUTAGE if t.back_at < 0 else Gate.COLD
+                at, gate = turn, HoldReason.OUTAGE if t.back_at < 0 else HoldReason.COLD
         return at, gate if at > self.now else None
 
     def turn(self, t: Target) -> float:
@@ -810,14 +849,14 @@
         m.attempts, m.out = m.attempts + 1, m.out + 1
         self.held.remove(m)
         self.books.turn(m, None, self.now)
-        self.actions.append(i.Send(m.id, t.id, self.timeout(m, place), self.leave_by(m)))
+        self.actions.append(SendAttempt(m.id, t.id, self.timeout(m, place), self.leave_by(m)))
 
     def begin(self, t: Target, longest: float) -> Call:
         """Book a new call, whatever it carries; the next at our pace goes no later than the longest time."""
         place = t.place
         idle = 0 if t.out or t.idle_at < 0 else self.now - t.idle_at
         if idle > self.idle_us > 0:
-            self.actions.append(i.CloseIdle(t.id))
+            self.actions.append(CloseIdleConnections(t.id))
         call = Call(t, self.now, idle, self.now - t.tried_at)
         t.spread = self.random.uniform(*SPREAD)
         self.calls_out += 1
@@ -828,6 +867,6 @@
 
     def timeout(self, m: Message, place: Place) -> int:
         """How long an attempt may take. To give up one that must not run twice is to lose it: it has more."""
-        patience = m.cls.aim_us * (ONCE_AIMS if m.cls.effect is i.Effect.ONCE else 1)
+        patience = m.cls.aim_us * (ONCE_AIMS if m.cls.effect is Effect.ONCE else 1)
         usual = self.expected(place, m.cls)
         return min(m.due - self.now, int(max(min(patience, MOST_CALLS * usual), TIMEOUT_CALLS * usual)))
--- a/lemonshunt/members/words.py
+++ b/forwarder/decisions/fleet_messages.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lemonshunt import interface as i
+from forwarder.decisions.actions import ExtensionAction
+from forwarder.decisions.events import ExtensionEvent
 
 
 class Mode(Enum):
@@ -34,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Viewed(i.PartEvent):
+class Viewed(ExtensionEvent):
     """Membership's view has been looked at."""
 
     seen: Seen
@@ -52,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard(i.PartEvent):
+class Heard(ExtensionEvent):
     """All that others say and that is not too old; of told waits only those that are new."""
 
     words: Mapping[int, tuple[Word, ...]] = field(default_factory=dict)
@@ -64,12 +65,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked(i.PartEvent):
+class Asked(ExtensionEvent):
     """The others have answered what a forwarder without a folder asks first, or the time for it is up."""
 
 
 @dataclass(frozen=True, slots=True)
-class TellOutage(i.PartAction):
+class TellOutage(ExtensionAction):
     """Seen by this forwarder itself: a target in an outage since then, or back from it (-1: not). Since -1: it was
     served by one that others take to be out.
     """
@@ -80,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellWait(i.PartAction):
+class TellWait(ExtensionAction):
     """A destination (or one route of it) has told this forwarder to wait until then."""
 
     whose: tuple[int, int]
@@ -88,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellHolding(i.PartAction):
+class TellHolding(ExtensionAction):
     """The cold targets for which this forwarder holds messages: all of them, whatever was told before."""
 
     targets: frozenset[int]
--- a/lemonshunt/fleet.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -23,10 +23,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lemonshunt import interface as i
-from lemonshunt.choice import FAIL_MARK, SURE_MARK, Dispatcher
-from lemonshunt.members.words import Asked, Heard, Mode, Seen, TellHolding, TellOutage, TellWait, Viewed
-from lemonshunt.state import Target
+from forwarder.decisions.actions import EjectionChanged
+from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
+from forwarder.decisions.events import ExtensionEvent
+from forwarder.decisions.fleet_messages import Asked, Heard, Mode, Seen, TellHolding, TellOutage, TellWait, Viewed
+from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
+from forwarder.decisions.records import Target
 
 SECOND = 1_000_000
 SEERS = 2  # others whose word puts a target in an outage here; of one it is a doubt
@@ -123,11 +125,11 @@
     def __init__(self, dispatcher: Dispatcher, shares: Shares) -> None:
         self.dispatcher, self.shares = dispatcher, shares
 
-    def absorb(self, event: i.PartEvent) -> None:
+    def absorb(self, event: ExtensionEvent) -> None:
         if isinstance(event, Viewed):
             self.shares.see(self.dispatcher.now, event.seen)
 
-    def noticed(self, target: int, outcome: i.Outcome) -> None: ...
+    def noticed(self, target: int, outcome: Outcome) -> None: ...
 
     def prepare(self) -> None:
         self.shares.balancers = self.dispatcher.s.balancers
@@ -175,7 +177,7 @@
         self.touched: set[int] = set()
         self.held_at: dict[int, int] = {}
 
-    def absorb(self, event: i.PartEvent) -> None:
+    def absorb(self, event: ExtensionEvent) -> None:
         super().absorb(event)
         d = self.dispatcher
         if isinstance(event, Asked):
@@ -188,11 +190,11 @@
                     place.pace_at = max(place.pace_at, min(until, d.now + int(d.interval(place))))
             self.heed()
 
-    def noticed(self, target: int, outcome: i.Outcome) -> None:
-        if outcome not in i.TELLS_NOTHING:
+    def noticed(self, target: int, outcome: Outcome) -> None:
+        if outcome not in TELLS_NOTHING:
             self.touched.add(target)
             self.by_word.discard(target)
-        if outcome is i.Outcome.DELIVERED:
+        if outcome is Outcome.DELIVERED:
             self.well[target] = self.dispatcher.now
 
     def heed(self) -> None:
@@ -224,7 +226,7 @@
             self.by_word.add(t.id)
             t.tried_at, t.spread = max(t.tried_at, d.now), d.rest_of_turn()
         t.outage_at, t.back_at = since, back
-        d.actions.append(i.Outage(t.id, since, back))
+        d.actions.append(EjectionChanged(t.id, since, back))
         d.looks.add(t.destination)
 
     def prepare(self) -> None:
--- a/lemonshunt/health.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are well: verdicts from the outcomes of all calls. Pure; it joins lemonshunt/choice.py.
+"""Which endpoints are well: verdicts from the outcomes of all calls. Pure; it joins the dispatcher.
 
 An endpoint's failures are compared with those of the other endpoints of its destination, by shares of samples
 that lose weight with age. One that fails for sure, and surely more than the others, or several times running,
@@ -21,10 +21,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lemonshunt import interface as i
-from lemonshunt.choice import SECOND, Dispatcher
-from lemonshunt.interface import Outcome
-from lemonshunt.state import Target
+from forwarder.decisions.actions import LogLine
+from forwarder.decisions.dispatcher import SECOND, Dispatcher
+from forwarder.decisions.events import ExtensionEvent
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.records import Target
 
 BAD = frozenset({Outcome.FAILED, Outcome.UNREADABLE, Outcome.TIMED_OUT, Outcome.NO_CONNECTION, Outcome.RESET})
 SURE = 2.0  # standard errors by which a share of failures must stand out
@@ -105,7 +106,7 @@
     """When the next round comes at the latest, unless our process stands still."""
     ejections: int = 0
 
-    def absorb(self, event: i.PartEvent) -> None:
+    def absorb(self, event: ExtensionEvent) -> None:
         """It lives on what the Dispatcher notices."""
 
     def noticed(self, target: int, outcome: Outcome) -> None:
@@ -156,7 +157,7 @@
         if len(bad) > room:
             if destination not in self.doubted and len(here) > 1:
                 d.actions.append(
-                    i.Note(
+                    LogLine(
                         f"health: {len(bad)} of {len(here)} endpoints of destination "
                         f"{destination} look bad; all stay in use"
                     )
@@ -201,7 +202,7 @@
         self.ejections += 1
         d.eject(t)
         d.timers.add(r.until, t.destination)
-        d.actions.append(i.Note(f"health: target {t.id} ejected for {(r.until - d.now) / SECOND:.1f} s: {r.why}"))
+        d.actions.append(LogLine(f"health: target {t.id} ejected for {(r.until - d.now) / SECOND:.1f} s: {r.why}"))
 
     def give_back(self, number: int, r: Record) -> None:
         """An ejection is over, or cannot be upheld: back in use, on trial."""
@@ -211,7 +212,7 @@
         t = d.targets.get(number)
         if t is not None and t.ejected:
             d.give_back(t)
-            d.actions.append(i.Note(f"health: target {number} is on trial"))
+            d.actions.append(LogLine(f"health: target {number} is on trial"))
 
     def verdict(self, t: Target) -> tuple[Verdict, str]:
         """What operators are told of a target: the verdict and its reason."""
--- a/lemonshunt/state.py
+++ b/forwarder/decisions/records.py
@@ -7,7 +7,9 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from lemonshunt.interface import Gate, MessageClass, Row
+from forwarder.decisions.hold_reason import HoldReason
+from forwarder.decisions.learned_state import StoredFields
+from forwarder.decisions.settings import MessageClass
 
 PLACE_KEPT = (
     "window",
@@ -27,12 +29,12 @@
 TARGET_KEPT = ("failing", "tried_at", "idle_at", "outage_at", "back_at", "spread")
 
 
-def kept(record: Any, names: tuple[str, ...]) -> Row:
+def kept(record: Any, names: tuple[str, ...]) -> StoredFields:
     """The named fields of a record, for the process that takes over."""
     return {name: getattr(record, name) for name in names}
 
 
-def restore(record: Any, names: tuple[str, ...], row: Row) -> None:
+def restore(record: Any, names: tuple[str, ...], row: StoredFields) -> None:
     for name in names:
         if name in row:
             setattr(record, name, row[name])
@@ -58,11 +60,11 @@
     """Its target."""
     avoid: int = -1
     """The target that last failed it."""
-    gate: Gate | None = None
+    gate: HoldReason | None = None
     """What holds it now; None while it is out."""
     gate_at: int = 0
     """Since when."""
-    waited: dict[Gate, int] = field(default_factory=dict)
+    waited: dict[HoldReason, int] = field(default_factory=dict)
     """How long each gate has held it, in microseconds."""
 
 
@@ -212,9 +214,9 @@
 class HoldTimes:
     """How long messages were held by which gate, by destination and class, in microseconds since the start."""
 
-    sums: dict[tuple[int, str], dict[Gate, int]] = field(default_factory=dict)
+    sums: dict[tuple[int, str], dict[HoldReason, int]] = field(default_factory=dict)
 
-    def turn(self, m: Message, gate: Gate | None, now: int) -> None:
+    def turn(self, m: Message, gate: HoldReason | None, now: int) -> None:
         """From now on this gate holds the message (None: none does); the time until now is the one's before."""
         if m.gate is gate:
             return
@@ -227,9 +229,9 @@
             m.waited[m.gate] = m.waited.get(m.gate, 0) + passed
         m.gate, m.gate_at = gate, now
 
-    def total(self, destination: int | None = None) -> list[tuple[Gate, int]]:
+    def total(self, destination: int | None = None) -> list[tuple[HoldReason, int]]:
         """The sums of one destination or of all, the largest first."""
-        found: dict[Gate, int] = {}
+        found: dict[HoldReason, int] = {}
         for (whose, _), book in self.sums.items():
             for gate, us in book.items() if destination in (None, whose) else ():
                 found[gate] = found.get(gate, 0) + us
--- a/lemonshunt/streams.py
+++ b/forwarder/decisions/stream_routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a stream goes to, or that it is turned away. Pure, as lemonshunt/choice.py, which it joins.
+"""Which endpoint a stream goes to, or that it is turned away. Pure, as the dispatcher, which it joins.
 
 A stream is one HTTP exchange that passes through while it arrives. It counts as a call in all that the
 Dispatcher keeps: slots, windows, told waits, rests, pace, turns of cold targets, bans and drains. Messages go
@@ -11,10 +11,11 @@
 
 from dataclasses import dataclass
 
-from lemonshunt import interface as i
-from lemonshunt.choice import FORGET_US, HEALTHY_CAP, LEAST_AWAY_US, NEVER, SECOND, Dispatcher
-from lemonshunt.interface import Outcome
-from lemonshunt.state import Call, Target
+from forwarder.decisions.actions import ExtensionAction
+from forwarder.decisions.dispatcher import FORGET_US, HEALTHY_CAP, LEAST_AWAY_US, NEVER, SECOND, Dispatcher
+from forwarder.decisions.events import ExtensionEvent, LoadReport
+from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
+from forwarder.decisions.records import Call, Target
 
 LONGEST_PACE_US = SECOND  # by one stream, the next at our share of a limit is put off no longer
 
@@ -23,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked(i.PartEvent):
+class Asked(ExtensionEvent):
     """A client asks for a stream, or one found no connection and may go elsewhere."""
 
     stream: int
@@ -33,17 +34,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told(i.PartEvent):
+class Told(ExtensionEvent):
     """What a stream's target has shown: by the head of its answer, or by failing."""
 
     stream: int
     outcome: Outcome
     wait_us: int = 0
-    report: i.LoadReport | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Over(i.PartEvent):
+class Over(ExtensionEvent):
     """A stream holds its slot no longer."""
 
     stream: int
@@ -53,13 +54,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Route(i.PartAction):
+class Route(ExtensionAction):
     stream: int
     target: int
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway(i.PartAction):
+class TurnAway(ExtensionAction):
     stream: int
     wait_us: int
     """The client may come back after this."""
@@ -80,7 +81,7 @@
         self.used_at: dict[int, int] = {}
         """When a destination last had a stream."""
 
-    def absorb(self, event: i.PartEvent) -> None:
+    def absorb(self, event: ExtensionEvent) -> None:
         match event:
             case Asked(stream):
                 self.over(stream)
@@ -110,7 +111,7 @@
         if told.report is not None:
             d.reported(place, told.report)
         d.noticed(call.target, told.outcome)
-        if told.outcome not in i.TELLS_NOTHING:
+        if told.outcome not in TELLS_NOTHING:
             d.learn(call, told.outcome, told.wait_us)
         d.told_wait(place, told.wait_us)
 
--- a/lemonshunt/net/discovery.py
+++ b/forwarder/discovery/watch.py
@@ -10,13 +10,13 @@
 from functools import partial
 from typing import Protocol
 
-from lemonshunt.net.client import LOCAL_ERRORS
-from lemonshunt.net.config import Address, HostList, host_list
-from lemonshunt.net.http import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
-from lemonshunt.net.listen import unread
-from lemonshunt.net.store import PendingNotice
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.wirehost import Malformed
+from forwarder.clients.listener import unread
+from forwarder.config.config import Address, HostList, host_list
+from forwarder.endpoints.pool import LOCAL_ERRORS
+from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
+from forwarder.runtime.supervisor import Supervisor
+from forwarder.simulator.adapter import Malformed
+from forwarder.storage.store import PendingNotice
 
 FIRST_HOLD_MS = 1  # a start's first question is answered with what discovery holds, be it news or not
 FIRST_LIST_US = 2_000_000  # discovery answers a call that does not wait within 2 s (PROTOCOL, Figures), or not at all
@@ -36,7 +36,7 @@
 NOTICE_PAUSES_S = (0.05, 0.1)  # a post that failed is made again after these: see above
 MOST_NOTICES = 500  # lines in one post
 MOST_POST = MOST_BODY  # and its bytes
-log = logging.getLogger("lemonshunt.discovery")
+log = logging.getLogger("forwarder.discovery")
 
 
 class Channel(asyncio.Protocol):
--- /dev/null
+++ b/forwarder/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""Connections and calls to endpoints."""
--- a/lemonshunt/net/targets.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Container, Iterable, Mapping
 
-from lemonshunt import interface as i
-from lemonshunt.net.config import Address, Host, HostList
+from forwarder.config.config import Address, Host, HostList
+from forwarder.decisions.events import EndpointEntry
+from forwarder.decisions.settings import DestinationKind
 
 MOST_TARGETS = 2000  # remembered at most, those that are gone among them
 
@@ -14,7 +15,7 @@
     """What may be called, and where."""
 
     def __init__(
-        self, kinds: Iterable[i.DestinationKind], numbers: Mapping[str, int], destinations: Iterable[int]
+        self, kinds: Iterable[DestinationKind], numbers: Mapping[str, int], destinations: Iterable[int]
     ) -> None:
         """`numbers` and `destinations` are those of the process which this one takes over from."""
         self.tune(kinds)
@@ -28,7 +29,7 @@
         """All that were ever listed."""
         self._newest_number = max(self.names, default=0)
 
-    def tune(self, kinds: Iterable[i.DestinationKind]) -> None:
+    def tune(self, kinds: Iterable[DestinationKind]) -> None:
         """Take on the kinds of new settings."""
         self.kinds = {kind.name: kind for kind in kinds}
 
@@ -65,7 +66,7 @@
             del self._gone[old]
             del self.names[self.numbers.pop(old)]
 
-    def entries(self, hosts: Iterable[Host], keep: Container[str] = ()) -> tuple[i.TargetEntry, ...]:
+    def entries(self, hosts: Iterable[Host], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
         """A list, as the decisions read it."""
         return tuple(host.entry(self.number(host.name, keep)) for host in hosts)
 
@@ -81,8 +82,8 @@
         """The endpoint of that number, if it is listed."""
         return self.hosts.get(self.names.get(number, ""))
 
-    def kind(self, host: Host) -> i.DestinationKind:
-        return self.kinds.get(str(host.raw.get("class")), i.DestinationKind(""))
+    def kind(self, host: Host) -> DestinationKind:
+        return self.kinds.get(str(host.raw.get("class")), DestinationKind(""))
 
     def place(self, host: Host) -> tuple[int, int]:
         """What shares a told wait with an endpoint: all of its destination, or itself alone."""
--- a/lemonshunt/net/client.py
+++ b/forwarder/endpoints/pool.py
@@ -18,15 +18,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net.config import Address
-from lemonshunt.net.http import MOST_BODY, BadAnswer, ResponseReader, load_report, request, wait_us
-from lemonshunt.net.listen import fileno, reset_on_close
-from lemonshunt.net.reasons import Reasons, Subject
-from lemonshunt.net.rules import Attempt, Route, Rules, route_denial
-from lemonshunt.net.supervise import Repeating, Supervisor
-from lemonshunt.net.watching import ready_now
+from forwarder.clients.listener import fileno, reset_on_close
+from forwarder.config.config import Address
+from forwarder.decisions.events import AttemptEnded, LoadReport
+from forwarder.decisions.outcomes import Outcome
+from forwarder.protocol.http1 import MOST_BODY, BadAnswer, ResponseReader, load_report, request, wait_us
+from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.invariants import Attempt, Route, Rules, route_denial
+from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.supervisor import Repeating, Supervisor
+from forwarder.units import NEVER_US
 
 IDLE_MARGIN_US = 700_000  # an idle connection is closed so long before its target would: a reset costs a try
 SWEEP_S = 0.2
@@ -62,7 +63,7 @@
     }
 )
 """Errors of socket and connect that tell of this machine, and not of an endpoint (socket(2), connect(2))."""
-log = logging.getLogger("lemonshunt.client")
+log = logging.getLogger("forwarder.client")
 
 
 @dataclass(slots=True)
@@ -78,7 +79,7 @@
     due_us: int
     """Its time is up then, and its end is owed."""
     idempotency_key: str | None = None
-    leave_by_us: int = i.NEVER
+    leave_by_us: int = NEVER_US
     """It may not leave at this time or later."""
 
     @property
@@ -110,7 +111,7 @@
     wait_us: int = 0
 
 
-Sink = Callable[[i.Ended], None]
+Sink = Callable[[AttemptEnded], None]
 
 
 class Connection(asyncio.Protocol):
@@ -485,13 +486,13 @@
             connection.call = None
             connection.close("call dropped")
 
-    def finish(self, call: Call, result: Result, report: i.LoadReport | None = None) -> None:
+    def finish(self, call: Call, result: Result, report: LoadReport | None = None) -> None:
         """The same end for all that is still open."""
         for item in list(call.open.values()):
             self.tell(call, item, result, report)
         self.drop(call)
 
-    def tell(self, call: Call, item: Item, result: Result, report: i.LoadReport | None = None) -> None:
+    def tell(self, call: Call, item: Item, result: Result, report: LoadReport | None = None) -> None:
         del call.open[item.id]
         self.calls.pop((item.id, item.attempt), None)
         if result.wait_us:
@@ -499,7 +500,7 @@
         if not call.open:
             self.out -= 1
         self.sink(
-            i.Ended(
+            AttemptEnded(
                 item.id,
                 item.attempt,
                 call.target,
@@ -550,7 +551,7 @@
             return Outcome.UNREADABLE
         return Outcome.RESET if call.written else Outcome.NO_CONNECTION
 
-    def batch_ended(self, call: Call, reader: ResponseReader, report: i.LoadReport | None) -> None:
+    def batch_ended(self, call: Call, reader: ResponseReader, report: LoadReport | None) -> None:
         wait = wait_us(reader.headers) or 0
         try:
             ends = {e["id"]: e["state"] for e in json.loads(reader.body)}
--- /dev/null
+++ b/forwarder/health/__init__.py
@@ -0,0 +1,1 @@
+"""Passive outlier detection, as an extension."""
--- a/lemonshunt/net/health.py
+++ b/forwarder/health/extension.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from lemonshunt.health import Health, Limits
-from lemonshunt.net.config import Config
-from lemonshunt.net.control import Calls, Refused
-from lemonshunt.net.engine import Engine, QuietPart
-from lemonshunt.parts import Table
+from forwarder.admin.server import Calls, Refused
+from forwarder.config.config import Config
+from forwarder.config.extensions_file import Table
+from forwarder.decisions.outlier_detection import Health, Limits
+from forwarder.runtime.engine import Engine, QuietPart
 
 SECOND = 1_000_000
 
--- a/lemonshunt/members/__init__.py
+++ b/forwarder/membership/__init__.py
@@ -2,5 +2,5 @@
 Currey, DSN-W 2018). Pure: datagrams and times in, datagrams, news and the next time out.
 
 `view` has what is known and which news goes before which; `protocol` probes, suspects, spreads and meets again; `codec`
-has the datagrams, their tags and the bound on replay. Sockets: lemonshunt/net/members.py.
+has the datagrams, their tags and the bound on replay. Sockets: extension.py.
 """
--- a/lemonshunt/members/codec.py
+++ b/forwarder/membership/codec.py
@@ -16,8 +16,8 @@
 import msgspec
 from msgspec import Meta
 
-from lemonshunt.members.board import MOST_ITEMS, Item
-from lemonshunt.members.view import News, Phase, State
+from forwarder.membership.gossip_store import MOST_ITEMS, Item
+from forwarder.membership.view import News, Phase, State
 
 VERSION = 1
 TAG = 16
--- a/lemonshunt/net/members.py
+++ b/forwarder/membership/extension.py
@@ -14,21 +14,21 @@
 from pathlib import Path
 from typing import Any, cast
 
-from lemonshunt import __version__
-from lemonshunt import interface as i
-from lemonshunt.fleet import FleetPolicy, Shares
-from lemonshunt.members.codec import Codec, Dropped, FormerLife
-from lemonshunt.members.protocol import LEAST_LOG, Protocol, Timing, Told
-from lemonshunt.members.view import LIFE, Member, Phase, State, Where
-from lemonshunt.members.words import Seen, Viewed
-from lemonshunt.net.config import Address, Config, ConfigError, address
-from lemonshunt.net.control import Calls, Refused, alone
-from lemonshunt.net.engine import Engine, QuietPart
-from lemonshunt.net.lease import Lease
-from lemonshunt.net.news import News
-from lemonshunt.parts import Table
-from lemonshunt.phase import Phase as Start
-from lemonshunt.wirehost import Malformed
+from forwarder import __version__
+from forwarder.admin.server import Calls, Refused, alone
+from forwarder.config.config import Address, Config, ConfigError, address
+from forwarder.config.extensions_file import Table
+from forwarder.decisions.actions import Action
+from forwarder.decisions.fleet_messages import Seen, Viewed
+from forwarder.decisions.fleet_quota import FleetPolicy, Shares
+from forwarder.membership.codec import Codec, Dropped, FormerLife
+from forwarder.membership.gossip import News
+from forwarder.membership.protocol import LEAST_LOG, Protocol, Timing, Told
+from forwarder.membership.view import LIFE, Member, Phase, State, Where
+from forwarder.runtime.engine import Engine, QuietPart
+from forwarder.runtime.startup_phase import Phase as Start
+from forwarder.simulator.adapter import Malformed
+from forwarder.storage.lease import Lease
 
 SECOND = 1_000_000
 EACH_S, BURST = 300.0, 600.0
@@ -39,7 +39,7 @@
 """The Dispatcher looks at the view this often at least, since shares change with its age."""
 BIND_S = 3.0
 LEAST_KEY = 16
-log = logging.getLogger("lemonshunt.members")
+log = logging.getLogger("forwarder.membership")
 
 
 @dataclass(frozen=True, slots=True)
@@ -245,7 +245,7 @@
             raise Refused("members.news is not turned on")
         return self.news.tell(self.now())
 
-    def act(self, actions: Iterable[i.Action]) -> None:
+    def act(self, actions: Iterable[Action]) -> None:
         if self.shares is not None and self.lease is not None:
             self.lease.keep(self.shares.leased_until)
         if self.news is not None and self.protocol is not None:
--- a/lemonshunt/net/news.py
+++ b/forwarder/membership/gossip.py
@@ -10,13 +10,14 @@
 import logging
 from collections.abc import Iterable
 
-from lemonshunt import interface as i
-from lemonshunt.fleet import NewsPolicy, Shares, Turns
-from lemonshunt.members.board import AGES, Board, Fact, Kind, rendezvous
-from lemonshunt.members.protocol import Protocol
-from lemonshunt.members.words import Asked, Heard, TellHolding, TellOutage, TellWait, Word
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.identity import Start
+from forwarder.decisions.actions import Action
+from forwarder.decisions.events import EndpointDisabled
+from forwarder.decisions.fleet_messages import Asked, Heard, TellHolding, TellOutage, TellWait, Word
+from forwarder.decisions.fleet_quota import NewsPolicy, Shares, Turns
+from forwarder.membership.gossip_store import AGES, Board, Fact, Kind, rendezvous
+from forwarder.membership.protocol import Protocol
+from forwarder.runtime.engine import Engine
+from forwarder.storage.identity import Start
 
 SECOND = 1_000_000
 RESAY_US = SECOND
@@ -28,7 +29,7 @@
 DROP_US = 500_000
 """What has become too old is looked for so often."""
 MOST_SHOWN = 40
-log = logging.getLogger("lemonshunt.news")
+log = logging.getLogger("forwarder.news")
 
 
 class News:
@@ -75,7 +76,7 @@
         self.counts[kind.value] = self.counts.get(kind.value, 0) + 1
         self.protocol.say(now, kind, subject, value, lasted, urgent)
 
-    def act(self, now: int, actions: Iterable[i.Action]) -> None:
+    def act(self, now: int, actions: Iterable[Action]) -> None:
         """What a round has seen."""
         for a in actions:
             match a:
@@ -168,7 +169,7 @@
             if fact.subject not in store.bans:
                 since = self.engine.clock() - (now - fact.born) - fact.value
                 store.ban(fact.subject, since)
-                self.engine.carry_out(i.Banned(self.engine.number(fact.subject), since))
+                self.engine.carry_out(EndpointDisabled(self.engine.number(fact.subject), since))
                 log.warning("maintenance: %s is left out again, as others remember", fact.subject)
                 found += 1
         return found
--- a/lemonshunt/members/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -19,9 +19,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from lemonshunt.members.board import Board, Kind
-from lemonshunt.members.codec import MOST_BYTES, MOST_ROWS, TAG, Body, FormerLife, Row, row
-from lemonshunt.members.view import LIFE, Known, Member, News, Phase, State, View, Where
+from forwarder.membership.codec import MOST_BYTES, MOST_ROWS, TAG, Body, FormerLife, Row, row
+from forwarder.membership.gossip_store import Board, Kind
+from forwarder.membership.view import LIFE, Known, Member, News, Phase, State, View, Where
 
 SECOND = 1_000_000
 ROOM = MOST_BYTES - TAG - 220
--- /dev/null
+++ b/forwarder/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Formats at the edge, read and checked once."""
--- a/lemonshunt/net/http.py
+++ b/forwarder/protocol/http1.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from lemonshunt import interface as i
+from forwarder.decisions.events import LoadReport
 
 MOST_BODY = 64 * 1024
 MOST_FIRST = 256
@@ -108,14 +108,14 @@
     return min(wait, MOST_WAIT_US) if wait >= 0 else None
 
 
-def load_report(headers: Headers, fields: tuple[str, ...]) -> i.LoadReport | None:
+def load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
     """What a target told of its limit; garbage counts as nothing told."""
     text = headers.get("x-backend-load")
     if not text or "x0" not in fields or "x1" not in fields:
         return None
     try:
         told = {k.strip(): float(v) for k, _, v in (part.partition("=") for part in text.split(","))}
-        report = i.LoadReport(told["x0"], told["x1"])
+        report = LoadReport(told["x0"], told["x1"])
     except (ValueError, KeyError):
         return None
     sound = 0.0 <= report.left <= MOST_LEFT and 0.0 <= report.limit_per_s <= MOST_RATE
--- a/lemonshunt/net/effects.py
+++ b/forwarder/runtime/effects.py
@@ -18,22 +18,33 @@
 from functools import partial
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.net.client import Call, Item, Pool, Result, fits
-from lemonshunt.net.reasons import Reasons, Subject
-from lemonshunt.net.rules import Denial, Rules
-from lemonshunt.net.server import ClientConnection, Submission
-from lemonshunt.net.store import AcceptedMessage, Store
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.net.targets import TargetTable
+from forwarder.clients.server import ClientConnection, Submission
+from forwarder.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    EjectionChanged,
+    FailMessage,
+    KeyBackoffStarted,
+    RejectMessage,
+    SendAttempt,
+)
+from forwarder.decisions.events import AttemptEnded, Event, MessageWithdrawn
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.endpoint_table import TargetTable
+from forwarder.endpoints.pool import Call, Item, Pool, Result, fits
+from forwarder.runtime.invariants import Denial, Rules
+from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.supervisor import Supervisor
+from forwarder.storage.store import AcceptedMessage, Store
 
 SECOND = 1_000_000
 MOST_REFUSED_BY = 1000  # destinations, classes and gates of refusals that are counted apart
-log = logging.getLogger("lemonshunt.effects")
+log = logging.getLogger("forwarder.effects")
 
 Arriving = dict[str, tuple[Submission, ClientConnection]]
 """Messages that were handed in since the last round, by their id."""
-Step = i.CloseIdle | i.Cancel | Call
+Step = CloseIdleConnections | CancelAttempt | Call
 
 
 @dataclass(slots=True)
@@ -59,8 +70,8 @@
         rules: Rules,
         reasons: Reasons,
         supervisor: Supervisor,
-        post: Callable[[i.Event], None],
-        turn_away: Callable[[Submission, ClientConnection, i.Refuse | i.Fail], None],
+        post: Callable[[Event], None],
+        turn_away: Callable[[Submission, ClientConnection, RejectMessage | FailMessage], None],
         refuse: Callable[[Submission, ClientConnection, str], None],
     ) -> None:
         self.store, self.pool, self.targets, self.rules = store, pool, targets, rules
@@ -72,11 +83,11 @@
 
     # Deciding what leaves, and recording it
 
-    def prepare(self, now: int, actions: Iterable[i.Action], arriving: Arriving) -> Departures:
+    def prepare(self, now: int, actions: Iterable[Action], arriving: Arriving) -> Departures:
         """Record what a round has decided. Nothing leaves yet, but refusals of what was never taken on."""
         actions = list(actions)
         for action in actions:
-            if isinstance(action, i.Refuse | i.Fail) and action.message in arriving:
+            if isinstance(action, RejectMessage | FailMessage) and action.message in arriving:
                 self.supervisor.guard("refusal", partial(self.turn_away, *arriving.pop(action.message), action))
         for handed, _ in arriving.values():
             self.store.take(
@@ -97,41 +108,41 @@
                 self._undo(action)
         return departures
 
-    def _prepare(self, action: i.Action, now: int, departures: Departures) -> None:
+    def _prepare(self, action: Action, now: int, departures: Departures) -> None:
         match action:
-            case i.Send():
+            case SendAttempt():
                 self._prepare_send(action, now, departures)
-            case i.Refuse() if action.message in self.store.messages:
+            case RejectMessage() if action.message in self.store.messages:
                 self._log_refused(action, now)
                 self.store.owe(action.message, "returned", -(-action.wait_us // 1000))
-            case i.Fail() if action.message in self.store.messages:
+            case FailMessage() if action.message in self.store.messages:
                 self.store.owe(action.message, "failed", 0)
-            case i.CloseIdle() | i.Cancel():
+            case CloseIdleConnections() | CancelAttempt():
                 departures.steps.append(action)
-            case i.Outage() if action.target in self.targets.names:
+            case EjectionChanged() if action.target in self.targets.names:
                 self.store.outage(self.targets.names[action.target], action.since_us, action.back_us)
-            case i.KeyRest():
+            case KeyBackoffStarted():
                 self.store.rest(action.key, action.until_us, now)
 
-    def _undo(self, action: i.Action) -> None:
+    def _undo(self, action: Action) -> None:
         """A step has failed: a message whose call was not made is held again."""
-        if isinstance(action, i.Send):
+        if isinstance(action, SendAttempt):
             m = self.store.messages.get(action.message)
             number = 0 if m is None else max(m.out, default=m.attempts)
-            self.post(i.Ended(action.message, number, action.target, i.Outcome.HELD_BACK, 0))
+            self.post(AttemptEnded(action.message, number, action.target, Outcome.HELD_BACK, 0))
 
-    def _prepare_send(self, a: i.Send, now: int, departures: Departures) -> None:
+    def _prepare_send(self, a: SendAttempt, now: int, departures: Departures) -> None:
         """Record an attempt and put it into a call: those of one round to one target travel together."""
         m = self.store.messages.get(a.message)
         if m is None:  # only after a fault: the slot must come free again
-            self.post(i.Ended(a.message, 0, a.target, i.Outcome.NOT_SENT, 0, closed=True))
+            self.post(AttemptEnded(a.message, 0, a.target, Outcome.NOT_SENT, 0, closed=True))
             return
         number, target = m.attempts, self.targets.host(a.target)
         if target is None or target.destination != m.destination:
             # A message that reaches an endpoint of another destination cannot be called back.
             log.error("held back: %s is no target of destination %d", self.targets.names.get(a.target), m.destination)
             m.attempts += 1
-            self.post(i.Ended(m.id, number, a.target, i.Outcome.NOT_SENT, 0))
+            self.post(AttemptEnded(m.id, number, a.target, Outcome.NOT_SENT, 0))
             return
         self.store.attempt(m, number, now, target.name)
         item = Item(
@@ -143,7 +154,7 @@
             departures.steps.append(call)
         call.items.append(item)
 
-    def _log_refused(self, a: i.Refuse, now: int) -> None:
+    def _log_refused(self, a: RejectMessage, now: int) -> None:
         """A line with the reason, one a second at most; it tells how many had none."""
         self.refused += 1
         m = self.store.messages[a.message]
@@ -170,7 +181,7 @@
             self.supervisor.guard("202", partial(self._accept, name, handed, door))
         for step in departures.steps:
             if not self.supervisor.guard("call", partial(self._release, step)) and isinstance(step, Call):
-                self.supervisor.guard("call", partial(self.pool.finish, step, Result(i.Outcome.HELD_BACK)))
+                self.supervisor.guard("call", partial(self.pool.finish, step, Result(Outcome.HELD_BACK)))
 
     def _accept(self, name: str, handed: Submission, door: ClientConnection) -> None:
         if self.rules.may_accept(name, written=True) is None:
@@ -178,9 +189,9 @@
 
     def _release(self, step: Step) -> None:
         match step:
-            case i.CloseIdle():
+            case CloseIdleConnections():
                 self.pool.close_idle(step.target, "not trusted any more")
-            case i.Cancel():
+            case CancelAttempt():
                 self.pool.cancel(step.message, step.attempt)
             case Call():
                 self.calls_made += 1
@@ -195,7 +206,7 @@
         for name, (handed, door) in departures.accepted.items():
             self.rules.may_accept(name, written=False)
             self.store.forget(name)
-            self.post(i.Withdrawn(name))
+            self.post(MessageWithdrawn(name))
             self.refuse(handed, door, "cannot be recorded")
         departures.accepted = {}
 
@@ -203,5 +214,5 @@
         if item.id not in accepted and self.rules.may_go_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
-        self.post(i.Ended(item.id, item.attempt, call.target, i.Outcome.HELD_BACK, 0))
+        self.post(AttemptEnded(item.id, item.attempt, call.target, Outcome.HELD_BACK, 0))
         return False
--- a/lemonshunt/net/engine.py
+++ b/forwarder/runtime/engine.py
@@ -19,27 +19,48 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.journal import goes_on
-from lemonshunt.net import handover, identity
-from lemonshunt.net.client import Pool
-from lemonshunt.net.clock import AnchoredClock
-from lemonshunt.net.config import Address, Config, ConfigError, ConfigUnreadable, HostList, host, load
-from lemonshunt.net.control import Calls, Control, Refused
-from lemonshunt.net.discovery import FIRST_LIST_US, Notices, Watch
-from lemonshunt.net.drain import LATE_S, Drain
-from lemonshunt.net.effects import Departures, Effects
-from lemonshunt.net.listen import bind
-from lemonshunt.net.operators import Operators
-from lemonshunt.net.reasons import Reasons, Subject
-from lemonshunt.net.rules import Rules
-from lemonshunt.net.server import OVERSHOOT, ClientConnection, Server, Submission, gone
-from lemonshunt.net.store import PendingNotice, Store
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.net.targets import TargetTable
-from lemonshunt.net.upgrade import HandoverState, Ownership, memory
-from lemonshunt.phase import Life, Phase
+from forwarder.admin.commands import Operators
+from forwarder.admin.server import Calls, Control, Refused
+from forwarder.clients.drain import LATE_S, Drain
+from forwarder.clients.listener import bind
+from forwarder.clients.server import OVERSHOOT, ClientConnection, Server, Submission, gone
+from forwarder.config.config import Address, Config, ConfigError, ConfigUnreadable, HostList, host, load
+from forwarder.decisions.actions import Action, FailMessage, LogLine, RejectMessage, RequestEndpointList, SetTimer
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EjectionRecovered,
+    EndpointDisabled,
+    EndpointListAwaited,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    HandoverReceived,
+    KeyBackoffRecovered,
+    MessageArrived,
+    MessageRecovered,
+    MessageWithdrawn,
+    NoticeAcknowledged,
+    PendingNoticeRecovered,
+    SettingsChanged,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
+from forwarder.decisions.settings import Settings
+from forwarder.discovery.watch import FIRST_LIST_US, Notices, Watch
+from forwarder.endpoints.endpoint_table import TargetTable
+from forwarder.endpoints.pool import Pool
+from forwarder.runtime import handover
+from forwarder.runtime.effects import Departures, Effects
+from forwarder.runtime.invariants import Rules
+from forwarder.runtime.ownership import HandoverState, Ownership, memory
+from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.startup_phase import Life, Phase
+from forwarder.runtime.supervisor import Supervisor
+from forwarder.storage import identity
+from forwarder.storage.clock import AnchoredClock
+from forwarder.storage.journal import goes_on
+from forwarder.storage.store import PendingNotice, Store
 
 ROUND_US = 5_000  # least time between rounds: what goes to one target in one round travels together
 FREEZE_S = 2.8  # so long after SIGTERM nothing new is sent, and what is out is waited for
@@ -58,10 +79,10 @@
 AFTER_FAULT_US = 50_000  # after a fault in a decision the next look comes so soon
 OVERDUE_US = 120_000  # past its time by so much, a message without an end is ended by the engine itself
 SECOND = 1_000_000
-log = logging.getLogger("lemonshunt.engine")
+log = logging.getLogger("forwarder.engine")
 
 
-def on_sockets(settings: i.Settings) -> i.Settings:
+def on_sockets(settings: Settings) -> Settings:
     """On sockets an end is known when its notice is answered, and the list always has to be asked for,
     whatever the settings say of the simulator's discovery.
     """
@@ -93,7 +114,7 @@
     async def open(self) -> None:
         """Begin to serve. Raises OSError where its address is taken."""
 
-    def act(self, actions: Iterable[i.Action]) -> None:
+    def act(self, actions: Iterable[Action]) -> None:
         """Carry out what a round has decided for it; actions of others are passed over."""
 
     def served(self, where: dict[int, Address]) -> None:
@@ -133,7 +154,7 @@
     async def open(self) -> None:
         """Nothing to open."""
 
-    def act(self, actions: Iterable[i.Action]) -> None: ...
+    def act(self, actions: Iterable[Action]) -> None: ...
 
     def served(self, where: dict[int, Address]) -> None: ...
 
@@ -219,7 +240,7 @@
         self.control = control
         self.operators = Operators(self)
         self.arriving: dict[str, tuple[Submission, ClientConnection]] = {}
-        self.events: list[i.Event] = []
+        self.events: list[Event] = []
         self.scheduled = False
         self.round_us = self.put_off = 0
         self.frozen = self.closed = False
@@ -246,20 +267,22 @@
             known = HostList(kept.seq, True, tuple(host(raw) for raw in kept.hosts.values()))
         kept.note_names(h.name for h in known.hosts)
         self.take_list(known)
-        self.events += [i.Banned(self.number(name), since) for name, since in kept.bans.items()]
-        self.events.append(i.Listed(i.ListKind.SAVED, self.targets.entries(known.hosts, self.store.bans)))
+        self.events += [EndpointDisabled(self.number(name), since) for name, since in kept.bans.items()]
+        self.events.append(
+            EndpointListReceived(EndpointListKind.SAVED, self.targets.entries(known.hosts, self.store.bans))
+        )
         if self.handover is None:
-            self.events.append(i.ListAwaited(self.clock() + FIRST_LIST_US))
+            self.events.append(EndpointListAwaited(self.clock() + FIRST_LIST_US))
         for name, (since, back) in kept.outages.items():
             if name in self.targets.numbers:
-                self.events.append(i.OutageRecalled(self.targets.numbers[name], since, back))
+                self.events.append(EjectionRecovered(self.targets.numbers[name], since, back))
         self.give_up_doubtful()
         for m in kept.messages.values():
             lost = [number for number in m.out if (m.id, number) not in out]
             for number in lost:
                 kept.outcome(m, number, True)  # its outcome is not known: it may have run
             self.events.append(
-                i.Recalled(
+                MessageRecovered(
                     m.id,
                     m.destination,
                     m.cls,
@@ -273,12 +296,14 @@
                     m.held_back,
                 )
             )
-        self.events += [i.EndRecalled(name, owed.key) for name, owed in kept.owed.items() if owed.key is not None]
-        self.events += [i.KeyRestRecalled(key, until) for key, until in kept.rests.items() if until > self.clock()]
+        self.events += [
+            PendingNoticeRecovered(name, owed.key) for name, owed in kept.owed.items() if owed.key is not None
+        ]
+        self.events += [KeyBackoffRecovered(key, until) for key, until in kept.rests.items() if until > self.clock()]
         if kept.messages or kept.owed:
             log.info("took up %d messages and %d owed ends again", len(kept.messages), len(kept.owed))
         if "memory" in told:
-            self.events.append(i.Inherited(memory(told["memory"])))
+            self.events.append(HandoverReceived(memory(told["memory"])))
         return known.seq if known.hosts else -1
 
     def give_up_doubtful(self) -> None:
@@ -388,12 +413,12 @@
             self.round()  # what came under the old settings is taken on under them
             self.retune(on_sockets(told.settings))
 
-    def retune(self, s: i.Settings) -> None:
+    def retune(self, s: Settings) -> None:
         self.server.settings = s
         self.targets.tune(s.kinds)
         self.pool.tune(self.config.report_fields, s.conn_idle_us, s.dial_timeout_us)
         entries = self.targets.entries(self.targets.hosts.values(), self.store.bans)
-        self.events += [i.Retuned(s), i.Listed(i.ListKind.WHOLE, entries)]
+        self.events += [SettingsChanged(s), EndpointListReceived(EndpointListKind.WHOLE, entries)]
         self.round()
 
     def tick(self) -> None:
@@ -427,8 +452,8 @@
             log.error("message %s was left without an end", m.id)
             self.store.owe(m.id, "failed", 0)
             if m.key is not None:  # the next of its key waits until the platform has heard of it
-                self.post(i.EndRecalled(m.id, m.key))
-            self.post(i.Withdrawn(m.id))
+                self.post(PendingNoticeRecovered(m.id, m.key))
+            self.post(MessageWithdrawn(m.id))
 
     def log_state(self) -> None:
         """What a bad stretch is compared by with a good one; counts are since the start."""
@@ -466,11 +491,11 @@
 
     # Events
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         if self.closed:
             return  # calls that end as the process does are left open in the journal: they may have run
-        if self.frozen and isinstance(event, i.Ended):
-            if event.outcome not in i.MAY_STILL_RUN:  # left open in the journal, it may run still: its key rests
+        if self.frozen and isinstance(event, AttemptEnded):
+            if event.outcome not in MAY_STILL_RUN:  # left open in the journal, it may run still: its key rests
                 self.book(event)
                 self.store.flush()
             return
@@ -511,7 +536,7 @@
         self.arriving[handed.id] = (handed, door)
         door.left = lambda: self.withdrawn(handed.id)
         self.post(
-            i.Arrived(
+            MessageArrived(
                 handed.id, handed.destination, handed.cls.name, handed.due_us, handed.key, handed.tenant, handed.resent
             )
         )
@@ -524,12 +549,12 @@
     def withdrawn(self, name: str) -> None:
         """The client has gone before its answer: it may hand the message in elsewhere, so it is not ours."""
         if self.arriving.pop(name, None) is not None:
-            self.post(i.Withdrawn(name))
+            self.post(MessageWithdrawn(name))
 
     def listed(self, told: HostList | None) -> None:
         """News of the list reaches the module at once: a drained target must get nothing from now on."""
         if told is None:
-            self.post(i.Listed(i.ListKind.FAILED))
+            self.post(EndpointListReceived(EndpointListKind.FAILED))
             return
         self.life.told()
         if self.first_list_s is None:
@@ -546,8 +571,8 @@
             self.store.list(told.seq, {h.name: h.raw for h in self.targets.hosts.values()}, self.clock())
         else:
             entries = ()
-        kind = i.ListKind.WHOLE if told.whole else i.ListKind.CHANGES
-        self.events.append(i.Listed(kind, entries))
+        kind = EndpointListKind.WHOLE if told.whole else EndpointListKind.CHANGES
+        self.events.append(EndpointListReceived(kind, entries))
         if not self.frozen:
             self.round()
 
@@ -590,7 +615,7 @@
         now = self.round_us = self.clock()
         events, self.events = self.events, []
         for event in events:
-            if isinstance(event, i.Ended):
+            if isinstance(event, AttemptEnded):
                 self.book(event)
         arriving, self.arriving = self.arriving, {}
         try:
@@ -608,7 +633,7 @@
                 name
                 for name in arriving
                 if name not in self.dispatcher.messages
-                and not any(isinstance(a, i.Refuse | i.Fail) and a.message == name for a in actions)
+                and not any(isinstance(a, RejectMessage | FailMessage) and a.message == name for a in actions)
             ]:
                 self.turn_off(*arriving.pop(name), "internal fault")
         departures = self.effects.prepare(now, actions, arriving)
@@ -623,14 +648,14 @@
         for part in self.parts:
             self.supervisor.guard(part.name, partial(part.act, actions))
 
-    def heed(self, a: i.Action, now: int) -> None:
+    def heed(self, a: Action, now: int) -> None:
         """What a round asks of the engine itself."""
         match a:
-            case i.SetTimer():
+            case SetTimer():
                 self.set_timer(now + a.delay_us, a.token)
-            case i.Subscribe():
+            case RequestEndpointList():
                 self.watch.subscribe()
-            case i.Note():
+            case LogLine():
                 log.info("%s", a.text)
 
     def release(self, departures: Departures, written: bool) -> None:
@@ -639,34 +664,34 @@
         if self.store.owed:
             self.notices.kick()
 
-    def turn_away(self, handed: Submission, door: ClientConnection, a: i.Refuse | i.Fail) -> None:
+    def turn_away(self, handed: Submission, door: ClientConnection, a: RejectMessage | FailMessage) -> None:
         """Given up in the round in which it came: the client hears so, and it was never taken on."""
-        why = a.why.value if isinstance(a, i.Refuse) and a.why else "at once"
+        why = a.why.value if isinstance(a, RejectMessage) and a.why else "at once"
         self.reasons.note(Subject.REFUSAL, why, handed.id)
-        if isinstance(a, i.Fail):
+        if isinstance(a, FailMessage):
             door.answer(HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered")
         elif a.wait_us > 0:
             door.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused", Retry_After=f"{a.wait_us / SECOND:.3f}")
         else:
             door.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused")
         if handed.key is not None:
-            self.post(i.Confirmed(handed.id, handed.key))
+            self.post(NoticeAcknowledged(handed.id, handed.key))
 
-    def book(self, event: i.Ended) -> None:
+    def book(self, event: AttemptEnded) -> None:
         """Journal an outcome."""
         m = self.store.messages.get(event.message)
         if m is None:
             return
-        if event.outcome is i.Outcome.DELIVERED and event.closed:
+        if event.outcome is Outcome.DELIVERED and event.closed:
             self.store.over(m.id)
         elif event.closed:
             # A target says that it is over. Should that be wrong, it would be lost; a notice does no harm.
             self.store.owe(m.id, "returned" if m.ran_at_us < 0 else "failed", 0)
-        elif event.outcome is i.Outcome.HELD_BACK:
+        elif event.outcome is Outcome.HELD_BACK:
             self.store.held(m, event.attempt)
         else:
             self.reasons.note(Subject.RETRY, event.outcome.value, m.id)
-            self.store.outcome(m, event.attempt, event.outcome not in i.NEVER_RAN)
+            self.store.outcome(m, event.attempt, event.outcome not in NEVER_RAN)
 
     def set_timer(self, at_us: int, token: str) -> None:
         asyncio.get_running_loop().call_later(max(0, at_us - self.clock()) / SECOND, self.timer, at_us, token)
@@ -676,7 +701,7 @@
         if self.clock() < at_us:
             asyncio.get_running_loop().call_later(0.001, self.timer, at_us, token)
         else:
-            self.post(i.TimerDue(token))
+            self.post(TimerFired(token))
 
     # Notices
 
@@ -689,13 +714,13 @@
         for name in names:
             end = self.store.owed.get(name)
             if end is not None and end.key is not None:
-                self.post(i.Confirmed(name, end.key))
+                self.post(NoticeAcknowledged(name, end.key))
             self.store.told(name)
         self.store.flush()
 
     # Operators' calls: what they decide is in operators.py
 
-    def carry_out(self, event: i.Event) -> None:
+    def carry_out(self, event: Event) -> None:
         """What operators ask for is journaled and done before they hear of it."""
         self.store.flush()
         self.serving()
--- a/lemonshunt/net/handover.py
+++ b/forwarder/runtime/handover.py
@@ -12,13 +12,13 @@
 from dataclasses import asdict
 from typing import TYPE_CHECKING, Any
 
-from lemonshunt import interface as i
-from lemonshunt.net.client import Call, Item, Result
-from lemonshunt.net.listen import fileno
-from lemonshunt.net.upgrade import HandoverState
+from forwarder.clients.listener import fileno
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.pool import Call, Item, Result
+from forwarder.runtime.ownership import HandoverState
 
 if TYPE_CHECKING:
-    from lemonshunt.net.engine import Engine
+    from forwarder.runtime.engine import Engine
 
 SPARE_SOCKETS = 40  # descriptors of two processes that are no connections
 OLD_CONTROL_S = 10.0  # calls of operators are answered at the old control address for so long
@@ -115,7 +115,7 @@
         await engine.pool.adopt(call, sock, base64.b64decode(told["seen"]))
     except OSError as error:  # it was written: its outcome is not known any more
         engine.supervisor.failed("hand-over of a call", error)
-        engine.pool.finish(call, Result(i.Outcome.RESET))
+        engine.pool.finish(call, Result(Outcome.RESET))
 
 
 async def adopt_clients(engine: Engine, handed: HandoverState) -> None:
--- a/lemonshunt/net/rules.py
+++ b/forwarder/runtime/invariants.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lemonshunt.interface import Effect
-from lemonshunt.net.reasons import Reasons, Subject
-from lemonshunt.net.store import AcceptedMessage, Store
+from forwarder.decisions.settings import Effect
+from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.storage.store import AcceptedMessage, Store
 
 
 class Denial(enum.Enum):
--- a/lemonshunt/net/upgrade.py
+++ b/forwarder/runtime/ownership.py
@@ -27,8 +27,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from lemonshunt import interface as i
-from lemonshunt.net.files import close
+from forwarder.decisions.learned_state import CallInFlight, LearnedState
+from forwarder.storage.journal_files import close
 
 ASK, TAKEN, YOURS = b"take over 1\n", b"taken\n", b"yours\n"
 HEAD = struct.Struct("<II")  # bytes of JSON, descriptors
@@ -38,7 +38,7 @@
 RETRY_S = 0.1
 LOCK_PATIENCE_S = 2.0  # a lock that cannot be opened is tried again for so long
 Made = TypeVar("Made")
-log = logging.getLogger("lemonshunt.upgrade")
+log = logging.getLogger("forwarder.upgrade")
 
 
 class HandoverState:
@@ -66,10 +66,10 @@
             close(self.fds.popitem()[1])
 
 
-def memory(told: dict[str, Any]) -> i.Memory:
+def memory(told: dict[str, Any]) -> LearnedState:
     """The module's memory, as JSON brought it."""
     calls = tuple(
-        i.CallOut(
+        CallInFlight(
             c["target"],
             c["sent_us"],
             c["idle_us"],
@@ -79,7 +79,7 @@
         )
         for c in told["calls"]
     )
-    return i.Memory(
+    return LearnedState(
         tuple((destination, which, row) for destination, which, row in told["places"]),
         tuple((target, row) for target, row in told["targets"]),
         told["rests"],
--- a/lemonshunt/net/reasons.py
+++ b/forwarder/runtime/reason_counts.py
@@ -10,7 +10,7 @@
 import logging
 from dataclasses import dataclass
 
-log = logging.getLogger("lemonshunt.reasons")
+log = logging.getLogger("forwarder.reasons")
 MOST_REASONS = 200
 """Different reasons that are kept apart; further ones are counted under OTHER_REASON."""
 OTHER_REASON = "other"
--- a/lemonshunt/net/supervise.py
+++ b/forwarder/runtime/supervisor.py
@@ -13,7 +13,7 @@
 
 FIRST_PAUSE_S = 0.05
 MOST_PAUSE_S = 1.0
-log = logging.getLogger("lemonshunt.supervise")
+log = logging.getLogger("forwarder.supervise")
 
 
 class Repeating:
--- /dev/null
+++ b/forwarder/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The same decisions on the simulator's wire."""
--- a/lemonshunt/wirehost.py
+++ b/forwarder/simulator/adapter.py
@@ -7,32 +7,60 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from forwarder.decisions.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    EjectionChanged,
+    FailMessage,
+    KeyBackoffStarted,
+    LogLine,
+    RejectMessage,
+    RequestEndpointList,
+    SendAttempt,
+    SetTimer,
+)
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    HealthCheckEnded,
+    LoadReport,
+    MessageArrived,
+    MessageWithdrawn,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.settings import DestinationKind, Effect, MessageClass, Scope, Settings, Tenant
 
 OUTCOMES = {
-    "Ok": i.Outcome.DELIVERED,
-    "Failed": i.Outcome.FAILED,
-    "QueueFull": i.Outcome.FULL,
-    "TimedOut": i.Outcome.TIMED_OUT,
-    "ConnectError": i.Outcome.NO_CONNECTION,
-    "ResetByPeer": i.Outcome.RESET,
-    "Canceled": i.Outcome.CANCELED,
-    "Ignored": i.Outcome.NOT_SENT,
+    "Ok": Outcome.DELIVERED,
+    "Failed": Outcome.FAILED,
+    "QueueFull": Outcome.FULL,
+    "TimedOut": Outcome.TIMED_OUT,
+    "ConnectError": Outcome.NO_CONNECTION,
+    "ResetByPeer": Outcome.RESET,
+    "Canceled": Outcome.CANCELED,
+    "Ignored": Outcome.NOT_SENT,
 }
 STATES = {
-    "SERVING": i.TargetState.SERVING,
-    "DRAINING": i.TargetState.DRAINING,
-    "DELETED": i.TargetState.GONE,
+    "SERVING": EndpointState.SERVING,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
 }
 LISTS = {
-    "INCREMENTAL": i.ListKind.CHANGES,
-    "FULL": i.ListKind.WHOLE,
-    "SAVED": i.ListKind.SAVED,
-    "FAILED": i.ListKind.FAILED,
+    "INCREMENTAL": EndpointListKind.CHANGES,
+    "FULL": EndpointListKind.WHOLE,
+    "SAVED": EndpointListKind.SAVED,
+    "FAILED": EndpointListKind.FAILED,
 }
-EFFECTS = {"repeatable": i.Effect.REPEATABLE, "by_key": i.Effect.KEYED, "once": i.Effect.ONCE}
-SCOPES = {"all": i.Scope.ALL, "zone": i.Scope.ZONE, "cell": i.Scope.ALL}
+EFFECTS = {"repeatable": Effect.REPEATABLE, "by_key": Effect.KEYED, "once": Effect.ONCE}
+SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.ALL}
 
 
 class Malformed(Exception):
@@ -65,19 +93,19 @@
     return repr(obj)[:80]
 
 
-def settings(facts: dict[str, Any]) -> i.Settings:
+def settings(facts: dict[str, Any]) -> Settings:
     """The settings as the module knows them; keys it does not know are passed over."""
     allowed, contract = facts.get("allowed", {}), facts.get("contract", {})
     family = facts.get("family_info", {})
     batches, apart = family.get("kind_batch", []), family.get("routes_apart", [])
     names = facts.get("host_types", [])
     classes = tuple(
-        i.MessageClass(
+        MessageClass(
             name=need(c, "name", str),
             aim_us=need(c, "aim_us", int),
             deadline_us=need(c, "deadline_us", int),
             effect=word(EFFECTS, c, "effect"),
-            scope=SCOPES.get(c.get("key_scope", "all"), i.Scope.TARGET),
+            scope=SCOPES.get(c.get("key_scope", "all"), Scope.TARGET),
             window_us=int(c.get("window_us", 0)),
             in_order=bool(c.get("by_arrival", False)),
             worth=float(c.get("gain", 1.0)),
@@ -86,17 +114,15 @@
         for c in need(facts, "services", list)
     )
     kinds = tuple(
-        i.DestinationKind(
+        DestinationKind(
             name=name,
             batch=int(batches[n]) if n < len(batches) else 1,
             routes_apart=bool(apart[n]) if n < len(apart) else False,
         )
         for n, name in enumerate(names)
     )
-    tenants = tuple(
-        i.Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0))) for t in facts.get("orgs") or []
-    )
-    return i.Settings(
+    tenants = tuple(Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0))) for t in facts.get("orgs") or [])
+    return Settings(
         slots=need(family, "slots", int),
         classes=classes,
         kinds=kinds,
@@ -128,9 +154,9 @@
     )
 
 
-def entry(e: Any) -> i.TargetEntry:
+def entry(e: Any) -> EndpointEntry:
     """One line of a list of targets."""
-    return i.TargetEntry(
+    return EndpointEntry(
         target=need(e, "target", int),
         destination=need(e, "belongs_to", int),
         zone=e.get("hall") or "",
@@ -140,7 +166,7 @@
     )
 
 
-def report(fields: list[str], e: dict[str, Any]) -> i.LoadReport | None:
+def report(fields: list[str], e: dict[str, Any]) -> LoadReport | None:
     """What the destination told of its limit, if it did."""
     row = e.get("telemetry")
     if not row:
@@ -148,7 +174,7 @@
     told = dict(zip(fields, row, strict=False))
     if "x0" not in told or "x1" not in told:
         return None
-    return i.LoadReport(float(told["x0"] or 0.0), float(told["x1"] or 0.0))
+    return LoadReport(float(told["x0"] or 0.0), float(told["x1"] or 0.0))
 
 
 class Instance:
@@ -158,12 +184,12 @@
         facts = need(up, "facts", dict)
         self.fields: list[str] = list((facts.get("telemetry") or {}).get("fields") or [])
         self.dispatcher = Dispatcher(settings(facts), need(up, "entropy", int), now)
-        self.inbox: list[i.Event] = []
+        self.inbox: list[Event] = []
 
 
-def _arrived(inst: Instance, e: Any) -> i.Event:
+def _arrived(inst: Instance, e: Any) -> Event:
     account = e.get("account")
-    return i.Arrived(
+    return MessageArrived(
         message=need(e, "msg_id", str),
         destination=need(e, "dest", int),
         class_name=need(e, "class", str),
@@ -174,37 +200,39 @@
     )
 
 
-def _ended(inst: Instance, e: Any) -> i.Event:
+def _ended(inst: Instance, e: Any) -> Event:
     outcome = word(OUTCOMES, e, "result")
     wait_ms = e.get("wait_ms") or 0
-    return i.Ended(
+    return AttemptEnded(
         message=need(e, "msg_id", str),
         attempt=need(e, "try", int),
         target=need(e, "target", int),
         outcome=outcome,
         took_us=need(e, "lag_us", int),
         closed=bool(e.get("closed", False)),
-        wait_us=-int(-wait_ms * 1000 // 1) if outcome is i.Outcome.FULL else 0,
+        wait_us=-int(-wait_ms * 1000 // 1) if outcome is Outcome.FULL else 0,
         report=report(inst.fields, e),
     )
 
 
-def _probed(inst: Instance, e: Any) -> i.Event:
-    return i.Probed(need(e, "target", int), word(OUTCOMES, e, "result"), need(e, "lag_us", int), report(inst.fields, e))
+def _probed(inst: Instance, e: Any) -> Event:
+    return HealthCheckEnded(
+        need(e, "target", int), word(OUTCOMES, e, "result"), need(e, "lag_us", int), report(inst.fields, e)
+    )
 
 
-READERS: dict[str, Callable[[Instance, Any], i.Event]] = {
+READERS: dict[str, Callable[[Instance, Any], Event]] = {
     "ASK": _arrived,
     "CLOSED_ATTEMPT": _ended,
     "CHECK_RESULT": _probed,
-    "CLIENT_LEFT": lambda inst, e: i.Withdrawn(need(e, "msg_id", str)),
-    "DEADLINE_HIT": lambda inst, e: i.TimerDue(need(e, "token", str)),
+    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(need(e, "msg_id", str)),
+    "DEADLINE_HIT": lambda inst, e: TimerFired(need(e, "token", str)),
 }
 
 
-def action(name: str, a: i.Action) -> dict[str, Any]:
+def action(name: str, a: Action) -> dict[str, Any]:
     """One action in the words of the wire."""
-    if isinstance(a, i.Send):
+    if isinstance(a, SendAttempt):
         return {
             "type": "ISSUE",
             "forwarder_id": name,
@@ -212,21 +240,21 @@
             "target": a.target,
             "try_for_us": a.timeout_us,
         }
-    if isinstance(a, i.SetTimer):
+    if isinstance(a, SetTimer):
         return {"type": "ARM", "forwarder_id": name, "offset_us": a.delay_us, "token": a.token}
-    if isinstance(a, i.Refuse):
+    if isinstance(a, RejectMessage):
         return {"type": "TURN_AWAY", "forwarder_id": name, "msg_id": a.message, "wait_us": a.wait_us}
-    if isinstance(a, i.Fail):
+    if isinstance(a, FailMessage):
         return {"type": "END_FAILED", "forwarder_id": name, "msg_id": a.message}
-    if isinstance(a, i.Cancel):
+    if isinstance(a, CancelAttempt):
         return {"type": "ABANDON", "forwarder_id": name, "msg_id": a.message, "try": a.attempt}
-    if isinstance(a, i.Probe):
+    if isinstance(a, CheckHealth):
         return {"type": "POLL", "forwarder_id": name, "target": a.target}
-    if isinstance(a, i.CloseIdle):
+    if isinstance(a, CloseIdleConnections):
         return {"type": "RELEASE", "forwarder_id": name, "target": a.target}
-    if isinstance(a, i.Subscribe):
+    if isinstance(a, RequestEndpointList):
         return {"type": "STREAM_CHANGES", "forwarder_id": name, "on": True}
-    assert isinstance(a, i.Note)
+    assert isinstance(a, LogLine)
     return {"type": "PRINT", "forwarder_id": name, "reason_text": a.text}
 
 
@@ -235,7 +263,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.tables: dict[int, tuple[i.TargetEntry, ...]] = {}
+        self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
 
     def batch(self, line: str) -> str:
         try:
@@ -256,7 +284,7 @@
                 if inst.dispatcher.faults:
                     raise inst.dispatcher.faults[0]
                 # An instance of the simulator comes up empty: there is nothing to remember an outage or a rest in.
-                done.extend(action(name, a) for a in actions if not isinstance(a, i.Outage | i.KeyRest))
+                done.extend(action(name, a) for a in actions if not isinstance(a, EjectionChanged | KeyBackoffStarted))
             except Exception as error:  # any failure of the decisions is reported on the wire, in one line
                 done.append(fault(name, error))
         return json.dumps({"do": done}, separators=(",", ":"))
@@ -284,13 +312,13 @@
         inst = touched[name] = self.instances[name]
         if kind == "MEMBERS":
             how = word(LISTS, event, "how")
-            entries: tuple[i.TargetEntry, ...] = ()
-            if how is not i.ListKind.FAILED:
+            entries: tuple[EndpointEntry, ...] = ()
+            if how is not EndpointListKind.FAILED:
                 number = need(event, "buffer", int)
                 if number not in self.tables:
                     raise Malformed(f"no table {number} was given")
                 entries = self.tables[number]
-            inst.inbox.append(i.Listed(how, entries))
+            inst.inbox.append(EndpointListReceived(how, entries))
         else:
             inst.inbox.append(READERS[kind](inst, event))
 
@@ -307,12 +335,8 @@
         try:
             reply = host.batch(line)
         except Malformed as error:
-            print(f"lemonshunt: bad input: {error}", file=sys.stderr)
+            print(f"forwarder: bad input: {error}", file=sys.stderr)
             return 2
         sink.write(reply + "\n")
         sink.flush()
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(serve(sys.stdin, sys.stdout))
--- a/lemonshunt/net/clock.py
+++ b/forwarder/storage/clock.py
@@ -16,12 +16,12 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from lemonshunt.net import smallfile
-from lemonshunt.net.lease import boot_id
+from forwarder.storage import small_file
+from forwarder.storage.lease import boot_id
 
 FILE = "clock"
 SECOND_NS = 1_000_000_000
-log = logging.getLogger("lemonshunt.clock")
+log = logging.getLogger("forwarder.clock")
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,15 +38,15 @@
         wall clock then might end all messages at once, or none.
         """
         try:
-            told = smallfile.read(folder / FILE)
+            told = small_file.read(folder / FILE)
             return None if told is None else Anchor(**told)
-        except (smallfile.NotSound, TypeError) as error:
+        except (small_file.NotSound, TypeError) as error:
             log.error("the clock's anchor is not sound: %s", error)
             return None
 
     def write(self, folder: Path) -> None:
         """In the old one's place. Raises OSError."""
-        smallfile.write(folder / FILE, asdict(self))
+        small_file.write(folder / FILE, asdict(self))
 
 
 def same_boot(anchor: Anchor, boot: str, monotonic_ns: int) -> bool:
--- a/lemonshunt/net/durable.py
+++ b/forwarder/storage/durability.py
@@ -23,16 +23,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lemonshunt.net.config import Config
-from lemonshunt.net.control import Calls
-from lemonshunt.net.engine import Engine, QuietPart
-from lemonshunt.net.store import Store
-from lemonshunt.parts import Table
+from forwarder.admin.server import Calls
+from forwarder.config.config import Config
+from forwarder.config.extensions_file import Table
+from forwarder.runtime.engine import Engine, QuietPart
+from forwarder.storage.store import Store
 
 LEVELS = ("none", "interval", "data")
 AGAIN_S = 0.5
 """After a failed sync the journal is written anew this often, until that works."""
-log = logging.getLogger("lemonshunt.durable")
+log = logging.getLogger("forwarder.durable")
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonshunt/net/identity.py
+++ b/forwarder/storage/identity.py
@@ -13,10 +13,10 @@
 from enum import Enum
 from pathlib import Path
 
-from lemonshunt.net import smallfile
+from forwarder.storage import small_file
 
 FILE = "identity"
-log = logging.getLogger("lemonshunt.identity")
+log = logging.getLogger("forwarder.identity")
 
 
 class ForeignState(Exception):
@@ -38,15 +38,15 @@
 
     def write(self, folder: Path, durable: bool = False) -> None:
         """Put it in the old one's place, so that it outlasts a power cut if that is asked for. Raises OSError."""
-        smallfile.write(folder / FILE, asdict(self), durable)
+        small_file.write(folder / FILE, asdict(self), durable)
 
 
 def read(folder: Path) -> Identity | None:
     """What the folder says; None where it says nothing sound. Raises OSError where it cannot be read just now."""
     try:
-        told = smallfile.read(folder / FILE)
+        told = small_file.read(folder / FILE)
         return None if told is None else Identity(**told)
-    except (smallfile.NotSound, TypeError) as error:
+    except (small_file.NotSound, TypeError) as error:
         log.error("identity: not sound: %s", error)
         return None
 
--- a/lemonshunt/journal.py
+++ b/forwarder/storage/journal.py
@@ -39,7 +39,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from lemonshunt.interface import Effect, MessageClass
+from forwarder.decisions.settings import Effect, MessageClass
 
 MAGIC = b"lemonj\r\n"
 VERSION = 3
--- a/lemonshunt/net/files.py
+++ b/forwarder/storage/journal_files.py
@@ -1,6 +1,6 @@
 """The files of a folder's state: their generations, the journal that is written to, and snapshots written in steps.
 
-What the files mean is in lemonshunt/journal.py, what they hold in store.py. With `durable` everything is synced before
+What the files mean is in journal.py, what they hold in store.py. With `durable` everything is synced before
 it takes another's place, and the folder after; nothing older is removed before that.
 """
 
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt import journal
+from forwarder.storage import journal
 
 BLOCK = 512
 MOST_ASIDE = 2  # damaged files kept of earlier starts, beside those of this one
--- a/lemonshunt/net/lease.py
+++ b/forwarder/storage/lease.py
@@ -17,14 +17,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lemonshunt.net.files import close
+from forwarder.storage.journal_files import close
 
 FILE = "lease"
 RENEW_US = 500_000
 """An end that is so much later than the one in the file is written; an earlier one at once."""
 BOOT_ID_READS, BOOT_ID_PAUSE_S = 5, 0.02
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-log = logging.getLogger("lemonshunt.lease")
+log = logging.getLogger("forwarder.lease")
 
 
 def since_boot() -> int:
--- a/lemonshunt/net/smallfile.py
+++ b/forwarder/storage/small_file.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.net.files import sync_folder
+from forwarder.storage.journal_files import sync_folder
 
 
 class NotSound(ValueError):
--- a/lemonshunt/statecheck.py
+++ b/forwarder/storage/state_check.py
@@ -1,4 +1,4 @@
-"""Looks at a forwarder's folder, also one in use: python -m lemonshunt state check|show DIR. Reads only.
+"""Looks at a forwarder's folder, also one in use: python -m forwarder state check|show DIR. Reads only.
 
 JSON, or lines for people with --human. Exit status: 0 sound, 1 damaged, 2 unreadable.
 """
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt.journal import NewerFormat, goes_on
-from lemonshunt.net import identity
-from lemonshunt.net.store import Store
+from forwarder.storage import identity
+from forwarder.storage.journal import NewerFormat, goes_on
+from forwarder.storage.store import Store
 
 SOUND, DAMAGED, UNREADABLE = 0, 1, 2
 TRIES = 5
@@ -117,7 +117,7 @@
 
 def main(arguments: Sequence[str]) -> int:
     """Returns the exit status."""
-    parser = argparse.ArgumentParser(prog="python -m lemonshunt state")
+    parser = argparse.ArgumentParser(prog="python -m forwarder state")
     parser.add_argument("what", choices=["check", "show"])
     parser.add_argument("folder", type=Path, metavar="DIR")
     parser.add_argument("--human", action="store_true", help="lines in place of JSON")
--- a/lemonshunt/net/store.py
+++ b/forwarder/storage/store.py
@@ -1,6 +1,6 @@
 """The write-ahead journal in $LB_STATE: what was taken on, and how far it got, outlasts the process.
 
-The format, and what a loss means, are in lemonshunt/journal.py; the files in files.py. A plain write is enough, since
+The format, and what a loss means, are in journal.py; the files in journal_files.py. A plain write is enough, since
 they outlast the process without a sync. A file that is damaged is set aside, and what it still tells is written anew.
 Once the journal has grown enough, a snapshot is written beside it, in steps that do not hold the loop.
 Kinds of records, by the first item of the line:
@@ -28,9 +28,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from lemonshunt import journal
-from lemonshunt.interface import Effect, MessageClass, Scope
-from lemonshunt.net.files import BLOCK, Files, Line
+from forwarder.decisions.settings import Effect, MessageClass, Scope
+from forwarder.storage import journal
+from forwarder.storage.journal_files import BLOCK, Files, Line
 
 SECOND = 1_000_000
 ROOM = 128 * 1024  # kept free for the small records that follow a message that was taken on
@@ -44,7 +44,7 @@
 MOST_RESTS = 256  # with more of them, those that are over are dropped
 MOST_ENDED = 8192  # ids remembered after their end: more than a minute's at full load
 PER_MESSAGE = 400  # what a held message's further records may add to a compacted file
-log = logging.getLogger("lemonshunt.store")
+log = logging.getLogger("forwarder.store")
 
 
 @dataclass(slots=True)
--- a/lemonshunt/net/streaming/exchange.py
+++ b/forwarder/streaming/exchange.py
@@ -12,11 +12,12 @@
 from http import HTTPStatus
 from typing import Any, Protocol
 
-from lemonshunt.interface import Outcome
-from lemonshunt.net.http import Headers
-from lemonshunt.net.streaming.link import Link, Stalled
-from lemonshunt.net.streaming.table import Limits
-from lemonshunt.net.streaming.wire import (
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.stream_routing import Route, TurnAway
+from forwarder.protocol.http1 import Headers
+from forwarder.streaming.link import Link, Stalled
+from forwarder.streaming.settings import Limits
+from forwarder.streaming.wire import (
     EMPTY,
     Answer,
     Body,
@@ -28,7 +29,6 @@
     read_answer,
     read_request,
 )
-from lemonshunt.streams import Route, TurnAway
 
 MOST_INTERIM = 16  # 1xx answers that are brought back before the final one
 SICK = frozenset({500, 502, 504})  # answers that say that the endpoint has failed
--- a/lemonshunt/net/streaming/part.py
+++ b/forwarder/streaming/extension.py
@@ -12,26 +12,26 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from lemonshunt import interface as i
-from lemonshunt.interface import Outcome
-from lemonshunt.net.arrival import PatientSocket
-from lemonshunt.net.config import Address, Config
-from lemonshunt.net.control import Calls, alone
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.http import Headers, destination, load_report, wait_us
-from lemonshunt.net.listen import Listener, bind
-from lemonshunt.net.streaming.exchange import (
+from forwarder.admin.server import Calls, alone
+from forwarder.clients.arrival_time import PatientSocket
+from forwarder.clients.listener import Listener, bind
+from forwarder.config.config import Address, Config
+from forwarder.config.extensions_file import Table
+from forwarder.decisions.actions import Action, CloseIdleConnections
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.stream_routing import Asked, Over, Route, Streams, Told, TurnAway
+from forwarder.protocol.http1 import Headers, destination, load_report, wait_us
+from forwarder.runtime.engine import Engine
+from forwarder.streaming.exchange import (
     ClientFailed,
     EndpointFailed,
     Exchange,
     request_head,
     retry_after_s,
 )
-from lemonshunt.net.streaming.link import Ledger, Link, Stalled
-from lemonshunt.net.streaming.table import SPARE_SOCKETS, Limits, read
-from lemonshunt.net.streaming.wire import Malformed, Request, render, reserved
-from lemonshunt.parts import Table
-from lemonshunt.streams import Asked, Over, Route, Streams, Told, TurnAway
+from forwarder.streaming.link import Ledger, Link, Stalled
+from forwarder.streaming.settings import SPARE_SOCKETS, Limits, read
+from forwarder.streaming.wire import Malformed, Request, render, reserved
 
 BACKLOG = 128
 DECIDE_S = 5.0  # the Dispatcher answers in the next round; only a fault keeps it from that
@@ -41,7 +41,7 @@
 KEPT_PATHS = frozenset({b"hook", b"notice", b"up", b"discovery", b"v1"})
 """First steps of the paths that messages, discovery and the front use; the classes' names come to them."""
 SECOND = 1_000_000
-log = logging.getLogger("lemonshunt.streaming")
+log = logging.getLogger("forwarder.streaming")
 
 
 @dataclass(eq=False, slots=True)
@@ -119,14 +119,14 @@
             self.limits.stream_bytes,
         )
 
-    def act(self, actions: Iterable[i.Action]) -> None:
+    def act(self, actions: Iterable[Action]) -> None:
         for a in actions:
             match a:
                 case Route() | TurnAway():
                     asking = self.asking.pop(a.stream, None)
                     if asking is not None and not asking.done():
                         asking.set_result(a)
-                case i.CloseIdle(target):
+                case CloseIdleConnections(target):
                     self.close_idle(target)
 
     def served(self, where: dict[int, Address]) -> None:
--- a/lemonshunt/net/streaming/link.py
+++ b/forwarder/streaming/link.py
@@ -10,7 +10,7 @@
 import socket
 import time
 
-from lemonshunt.net.listen import reset_on_close
+from forwarder.clients.listener import reset_on_close
 
 PACE_S = 5.0  # time that a peer has kept us waiting, after which its pace is judged
 
--- a/lemonshunt/net/streaming/table.py
+++ b/forwarder/streaming/settings.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from lemonshunt.net.config import Address, Config
-from lemonshunt.net.streaming.wire import CHUNK_ROOM, MOST_HEAD
-from lemonshunt.parts import Table
-from lemonshunt.streams import most_streams
+from forwarder.config.config import Address, Config
+from forwarder.config.extensions_file import Table
+from forwarder.decisions.stream_routing import most_streams
+from forwarder.streaming.wire import CHUNK_ROOM, MOST_HEAD
 
 PROGRAM_BYTES = 44_000_000  # what the forwarder takes without streams, with its messages at their most
 SOCKETS_PART = 6  # this part of the descriptors is for streams, out of the half that clients may hold
--- /dev/null
+++ b/forwarder/units.py
@@ -0,0 +1,9 @@
+"""Units of time that all of the program shares."""
+
+from __future__ import annotations
+
+SECOND_US = 1_000_000
+"""One second, in microseconds."""
+
+NEVER_US = 1 << 62
+"""A time, in microseconds, that does not come."""
--- a/lab/nodes.py
+++ b/lab/nodes.py
@@ -19,7 +19,7 @@
 from lab.launcher import Launcher, Process
 from lab.net import Where
 from lab.record import Record
-from lab.shim import Control, Failure
+from lab.shim import Control, Failure, module_name
 
 KILL_AFTER_S = 3.7
 """SIGKILL follows SIGTERM no sooner (PROTOCOL)."""
@@ -104,7 +104,7 @@
             "LB_CONFIG": str(self.root / "config.json"),
             "PYTHONDONTWRITEBYTECODE": "1",
         }
-        command = ["-m", "lemonshunt"]
+        command = ["-m", module_name(self.program)]
         if self.shimmed:
             command = [str(SHIM), str(self.root / "control.json"), str(self.state)]
         if self.parts is not None:
--- a/lab/run.py
+++ b/lab/run.py
@@ -31,7 +31,7 @@
 from lab.plan import AIM_S, DEADLINE_S, KINDS, LATE_WORTH, ONCE, STATUS, WORTH, Act, Endpoint, Plan
 from lab.record import Record
 from lab.scenario import Fault, Limits
-from lab.shim import Failure
+from lab.shim import Failure, module_name
 
 START_S = 90.0
 TICK_S = 0.01
@@ -196,7 +196,7 @@
         if wanted > hard:
             raise LabError(f"{wanted} descriptors are needed, {hard} are allowed")
         # Programs that start at once and compile themselves take all cores: they are late, and the lab with them.
-        await asyncio.to_thread(compileall.compile_dir, self.program / "lemonshunt", quiet=2)
+        await asyncio.to_thread(compileall.compile_dir, self.program / module_name(self.program), quiet=2)
         self.discovery.on_notice = self.clients.ended
         try:
             for e in self.plan.endpoints:
--- a/lab/shim.py
+++ b/lab/shim.py
@@ -2,7 +2,7 @@
 
     python lab/shim.py CONTROL STATE [ARGUMENT ...]
 
-runs `python -m lemonshunt ARGUMENT ...` from the current folder. CONTROL is a file of JSON that may change at any time:
+runs `python -m forwarder ARGUMENT ...` from the current folder. CONTROL is a file of JSON that may change at any time:
 
     {"clock_s": 3600.0, "failures": [{"call": "write", "errno": "ENOSPC", "share": 1.0}]}
 
@@ -231,12 +231,18 @@
         return Socket
 
 
+def module_name(program: Path) -> str:
+    """The package that `python -m` runs in a checkout; until e0ee873 it had another name."""
+    return "forwarder" if (program / "forwarder").is_dir() else "lemonshunt"
+
+
 def main() -> None:
     control, state = Path(sys.argv[1]), Path(sys.argv[2])
-    sys.argv = ["lemonshunt", *sys.argv[3:]]
+    program = module_name(Path.cwd())
+    sys.argv = [program, *sys.argv[3:]]
     sys.path[0] = os.getcwd()
     Shim(control, state).install()
-    runpy.run_module("lemonshunt", run_name="__main__", alter_sys=True)
+    runpy.run_module(program, run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/lab/single.py
+++ b/lab/single.py
@@ -16,14 +16,15 @@
 from pathlib import Path
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.net.client import Call, Item, Result
-from lemonshunt.net.config import Config, host_list, load
-from lemonshunt.net.control import Control
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.rules import Attempt, Route
-from lemonshunt.net.server import Submission
-from lemonshunt.net.upgrade import HandoverState
+from forwarder.admin.server import Control
+from forwarder.clients.server import Submission
+from forwarder.config.config import Config, host_list, load
+from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived
+from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
+from forwarder.endpoints.pool import Call, Item, Result
+from forwarder.runtime.engine import Engine
+from forwarder.runtime.invariants import Attempt, Route
+from forwarder.runtime.ownership import HandoverState
 
 KEY_REST_US = 700_000
 SECOND = 1_000_000
@@ -150,12 +151,12 @@
         if whose != name and self.now() < until_us:
             self.broken.append(f"order: {name} within the rest after {whose}")
 
-    def ended(self, name: str, outcome: i.Outcome) -> None:
+    def ended(self, name: str, outcome: Outcome) -> None:
         fate = self.fates[name]
         fate.out = False
-        fate.may_have_run |= outcome not in i.NEVER_RAN
-        fate.delivered |= outcome is i.Outcome.DELIVERED
-        if outcome in i.MAY_STILL_RUN:
+        fate.may_have_run |= outcome not in NEVER_RAN
+        fate.delivered |= outcome is Outcome.DELIVERED
+        if outcome in MAY_STILL_RUN:
             self.rests[fate.key] = (self.now() + KEY_REST_US, name)
 
     def notified(self, name: str, state: str) -> None:
@@ -230,21 +231,21 @@
             if self.engine.rules.may_send(attempt, route, self.engine.clock(), others) is None:
                 self.oracle.sent(item.id)
             else:
-                self.tell(call, item, i.Outcome.NOT_SENT)
+                self.tell(call, item, Outcome.NOT_SENT)
 
     def finish(self, call: Call, result: Result) -> None:
         for item in list(call.open.values()):
             self.tell(call, item, result.outcome)
 
-    def tell(self, call: Call, item: Item, outcome: i.Outcome) -> None:
+    def tell(self, call: Call, item: Item, outcome: Outcome) -> None:
         del call.open[item.id]
         del self.calls[(item.id, item.attempt)]
         self.out -= not call.open
         took_us = self.engine.clock() - call.sent_us
-        closed = outcome is i.Outcome.DELIVERED
-        self.engine.post(i.Ended(item.id, item.attempt, call.target, outcome, took_us, closed))
+        closed = outcome is Outcome.DELIVERED
+        self.engine.post(AttemptEnded(item.id, item.attempt, call.target, outcome, took_us, closed))
 
-    def end(self, name: str, outcome: i.Outcome) -> None:
+    def end(self, name: str, outcome: Outcome) -> None:
         """The endpoint's answer, or what stands for it."""
         call = next(call for (message, _), call in self.calls.items() if message == name)
         self.oracle.ended(name, outcome)
@@ -315,7 +316,7 @@
         self.engine = engine
         engine.store.own()
         engine.round()
-        engine.events.append(i.Listed(i.ListKind.CHANGES))
+        engine.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make(self, handed: HandoverState | None = None) -> Engine:
         engine = Engine(self.config, Any, Control(), Any, handed, clock=self)  # type: ignore[arg-type]
@@ -364,7 +365,7 @@
         self.engine.round()
         self.engine.frozen = True
         for name, _ in list(self.calls.calls)[:1]:
-            self.calls.end(name, i.Outcome.DELIVERED)
+            self.calls.end(name, Outcome.DELIVERED)
         self.engine.closed = True
         self.engine.store.close()
         self.kill()
@@ -373,7 +374,7 @@
         """Time passes, calls that are given up by then end, and the engine looks."""
         self.now_us += us
         for name in self.calls.overdue():
-            self.calls.end(name, i.Outcome.TIMED_OUT)
+            self.calls.end(name, Outcome.TIMED_OUT)
         self.engine.store.retry()
         self.engine.store.step()
         self.engine.round()
@@ -414,7 +415,7 @@
         """SIGKILL: calls that are out may run on, and clients without an answer have none to come."""
         for name, fate in self.oracle.fates.items():
             if fate.out:
-                self.oracle.ended(name, i.Outcome.RESET)
+                self.oracle.ended(name, Outcome.RESET)
             if not fate.answered:
                 fate.answered = True
         self.busy.clear()
--- a/lemonshunt/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The real forwarder around lemonshunt.choice: sockets, journal and timers. Decides nothing."""
--- a/tests/data/e0ee873/make.py
+++ b/tests/data/e0ee873/make.py
@@ -36,6 +36,7 @@
 from lemonshunt.net.store import AcceptedMessage, Store
 from lemonshunt.net.upgrade import ASK, HEAD, receive
 from lemonshunt.wirehost import Host
+
 from tests import sockets
 from tests.sockets import OK, Answer, Node, Peer, Platform, always, hang, message
 
--- a/tests/members_sim.py
+++ b/tests/members_sim.py
@@ -8,9 +8,9 @@
 import itertools
 import random
 
-from lemonshunt.members.codec import Body, Codec, Dropped, FormerLife
-from lemonshunt.members.protocol import MOST_QUEUE, SECOND, Protocol, Timing
-from lemonshunt.members.view import LIFE, State, Where
+from forwarder.membership.codec import Body, Codec, Dropped, FormerLife
+from forwarder.membership.protocol import MOST_QUEUE, SECOND, Protocol, Timing
+from forwarder.membership.view import LIFE, State, Where
 
 KEY = b"k" * 32
 
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -6,30 +6,44 @@
 from collections import defaultdict
 from typing import Any
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from forwarder.decisions.actions import Action, FailMessage, RejectMessage, SendAttempt, SetTimer
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    LoadReport,
+    MessageArrived,
+    MessageWithdrawn,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import NEVER_RAN, Outcome
+from forwarder.decisions.settings import DestinationKind, Effect, MessageClass, Scope, Settings, Tenant
 
 MS = 1_000
 S = 1_000_000
 ROUND = 5 * MS
 
 
-def settings(**changes: Any) -> i.Settings:
+def settings(**changes: Any) -> Settings:
     base: dict[str, Any] = {
         "slots": 8,
         "classes": (
-            i.MessageClass("safe", 2 * S, 6 * S),
-            i.MessageClass("keyed", 2 * S, 10 * S, i.Effect.KEYED, i.Scope.ALL, 3 * S),
-            i.MessageClass("zoned", 2 * S, 10 * S, i.Effect.KEYED, i.Scope.ZONE, 3 * S),
-            i.MessageClass("once", 2 * S, 8 * S, i.Effect.ONCE),
-            i.MessageClass("turns", 2 * S, 9 * S, i.Effect.KEYED, i.Scope.ALL, 4 * S, in_order=True),
+            MessageClass("safe", 2 * S, 6 * S),
+            MessageClass("keyed", 2 * S, 10 * S, Effect.KEYED, Scope.ALL, 3 * S),
+            MessageClass("zoned", 2 * S, 10 * S, Effect.KEYED, Scope.ZONE, 3 * S),
+            MessageClass("once", 2 * S, 8 * S, Effect.ONCE),
+            MessageClass("turns", 2 * S, 9 * S, Effect.KEYED, Scope.ALL, 4 * S, in_order=True),
         ),
         "kinds": (
-            i.DestinationKind("plain"),
-            i.DestinationKind("lots", batch=4),
-            i.DestinationKind("ways", routes_apart=True),
+            DestinationKind("plain"),
+            DestinationKind("lots", batch=4),
+            DestinationKind("ways", routes_apart=True),
         ),
-        "tenants": (i.Tenant("big", 20.0), i.Tenant("small", 2.0)),
+        "tenants": (Tenant("big", 20.0), Tenant("small", 2.0)),
         "over_share_worth": 0.1,
         "balancers": 2,
         "max_attempts": 6,
@@ -43,52 +57,52 @@
         "warm_us": 10 * S,
         "key_rest_us": 300 * MS,
     }
-    return i.Settings(**(base | changes))
+    return Settings(**(base | changes))
 
 
 ENTRIES = (
-    i.TargetEntry(1, 10, "north", "plain"),
-    i.TargetEntry(2, 10, "south", "plain"),
-    i.TargetEntry(3, 11, "north", "lots"),
-    i.TargetEntry(4, 12, "north", "ways"),
-    i.TargetEntry(5, 12, "south", "ways"),
+    EndpointEntry(1, 10, "north", "plain"),
+    EndpointEntry(2, 10, "south", "plain"),
+    EndpointEntry(3, 11, "north", "lots"),
+    EndpointEntry(4, 12, "north", "ways"),
+    EndpointEntry(5, 12, "south", "ways"),
 )
 
 
-def started(entries: tuple[i.TargetEntry, ...] = ENTRIES, **changes: Any) -> Dispatcher:
+def started(entries: tuple[EndpointEntry, ...] = ENTRIES, **changes: Any) -> Dispatcher:
     d = Dispatcher(settings(**changes), 7, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
+    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     return d
 
 
-def sends(actions: list[i.Action]) -> list[i.Send]:
-    return [a for a in actions if isinstance(a, i.Send)]
+def sends(actions: list[Action]) -> list[SendAttempt]:
+    return [a for a in actions if isinstance(a, SendAttempt)]
 
 
-def finals(actions: list[i.Action]) -> list[i.Refuse | i.Fail]:
-    return [a for a in actions if isinstance(a, i.Refuse | i.Fail)]
+def finals(actions: list[Action]) -> list[RejectMessage | FailMessage]:
+    return [a for a in actions if isinstance(a, RejectMessage | FailMessage)]
 
 
-def ask(name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any) -> i.Arrived:
-    return i.Arrived(name, dest, cls, due, **more)
+def ask(name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any) -> MessageArrived:
+    return MessageArrived(name, dest, cls, due, **more)
 
 
-def end(send: i.Send, outcome: i.Outcome, attempt: int = 0, took: int = 100 * MS, **more: Any) -> i.Ended:
-    closed = more.pop("closed", outcome is i.Outcome.DELIVERED)
-    return i.Ended(send.message, attempt, send.target, outcome, took, closed=closed, **more)
+def end(send: SendAttempt, outcome: Outcome, attempt: int = 0, took: int = 100 * MS, **more: Any) -> AttemptEnded:
+    closed = more.pop("closed", outcome is Outcome.DELIVERED)
+    return AttemptEnded(send.message, attempt, send.target, outcome, took, closed=closed, **more)
 
 
 class Script:
     """Drives a dispatcher with random legal events, and asserts the rules on every action."""
 
-    def __init__(self, dispatcher: Dispatcher, known: i.Settings, seed: int) -> None:
+    def __init__(self, dispatcher: Dispatcher, known: Settings, seed: int) -> None:
         self.d, self.s, self.r = dispatcher, known, random.Random(seed)
         self.classes = {c.name: c for c in known.classes}
         self.kinds = {k.name: k for k in known.kinds}
         self.now = 0
-        self.events: list[i.Event] = []
-        self.asked: dict[str, i.Arrived] = {}
-        self.open: dict[str, i.Arrived] = {}
+        self.events: list[Event] = []
+        self.asked: dict[str, MessageArrived] = {}
+        self.open: dict[str, MessageArrived] = {}
         self.over: dict[str, int] = {}
         self.attempts: dict[str, list[dict[str, Any]]] = defaultdict(list)
         self.out: list[dict[str, Any]] = []
@@ -100,41 +114,41 @@
         self.rests: dict[str, int] = defaultdict(int)
         self.log: list[Any] = []
         self.refused = self.failed = self.sent = self.delivered = 0
-        self.step([i.Listed(i.ListKind.SAVED, ENTRIES)])
+        self.step([EndpointListReceived(EndpointListKind.SAVED, ENTRIES)])
 
     def place(self, target: int) -> tuple[int, int]:
         e = self.entries[target]
         apart = e.kind in self.kinds and self.kinds[e.kind].routes_apart
         return (e.destination, target if apart else -1)
 
-    def ask(self) -> i.Arrived:
+    def ask(self) -> MessageArrived:
         cls = self.r.choice(self.s.classes)
         name = f"m{len(self.asked)}"
         key = f"k{self.r.randrange(4)}" if cls.in_order else None
         life = self.r.choice([cls.deadline_us, self.r.randrange(-5 * MS, cls.deadline_us)])
         tenant = self.r.choice(["big", "small", "stranger", None])
-        event = i.Arrived(name, self.r.choice([10, 11, 12, 99]), cls.name, self.now + life, key, tenant)
+        event = MessageArrived(name, self.r.choice([10, 11, 12, 99]), cls.name, self.now + life, key, tenant)
         self.asked[name] = self.open[name] = event
         if key:
             self.taken[key].append(name)
         return event
 
-    def finish(self, a: dict[str, Any], outcome: i.Outcome) -> i.Ended:
+    def finish(self, a: dict[str, Any], outcome: Outcome) -> AttemptEnded:
         self.out.remove(a)
         a["outcome"] = outcome
         m = self.asked[a["message"]]
-        wait = self.r.choice([0, 0, 200 * MS, 900 * MS]) if outcome is i.Outcome.FULL else 0
+        wait = self.r.choice([0, 0, 200 * MS, 900 * MS]) if outcome is Outcome.FULL else 0
         if wait:
             place = self.place(a["target"])
             self.waits[place] = max(self.waits[place], self.now + wait)
-        if m.key and outcome in (i.Outcome.TIMED_OUT, i.Outcome.RESET, i.Outcome.CANCELED):
+        if m.key and outcome in (Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED):
             self.rests[m.key] = max(self.rests[m.key], self.now + self.s.key_rest_us)
-        if outcome is i.Outcome.DELIVERED and m.message in self.open:
+        if outcome is Outcome.DELIVERED and m.message in self.open:
             self.close(m.message)
             self.delivered += 1
         limit = self.r.choice([0.0, 3.0, 20.0])
-        told = i.LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
-        return i.Ended(
+        told = LoadReport(self.r.random(), limit) if self.r.random() < 0.5 else None
+        return AttemptEnded(
             m.message,
             a["attempt"],
             a["target"],
@@ -150,76 +164,80 @@
         del self.open[name]
         self.over[name] = self.now
 
-    def round(self, rate: float, mood: i.Outcome) -> None:
+    def round(self, rate: float, mood: Outcome) -> None:
         self.now += ROUND
-        events: list[i.Event] = []
+        events: list[Event] = []
         while self.r.random() < rate:
             events.append(self.ask())
         for a in list(self.out):
             if self.now >= a["until"]:
-                events.append(self.finish(a, i.Outcome.TIMED_OUT))
+                events.append(self.finish(a, Outcome.TIMED_OUT))
             elif self.r.random() < 0.03:
                 luck = self.r.random()
-                outcome = i.Outcome.DELIVERED if luck < 0.5 else mood
+                outcome = Outcome.DELIVERED if luck < 0.5 else mood
                 if luck > 0.9:
-                    outcome = self.r.choice([o for o in i.Outcome if o is not i.Outcome.CANCELED])
+                    outcome = self.r.choice([o for o in Outcome if o is not Outcome.CANCELED])
                 events.append(self.finish(a, outcome))
         if self.r.random() < 0.01:
             t = self.r.choice(list(self.entries))
-            state = self.r.choice([i.TargetState.SERVING, i.TargetState.DRAINING, i.TargetState.GONE])
+            state = self.r.choice([EndpointState.SERVING, EndpointState.DRAINING, EndpointState.GONE])
             old = self.entries[t]
-            events.append(i.Listed(i.ListKind.CHANGES, (i.TargetEntry(t, old.destination, old.zone, old.kind, state),)))
-            if state is i.TargetState.SERVING:
+            events.append(
+                EndpointListReceived(
+                    EndpointListKind.CHANGES, (EndpointEntry(t, old.destination, old.zone, old.kind, state),)
+                )
+            )
+            if state is EndpointState.SERVING:
                 self.left_at.pop(t, None)
             else:
                 self.left_at.setdefault(t, self.now)
         if self.r.random() < 0.002:
-            events.append(i.Listed(i.ListKind.WHOLE, ()))
+            events.append(EndpointListReceived(EndpointListKind.WHOLE, ()))
             for t in self.entries:
                 self.left_at.setdefault(t, self.now)
         if self.open and self.r.random() < 0.005:
             name = self.r.choice(list(self.open))
             self.close(name)
-            events.append(i.Withdrawn(name))
+            events.append(MessageWithdrawn(name))
             if self.r.random() < 0.3:
-                events.append(i.Withdrawn(name))
+                events.append(MessageWithdrawn(name))
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
-        events.extend(i.TimerDue(token) for _, token in due)
+        events.extend(TimerFired(token) for _, token in due)
         if events:
             self.step(events)
         for name, m in self.open.items():
             assert self.now <= max(m.due_us, 0) + self.s.answer_grace_us, f"{name} not answered in time"
 
-    def step(self, events: list[i.Event]) -> None:
+    def step(self, events: list[Event]) -> None:
         actions = self.d.handle(self.now, events)
         self.log.append((self.now, tuple(actions)))
         for a in actions:
-            if isinstance(a, i.Send):
+            if isinstance(a, SendAttempt):
                 self.check_send(a)
-            elif isinstance(a, i.Refuse):
+            elif isinstance(a, RejectMessage):
                 self.check_refuse(a)
                 self.close(a.message)
                 self.refused += 1
-            elif isinstance(a, i.Fail):
+            elif isinstance(a, FailMessage):
                 self.close(a.message)
                 self.failed += 1
-            elif isinstance(a, i.SetTimer):
+            elif isinstance(a, SetTimer):
                 assert a.delay_us > 0
                 assert 1 <= len(a.token) <= 64
                 self.timers.append((self.now + a.delay_us, a.token))
 
     def ran(self, name: str) -> list[dict[str, Any]]:
-        return [a for a in self.attempts[name] if a["outcome"] not in i.NEVER_RAN]
+        return [a for a in self.attempts[name] if a["outcome"] not in NEVER_RAN]
 
-    def check_refuse(self, a: i.Refuse) -> None:
+    def check_refuse(self, a: RejectMessage) -> None:
         cls = self.classes[self.asked[a.message].class_name]
-        if cls.effect is i.Effect.ONCE:
+        if cls.effect is Effect.ONCE:
             assert not self.ran(a.message), "refused, though it may have run"
-        if cls.effect is i.Effect.KEYED and cls.scope is not i.Scope.ALL:
+        if cls.effect is Effect.KEYED and cls.scope is not Scope.ALL:
             assert not self.ran(a.message), "refused, though a repeat elsewhere would take effect"
 
-    def check_send(self, a: i.Send) -> None:
+    def check_send(self, a: SendAttempt) -> None:
         assert a.message in self.open, "sent after its end"
         m = self.asked[a.message]
         cls, entry = self.classes[m.class_name], self.entries[a.target]
@@ -231,11 +249,11 @@
         if not self.s.parallel_tries:
             assert all(x["outcome"] is not None for x in before), "two attempts at once"
         ran = self.ran(a.message)
-        if ran and cls.effect is i.Effect.ONCE:
+        if ran and cls.effect is Effect.ONCE:
             raise AssertionError("sent twice")
-        if ran and cls.effect is i.Effect.KEYED:
+        if ran and cls.effect is Effect.KEYED:
             assert self.now <= ran[0]["at"] + cls.window_us, "outside its window"
-            if cls.scope is i.Scope.ZONE:
+            if cls.scope is Scope.ZONE:
                 assert entry.zone == self.entries[ran[0]["target"]].zone, "outside its scope"
         if m.key:
             mine = self.taken[m.key].index(m.message)
@@ -257,17 +275,15 @@
         }
         before.append(x)
         self.out.append(x)
-        tries = [x for x in before if x["outcome"] is not i.Outcome.HELD_BACK]  # those never left this machine
+        tries = [x for x in before if x["outcome"] is not Outcome.HELD_BACK]  # those never left this machine
         assert len(tries) <= self.s.max_attempts
         assert len({(y["target"], y["at"]) for y in self.out}) <= self.s.slots, "more calls than slots"
         self.sent += 1
 
     def run(self, rounds: int) -> None:
         for n in range(rounds):
-            mood = (i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.FAILED, i.Outcome.NO_CONNECTION, i.Outcome.RESET)[
-                n // 200 % 5
-            ]
+            mood = (Outcome.DELIVERED, Outcome.FULL, Outcome.FAILED, Outcome.NO_CONNECTION, Outcome.RESET)[n // 200 % 5]
             self.round((0.1, 0.5, 0.02)[n // 300 % 3], mood)
         while self.open or self.out:
-            self.round(0.0, i.Outcome.FAILED)
+            self.round(0.0, Outcome.FAILED)
             assert self.now < 10**9
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any, Self
 
-from lab.shim import LOOK_S, Control, Failure
-from lemonshunt.net.clock import Clock
+from forwarder.storage.clock import Clock
+from lab.shim import LOOK_S, Control, Failure, module_name
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = 20.0  # seconds that a test waits for an event before it fails; nothing asserts on speed
@@ -324,7 +324,7 @@
             "LB_DISCOVERY": json.loads((self.folder / "config.json").read_text())["discovery"],
         }
         program = (
-            ["-m", "lemonshunt"]
+            ["-m", module_name(ROOT)]
             if self.shim is None
             else [str(ROOT / "lab/shim.py"), str(self.folder / "control.json"), str(self.folder / "state")]
         )
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -10,9 +10,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt.members.board import AGES, MOST_FACTS, MOST_OF_ONE, Board, Item, Kind, rendezvous
-from lemonshunt.members.codec import MOST_BYTES, Body, Codec
-from lemonshunt.members.protocol import MOST_ANSWERS, ROOM, SECOND
+from forwarder.membership.codec import MOST_BYTES, Body, Codec
+from forwarder.membership.gossip_store import AGES, MOST_FACTS, MOST_OF_ONE, Board, Item, Kind, rendezvous
+from forwarder.membership.protocol import MOST_ANSWERS, ROOM, SECOND
 from tests.members_sim import KEY, Fleet
 
 MINUTE = 60 * SECOND
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,18 +2,40 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
+from forwarder.decisions.actions import (
+    Action,
+    EjectionChanged,
+    FailMessage,
+    LogLine,
+    RejectMessage,
+    RequestEndpointList,
+    SendAttempt,
+)
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    EjectionRecovered,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    LoadReport,
+    MessageRecovered,
+    MessageWithdrawn,
+    SettingsChanged,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.settings import Effect, MessageClass
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
-ONE = (i.TargetEntry(1, 10, "north", "plain"),)
+OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.FAILED
+ONE = (EndpointEntry(1, 10, "north", "plain"),)
 CLASS = {c.name: c for c in settings().classes}
 
 
-def sweep(d: Dispatcher, start: int, stop: int, step: int = 20 * MS) -> list[tuple[int, i.Action]]:
+def sweep(d: Dispatcher, start: int, stop: int, step: int = 20 * MS) -> list[tuple[int, Action]]:
     """Nothing but timers for a while."""
-    return [(t, a) for t in range(start, stop, step) for a in d.handle(t, [i.TimerDue("look")])]
+    return [(t, a) for t in range(start, stop, step) for a in d.handle(t, [TimerFired("look")])]
 
 
 def test_group_leaves_by_deadline_and_shortest_call_within_it() -> None:
@@ -57,14 +79,14 @@
     first = sends(d.handle(0, [ask("a")]))[0]
     d.handle(10 * MS, [end(first, FULL, wait_us=3 * S)])
     actions = d.handle(20 * MS, [ask("b", due=150 * MS)])
-    assert finals(actions) == [i.Refuse("b", 2990 * MS)]
+    assert finals(actions) == [RejectMessage("b", 2990 * MS)]
 
 
 def test_told_wait_holds_to_its_end_and_a_shorter_one_never_cuts_it() -> None:
     d = started(ONE)
     first = sends(d.handle(0, [ask("a")]))[0]
     d.handle(10 * MS, [end(first, FULL, wait_us=900 * MS)])
-    got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, i.Send)]
+    got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
     assert got
     assert got[0] >= 910 * MS
 
@@ -79,39 +101,41 @@
 
 def test_drained_target_gets_nothing_and_an_empty_list_drops_all() -> None:
     d = started(ONE)
-    d.handle(0, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(1, 10, state=i.TargetState.DRAINING),))])
+    d.handle(0, [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(1, 10, state=EndpointState.DRAINING),))])
     assert not sends(d.handle(1, [ask("a", due=500 * MS)]))
-    answered = [(t, a) for t, a in sweep(d, 20 * MS, S) if isinstance(a, i.Refuse)]
+    answered = [(t, a) for t, a in sweep(d, 20 * MS, S) if isinstance(a, RejectMessage)]
     assert answered
     assert answered[0][0] <= 500 * MS
     d = started()
-    d.handle(0, [i.Listed(i.ListKind.WHOLE, ())])
+    d.handle(0, [EndpointListReceived(EndpointListKind.WHOLE, ())])
     assert not sends(d.handle(1, [ask("b"), ask("c", 11), ask("d", 12)]))
 
 
-@pytest.mark.parametrize("outcome", [FAILED, LATE, i.Outcome.RESET, i.Outcome.CANCELED])
-def test_once_is_failed_when_it_may_have_run(outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [FAILED, LATE, Outcome.RESET, Outcome.CANCELED])
+def test_once_is_failed_when_it_may_have_run(outcome: Outcome) -> None:
     d = started(ONE)
     send = sends(d.handle(0, [ask("a", cls="once", due=8 * S)]))[0]
-    assert finals(d.handle(50 * MS, [end(send, outcome)])) == [i.Fail("a")]
+    assert finals(d.handle(50 * MS, [end(send, outcome)])) == [FailMessage("a")]
 
 
-@pytest.mark.parametrize("outcome", [FULL, i.Outcome.NO_CONNECTION, i.Outcome.NOT_SENT])
-def test_once_goes_again_when_it_never_ran(outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [FULL, Outcome.NO_CONNECTION, Outcome.NOT_SENT])
+def test_once_goes_again_when_it_never_ran(outcome: Outcome) -> None:
     d = started(ONE)
     send = sends(d.handle(0, [ask("a", cls="once", due=8 * S)]))[0]
     now = sends(d.handle(50 * MS, [end(send, outcome)]))
-    assert now or [a for _, a in sweep(d, 60 * MS, 4 * S) if isinstance(a, i.Send)]
+    assert now or [a for _, a in sweep(d, 60 * MS, 4 * S) if isinstance(a, SendAttempt)]
 
 
 def test_keyed_resend_keeps_to_scope_and_window() -> None:
     d = started()
     send = sends(d.handle(0, [ask("a", cls="zoned", due=10 * S)]))[0]
-    d.handle(5, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(send.target, 10, state=i.TargetState.GONE),))])
+    d.handle(
+        5, [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(send.target, 10, state=EndpointState.GONE),))]
+    )
     d.handle(50 * MS, [end(send, FAILED)])
     later = [a for _, a in sweep(d, 60 * MS, 4 * S)]
-    assert not [a for a in later if isinstance(a, i.Send)]
-    assert [a for a in later if isinstance(a, i.Fail)]
+    assert not [a for a in later if isinstance(a, SendAttempt)]
+    assert [a for a in later if isinstance(a, FailMessage)]
 
 
 def test_key_goes_singly_in_order_and_rests_after_a_timeout() -> None:
@@ -120,8 +144,8 @@
     two = ask("b", 11, "turns", 9 * S, key="k")
     out = sends(d.handle(0, [one, two]))
     assert [s.message for s in out] == ["a"]
-    d.handle(2 * S, [end(out[0], LATE, took=2 * S), i.Withdrawn("a")])
-    got = [t for t, a in sweep(d, 2 * S + MS, 3 * S) if isinstance(a, i.Send)]
+    d.handle(2 * S, [end(out[0], LATE, took=2 * S), MessageWithdrawn("a")])
+    got = [t for t, a in sweep(d, 2 * S + MS, 3 * S) if isinstance(a, SendAttempt)]
     assert got
     assert got[0] >= 2 * S + 300 * MS
 
@@ -133,7 +157,7 @@
     d.handle(100 * MS, [end(out[0], OK)])
     out = sends(d.handle(200 * MS, [ask("b")]))
     notes = d.handle(2200 * MS, [end(out[0], LATE, took=2 * S)])
-    assert not [a for a in notes if isinstance(a, i.Note)]
+    assert not [a for a in notes if isinstance(a, LogLine)]
 
 
 def test_late_messages_own_time_out_tells_nothing() -> None:
@@ -142,7 +166,7 @@
     for n in range(6):
         out = sends(d.handle(n * S, [ask(f"m{n}", due=n * S + 300 * MS)]))
         actions = d.handle(n * S + 300 * MS, [end(out[0], LATE, took=300 * MS)])
-        assert not [a for a in actions if isinstance(a, i.Note)]
+        assert not [a for a in actions if isinstance(a, LogLine)]
 
 
 def test_full_buffer_costs_the_largest_pile() -> None:
@@ -158,24 +182,24 @@
 def test_refused_limit_is_paced() -> None:
     d = started(ONE)
     out = sends(d.handle(0, [ask("a")]))
-    d.handle(100 * MS, [end(out[0], OK, report=i.LoadReport(0.1, 2.0))])
+    d.handle(100 * MS, [end(out[0], OK, report=LoadReport(0.1, 2.0))])
     count = 0
     for n in range(1, 200):
         out = sends(d.handle(100 * MS + n * 20 * MS, [ask(f"m{n}", due=60 * S)]))
         count += len(out)
         for o in out:
-            d.handle(100 * MS + n * 20 * MS + MS, [end(o, OK, report=i.LoadReport(0.1, 2.0))])
+            d.handle(100 * MS + n * 20 * MS + MS, [end(o, OK, report=LoadReport(0.1, 2.0))])
     assert 3 <= count <= 8  # our half of two a second, for four seconds
 
 
 def test_subscribes_and_asks_again_backing_off() -> None:
     d = Dispatcher(settings(subscribe=True), 1, 0)
-    assert i.Subscribe() in d.handle(0, [i.Listed(i.ListKind.SAVED, ONE)])
+    assert RequestEndpointList() in d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ONE)])
     times, now = [], 0
     for _ in range(3):
-        d.handle(now, [i.Listed(i.ListKind.FAILED)])
+        d.handle(now, [EndpointListReceived(EndpointListKind.FAILED)])
         asked = now
-        while not any(isinstance(a, i.Subscribe) for a in d.handle(now, [i.TimerDue("look")])):
+        while not any(isinstance(a, RequestEndpointList) for a in d.handle(now, [TimerFired("look")])):
             now += 50 * MS
             assert now < 60 * S
         times.append(now - asked)
@@ -190,8 +214,8 @@
         {"balancers": 0},
         {"max_open": 0},
         {"cold_from": 2.0},
-        {"classes": (i.MessageClass("x", 1, 0),)},
-        {"classes": (i.MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
+        {"classes": (MessageClass("x", 1, 0),)},
+        {"classes": (MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
     ],
 )
 def test_settings_that_cannot_hold_name_the_setting(bad: dict[str, object]) -> None:
@@ -203,12 +227,12 @@
 
 def test_odd_but_legal() -> None:
     d = started()
-    assert finals(d.handle(0, [ask("due", due=-5)])) == [i.Refuse("due", S)]
-    assert finals(d.handle(0, [ask("stranger", cls="no such class")])) == [i.Fail("stranger")]
+    assert finals(d.handle(0, [ask("due", due=-5)])) == [RejectMessage("due", S)]
+    assert finals(d.handle(0, [ask("stranger", cls="no such class")])) == [FailMessage("stranger")]
     assert not sends(d.handle(0, [ask("nowhere", 99, due=300 * MS)]))
-    assert [a for _, a in sweep(d, MS, 400 * MS) if isinstance(a, i.Refuse)]
+    assert [a for _, a in sweep(d, MS, 400 * MS) if isinstance(a, RejectMessage)]
     send = sends(d.handle(S, [ask("a")]))[0]
-    d.handle(S, [i.Withdrawn("a"), i.Withdrawn("a"), i.TimerDue("unheard of")])
+    d.handle(S, [MessageWithdrawn("a"), MessageWithdrawn("a"), TimerFired("unheard of")])
     assert not finals(d.handle(S, [end(send, LATE, closed=True)]))
     d.handle(S, [end(send, OK)])
     assert d.handle(2 * S, []) == []
@@ -216,35 +240,35 @@
 
 def test_recalled_message_keeps_what_it_did_before_the_restart() -> None:
     d = started(ONE)
-    told = d.handle(MS, [i.Recalled("once", 10, CLASS["once"], 8 * S, attempts=1, ran_at_us=0, ran_on=1)])
+    told = d.handle(MS, [MessageRecovered("once", 10, CLASS["once"], 8 * S, attempts=1, ran_at_us=0, ran_on=1)])
     assert not sends(told)
-    assert finals(told) == [i.Fail("once")]
-    told = d.handle(S, [i.Recalled("k", 10, CLASS["keyed"], 8 * S, attempts=2, ran_at_us=0, ran_on=1)])
+    assert finals(told) == [FailMessage("once")]
+    told = d.handle(S, [MessageRecovered("k", 10, CLASS["keyed"], 8 * S, attempts=2, ran_at_us=0, ran_on=1)])
     send = sends(told)[0]
     told = d.handle(3 * S, [end(send, FAILED, attempt=2)])  # its key is remembered for 3 s from the first
     assert not sends(told)
     assert [a.message for a in finals(told)] == ["k"]
     cls = CLASS["zoned"]
-    told = d.handle(8 * S, [i.Recalled("z", 10, cls, 9 * S, attempts=1, ran_at_us=7 * S, ran_on=99)])
+    told = d.handle(8 * S, [MessageRecovered("z", 10, cls, 9 * S, attempts=1, ran_at_us=7 * S, ran_on=99)])
     assert not sends(told)  # its first target is gone, and only that one's zone knows the key
 
 
 def test_unreadable_answers_are_no_outage_but_may_have_run() -> None:
-    d = started((i.TargetEntry(1, 10, "north", "plain"),))
+    d = started((EndpointEntry(1, 10, "north", "plain"),))
     for n in range(4):
         out = sends(d.handle(n * S, [ask(f"m{n}", cls="once", due=(n + 8) * S)]))[0]
-        told = d.handle(n * S + MS, [end(out, i.Outcome.UNREADABLE)])
-        assert [a for a in told if isinstance(a, i.Fail)]
-        assert not [a for a in told if isinstance(a, i.Outage)]
+        told = d.handle(n * S + MS, [end(out, Outcome.UNREADABLE)])
+        assert [a for a in told if isinstance(a, FailMessage)]
+        assert not [a for a in told if isinstance(a, EjectionChanged)]
 
 
 def test_a_silent_target_does_not_keep_the_slot_of_a_once_only_call_to_its_end() -> None:
     """event7785: slots were held for up to 12 s, where a usual call took 60 ms."""
-    long = i.MessageClass("long", 2 * S, 60 * S, i.Effect.ONCE)
+    long = MessageClass("long", 2 * S, 60 * S, Effect.ONCE)
     d = started(classes=(long,))
     out = sends(d.handle(0, [ask("a", cls="long", due=60 * S)]))[0]
     assert S <= out.timeout_us <= 4 * S
-    assert finals(d.handle(out.timeout_us, [end(out, LATE, took=out.timeout_us)])) == [i.Fail("a")]
+    assert finals(d.handle(out.timeout_us, [end(out, LATE, took=out.timeout_us)])) == [FailMessage("a")]
     late = sends(d.handle(50 * S, [ask("b", cls="long", due=51 * S)]))[0]
     assert late.timeout_us == S
 
@@ -254,13 +278,13 @@
     told = d.handle(
         0,
         [
-            i.Recalled("a", 10, CLASS["turns"], 8 * S, "k", None, 6, 0, 1, True),
+            MessageRecovered("a", 10, CLASS["turns"], 8 * S, "k", None, 6, 0, 1, True),
             ask("b", cls="turns", due=8 * S, key="k"),
         ],
     )
     assert [a.message for a in finals(told)] == ["a"]
     assert not sends(told)
-    got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, i.Send)]
+    got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
     assert got
     assert got[0] >= 300 * MS
 
@@ -282,9 +306,9 @@
     d = started(ONE, max_retry_after_us=3 * S)
     send = sends(d.handle(0, [ask("first", due=20 * S)]))[0]
     told = d.handle(MS, [end(send, FULL, wait_us=9 * S), ask("short"), ask("long", due=20 * S)])
-    assert finals(told) == [i.Refuse("short", 3 * S)]
+    assert finals(told) == [RejectMessage("short", 3 * S)]
     assert [a.message for a in finals(d.handle(2 * MS, [ask("next")]))] == ["next"]
-    both = started((*ONE, i.TargetEntry(9, 10, "south", "ways")))
+    both = started((*ONE, EndpointEntry(9, 10, "south", "ways")))
     send = next(s for s in sends(both.handle(0, [ask("a"), ask("b")])) if s.target == 1)
     assert not finals(both.handle(MS, [end(send, FULL, wait_us=9 * S), ask("free")])), "one target is open"
 
@@ -294,29 +318,29 @@
     send = sends(d.handle(0, [ask("old", cls="once", due=8 * S)]))[0]
     fresh = settings(
         max_attempts=2,
-        classes=(i.MessageClass("once", 2 * S, 8 * S), i.MessageClass("new", 2 * S, 8 * S, i.Effect.ONCE)),
+        classes=(MessageClass("once", 2 * S, 8 * S), MessageClass("new", 2 * S, 8 * S, Effect.ONCE)),
     )
     told = d.handle(
         MS,
         [
-            i.Retuned(fresh),
-            i.Listed(i.ListKind.WHOLE, ONE),
+            SettingsChanged(fresh),
+            EndpointListReceived(EndpointListKind.WHOLE, ONE),
             ask("gone", cls="safe"),
             ask("new", cls="new", due=8 * S),
-            end(send, i.Outcome.UNREADABLE),
+            end(send, Outcome.UNREADABLE),
         ],
     )
     assert sorted(a.message for a in finals(told)) == ["gone", "old"]
-    assert all(isinstance(a, i.Fail) for a in finals(told))
+    assert all(isinstance(a, FailMessage) for a in finals(told))
     send = sends(told)[0]
     assert send.message == "new"
-    assert finals(d.handle(2 * MS, [end(send, i.Outcome.UNREADABLE)])) == [i.Fail("new")]
+    assert finals(d.handle(2 * MS, [end(send, Outcome.UNREADABLE)])) == [FailMessage("new")]
 
 
 def test_fewer_attempts_bind_what_is_held_already() -> None:
     d = started(ONE, max_attempts=6)
     send = sends(d.handle(0, [ask("m")]))[0]
-    d.handle(MS, [i.Retuned(settings(max_attempts=1)), i.Listed(i.ListKind.WHOLE, ONE)])
+    d.handle(MS, [SettingsChanged(settings(max_attempts=1)), EndpointListReceived(EndpointListKind.WHOLE, ONE)])
     told = d.handle(2 * MS, [end(send, FAILED)])
     assert [a.message for a in finals(told)] == ["m"]
     assert not sends(told)
@@ -328,14 +352,14 @@
     out = sends(d.handle(0, [ask(f"m{n}", due=60 * S) for n in range(3)]))
     for _ in range(40):
         now += 100 * MS
-        actions = d.handle(now, [end(o, FAILED, attempt=0) for o in out] + [i.TimerDue("look")])
-        told += [a for a in actions if isinstance(a, i.Outage)]
+        actions = d.handle(now, [end(o, FAILED, attempt=0) for o in out] + [TimerFired("look")])
+        told += [a for a in actions if isinstance(a, EjectionChanged)]
         out = [o for o in sends(actions) if o.message not in {x.message for x in out}]
     assert told
     assert told[0].target == 1
     assert told[0].back_us == -1
     d = started(ONE)
-    d.handle(S, [i.OutageRecalled(1, 0)])
+    d.handle(S, [EjectionRecovered(1, 0)])
     assert d.cold(d.targets[1])
     count = len(sends(d.handle(S, [ask(f"n{n}") for n in range(5)])))
-    assert count + sum(isinstance(a, i.Send) for _, a in sweep(d, S + 20 * MS, S + 400 * MS)) <= 1
+    assert count + sum(isinstance(a, SendAttempt) for _, a in sweep(d, S + 20 * MS, S + 400 * MS)) <= 1
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from lemonshunt.net import files as module
-from lemonshunt.net.durable import DurablePart, Maker, Syncer
-from lemonshunt.net.store import Store
+from forwarder.storage import journal_files as module
+from forwarder.storage.durability import DurablePart, Maker, Syncer
+from forwarder.storage.store import Store
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
 from tests.test_journal import MB, taken
 
@@ -275,7 +275,7 @@
 
 
 def test_a_failed_sync_is_not_tried_again_on_the_same_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lemonshunt.net.durable.AGAIN_S", 0.01)
+    monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
 
     async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
@@ -305,7 +305,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
 ) -> None:
     """The disk is full at a round's records; or the sync of a journal that is being closed fails."""
-    monkeypatch.setattr("lemonshunt.net.durable.AGAIN_S", 0.01)
+    monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
 
     async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,19 +20,21 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt import interface as i
-from lemonshunt.choice import ASK_AGAIN_US, LOOK_US, NEVER, Dispatcher
-from lemonshunt.net import discovery
-from lemonshunt.net import engine as engine_module
-from lemonshunt.net.client import EDGE_US, Call, Connection, Item, Pool
-from lemonshunt.net.config import Address, HostList, load
-from lemonshunt.net.control import Control
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.listen import bind
-from lemonshunt.net.server import MOST_READ, STALLED_US, ClientConnection, Server, Submission
-from lemonshunt.net.store import PendingNotice
-from lemonshunt.net.upgrade import Ownership
-from lemonshunt.wirehost import settings as settings_of
+from forwarder.admin.server import Control
+from forwarder.clients.listener import bind
+from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, Server, Submission
+from forwarder.config.config import Address, HostList, load
+from forwarder.decisions.actions import FailMessage, RequestEndpointList
+from forwarder.decisions.dispatcher import ASK_AGAIN_US, LOOK_US, NEVER, Dispatcher
+from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived, MessageRecovered
+from forwarder.decisions.outcomes import Outcome
+from forwarder.discovery import watch as watch_module
+from forwarder.endpoints.pool import EDGE_US, Call, Connection, Item, Pool
+from forwarder.runtime import engine as engine_module
+from forwarder.runtime.engine import Engine
+from forwarder.runtime.ownership import Ownership
+from forwarder.simulator.adapter import settings as settings_of
+from forwarder.storage.store import PendingNotice
 from tests import test_node as real
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
@@ -177,7 +179,7 @@
     """Its time began when the client sent it, which was before it was read: the platform may have counted it out."""
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         clock = Skewed()
         due = clock() + DUE_US
 
@@ -191,7 +193,7 @@
         pool.start(Call(1, (7, -1), clock(), [Item("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
-        assert [(e.outcome, e.closed) for e in ends] == [(i.Outcome.DELIVERED, over)]
+        assert [(e.outcome, e.closed) for e in ends] == [(Outcome.DELIVERED, over)]
         pool.close()
 
     play(scene)
@@ -239,15 +241,15 @@
 @pytest.mark.parametrize(
     ("cls", "outcome", "window"),
     [
-        ("keyed", i.Outcome.RESET, 3 * S),
-        ("zoned", i.Outcome.TIMED_OUT, 3 * S),
-        ("keyed", i.Outcome.FULL, None),
-        ("safe", i.Outcome.RESET, None),
+        ("keyed", Outcome.RESET, 3 * S),
+        ("zoned", Outcome.TIMED_OUT, 3 * S),
+        ("keyed", Outcome.FULL, None),
+        ("safe", Outcome.RESET, None),
     ],
 )
-def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: i.Outcome, window: int | None) -> None:
+def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: Outcome, window: int | None) -> None:
     d = Dispatcher(settings(), 1, 0)
-    (first,) = sends(d.handle(0, [i.Listed(i.ListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
+    (first,) = sends(d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
     assert first.leave_by_us == NEVER
     again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
     while not again:
@@ -263,7 +265,7 @@
     """
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         clock = Skewed()
         now = clock()
 
@@ -284,10 +286,10 @@
             while pool.out:
                 await asyncio.sleep(0.005)
         assert [(e.message, e.outcome) for e in ends] == [
-            ("late-True", i.Outcome.NOT_SENT),
-            ("late-False", i.Outcome.NOT_SENT),
-            ("a", i.Outcome.DELIVERED),
-            ("b", i.Outcome.DELIVERED),
+            ("late-True", Outcome.NOT_SENT),
+            ("late-False", Outcome.NOT_SENT),
+            ("a", Outcome.DELIVERED),
+            ("b", Outcome.DELIVERED),
         ]
         assert [r.path for r in peer.requests] == ["/hook/batch"]
         pool.close()
@@ -403,7 +405,7 @@
 
 def test_a_silent_watch_is_asked_anew_before_what_it_missed_counts_as_told() -> None:
     """Up to 0.2 s too late, before: the grace for drains, which settings may make shorter, hid it."""
-    assert discovery.LATE_S + 2 * ASK_AGAIN_US / SECOND < TOLD_AFTER_S - 0.1
+    assert watch_module.LATE_S + 2 * ASK_AGAIN_US / SECOND < TOLD_AFTER_S - 0.1
 
 
 TOLD_ANYWAY_S = 6.0
@@ -415,11 +417,11 @@
 def test_after_any_failures_the_list_is_asked_for_before_its_news_counts_as_told(seed: int) -> None:
     """Discovery refuses at once, and is back just after a question. The pauses grew to 8 s."""
     d, now = Dispatcher(settings(subscribe=True), seed, 0), 0
-    assert any(isinstance(a, i.Subscribe) for a in d.handle(now, []))
+    assert any(isinstance(a, RequestEndpointList) for a in d.handle(now, []))
     for _ in range(12):
         failed = now
-        actions = d.handle(now, [i.Listed(i.ListKind.FAILED)])
-        while not any(isinstance(a, i.Subscribe) for a in actions):
+        actions = d.handle(now, [EndpointListReceived(EndpointListKind.FAILED)])
+        while not any(isinstance(a, RequestEndpointList) for a in actions):
             now += 5 * MS
             actions = d.handle(now, [])
         assert 0.4 < (now - failed) / S < TOLD_ANYWAY_S - 1.5
@@ -446,7 +448,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, silent: int, cut: bytes
 ) -> None:
     """From the first question of the process on, and though the watch that follows falls silent too."""
-    monkeypatch.setattr(discovery, "HOLD_MS", 100)
+    monkeypatch.setattr(watch_module, "HOLD_MS", 100)
     monkeypatch.setattr(engine_module, "AnchoredClock", lambda folder, base: Skewed(base))
 
     async def scene(_: Platform) -> None:
@@ -474,7 +476,7 @@
 
 def test_a_post_that_gets_no_answer_is_made_again_in_time() -> None:
     """It was waited for 2.5 s."""
-    assert discovery.POST_S + discovery.NOTICE_PAUSES_S[0] < LOST_S
+    assert watch_module.POST_S + watch_module.NOTICE_PAUSES_S[0] < LOST_S
 
 
 @pytest.mark.parametrize("silent", [1, 3])
@@ -493,7 +495,7 @@
             def acknowledged(self, names: list[str]) -> None:
                 told.extend(names)
 
-        notices = discovery.Notices(at.where, Book())
+        notices = watch_module.Notices(at.where, Book())
         notices.kick()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
@@ -533,7 +535,7 @@
     def address(self) -> Address:
         return Address(*self.listener.getsockname())
 
-    def pool(self, ends: list[i.Ended]) -> Pool:
+    def pool(self, ends: list[AttemptEnded]) -> Pool:
         """A pool whose target 1 this is."""
         pool = Pool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
         pool.serving({1: self.address})
@@ -571,7 +573,7 @@
     """The answer to no call was taken for the next one's; an end, for a call that may have run."""
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         wire = Wire()
         pool = wire.pool(ends)
         first = await wire.carry(pool, "a")
@@ -591,33 +593,33 @@
         second.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert ends[1].outcome is i.Outcome.FAILED
+        assert ends[1].outcome is Outcome.FAILED
         pool.close()
 
     play(scene)
 
 
 CUT = [
-    (b"", i.Outcome.RESET),
-    (b"HTTP/1.1 2", i.Outcome.UNREADABLE),
-    (b"HTTP/1.1 429 X\r\nX-RateLimit", i.Outcome.UNREADABLE),
-    (b"HTTP/1.1 200 OK\r\nContent-Le", i.Outcome.DELIVERED),
-    (WHOLE, i.Outcome.DELIVERED),
-    (b"what is this", i.Outcome.UNREADABLE),
+    (b"", Outcome.RESET),
+    (b"HTTP/1.1 2", Outcome.UNREADABLE),
+    (b"HTTP/1.1 429 X\r\nX-RateLimit", Outcome.UNREADABLE),
+    (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.DELIVERED),
+    (WHOLE, Outcome.DELIVERED),
+    (b"what is this", Outcome.UNREADABLE),
 ]
 
 
 @pytest.mark.parametrize("broken", ["reset", "end"])
 @pytest.mark.parametrize(("answer", "outcome"), CUT)
 def test_an_answer_that_breaks_off_is_believed_by_its_first_line_only(
-    broken: str, answer: bytes, outcome: i.Outcome
+    broken: str, answer: bytes, outcome: Outcome
 ) -> None:
     """Reset or ended after the call's last byte, within its answer, and after the answer's last byte. A reset may take
     bytes along that the forwarder has not read; then as much is believed as came.
     """
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
@@ -641,11 +643,11 @@
 
 WAIT_MS = 700
 TURNED_AWAY = b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\nContent-Length: 0\r\n\r\n" % WAIT_MS
-GIVE_UPS: dict[str, tuple[Callable[[Pool, Call], None], i.Outcome]] = {
-    "time-out": (Pool.timed_out, i.Outcome.TIMED_OUT),
-    "cancel": (lambda pool, call: pool.cancel("a", 0), i.Outcome.CANCELED),
-    "quiet": (Pool.fell_quiet, i.Outcome.UNREADABLE),
-    "exit": (lambda pool, call: pool.close(), i.Outcome.RESET),
+GIVE_UPS: dict[str, tuple[Callable[[Pool, Call], None], Outcome]] = {
+    "time-out": (Pool.timed_out, Outcome.TIMED_OUT),
+    "cancel": (lambda pool, call: pool.cancel("a", 0), Outcome.CANCELED),
+    "quiet": (Pool.fell_quiet, Outcome.UNREADABLE),
+    "exit": (lambda pool, call: pool.close(), Outcome.RESET),
 }
 
 
@@ -654,20 +656,20 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        (TURNED_AWAY, i.Outcome.FULL),
-        (WHOLE, i.Outcome.DELIVERED),
-        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", i.Outcome.FULL),
+        (TURNED_AWAY, Outcome.FULL),
+        (WHOLE, Outcome.DELIVERED),
+        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
     ],
 )
 def test_an_answer_that_crosses_the_giving_up_of_its_call_counts(
-    answer: bytes, outcome: i.Outcome, how: str, crossing: str
+    answer: bytes, outcome: Outcome, how: str, crossing: str
 ) -> None:
     """It lies in the kernel as its call is given up, or comes before the connection is closed: the wait that it tells
     counts as told, and a delivery is one.
     """
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
@@ -702,7 +704,7 @@
     """The process that takes over would take it for one that never ran, and send its message again."""
 
     async def scene(platform: Platform) -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
@@ -713,7 +715,7 @@
         told, going = pool.hand_over()
         assert told["calls"] == []
         assert going == []
-        assert [e.outcome for e in ends] == [i.Outcome.DELIVERED if answered else i.Outcome.TIMED_OUT]
+        assert [e.outcome for e in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
     play(scene)
 
@@ -869,25 +871,25 @@
 
 
 ANSWERS = {
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok": i.Outcome.DELIVERED,
-    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n": i.Outcome.FAILED,
-    b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n": i.Outcome.FULL,
-    b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": i.Outcome.FULL,
+    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok": Outcome.DELIVERED,
+    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n": Outcome.FAILED,
+    b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n": Outcome.FULL,
+    b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": Outcome.FULL,
 }
 BREAKS = ["end", "reset", "quiet", "time-out", "cancel"]
 
 
-def expected_end(answer: bytes, came: int, how: str) -> i.Outcome:
+def expected_end(answer: bytes, came: int, how: str) -> Outcome:
     """What one call's end is, by the pages: of an answer of which so many bytes came before it ended so."""
     if came == len(answer):
         return ANSWERS[answer]
     if how == "cancel":
-        return i.Outcome.CANCELED
+        return Outcome.CANCELED
     if answer[:came].startswith(b"HTTP/1.1 200 OK\r\n"):
-        return i.Outcome.DELIVERED
+        return Outcome.DELIVERED
     if how == "time-out":
-        return i.Outcome.TIMED_OUT
-    return i.Outcome.UNREADABLE if came else i.Outcome.RESET
+        return Outcome.TIMED_OUT
+    return Outcome.UNREADABLE if came else Outcome.RESET
 
 
 @profile(derandomize=True, max_examples=150, deadline=None)
@@ -899,7 +901,7 @@
 )
 def test_a_call_has_one_end_in_any_order_of_steps(answer: bytes, cuts: list[int], came: int, breaks: list[str]) -> None:
     came = min(came, len(answer))
-    ends: list[i.Ended] = []
+    ends: list[AttemptEnded] = []
 
     async def run() -> None:
         pool = Pool(Skewed(), ends.append, (), SECOND, SECOND, 10)
@@ -1042,7 +1044,7 @@
         heard: list[HostList | None] = []
         at = await Asked().start()
         places = [at]
-        watch = discovery.Watch(at.where, -1, heard.append)
+        watch = watch_module.Watch(at.where, -1, heard.append)
         watch.subscribe()
         seq, hosts, count, breaks = -1, {}, 0, 0  # the model
         for n, step in enumerate(steps):
@@ -1070,9 +1072,9 @@
                 if step in ("cut", "reset"):
                     writer.transport.abort() if step == "reset" else writer.close()
                 elif step == "silent":
-                    ahead[0] += discovery.HOLD_MS / 1000 + discovery.LATE_S + 0.1
+                    ahead[0] += watch_module.HOLD_MS / 1000 + watch_module.LATE_S + 0.1
             breaks = breaks + 1 if step in ("cut", "reset") else 0
-            if 0 < breaks <= len(discovery.AGAIN_S):
+            if 0 < breaks <= len(watch_module.AGAIN_S):
                 continue
             count, breaks = count + 1, 0
             while len(heard) < count:
@@ -1081,7 +1083,7 @@
             if step in FAILURES:
                 watch.subscribe()
                 watch.subscribe()
-            ahead[0] += discovery.LEAST_WATCH_S
+            ahead[0] += watch_module.LEAST_WATCH_S
         known: dict[str, Any] = {}
         for told in filter(None, heard):
             known = ({} if told.whole else known) | {h.name: h.raw for h in told.hosts}
@@ -1102,12 +1104,12 @@
     actions = d.handle(
         0,
         [
-            i.Listed(i.ListKind.SAVED, ENTRIES[:1]),
-            i.Recalled("m", 10, d.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].target, False),
+            EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]),
+            MessageRecovered("m", 10, d.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].target, False),
         ],
     )
     assert not sends(actions)
-    assert [type(a) for a in finals(actions)] == [i.Fail]
+    assert [type(a) for a in finals(actions)] == [FailMessage]
 
 
 # Another customer's settings
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,17 +12,17 @@
 
 import pytest
 
+from forwarder.__main__ import passing_read, retried
+from forwarder.clients.listener import BIND_S
+from forwarder.config.config import Address, ConfigError, HostList, load
+from forwarder.discovery.watch import NOTICE_PAUSES_S, Notices, Watch, post_body
+from forwarder.endpoints.pool import GIVEN_UP_S
+from forwarder.protocol.http1 import MOST_BODY
+from forwarder.runtime.ownership import LOCK_PATIENCE_S
+from forwarder.runtime.supervisor import Supervisor
+from forwarder.storage.clock import Anchor, base_ns
+from forwarder.storage.store import PendingNotice
 from lab.shim import FILE_CALLS, Failure
-from lemonshunt.__main__ import passing_read, retried
-from lemonshunt.net.client import GIVEN_UP_S
-from lemonshunt.net.clock import Anchor, base_ns
-from lemonshunt.net.config import Address, ConfigError, HostList, load
-from lemonshunt.net.discovery import NOTICE_PAUSES_S, Notices, Watch, post_body
-from lemonshunt.net.http import MOST_BODY
-from lemonshunt.net.listen import BIND_S
-from lemonshunt.net.store import PendingNotice
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.net.upgrade import LOCK_PATIENCE_S
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always
 from tests.test_node import folder_nodes, ids, play, target
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.fleet import FleetPolicy, Shares
-from lemonshunt.members.words import Mode, Seen, Viewed
-from lemonshunt.net.lease import RENEW_US, Lease
-from lemonshunt.net.members import divided
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived
+from forwarder.decisions.fleet_messages import Mode, Seen, Viewed
+from forwarder.decisions.fleet_quota import FleetPolicy, Shares
+from forwarder.membership.extension import divided
+from forwarder.storage.lease import RENEW_US, Lease
 from tests.scripts import S, settings, started
 
 SETTLE, BELIEVE, DETECT, TOLD = 30 * S, 90 * S, 9 * S, 9 * S
@@ -226,7 +226,7 @@
         return Lease(tmp_path, lambda: now[0]).read(20 * S)
 
     lease, boot = Lease(tmp_path, lambda: now[0]), [50 * S]
-    monkeypatch.setattr("lemonshunt.net.lease.since_boot", lambda: boot[0])
+    monkeypatch.setattr("forwarder.storage.lease.since_boot", lambda: boot[0])
     assert kept() == 0
     lease.keep(110 * S)
     assert kept() == 110 * S
@@ -244,9 +244,9 @@
         (tmp_path / "lease").write_bytes(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
         assert kept() == 0, at
     (tmp_path / "lease").write_bytes(data)
-    monkeypatch.setattr("lemonshunt.net.lease.boot_id", lambda: "another")
+    monkeypatch.setattr("forwarder.storage.lease.boot_id", lambda: "another")
     assert kept() == 0
-    monkeypatch.setattr("lemonshunt.net.lease.boot_id", lambda: "")
+    monkeypatch.setattr("forwarder.storage.lease.boot_id", lambda: "")
     assert kept() == 0
     (tmp_path / "lease").unlink()
     (tmp_path / "lease").mkdir()
@@ -277,7 +277,9 @@
     turns = []
     for size in (10.0, 20.0):
         d = Dispatcher(settings(balancers=10, weights_told=True), 1, 0)
-        d.handle(0, [i.Listed(i.ListKind.SAVED, (i.TargetEntry(1, 10, "north", "plain", weight=10.0),))])
+        d.handle(
+            0, [EndpointListReceived(EndpointListKind.SAVED, (EndpointEntry(1, 10, "north", "plain", weight=10.0),))]
+        )
         d.divide(size)
         t = d.targets[1]
         t.outage_at, t.tried_at, t.back_at, d.now = S, 100 * S, 100 * S, 101 * S
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from lemonshunt.net.clock import Clock
-from lemonshunt.net.config import Address
-from lemonshunt.net.discovery import Channel, Client
-from lemonshunt.net.http import ResponseReader
-from lemonshunt.net.listen import bind
-from lemonshunt.net.server import ClientConnection, Server
-from lemonshunt.wirehost import settings
+from forwarder.clients.listener import bind
+from forwarder.clients.server import ClientConnection, Server
+from forwarder.config.config import Address
+from forwarder.discovery.watch import Channel, Client
+from forwarder.protocol.http1 import ResponseReader
+from forwarder.simulator.adapter import settings
+from forwarder.storage.clock import Clock
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, always, message
 from tests.test_net import call, pool
 
