--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -11,10 +11,11 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.health import Health, Limits, Verdict, share
-from lemonshunt.interface import Outcome
+from forwarder.decisions.actions import LogLine
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.outlier_detection import Health, Limits, Verdict, share
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request
 
@@ -42,15 +43,16 @@
         self.d.handle(
             0,
             [
-                i.Listed(
-                    i.ListKind.SAVED, tuple(i.TargetEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
+                EndpointListReceived(
+                    EndpointListKind.SAVED,
+                    tuple(EndpointEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1)),
                 )
             ],
         )
         self.now, self.number = 0, 0
         self.calls: Counter[int] = Counter()
         self.attempts: Counter[str] = Counter()
-        self.owed: list[i.Event] = []
+        self.owed: list[Event] = []
         self.notes: list[str] = []
         self.most_out = 0
 
@@ -68,7 +70,7 @@
                 assert not self.d.targets[s.target].ejected
                 self.owed.append(end(s, fate(s.target, self.now), self.attempts[s.message], took=MS))
                 self.attempts[s.message] += 1
-            self.notes += [a.text for a in actions if isinstance(a, i.Note)]
+            self.notes += [a.text for a in actions if isinstance(a, LogLine)]
             self.most_out = max(self.most_out, sum(t.ejected for t in self.d.targets.values()))
         return self
 
@@ -202,19 +204,19 @@
     fleet.d.handle(
         fleet.now,
         [
-            i.Listed(
-                i.ListKind.WHOLE,
+            EndpointListReceived(
+                EndpointListKind.WHOLE,
                 (
-                    i.TargetEntry(1, 10, "north", "plain"),
-                    i.TargetEntry(3, 10, "north", "plain"),
-                    i.TargetEntry(2, 11, "north", "plain"),
+                    EndpointEntry(1, 10, "north", "plain"),
+                    EndpointEntry(3, 10, "north", "plain"),
+                    EndpointEntry(2, 11, "north", "plain"),
                 ),
             )
         ],
     )  # the id now serves another destination
     assert not fleet.d.targets[2].ejected
     fleet.run(20, failing())
-    fleet.d.handle(fleet.now, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(1, 10, "north", "plain"),))])
+    fleet.d.handle(fleet.now, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(1, 10, "north", "plain"),))])
     fleet.run(5, failing())
     assert fleet.verdicts()[0] is Verdict.HEALTHY
 
--- a/tests/test_incident_lost_and_order.py
+++ b/tests/test_incident_lost_and_order.py
@@ -15,9 +15,9 @@
 
 import pytest
 
+from forwarder.clients.arrival_time import earliest_ns
+from forwarder.decisions.outcomes import Outcome
 from lab.shim import Failure
-from lemonshunt import interface as i
-from lemonshunt.net.arrival import earliest_ns
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Node, Platform, Request, always, message
 from tests.test_faults import LARGE, answers, shimmed
@@ -103,8 +103,8 @@
 def test_an_error_in_one_decision_costs_that_step_alone() -> None:
     dispatcher = started()
     first, second = sends(dispatcher.handle(0, [ask("a"), ask("b", dest=11)]))
-    broken = end(first, i.Outcome.FULL, wait_us="soon")
-    again = sends(dispatcher.handle(S, [broken, end(second, i.Outcome.DELIVERED)]))
+    broken = end(first, Outcome.FULL, wait_us="soon")
+    again = sends(dispatcher.handle(S, [broken, end(second, Outcome.DELIVERED)]))
     assert len(dispatcher.faults) == 1
     assert [send.message for send in again] == [*dispatcher.messages] == ["a"]
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -19,13 +19,12 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt import journal
-from lemonshunt.interface import Effect, MessageClass
-from lemonshunt.net import identity
-from lemonshunt.net import store as module
-from lemonshunt.net.files import Files
-from lemonshunt.net.store import AcceptedMessage, Store
-from lemonshunt.statecheck import main as state
+from forwarder.decisions.settings import Effect, MessageClass
+from forwarder.storage import identity, journal
+from forwarder.storage import store as module
+from forwarder.storage.journal_files import Files
+from forwarder.storage.state_check import main as state
+from forwarder.storage.store import AcceptedMessage, Store
 from tests.sockets import OK, Node, Peer, Platform, always, hang
 
 SAFE = MessageClass("safe", 10**6, 10**7)
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -257,7 +257,7 @@
     "the attempt's record before the call": (
         (
             (
-                "net/effects.py",
+                "runtime/effects.py",
                 "        self.store.attempt(m, number, now, target.name)\n",
                 "        m.out[number] = (now, target.name); m.attempts = number + 1\n",
             ),
@@ -266,20 +266,20 @@
         (),
     ),
     "the line of a key": (
-        (("choice.py", "if line.queue[0] is not m or line.out or any(", "if line.out or any("),),
+        (("decisions/dispatcher.py", "if line.queue[0] is not m or line.out or any(", "if line.out or any("),),
         "order",
         (),
     ),
     "told waits": (
         (  # decided by, and asked for again as a call leaves
-            ("choice.py", "        place.wait_until = max(place.wait_until, self.now + wait_us)\n", ""),
-            ("net/rules.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", ""),
+            ("decisions/dispatcher.py", "        place.wait_until = max(place.wait_until, self.now + wait_us)\n", ""),
+            ("runtime/invariants.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", ""),
         ),
         "wait",
         (Fault(at_s=1.5, kind="limit", share=1.0, times=0.25),),
     ),
     "the message's record before its 202": (
-        (("net/store.py", "        self.pending.append(self._record(self._line(m), m.body))\n", ""),),
+        (("storage/store.py", "        self.pending.append(self._record(self._line(m), m.body))\n", ""),),
         "lost",
         (),
     ),
@@ -291,9 +291,9 @@
     tmp_path: Path, edits: tuple[Edit, ...], rule: str, more: tuple[Fault, ...]
 ) -> None:
     """Waits are long beside the lab's own lateness, which the judge lets pass, and limits so low that many are told."""
-    shutil.copytree(ROOT / "lemonshunt", tmp_path / "lemonshunt", ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(ROOT / "forwarder", tmp_path / "forwarder", ignore=shutil.ignore_patterns("__pycache__"))
     for file, line, instead in edits:
-        path = tmp_path / "lemonshunt" / file
+        path = tmp_path / "forwarder" / file
         assert path.read_text().count(line) == 1
         path.write_text(path.read_text().replace(line, instead))
     told = scenario(
@@ -327,8 +327,8 @@
 
 
 def test_a_program_that_does_not_start_is_no_result(tmp_path: Path) -> None:
-    (tmp_path / "lemonshunt").mkdir()
-    (tmp_path / "lemonshunt/__main__.py").write_text("raise SystemExit('no such luck')\n")
+    (tmp_path / "forwarder").mkdir()
+    (tmp_path / "forwarder/__main__.py").write_text("raise SystemExit('no such luck')\n")
     done = command(
         "run", "lab/scenarios/herd.toml", "--nodes", "2", "--program", str(tmp_path), "--out", str(tmp_path / "out")
     )
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -279,19 +279,19 @@
 
 def later_version(folder: Path) -> Path:
     """A program of tomorrow: its datagrams have a field more, and it says things that today's does not know."""
-    shutil.copytree(ROOT / "lemonshunt", folder / "lemonshunt", ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(ROOT / "forwarder", folder / "forwarder", ignore=shutil.ignore_patterns("__pycache__"))
     for file, line, instead in (
         ("__init__.py", '__version__ = "0.1.0"', '__version__ = "0.2.0"'),
-        ("members/codec.py", '    digest: Text = ""\n', '    digest: Text = ""\n    later: int = 7\n'),
+        ("membership/codec.py", '    digest: Text = ""\n', '    digest: Text = ""\n    later: int = 7\n'),
         (
-            "members/protocol.py",
+            "membership/protocol.py",
             "        if self.asking and now >= self.ask_at:\n",
             "        for name in self.view.others(State.ALIVE)[:1]:\n"
             '            self._send(self.view.members[name].news.where, "later", 1)\n'
             "        if self.asking and now >= self.ask_at:\n",
         ),
     ):
-        path = folder / "lemonshunt" / file
+        path = folder / "forwarder" / file
         assert path.read_text().count(line) == 1
         path.write_text(path.read_text().replace(line, instead))
     (folder / "lab/parts").mkdir(parents=True)
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -12,6 +12,8 @@
 
 import pytest
 
+from forwarder.clients.listener import reset_on_close
+from forwarder.simulator.adapter import settings
 from lab import plan, scenario
 from lab.__main__ import swept
 from lab.judge import Finding
@@ -20,8 +22,6 @@
 from lab.net import Effect, Exchange, Guarded, Link, Listener, Net
 from lab.run import Result, facts
 from lab.scenario import Fault, Scenario
-from lemonshunt.net.listen import reset_on_close
-from lemonshunt.wirehost import settings
 from tests.sockets import PATIENCE, free_port, own_host
 
 LINK = ("n0", "s-0")
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -2,25 +2,44 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.state import Message
+from forwarder.decisions.actions import (
+    Action,
+    CloseIdleConnections,
+    LogLine,
+    RequestEndpointList,
+    SendAttempt,
+    SetTimer,
+)
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    AttemptEnded,
+    EjectionRecovered,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    LoadReport,
+    MessageWithdrawn,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.records import Message
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL, LATE, FAILED = i.Outcome.DELIVERED, i.Outcome.FULL, i.Outcome.TIMED_OUT, i.Outcome.FAILED
+OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.FAILED
 COLD_CALLS = 6.0  # 10 calls a second x 0.2 cold x factor 2 x 1.5 s: what a cold target 1 can take in fall_us
-TOLD = (i.TargetEntry(1, 10, "north", "plain", weight=10.0),)
+TOLD = (EndpointEntry(1, 10, "north", "plain", weight=10.0),)
 
 
 def fleet(number: int, **changes: object) -> list[Dispatcher]:
     known = settings(balancers=number, weights_told=True, slots=3, max_attempts=10**6, **changes)
     made = [Dispatcher(known, seed, 0) for seed in range(number)]
     for d in made:
-        d.handle(0, [i.Listed(i.ListKind.SAVED, TOLD)])
+        d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, TOLD)])
     return made
 
 
-def failing(number: int, outcome: i.Outcome, until: int, **more: object) -> list[int]:
+def failing(number: int, outcome: Outcome, until: int, **more: object) -> list[int]:
     """When each call goes out while every call ends the same way at once, a message held all the time."""
     times: list[int] = []
     for n, d in enumerate(fleet(number)):
@@ -29,18 +48,18 @@
         tries: dict[str, int] = {}
         now = start
         while now < until:
-            events: list[i.Event] = []
+            events: list[Event] = []
             wake = until
             for a in actions:
-                if isinstance(a, i.Send):
+                if isinstance(a, SendAttempt):
                     times.append(now)
                     k = tries.get(a.message, 0)
                     tries[a.message] = k + 1
                     events.append(end(a, outcome, k, 5 * MS, **more))
-                elif isinstance(a, i.SetTimer):
+                elif isinstance(a, SetTimer):
                     wake = now + a.delay_us
             now = now + 5 * MS if events else max(now + 5 * MS, wake)
-            actions = d.handle(now, [*events, i.TimerDue("look")])
+            actions = d.handle(now, [*events, TimerFired("look")])
     return sorted(times)
 
 
@@ -50,8 +69,8 @@
 
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
-@pytest.mark.parametrize("outcome", [FAILED, i.Outcome.NO_CONNECTION, i.Outcome.RESET])
-def test_cold_budget_holds_for_all_forwarders_together(number: int, outcome: i.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [FAILED, Outcome.NO_CONNECTION, Outcome.RESET])
+def test_cold_budget_holds_for_all_forwarders_together(number: int, outcome: Outcome) -> None:
     """Rule 4: whenever after 12 s the target returns, what the informed send stays about its cold budget."""
     times = failing(number, outcome, 20 * S)
     assert times, "none tried at all"
@@ -80,16 +99,16 @@
     two forwarders either meets a limit so often that five refusals running still tell of more than that.
     """
     d = fleet(number)[0]
-    actions, now, told = d.handle(0, [ask("a", due=200 * S)]), 0, i.LoadReport(left, 30.0)
+    actions, now, told = d.handle(0, [ask("a", due=200 * S)]), 0, LoadReport(left, 30.0)
     refused = 0
     notes: list[str] = []
     while refused < 8:
         for a in sends(actions):
             actions = d.handle(now + 80 * MS, [end(a, FULL, refused, 80 * MS, report=told, wait_us=wait_us)])
             refused += 1
-        notes += [a.text for a in actions if isinstance(a, i.Note)]
+        notes += [a.text for a in actions if isinstance(a, LogLine)]
         now += 100 * MS
-        actions = d.handle(now, [i.TimerDue("look")])
+        actions = d.handle(now, [TimerFired("look")])
     assert any("in outage" in text for text in notes) is shut
 
 
@@ -101,7 +120,7 @@
         now = 5 * MS
         while not sends(actions):
             now += 20 * MS
-            actions = d.handle(now, [i.TimerDue("look")])
+            actions = d.handle(now, [TimerFired("look")])
         back.append(now)
     assert min(back) >= 4005 * MS
     assert most_in_window(back, 0, S) < 30
@@ -114,7 +133,7 @@
     ds = fleet(number)
     actions = [d.handle(0, [ask(f"m{k}", due=200 * S) for k in range(3)]) for d in ds]
     tries: dict[tuple[int, str], int] = {}
-    ends: dict[int, list[tuple[int, i.Event]]] = {}
+    ends: dict[int, list[tuple[int, Event]]] = {}
     delivered = refused = used = 0
     named = 3
     for now in range(0, until, 5 * MS):
@@ -125,15 +144,15 @@
                 used += 1
                 ok = used <= limit
                 delivered, refused = delivered + (ok and now > 5 * S), refused + (not ok and now > 5 * S)
-                told = i.LoadReport(max(0.0, 1 - used / limit), float(limit))
+                told = LoadReport(max(0.0, 1 - used / limit), float(limit))
                 event = end(a, OK if ok else FULL, k, 80 * MS, report=told)
                 ends.setdefault(n, []).append((now + 80 * MS, event))
             due = [e for at, e in ends.get(n, []) if at <= now]
             ends[n] = [(at, e) for at, e in ends.get(n, []) if at > now]
-            done = sum(e.outcome is OK for e in due if isinstance(e, i.Ended))
+            done = sum(e.outcome is OK for e in due if isinstance(e, AttemptEnded))
             new = [ask(f"m{named + j}", due=now + 200 * S) for j in range(done)]
             named += done
-            actions[n] = d.handle(now, [*due, *new, i.TimerDue("look")])
+            actions[n] = d.handle(now, [*due, *new, TimerFired("look")])
     return delivered, refused
 
 
@@ -151,7 +170,7 @@
 def test_told_limit_and_share_leave_a_call_in_time(number: int) -> None:
     """An even share of a limit may be one call in a minute: a message must not lapse for it."""
     d = fleet(number)[0]
-    told = i.LoadReport(0.9, 10.0)
+    told = LoadReport(0.9, 10.0)
     out = sends(d.handle(0, [ask("a")]))[0]
     d.handle(100 * MS, [end(out, OK, report=told)])
     out = sends(d.handle(200 * MS, [ask("b")]))[0]
@@ -159,7 +178,7 @@
     actions, now = d.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
     while not sends(actions) and now < 5 * S:
         now += 20 * MS
-        actions = d.handle(now, [i.TimerDue("look")])
+        actions = d.handle(now, [TimerFired("look")])
     assert sends(actions)
 
 
@@ -187,8 +206,8 @@
     while done < 6:
         out = sends(actions)
         now += 80 * MS if out else 10 * MS
-        events = [end(a, OK, took=80 * MS, report=i.LoadReport(left, 40.0)) for a in out]
-        actions, done = d.handle(now, [*events, i.TimerDue("look")]), done + len(out)
+        events = [end(a, OK, took=80 * MS, report=LoadReport(left, 40.0)) for a in out]
+        actions, done = d.handle(now, [*events, TimerFired("look")]), done + len(out)
     return now
 
 
@@ -207,52 +226,54 @@
     """
     d, now = fleet(number, conn_idle_us=5 * S)[0], 0
 
-    def sent(actions: list[i.Action]) -> i.Send:
+    def sent(actions: list[Action]) -> SendAttempt:
         nonlocal now
         while not sends(actions):
             now += 10 * MS
-            actions = d.handle(now, [i.TimerDue("look")])
+            actions = d.handle(now, [TimerFired("look")])
         return sends(actions)[0]
 
     for n in range(refusals):
         now += 20 * S
         out = sent(d.handle(now, [ask(f"m{n}", due=now + 60 * S)]))
-        out = sent(d.handle(now, [end(out, i.Outcome.NO_CONNECTION, 0)]))
+        out = sent(d.handle(now, [end(out, Outcome.NO_CONNECTION, 0)]))
         d.handle(now, [end(out, OK, 1)])
     for name, pause in (("a", 20 * S), ("b", 3 * S)):
         now += pause
         out = sent(d.handle(now, [ask(name, due=now + 60 * S)]))
         actions = d.handle(now, [end(out, OK)])
-    assert (i.CloseIdle(1) in actions) is closed
+    assert (CloseIdleConnections(1) in actions) is closed
 
 
 def test_the_end_of_an_outage_is_no_want_of_connections() -> None:
     """f76aa4e0: after an outage of 5 s all closed their connections after 0.2 s for the rest of the day."""
     d, now = fleet(60, conn_idle_us=5 * S)[0], 0
     actions = d.handle(now, [ask("a", due=200 * S)])
-    for attempt, outcome in enumerate([i.Outcome.NO_CONNECTION] * 4 + [OK]):
+    for attempt, outcome in enumerate([Outcome.NO_CONNECTION] * 4 + [OK]):
         while not sends(actions):
             now += 10 * MS
-            actions = d.handle(now, [i.TimerDue("look")])
+            actions = d.handle(now, [TimerFired("look")])
         actions = d.handle(now, [end(sends(actions)[0], outcome, attempt)])
     out = sends(d.handle(now + 20 * S, [ask("b", due=200 * S)]))[0]
     d.handle(now + 20 * S, [end(out, OK)])
     out = sends(d.handle(now + 23 * S, [ask("c", due=200 * S)]))[0]
-    assert i.CloseIdle(1) not in d.handle(now + 23 * S, [end(out, OK)])
+    assert CloseIdleConnections(1) not in d.handle(now + 23 * S, [end(out, OK)])
 
 
 def test_a_dead_target_does_not_cost_the_others_their_connections() -> None:
     d = fleet(60, conn_idle_us=5 * S)[0]
-    d.handle(0, [i.Listed(i.ListKind.WHOLE, (*TOLD, i.TargetEntry(2, 11, "north", "plain", weight=10.0)))])
+    d.handle(
+        0, [EndpointListReceived(EndpointListKind.WHOLE, (*TOLD, EndpointEntry(2, 11, "north", "plain", weight=10.0)))]
+    )
     for n in range(6):
         out = sends(d.handle(n * 3 * S, [ask(f"m{n}", 11, due=60 * S)]))
         for a in out:
-            d.handle(n * 3 * S + 10 * MS, [end(a, i.Outcome.NO_CONNECTION, 0)])
-        d.handle(n * 3 * S + 20 * MS, [i.Withdrawn(f"m{n}")])
+            d.handle(n * 3 * S + 10 * MS, [end(a, Outcome.NO_CONNECTION, 0)])
+        d.handle(n * 3 * S + 20 * MS, [MessageWithdrawn(f"m{n}")])
     out = sends(d.handle(20 * S, [ask("a", due=60 * S)]))[0]
     d.handle(20100 * MS, [end(out, OK)])
     out = sends(d.handle(23 * S, [ask("b", due=60 * S)]))[0]
-    assert i.CloseIdle(1) not in d.handle(23100 * MS, [end(out, OK)])
+    assert CloseIdleConnections(1) not in d.handle(23100 * MS, [end(out, OK)])
 
 
 def test_a_dead_idle_connection_is_no_outage_and_is_not_used_again() -> None:
@@ -260,18 +281,18 @@
     out = sends(d.handle(0, [ask("a")]))[0]
     d.handle(100 * MS, [end(out, OK)])
     out = sends(d.handle(2 * S, [ask("b", due=9 * S)]))[0]
-    again = d.handle(2100 * MS, [end(out, i.Outcome.RESET)])
-    assert not [a for a in again if isinstance(a, i.Note)]
+    again = d.handle(2100 * MS, [end(out, Outcome.RESET)])
+    assert not [a for a in again if isinstance(a, LogLine)]
     d.handle(2200 * MS, [end(sends(again)[0], OK, attempt=1)])
     actions = d.handle(4 * S, [ask("c", due=9 * S)])
-    assert actions.index(i.CloseIdle(1)) < actions.index(sends(actions)[0])
+    assert actions.index(CloseIdleConnections(1)) < actions.index(sends(actions)[0])
 
 
 def test_an_event_costs_what_its_destination_holds(monkeypatch: pytest.MonkeyPatch) -> None:
     """At full size days were cut off for CPU: each event scanned and sorted all that was held."""
-    entries = tuple(i.TargetEntry(n, n, "north", "plain") for n in range(2000))
+    entries = tuple(EndpointEntry(n, n, "north", "plain") for n in range(2000))
     d = Dispatcher(settings(slots=4000), 1, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
+    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     d.handle(0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)])
     looked: list[int] = []
     plain = Dispatcher.drop_at
@@ -288,9 +309,9 @@
 
 def test_a_round_works_out_each_expected_call_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """event5791: with 700 held a round took 5 ms, most of it the same sums and gates for each message."""
-    entries = tuple(i.TargetEntry(n, n // 2, "north", "plain") for n in range(26))
+    entries = tuple(EndpointEntry(n, n // 2, "north", "plain") for n in range(26))
     d = Dispatcher(settings(slots=9), 1, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, entries)])
+    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     out = sends(d.handle(0, [ask(f"m{n}", n % 13, due=60 * S) for n in range(700)]))
     looked: list[str] = []
 
@@ -317,20 +338,23 @@
 def test_absurd_reported_limits_stop_nothing(limit: float) -> None:
     d = fleet(3)[0]
     out = sends(d.handle(0, [ask("a")]))[0]
-    d.handle(100 * MS, [end(out, OK, report=i.LoadReport(0.0, limit))])
+    d.handle(100 * MS, [end(out, OK, report=LoadReport(0.0, limit))])
     out = sends(d.handle(200 * MS, [ask("b")]))[0]
-    d.handle(300 * MS, [end(out, OK, report=i.LoadReport(0.0, 0.0))])
+    d.handle(300 * MS, [end(out, OK, report=LoadReport(0.0, 0.0))])
     actions, now = d.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
     while not sends(actions) and not finals(actions) and now < 7 * S:
         now += 20 * MS
-        actions = d.handle(now, [i.TimerDue("look")])
+        actions = d.handle(now, [TimerFired("look")])
     assert sends(actions)
 
 
 def test_routes_apart_together_leave_a_quarter_of_the_slots() -> None:
     """Each route has a window of its own: together they must not take every slot from other destinations."""
     d = Dispatcher(settings(), 1, 0)
-    d.handle(0, [i.Listed(i.ListKind.SAVED, tuple(i.TargetEntry(n, 12, "north", "ways") for n in range(4)))])
+    d.handle(
+        0,
+        [EndpointListReceived(EndpointListKind.SAVED, tuple(EndpointEntry(n, 12, "north", "ways") for n in range(4)))],
+    )
     out = sends(d.handle(0, [ask(f"m{n}", 12, due=60 * S) for n in range(90)]))
     most = now = 0
     while now < 2 * S:
@@ -345,11 +369,11 @@
     asked: list[list[int]] = []
     for d in fleet(48, subscribe=True):
         at: list[int] = []
-        d.handle(0, [i.Listed(i.ListKind.FAILED)])
+        d.handle(0, [EndpointListReceived(EndpointListKind.FAILED)])
         for now in range(10 * MS, 8 * S, 10 * MS):
             failed = now - 10 * MS in at
-            told = d.handle(now, [i.Listed(i.ListKind.FAILED) if failed else i.TimerDue("look")])
-            at += [now for a in told if isinstance(a, i.Subscribe)]
+            told = d.handle(now, [EndpointListReceived(EndpointListKind.FAILED) if failed else TimerFired("look")])
+            at += [now for a in told if isinstance(a, RequestEndpointList)]
         asked.append(at)
     assert all(times[0] >= 500 * MS and 2 <= len(times) <= 4 for times in asked)
     assert all(times[1] - times[0] >= S for times in asked), "each pause is longer"
@@ -363,11 +387,12 @@
     for n in range(number):
         d = Dispatcher(settings(balancers=number, weights_told=True, slots=3), seed * 10_000 + n, 100 * S)
         actions = d.handle(
-            100 * S, [i.Listed(i.ListKind.SAVED, TOLD), i.OutageRecalled(1, 80 * S), ask("m", due=900 * S)]
+            100 * S,
+            [EndpointListReceived(EndpointListKind.SAVED, TOLD), EjectionRecovered(1, 80 * S), ask("m", due=900 * S)],
         )
         while not sends(actions):
-            [timer] = [a for a in actions if isinstance(a, i.SetTimer)]
-            actions = d.handle(d.now + timer.delay_us, [i.TimerDue("look")])
+            [timer] = [a for a in actions if isinstance(a, SetTimer)]
+            actions = d.handle(d.now + timer.delay_us, [TimerFired("look")])
         times.append(d.now - 100 * S)
     return sorted(times)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,9 +13,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt.members.codec import MOST_BYTES, Body, Codec, Dropped, FormerLife, Row
-from lemonshunt.members.protocol import SECOND, Protocol, Timing
-from lemonshunt.members.view import FORGET_US, LIFE, Known, News, Phase, State, View
+from forwarder.membership.codec import MOST_BYTES, Body, Codec, Dropped, FormerLife, Row
+from forwarder.membership.protocol import SECOND, Protocol, Timing
+from forwarder.membership.view import FORGET_US, LIFE, Known, News, Phase, State, View
 from tests.members_sim import KEY, Fleet
 
 SCHEDULES = int(os.environ.get("MEMBERS_SCHEDULES", "60"))
--- a/tests/test_members_socket.py
+++ b/tests/test_members_socket.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from lemonshunt.members.codec import Body, Codec
-from lemonshunt.members.protocol import Timing
-from lemonshunt.net import members
-from lemonshunt.net.config import Address
-from lemonshunt.net.members import BURST, MembersPart, Settings
-from lemonshunt.net.supervise import Supervisor
-from lemonshunt.phase import Phase
+from forwarder.config.config import Address
+from forwarder.membership import extension
+from forwarder.membership.codec import Body, Codec
+from forwarder.membership.extension import BURST, MembersPart, Settings
+from forwarder.membership.protocol import Timing
+from forwarder.runtime.startup_phase import Phase
+from forwarder.runtime.supervisor import Supervisor
 
 KEY = b"\0" * 32
 
@@ -104,7 +104,7 @@
 def test_a_flood_from_one_address_is_dropped_unread_and_others_are_heard(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(members, "EACH_S", 0.0)
+    monkeypatch.setattr(extension, "EACH_S", 0.0)
     opened: list[bytes] = []
 
     async def scene(part: MembersPart, transport: Transport) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,19 +11,20 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.net.client import Call, Connection, Item, Pool
-from lemonshunt.net.clock import Clock
-from lemonshunt.net.config import Address, HostList, host_list, load
-from lemonshunt.net.control import Control
-from lemonshunt.net.engine import Engine
-from lemonshunt.net.listen import bind
-from lemonshunt.net.server import ClientConnection, Server, Submission
-from lemonshunt.net.store import MOST_ENDED, AcceptedMessage, Store
-from lemonshunt.net.targets import MOST_TARGETS, TargetTable
-from lemonshunt.net.upgrade import Ownership
-from lemonshunt.wirehost import settings
+from forwarder.admin.server import Control
+from forwarder.clients.listener import bind
+from forwarder.clients.server import ClientConnection, Server, Submission
+from forwarder.config.config import Address, HostList, host_list, load
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import AttemptEnded, EndpointEntry, EndpointListKind, EndpointListReceived
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.endpoint_table import MOST_TARGETS, TargetTable
+from forwarder.endpoints.pool import Call, Connection, Item, Pool
+from forwarder.runtime.engine import Engine
+from forwarder.runtime.ownership import Ownership
+from forwarder.simulator.adapter import settings
+from forwarder.storage.clock import Clock
+from forwarder.storage.store import MOST_ENDED, AcceptedMessage, Store
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, Skewed, always, hang, message
 
 ORDER = settings(SETTINGS).classes[0]
@@ -89,7 +90,7 @@
     assert back.has_room(60_000)
 
 
-def pool(ends: list[i.Ended], idle_us: int = 5_000_000) -> Pool:
+def pool(ends: list[AttemptEnded], idle_us: int = 5_000_000) -> Pool:
     return Pool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
 
 
@@ -99,7 +100,7 @@
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -107,7 +108,7 @@
         p.serving({})
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests
-        assert [e.outcome for e in ends] == [i.Outcome.NOT_SENT]
+        assert [e.outcome for e in ends] == [Outcome.NOT_SENT]
         assert p.out == 0
 
     asyncio.run(scene())
@@ -115,7 +116,7 @@
 
 def test_send_that_waits_for_its_connection_heeds_a_wait_told_meanwhile() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -127,7 +128,7 @@
         p.start(call(Clock(), "b"))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert ends[1].outcome is i.Outcome.NOT_SENT
+        assert ends[1].outcome is Outcome.NOT_SENT
         assert len(peer.requests) == 1
         p.close()
 
@@ -136,7 +137,7 @@
 
 def test_a_wait_told_with_the_ends_of_a_batch_binds_whatever_they_are() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
 
         async def accept(request: Request) -> Answer:
             states = [{"id": x["id"], "state": "accepted"} for x in json.loads(request.body)]
@@ -148,7 +149,7 @@
         p.start(Call(1, (7, -1), now, [Item(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert [(e.outcome, e.wait_us) for e in ends] == [(i.Outcome.DELIVERED, 700_000)] * 2
+        assert [(e.outcome, e.wait_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
         p.close()
 
     asyncio.run(scene())
@@ -157,7 +158,7 @@
 def test_targets_replaced_for_months_do_not_pile_up() -> None:
     d = Dispatcher(settings(SETTINGS), 1, 0)
     for n in range(3000):
-        d.handle(n, [i.Listed(i.ListKind.WHOLE, (i.TargetEntry(n, 7, kind="plain"),))])
+        d.handle(n, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(n, 7, kind="plain"),))])
     assert len(d.targets) <= 2001
     assert 2999 in d.targets
 
@@ -209,13 +210,13 @@
     """The module closes some by itself; the pool must close what it leaves."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends, 1_000_000)
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
-        assert [e.outcome for e in ends] == [i.Outcome.DELIVERED]
+        assert [e.outcome for e in ends] == [Outcome.DELIVERED]
         assert not p.idle
         assert not p.sweeping
 
@@ -260,7 +261,7 @@
     """It counted as written, so that what must not run twice was lost though not a byte had left."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -272,7 +273,7 @@
         async with asyncio.timeout(20):
             while not ends:
                 await asyncio.sleep(0.005)
-        assert [e.outcome for e in ends] == [i.Outcome.DELIVERED]
+        assert [e.outcome for e in ends] == [Outcome.DELIVERED]
         assert len(peer.requests) == 1
         p.close()
 
@@ -281,7 +282,7 @@
 
 def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
@@ -292,7 +293,7 @@
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
-        assert [e.outcome for e in ends] == [i.Outcome.NO_CONNECTION, i.Outcome.RESET]
+        assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
         p.idle.clear()
 
     asyncio.run(scene())
@@ -300,7 +301,7 @@
 
 def test_time_out_closes_its_connection_and_frees_its_call() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -310,7 +311,7 @@
         assert not ends
         while not ends:
             await asyncio.sleep(0.01)
-        assert ends[0].outcome is i.Outcome.TIMED_OUT
+        assert ends[0].outcome is Outcome.TIMED_OUT
         assert not ends[0].closed
         while p.all:
             await asyncio.sleep(0.01)
@@ -322,7 +323,7 @@
         p.cancel("n", 0)
         while len(ends) < 2:  # told as its connection is gone
             await asyncio.sleep(0.01)
-        assert ends[1].outcome is i.Outcome.CANCELED
+        assert ends[1].outcome is Outcome.CANCELED
         assert p.out == 0
         assert not p.all
         p.close()
@@ -333,17 +334,17 @@
 @pytest.mark.parametrize(
     ("begun", "outcome"),
     [
-        (b"HTTP/1.1 200 OK\r\n", i.Outcome.DELIVERED),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", i.Outcome.DELIVERED),
-        (b"HTTP/1.1 200 O", i.Outcome.UNREADABLE),
-        (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", i.Outcome.UNREADABLE),
+        (b"HTTP/1.1 200 OK\r\n", Outcome.DELIVERED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", Outcome.DELIVERED),
+        (b"HTTP/1.1 200 O", Outcome.UNREADABLE),
+        (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", Outcome.UNREADABLE),
     ],
 )
-def test_an_answer_that_falls_quiet_holds_no_slot(begun: bytes, outcome: i.Outcome) -> None:
+def test_an_answer_that_falls_quiet_holds_no_slot(begun: bytes, outcome: Outcome) -> None:
     """The connection stays open, and the call has a minute."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
 
         async def quiet(request: Request) -> None:
             request.writer.write(begun)
@@ -356,7 +357,7 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
-        assert [(e.outcome, e.closed) for e in ends] == [(outcome, outcome is i.Outcome.DELIVERED)]
+        assert [(e.outcome, e.closed) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
         assert p.out == 0
         assert not p.calls
         p.close()
@@ -368,7 +369,7 @@
     """AcceptedMessage for broken, a batch that was delivered in whole was taken for one that may have run."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
 
         async def answer(request: Request) -> None:
             if request.path == "/hook":
@@ -388,9 +389,9 @@
             while len(ends) < 3:
                 await asyncio.sleep(0.01)
         assert [(e.message, e.outcome) for e in ends] == [
-            ("a", i.Outcome.DELIVERED),
-            ("b", i.Outcome.DELIVERED),
-            ("c", i.Outcome.FULL),
+            ("a", Outcome.DELIVERED),
+            ("b", Outcome.DELIVERED),
+            ("c", Outcome.FULL),
         ]
         assert ends[2].wait_us == 700_000
         assert not p.idle.get(1)
@@ -401,7 +402,7 @@
 
 def test_an_answer_in_pieces_is_waited_for() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
 
         async def pieces(request: Request) -> None:
             for byte in b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 2\r\n\r\nab":
@@ -416,7 +417,7 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
-        assert (ends[0].outcome, ends[0].wait_us) == (i.Outcome.FULL, 700_000)
+        assert (ends[0].outcome, ends[0].wait_us) == (Outcome.FULL, 700_000)
         assert len(p.idle[1]) == 1
         p.close()
 
@@ -427,7 +428,7 @@
     """Told that it had, the module sent it a second time beside the first."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         free = asyncio.Event()
 
         async def slow(request: Request) -> Answer:
@@ -455,7 +456,7 @@
         free.set()
         while p.out:
             await asyncio.sleep(0.01)
-        assert [(e.message, e.outcome) for e in ends] == [("short", i.Outcome.DELIVERED), ("long", i.Outcome.DELIVERED)]
+        assert [(e.message, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
         p.close()
 
     asyncio.run(scene())
@@ -465,7 +466,7 @@
     """Its end was told while the call was still out, and the next of its key went beside it."""
 
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
@@ -482,7 +483,7 @@
         )
         while not ends:
             await asyncio.sleep(0.01)
-        assert {(e.message, e.outcome) for e in ends} == {("due", i.Outcome.TIMED_OUT), ("long", i.Outcome.TIMED_OUT)}
+        assert {(e.message, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
         while p.all:
             await asyncio.sleep(0.01)
         p.close()
@@ -492,7 +493,7 @@
 
 def test_connections_are_used_again_and_closed_on_demand() -> None:
     async def scene() -> None:
-        ends: list[i.Ended] = []
+        ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -10,12 +10,14 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import FAIL_MARK, SURE_MARK, Dispatcher
-from lemonshunt.fleet import DOUBT_SHARE, MOST_HOLDERS, NewsPolicy, Shares, Turns
-from lemonshunt.interface import Outcome
-from lemonshunt.members.board import rendezvous
-from lemonshunt.members.words import Asked, Heard, Seen, TellHolding, TellOutage, TellWait, Viewed, Word
+from forwarder.decisions.actions import Action, EjectionChanged
+from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
+from forwarder.decisions.events import EjectionRecovered, EndpointEntry, EndpointListKind, EndpointListReceived
+from forwarder.decisions.fleet_messages import Asked, Heard, Seen, TellHolding, TellOutage, TellWait, Viewed, Word
+from forwarder.decisions.fleet_quota import DOUBT_SHARE, MOST_HOLDERS, NewsPolicy, Shares, Turns
+from forwarder.decisions.hold_reason import HoldReason
+from forwarder.decisions.outcomes import Outcome
+from forwarder.membership.gossip_store import rendezvous
 from tests.scripts import MS, S, ask, end, sends, settings
 
 TOLD = 2 * S
@@ -143,12 +145,12 @@
 
 
 def fleet_of(size: int = 10) -> tuple[Dispatcher, NewsPolicy]:
-    entries = tuple(i.TargetEntry(n, n // 2, "north", "plain", weight=10.0) for n in range(2, 10))
+    entries = tuple(EndpointEntry(n, n // 2, "north", "plain", weight=10.0) for n in range(2, 10))
     d = Dispatcher(settings(balancers=size, weights_told=True), 7, 0)
     policy = NewsPolicy(d, Shares(size, 4 * S, 60 * S, 2 * S, S), turns("me"))
     d.parts.append(policy)
     view = Viewed(Seen(frozenset(f"n{n}" for n in range(size))))
-    d.handle(0, [i.Listed(i.ListKind.SAVED, entries), view])
+    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries), view])
     d.handle(5 * S, [view])
     return d, policy
 
@@ -164,7 +166,7 @@
     d, policy = fleet_of()
     actions = d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1), (4, "a", 5 * S, -1))])
     assert d.cold(d.targets[2])
-    assert i.Outage(2, 5 * S, -1) in actions
+    assert EjectionChanged(2, 5 * S, -1) in actions
     assert policy.by_word == {2}
     assert not d.cold(d.targets[4])
     assert d.targets[4].failing == FAIL_MARK
@@ -172,7 +174,7 @@
     assert not [a for a in actions if isinstance(a, TellOutage)], "only who saw it says so"
     actions = d.handle(7 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
     assert d.targets[2].back_at == 6500 * MS
-    assert i.Outage(2, 5 * S, 6500 * MS) in actions
+    assert EjectionChanged(2, 5 * S, 6500 * MS) in actions
 
 
 def test_a_broken_forwarder_that_says_all_are_down_takes_none_and_doubts_few() -> None:
@@ -198,7 +200,7 @@
 def test_a_target_out_here_is_back_by_the_word_of_one_and_only_if_that_is_newer() -> None:
     d, policy = fleet_of()
     t = d.targets[2]
-    d.handle(6 * S, [i.OutageRecalled(2, 5 * S)])
+    d.handle(6 * S, [EjectionRecovered(2, 5 * S)])
     d.handle(7 * S, [said((2, "a", 4 * S, 5500 * MS))])
     assert t.back_at < 0, "our own try was later"
     d.handle(8 * S, [said((2, "a", 4 * S, 7500 * MS))])
@@ -223,7 +225,7 @@
     send = sends(d.handle(7 * S, [ask("m", 1, due=12 * S)]))[0]
     actions = d.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
     assert [a for a in actions if isinstance(a, TellOutage)] == [TellOutage(send.target, -1, 7100 * MS)]
-    d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), i.OutageRecalled(4, 7 * S)])
+    d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)])
     assert not d.cold(d.targets[5]), "who was served by it did not see it fail"
     d.handle(9 * S, [said((4, "b", -1, 8500 * MS))])
     assert d.targets[4].back_at == 8500 * MS
@@ -231,10 +233,10 @@
 
 def test_words_that_are_too_old_leave_nothing_behind_unless_it_was_seen_here() -> None:
     d, policy = fleet_of()
-    d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), i.OutageRecalled(4, 5 * S)])
+    d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)])
     actions = d.handle(19 * S, [Heard()])
     assert not d.cold(d.targets[2])
-    assert i.Outage(2, -1, -1) in actions
+    assert EjectionChanged(2, -1, -1) in actions
     assert not policy.by_word
     assert d.cold(d.targets[4])
     assert d.targets[4].failing == SURE_MARK
@@ -256,7 +258,7 @@
     d, _ = fleet_of()
     d.targets[3].serving = False
     d.index()
-    told: list[i.Action] = []
+    told: list[Action] = []
     now = 6 * S
     for n in range(4):
         for send in sends(d.handle(now, [ask(f"m{n}", 1, due=now + 60 * S)])):
@@ -281,21 +283,23 @@
         d, _ = fleet_of()
         d.asking_until = 8 * S
         assert not sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))
-        assert d.why("m")[0][0] is i.Gate.START
+        assert d.why("m")[0][0] is HoldReason.START
         assert bool(sends(d.handle(7 * S, [Asked()] if answered else []))) is answered
         assert bool(sends(d.handle(8 * S, []))) is not answered
 
 
 def test_cold_turns_are_shorter_for_the_few_that_hold_and_as_ever_without_the_part() -> None:
     plain = Dispatcher(settings(balancers=10, weights_told=True), 7, 0)
-    plain.handle(0, [i.Listed(i.ListKind.SAVED, (i.TargetEntry(2, 1, "north", "plain", weight=10.0),))])
+    plain.handle(
+        0, [EndpointListReceived(EndpointListKind.SAVED, (EndpointEntry(2, 1, "north", "plain", weight=10.0),))]
+    )
     assert plain.targets[2].crowd == 0
     assert plain.asking_until == 0
     d, _ = fleet_of()
     d.targets[3].serving = False
     d.index()
     lengths, wide = [], Viewed(Seen(frozenset(f"n{n}" for n in range(10))))
-    d.handle(6 * S, [i.OutageRecalled(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
+    d.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
     for now in (6 * S, 7 * S, 9 * S):
         d.handle(now, [wide, ask(f"m{now}", 1, due=60 * S)])
         lengths.append(d.targets[2].crowd)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from lemonshunt.net.discovery import FIRST_HOLD_MS, HOLD_MS
+from forwarder.discovery.watch import FIRST_HOLD_MS, HOLD_MS
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -688,8 +688,8 @@
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
     done = subprocess.run(
-        [sys.executable, "-m", "lemonshunt"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "forwarder"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith("lemonshunt: ")
+    assert done.stderr.startswith("forwarder: ")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from lemonshunt import interface as i
+from forwarder.decisions.actions import EjectionChanged
+from forwarder.decisions.events import EndpointDisabled, EndpointEnabled, EndpointListKind, EndpointListReceived
+from forwarder.decisions.outcomes import Outcome
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Client, Node, Peer, Platform, always, hang, message
 from tests.test_node import node_on, play, target
@@ -169,13 +171,13 @@
 
 def test_an_endpoint_used_again_is_cold() -> None:
     d = started()
-    d.handle(0, [i.Banned(1, 0), i.Banned(2, 0)])
+    d.handle(0, [EndpointDisabled(1, 0), EndpointDisabled(2, 0)])
     assert not sends(d.handle(S, [ask("a"), ask("b"), ask("c")]))
-    d.handle(2 * S, [i.Listed(i.ListKind.WHOLE, ENTRIES)])
-    first = d.handle(3 * S, [i.Unbanned(1), i.Unbanned(1)])
+    d.handle(2 * S, [EndpointListReceived(EndpointListKind.WHOLE, ENTRIES)])
+    first = d.handle(3 * S, [EndpointEnabled(1), EndpointEnabled(1)])
     assert [s.target for s in sends(first)] == [1], "one at a time, and none for the other"
-    assert i.Outage(1, 0, 3 * S) in first
-    again = d.handle(3 * S + 5 * MS, [end(sends(first)[0], i.Outcome.DELIVERED, took=5 * MS)])
+    assert EjectionChanged(1, 0, 3 * S) in first
+    again = d.handle(3 * S + 5 * MS, [end(sends(first)[0], Outcome.DELIVERED, took=5 * MS)])
     assert not sends(again), "a cold endpoint gets turns"
 
 
--- a/tests/test_order_model.py
+++ b/tests/test_order_model.py
@@ -15,20 +15,20 @@
 from hypothesis import settings as profile
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from forwarder.decisions.outcomes import Outcome
 from lab.single import CLASSES, HOSTS, KEY_REST_US, SECOND, Single
-from lemonshunt import interface as i
 
 MS = 1000
 KEYS = ("k1", "k2")
 OUTCOMES = (
-    i.Outcome.DELIVERED,
-    i.Outcome.FAILED,
-    i.Outcome.FULL,
-    i.Outcome.TIMED_OUT,
-    i.Outcome.RESET,
-    i.Outcome.NO_CONNECTION,
-    i.Outcome.UNREADABLE,
-    i.Outcome.HELD_BACK,
+    Outcome.DELIVERED,
+    Outcome.FAILED,
+    Outcome.FULL,
+    Outcome.TIMED_OUT,
+    Outcome.RESET,
+    Outcome.NO_CONNECTION,
+    Outcome.UNREADABLE,
+    Outcome.HELD_BACK,
 )
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace")
 
@@ -68,7 +68,7 @@
             self.single.hand_in(f"m{self.names}", cls, key, left_us)
 
     @rule(key=st.sampled_from(KEYS), cls=st.sampled_from([*CLASSES]), outcome=st.sampled_from(OUTCOMES))
-    def hand_in_and_end(self, key: str, cls: str, outcome: i.Outcome) -> None:
+    def hand_in_and_end(self, key: str, cls: str, outcome: Outcome) -> None:
         """A message's whole way, if nothing is before it: its call, its outcome, and its notice, if it has one."""
         self.hand_in(key, cls, SECOND)
         self.single.pass_time(10 * MS)
@@ -85,7 +85,7 @@
 
     @precondition(lambda self: self.single.calls.calls)
     @rule(data=st.data(), outcome=st.sampled_from(OUTCOMES))
-    def end_a_call(self, data: st.DataObject, outcome: i.Outcome) -> None:
+    def end_a_call(self, data: st.DataObject, outcome: Outcome) -> None:
         names = sorted({name for name, _ in self.single.calls.calls})
         self.single.calls.end(data.draw(st.sampled_from(names)), outcome)
         self.single.pass_time(10 * MS)
@@ -172,7 +172,7 @@
     assert [name for name, _ in single.calls.calls] == ["m1"]
     assert "violations: none" in single.engine.operators.rules()
     assert single.oracle.broken == []
-    single.calls.end("m1", i.Outcome.DELIVERED)
+    single.calls.end("m1", Outcome.DELIVERED)
     for _ in range(20):
         single.pass_time(20 * MS)
     assert [name for name, _ in single.calls.calls] == ["m2"]
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from lemonshunt import parts
-from lemonshunt.net.config import Address, Config, ConfigError, HostList
-from lemonshunt.net.streaming.part import Maker
+from forwarder.config import extensions_file
+from forwarder.config.config import Address, Config, ConfigError, HostList
+from forwarder.streaming.extension import Maker
 from tests.scripts import settings
 from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
 from tests.streams import streaming
@@ -39,7 +39,7 @@
 def refused(text: str, folder: Path, config: Config = CONFIG) -> str:
     (folder / "parts.toml").write_text(text)
     with pytest.raises(ConfigError) as caught:
-        parts.prepare(folder / "parts.toml", config)
+        extensions_file.prepare(folder / "parts.toml", config)
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
@@ -90,7 +90,7 @@
 def test_streams_at_once_follow_from_memory_and_descriptors(tmp_path: Path) -> None:
     def connections(text: str, config: Config) -> int:
         (tmp_path / "parts.toml").write_text(text)
-        maker = parts.prepare(tmp_path / "parts.toml", config)[0]
+        maker = extensions_file.prepare(tmp_path / "parts.toml", config)[0]
         assert isinstance(maker, Maker)
         return maker.limits.connections
 
@@ -106,7 +106,7 @@
     (tmp_path / "members.key").write_text("00" * 32)
     example = (ROOT / "deploy/parts.toml").read_text().replace("members.key", str(tmp_path / "members.key"))
     (tmp_path / "parts.toml").write_text(example)
-    assert len(parts.prepare(tmp_path / "parts.toml", MAY_TELL)) == len(parts.MODULES)
+    assert len(extensions_file.prepare(tmp_path / "parts.toml", MAY_TELL)) == len(extensions_file.MODULES)
 
 
 @pytest.mark.parametrize(
@@ -162,7 +162,7 @@
         async with asyncio.timeout(PATIENCE):
             assert await node.process.wait() == 2
         await node.drain
-        assert node.log == ["lemonshunt: parts: streaming.colour is unknown\n"]
+        assert node.log == ["forwarder: parts: streaming.colour is unknown\n"]
 
     run(scene)
 
@@ -174,20 +174,20 @@
 
 
 OFF = (
-    "lemonshunt.net.health",
-    "lemonshunt.fleet",
-    "lemonshunt.members",
-    "lemonshunt.net.members",
-    "lemonshunt.net.news",
-    "lemonshunt.net.durable",
-    "lemonshunt.statecheck",
+    "forwarder.health.extension",
+    "forwarder.decisions.fleet_quota",
+    "forwarder.membership",
+    "forwarder.membership.extension",
+    "forwarder.membership.gossip",
+    "forwarder.storage.durability",
+    "forwarder.storage.state_check",
     "msgspec",
 )
 PARTS = (
-    "lemonshunt.parts",
-    "lemonshunt.streams",
-    "lemonshunt.net.streaming",
-    "lemonshunt.health",
+    "forwarder.config.extensions_file",
+    "forwarder.decisions.stream_routing",
+    "forwarder.streaming",
+    "forwarder.decisions.outlier_detection",
     "argparse",
     "tomllib",
 )
@@ -204,7 +204,7 @@
         await peer.got(1)
         assert (await node.call(b"LEAVE\n")).startswith("ok")
         assert await node.end(signal.SIGTERM) == 0
-        assert "lemonshunt.net.engine" in imported(node)
+        assert "forwarder.runtime.engine" in imported(node)
         assert not [name for name in imported(node) if name.startswith((*PARTS, *OFF))]
         node, _ = await streaming(tmp_path, platform, {}, "[health.passive]\n")
         await node.end()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from lemonshunt.net import engine
-from lemonshunt.net.store import Store
-from lemonshunt.phase import CATCHING_UP_US, RECOVERING_US, Life, Phase
+from forwarder.runtime import engine
+from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, Life, Phase
+from forwarder.storage.store import Store
 from tests.sockets import OK, ROOT, Node, Peer, Platform, always, hang
 
 S = 1_000_000
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -16,13 +16,17 @@
 def test_policy_files_are_pure() -> None:
     """Events in, actions out: what decides reads no clock and touches no file, socket or log, nor what does."""
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-    assert policy[0] == "lemonshunt/choice.py"
-    assert "lemonshunt/interface.py" in (ROOT / policy[0]).read_text().splitlines()[0]
-    for name in policy:
+    assert policy[0] == "forwarder/decisions/dispatcher.py"
+    assert "forwarder/decisions/events.py" in (ROOT / policy[0]).read_text().splitlines()[0]
+    folder = [str(path.relative_to(ROOT)) for path in sorted((ROOT / "forwarder/decisions").glob("*.py"))]
+    assert set(policy) <= set(folder)
+    for name in folder:
         tree = ast.parse((ROOT / name).read_text())
         imported = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
         imported |= {str(node.module) for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
-        assert not {module for module in imported if module.split(".")[0] in IMPURE or ".net" in module}, name
+        assert not {module for module in imported if module.split(".")[0] in IMPURE}, name
+        own = {module for module in imported if module.split(".")[0] == "forwarder"}
+        assert all(module == "forwarder.units" or module.startswith("forwarder.decisions.") for module in own), name
 
 
 def test_readme_example_runs() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from lemonshunt.choice import Dispatcher
+from forwarder.decisions.dispatcher import Dispatcher
 from tests.scripts import Script, settings
 
 
--- a/tests/test_store_random.py
+++ b/tests/test_store_random.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from lemonshunt.interface import Effect, MessageClass
-from lemonshunt.net import store as store_module
-from lemonshunt.net.store import AcceptedMessage, Store
+from forwarder.decisions.settings import Effect, MessageClass
+from forwarder.storage import store as store_module
+from forwarder.storage.store import AcceptedMessage, Store
 
 CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "close")
 FAILING = (None, None, ("write",), ("write", "open"), ("replace",), ("unlink",), ("pwrite",), ("write", "ftruncate"))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -18,11 +18,11 @@
 
 import pytest
 
-from lemonshunt.interface import Effect, MessageClass, Scope
-from lemonshunt.net import clock, identity, lease
-from lemonshunt.net.store import AcceptedMessage, PendingNotice, Store
-from lemonshunt.net.upgrade import ASK, HEAD, TAKEN, YOURS, memory, receive
-from lemonshunt.wirehost import Host
+from forwarder.decisions.settings import Effect, MessageClass, Scope
+from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, memory, receive
+from forwarder.simulator.adapter import Host
+from forwarder.storage import clock, identity, lease
+from forwarder.storage.store import AcceptedMessage, PendingNotice, Store
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, message
 from tests.test_node import folder_nodes, play, target
 
--- a/tests/test_stream_exchange.py
+++ b/tests/test_stream_exchange.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from lemonshunt.interface import Outcome
-from lemonshunt.net.config import Address
-from lemonshunt.net.http import Headers
-from lemonshunt.net.streaming.exchange import ClientFailed, EndpointFailed, Exchange, request_head
-from lemonshunt.net.streaming.link import PACE_S, Ledger, Link, Pace, Stalled
-from lemonshunt.net.streaming.table import Limits
-from lemonshunt.net.streaming.wire import reserved
-from lemonshunt.streams import Route, TurnAway
+from forwarder.config.config import Address
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.stream_routing import Route, TurnAway
+from forwarder.protocol.http1 import Headers
+from forwarder.streaming.exchange import ClientFailed, EndpointFailed, Exchange, request_head
+from forwarder.streaming.link import PACE_S, Ledger, Link, Pace, Stalled
+from forwarder.streaming.settings import Limits
+from forwarder.streaming.wire import reserved
 from tests import streams as peers
 
 LIMITS = Limits(
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -4,25 +4,36 @@
 
 import random
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.interface import Outcome
-from lemonshunt.streams import Asked, Over, Route, Streams, Told, TurnAway, most_streams
+from forwarder.decisions.actions import Action, EjectionChanged, SendAttempt
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    EjectionRecovered,
+    EndpointDisabled,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    MessageWithdrawn,
+    SettingsChanged,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.stream_routing import Asked, Over, Route, Streams, Told, TurnAway, most_streams
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings
 
 
 def joined(share: float = 0.5, **changes: object) -> Dispatcher:
     d = Dispatcher(settings(**changes), 7, 0)
     d.parts.append(Streams(d, share))
-    d.handle(0, [i.Listed(i.ListKind.SAVED, ENTRIES)])
+    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES)])
     return d
 
 
-def routes(actions: list[i.Action]) -> list[Route]:
+def routes(actions: list[Action]) -> list[Route]:
     return [a for a in actions if isinstance(a, Route)]
 
 
-def turned(actions: list[i.Action]) -> list[TurnAway]:
+def turned(actions: list[Action]) -> list[TurnAway]:
     return [a for a in actions if isinstance(a, TurnAway)]
 
 
@@ -82,7 +93,7 @@
     d = joined(balancers=1)
     (sent,) = sends(d.handle(0, [ask("a", dest=11)]))
     d.handle(1, [end(sent, Outcome.FULL, wait_us=2 * S)])
-    d.handle(2, [i.Withdrawn("a")])
+    d.handle(2, [MessageWithdrawn("a")])
     (away,) = turned(d.handle(S, [Asked(1, 11)]))
     assert 1 * S <= away.wait_us <= 1.5 * 1.1 * S
     assert routes(d.handle(3 * S, [Asked(2, 11)]))
@@ -105,7 +116,7 @@
         if routes(actions):
             notes += d.handle(now, [Told(n, Outcome.TIMED_OUT), Over(n)])
     assert place.window <= had / 2
-    assert any(isinstance(a, i.Outage) and a.target == 3 for a in notes)
+    assert any(isinstance(a, EjectionChanged) and a.target == 3 for a in notes)
 
 
 def test_another_target_than_before_is_taken_on_a_second_try() -> None:
@@ -119,9 +130,16 @@
 
 def test_banned_and_drained_targets_get_no_stream() -> None:
     d = joined()
-    d.handle(0, [i.Banned(3, 0)])
+    d.handle(0, [EndpointDisabled(3, 0)])
     assert turned(d.handle(0, [Asked(1, 11)]))
-    d.handle(0, [i.Listed(i.ListKind.CHANGES, (i.TargetEntry(1, 10, "north", "plain", i.TargetState.DRAINING),))])
+    d.handle(
+        0,
+        [
+            EndpointListReceived(
+                EndpointListKind.CHANGES, (EndpointEntry(1, 10, "north", "plain", EndpointState.DRAINING),)
+            )
+        ],
+    )
     (made,) = routes(d.handle(0, [Asked(2, 10)]))
     assert made.target == 2
 
@@ -129,9 +147,9 @@
 def test_new_slots_hold_for_new_streams() -> None:
     d = joined()
     assert routes(d.handle(0, [Asked(1, 10)]))
-    d.handle(0, [i.Retuned(settings(slots=2))])
+    d.handle(0, [SettingsChanged(settings(slots=2))])
     assert turned(d.handle(0, [Asked(2, 11)]))
-    d.handle(0, [Over(1), i.Retuned(settings())])
+    d.handle(0, [Over(1), SettingsChanged(settings())])
     assert routes(d.handle(S, [Asked(3, 11)]))
 
 
@@ -139,13 +157,13 @@
     """Ten forwarders, started one after the other, ask all the time for a target just back from an outage.
     What it takes in fall_us: 10 calls a second x its cold part, growing from 0.2, x factor 2 x 1.5 s.
     """
-    entry = i.TargetEntry(1, 10, "north", "plain", weight=10.0)
+    entry = EndpointEntry(1, 10, "north", "plain", weight=10.0)
     gone: list[int] = []
     for seed in range(10):
         d = Dispatcher(settings(balancers=10, weights_told=True), seed, 0)
         d.parts.append(Streams(d, 0.5))
         start = seed * 137 * MS
-        d.handle(start, [i.Listed(i.ListKind.SAVED, (entry,)), i.OutageRecalled(1, 0, 0)])
+        d.handle(start, [EndpointListReceived(EndpointListKind.SAVED, (entry,)), EjectionRecovered(1, 0, 0)])
         for n in range(500):
             now = start + (n + 1) * 10 * MS
             for a in routes(d.handle(now, [Asked(n, 10)])):
@@ -163,12 +181,12 @@
         r = random.Random(seed)
         d = joined()
         out: list[int] = []
-        calls: list[tuple[i.Send, int]] = []
+        calls: list[tuple[SendAttempt, int]] = []
         attempts: dict[str, int] = {}
         now = 0
         for n in range(400):
             now += r.randrange(1, 200) * MS
-            events: list[i.Event] = []
+            events: list[Event] = []
             if r.random() < 0.5:
                 events.append(Asked(n, r.choice((10, 11, 12))))
             if r.random() < 0.5:
@@ -186,7 +204,7 @@
                     case Route(stream, target):
                         assert d.targets[target].serving
                         out.append(stream)
-                    case i.Send(message):
+                    case SendAttempt(message):
                         calls.append((a, attempts.get(message, 0)))
                         attempts[message] = attempts.get(message, 0) + 1
                         place = d.targets[a.target].place
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,9 +15,17 @@
 
 import pytest
 
-from lemonshunt import interface as i
-from lemonshunt.choice import Dispatcher
-from lemonshunt.net.upgrade import ASK, HEAD, Ownership, memory, receive
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.events import (
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    HandoverReceived,
+    MessageRecovered,
+    TimerFired,
+)
+from forwarder.decisions.outcomes import Outcome
+from forwarder.runtime.ownership import ASK, HEAD, Ownership, memory, receive
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always, hang, message
 from tests.test_node import folder_nodes, ids, node_on, play, target
@@ -277,11 +285,11 @@
     play(scene, tmp_path)
 
 
-def heir_of(d: Dispatcher, messages: list[i.Event], now: int) -> Dispatcher:
+def heir_of(d: Dispatcher, messages: list[Event], now: int) -> Dispatcher:
     """A dispatcher that takes over from another, with its memory as it comes over the wire."""
     new = Dispatcher(settings(), 8, now)
     told = json.loads(json.dumps(asdict(d.memory())))
-    new.handle(now, [i.Listed(i.ListKind.SAVED, ENTRIES), *messages, i.Inherited(memory(told))])
+    new.handle(now, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES), *messages, HandoverReceived(memory(told))])
     return new
 
 
@@ -290,17 +298,17 @@
     cls = {c.name: c for c in settings().classes}["turns"]
     first = sends(d.handle(0, [ask("a", 11, cls="turns", due=9 * S, key="k")]))[0]
     full = sends(d.handle(0, [ask("x")]))[0]
-    d.handle(MS, [end(full, i.Outcome.FULL, wait_us=3 * S), ask("b", 11, cls="turns", due=9 * S, key="k")])
-    held: list[i.Event] = [
-        i.Recalled("x", 10, settings().classes[0], 6 * S, attempts=1),
-        i.Recalled("a", 11, cls, 9 * S, "k", attempts=1),
-        i.Recalled("b", 11, cls, 9 * S, "k"),
+    d.handle(MS, [end(full, Outcome.FULL, wait_us=3 * S), ask("b", 11, cls="turns", due=9 * S, key="k")])
+    held: list[Event] = [
+        MessageRecovered("x", 10, settings().classes[0], 6 * S, attempts=1),
+        MessageRecovered("a", 11, cls, 9 * S, "k", attempts=1),
+        MessageRecovered("b", 11, cls, 9 * S, "k"),
     ]
     new = heir_of(d, held, 2 * MS)
     assert not sends(new.handle(S, [ask("y")])), "the wait still binds, and the key is still out"
-    after = sends(new.handle(2 * S, [end(first, i.Outcome.DELIVERED)]))
+    after = sends(new.handle(2 * S, [end(first, Outcome.DELIVERED)]))
     assert [s.message for s in after] == ["b"]
-    assert {s.message for s in sends(new.handle(4 * S, [i.TimerDue("look")]))} <= {"x", "y"}
+    assert {s.message for s in sends(new.handle(4 * S, [TimerFired("look")]))} <= {"x", "y"}
     assert new.calls_out == len(new.attempts) > 1
 
 
@@ -327,7 +335,7 @@
         ownership.close()
 
     asyncio.run(scene())
-    told = [r.getMessage() for r in caplog.records if r.name == "lemonshunt.upgrade"]
+    told = [r.getMessage() for r in caplog.records if r.name == "forwarder.upgrade"]
     assert len(told) == 2
     assert all("not implemented" in text for text in told)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,7 +27,7 @@
 def run(lines: list[Any], **env: str) -> subprocess.CompletedProcess[str]:
     text = "".join((x if isinstance(x, str) else json.dumps(x)) + "\n" for x in lines)
     return subprocess.run(
-        [sys.executable, "-m", "lemonshunt.wirehost"],
+        [sys.executable, "-m", "forwarder.simulator"],
         input=text,
         text=True,
         cwd=ROOT,
