--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.outlier_detection import Health
+from forwarder.decisions.outlier_detection import OutlierDetector
 from tests.scripts import MS, S, ask, settings
 from tests.test_health import LIMITS
 
@@ -39,7 +39,7 @@
     def __init__(self, endpoints: int, on: bool, seed: int, fate: Fate, rate: float) -> None:
         self.random, self.fate, self.rate = random.Random(seed), fate, rate
         self.d = Dispatcher(settings(slots=8, balancers=1, warm_us=10 * S), seed, 0)
-        self.health = Health(self.d, LIMITS)
+        self.health = OutlierDetector(self.d, LIMITS)
         if on:
             self.d.parts.append(self.health)
         entries = tuple(EndpointEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -22,9 +22,9 @@
 
 from forwarder.membership import protocol
 from forwarder.membership.codec import Body, Codec, row
-from forwarder.membership.gossip_store import Board, Kind
+from forwarder.membership.gossip_store import GossipStore, RecordKind
 from forwarder.membership.protocol import SECOND, Protocol, Timing
-from forwarder.membership.view import LIFE, Known, News, State
+from forwarder.membership.view import LIFE, Known, MemberRecord, State
 from lab import plan, run
 from lab import scenario as lab_scenario
 from tests.members_sim import KEY, Fleet
@@ -139,17 +139,17 @@
         for seed in range(seeds):
             tracemalloc.start()
             p, codec = Protocol("n0", ("h0", 1), 1, "i" * 8, Timing(), seed, 0, [("h1", 1)]), Codec("c", [KEY])
-            p.board = Board("n0")
+            p.board = GossipStore("n0")
             for n in range(1, size):
                 p.view.take(
-                    News(
+                    MemberRecord(
                         f"n{n}", (f"127.0.{n >> 8}.{n & 255}", 3200), LIFE + 1, State.ALIVE, f"{n:08x}", version="0.1.0"
                     ),
                     Known.MERGED,
                     0,
                 )
             for n in range(50):
-                p.board.say(0, Kind.OUTAGE, f"endpoint-{n}")
+                p.board.say(0, RecordKind.OUTAGE, f"endpoint-{n}")
             memory.append(tracemalloc.get_traced_memory()[0] / 1e6)
             tracemalloc.stop()
             shares.append(_minute(p, codec, size) / 60)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from forwarder.decisions.settings import MessageClass
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore
 from tests.sockets import ROOT, Node, Platform
 
 SAFE = MessageClass("status", 10**6, 3_600_000_000)
@@ -27,7 +27,7 @@
 
 def fill(state: Path, held: int) -> None:
     """So many messages are held for a destination that nobody serves, and twice as many are over."""
-    store, due = Store(state, DISK_MB * 1_000_000).own(), time.time_ns() // 1000 + 3_600_000_000
+    store, due = MessageStore(state, DISK_MB * 1_000_000).own(), time.time_ns() // 1000 + 3_600_000_000
     for n in range(3 * held):
         name = f"m{n}"
         if store.has_room(400):
@@ -73,7 +73,7 @@
     if held:
         fill(folder / "state", held)
     began = time.perf_counter()
-    Store(folder / "state", DISK_MB * 1_000_000)
+    MessageStore(folder / "state", DISK_MB * 1_000_000)
     read = (time.perf_counter() - began) * 1000
     up = await until_up(node)
     await node.end()
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -19,7 +19,7 @@
 from statistics import median
 
 from forwarder.decisions.settings import MessageClass
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore
 
 SAFE = MessageClass("safe", 10**6, 10**7)
 LIMIT = 200_000_000
@@ -34,7 +34,7 @@
     """Messages, each with an attempt, until the files are that large; a fifth of them are over. Returns how many are
     held.
     """
-    store, n = Store(folder, LIMIT).own(), 0
+    store, n = MessageStore(folder, LIMIT).own(), 0
     while store.size < size:
         store.take(taken(n))
         store.attempt(store.messages[f"message-{n:08d}"], 0, 50, "s1")
@@ -51,7 +51,7 @@
     """In a process of its own: how long reading takes, and what the process's peak grows by."""
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     began = time.perf_counter()
-    store = Store(folder, LIMIT)
+    store = MessageStore(folder, LIMIT)
     return {
         "ms": (time.perf_counter() - began) * 1000,
         "held": len(store.messages),
@@ -87,7 +87,7 @@
         longest, each, disk, cpu = [], [], [], []
         for _ in range(runs):
             with tempfile.TemporaryDirectory() as folder:
-                store, times, most = Store(Path(folder), LIMIT).own(), [], 0
+                store, times, most = MessageStore(Path(folder), LIMIT).own(), [], 0
                 began_cpu = time.process_time()
                 for n in range(held + 20_000):
                     began = time.perf_counter()
--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -12,14 +12,14 @@
 from dataclasses import astuple
 from typing import TypeVar
 
-from forwarder.admin.server import Control
+from forwarder.admin.server import AdminServer
 from forwarder.clients.arrival_time import event_loop
 from forwarder.clients.listener import bind
-from forwarder.config.config import Config, ConfigError, ConfigUnreadable, load
-from forwarder.runtime.engine import Engine, Maker
+from forwarder.config.config import Config, ConfigError, ConfigUnreadableError, load_config
+from forwarder.runtime.engine import Engine, ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
-from forwarder.storage.identity import ForeignState
-from forwarder.storage.journal import NewerFormat
+from forwarder.storage.identity import ForeignStateError
+from forwarder.storage.journal import NewerFormatError
 
 READ_PATIENCE_S = 20.0  # a start has to be ready within 30 s
 READ_AGAIN_S = 0.2
@@ -44,7 +44,7 @@
 
 def passing_read(error: Exception) -> bool:
     """Whether the configuration may be readable in a moment."""
-    return isinstance(error, ConfigUnreadable) and error.passing
+    return isinstance(error, ConfigUnreadableError) and error.passing
 
 
 def passing_call(error: Exception) -> bool:
@@ -65,11 +65,11 @@
         await asyncio.sleep(READ_AGAIN_S)
 
 
-async def serve(config: Config, parts: Sequence[Maker] = ()) -> None:
+async def serve(config: Config, parts: Sequence[ExtensionFactory] = ()) -> None:
     loop = asyncio.get_running_loop()
     hups: list[int] = []  # those that came before there was anything to tell of them
     loop.add_signal_handler(signal.SIGHUP, hups.append, signal.SIGHUP)
-    control, ownership = Control(), Ownership(config.state)
+    control, ownership = AdminServer(), Ownership(config.state)
     if config.control is not None:
         try:
             control.listen(await bind(config.control, patience_s=0))
@@ -100,14 +100,14 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def turned_on(arguments: Sequence[str], config: Config) -> list[Maker]:
+def turned_on(arguments: Sequence[str], config: Config) -> list[ExtensionFactory]:
     """The parts that the command line asks for. What is not asked for is not even imported."""
     if not arguments:
         return []
-    from forwarder.config.extensions_file import file_named, prepare
+    from forwarder.config.extensions_file import extensions_path, load_extensions
 
-    path = file_named(arguments)
-    return [] if path is None else prepare(path, config)
+    path = extensions_path(arguments)
+    return [] if path is None else load_extensions(path, config)
 
 
 def main() -> int:
@@ -117,7 +117,7 @@
 
         return look(sys.argv[2:])
     try:
-        config = retried(load, passing_read)
+        config = retried(load_config, passing_read)
         parts = turned_on(sys.argv[1:], config)
     except ConfigError as error:
         print(f"forwarder: {error}", file=sys.stderr)
@@ -125,7 +125,7 @@
     try:
         with asyncio.Runner(loop_factory=lambda: retried(event_loop, passing_call)) as runner:
             runner.run(serve(config, parts))
-    except (OSError, NewerFormat, ForeignState) as error:
+    except (OSError, NewerFormatError, ForeignStateError) as error:
         print(f"forwarder: cannot serve: {error}", file=sys.stderr)
         return 1
     return 0
--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -6,7 +6,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from forwarder.admin.server import Calls, Refused, alone
+from forwarder.admin.server import CommandRefusedError, CommandTable, without_arguments
 from forwarder.decisions.events import EndpointDisabled, EndpointEnabled
 from forwarder.runtime.reason_counts import Subject
 
@@ -17,31 +17,31 @@
 log = logging.getLogger("forwarder.operators")
 
 
-class Operators:
+class AdminCommands:
     """The calls of one engine. Each returns what to tell, or raises Refused."""
 
     def __init__(self, engine: Engine) -> None:
         self.engine = engine
 
-    def calls(self) -> Calls:
+    def calls(self) -> CommandTable:
         """By their words, those of the parts that are on among them."""
-        own: Calls = {
-            "HEALTH": alone(self.health),
-            "LEAVE": alone(self.leave),
-            "JOIN": alone(self.join),
+        own: CommandTable = {
+            "HEALTH": without_arguments(self.health),
+            "LEAVE": without_arguments(self.leave),
+            "JOIN": without_arguments(self.join),
             "OFFLINE": self.offline,
             "ONLINE": self.online,
             "WHY": self.why,
-            "PHASE": alone(self.phase),
-            "JOURNAL": alone(self.journal),
-            "RULES": alone(self.rules),
+            "PHASE": without_arguments(self.phase),
+            "JOURNAL": without_arguments(self.journal),
+            "RULES": without_arguments(self.rules),
         }
         return {**own, **{word: call for part in self.engine.parts for word, call in part.calls.items()}}
 
     def health(self) -> str:
         """Whether it serves."""
         if self.engine.leaving_s:
-            raise Refused("stopping")
+            raise CommandRefusedError("stopping")
         return "serving"
 
     def offline(self, name: str) -> str:
@@ -64,7 +64,7 @@
 
     def _check_listed(self, name: str) -> None:
         if name not in self.engine.store.names and name not in self.engine.store.bans:
-            raise Refused("no endpoint of that id was ever listed")
+            raise CommandRefusedError("no endpoint of that id was ever listed")
 
     def journal(self) -> str:
         """How the journal was found, and how it stands."""
@@ -108,11 +108,11 @@
             elif word == "id":
                 rows = self.engine.dispatcher.why(value)
             else:
-                raise Refused("WHY stands alone, or with json, dest=N or id=X")
+                raise CommandRefusedError("WHY stands alone, or with json, dest=N or id=X")
         except ValueError:
-            raise Refused("a destination is a number") from None
+            raise CommandRefusedError("a destination is a number") from None
         except KeyError:
-            raise Refused("no message of that id is held") from None
+            raise CommandRefusedError("no message of that id is held") from None
         return "; ".join(f"{gate.value} {us / SECOND:.3f} s" for gate, us in rows) or "nothing was held"
 
     def why_as_json(self) -> str:
@@ -144,7 +144,7 @@
     def join(self) -> str:
         """Take clients again."""
         if self.engine.leaving_s:
-            raise Refused("stopping")
+            raise CommandRefusedError("stopping")
         log.info("drain: back to work")
         self.engine.drain.join()
         for part in self.engine.parts:
--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -22,29 +22,29 @@
 log = logging.getLogger("forwarder.control")
 
 
-class Refused(Exception):
+class CommandRefusedError(Exception):
     """The call cannot be carried out; the text says why, in one line."""
 
 
-Calls = Mapping[str, Callable[[str], str]]
+CommandTable = Mapping[str, Callable[[str], str]]
 """For each word what it does with the rest of its line: it returns what to tell, or raises Refused."""
 
 
-def alone(call: Callable[[], str]) -> Callable[[str], str]:
+def without_arguments(call: Callable[[], str]) -> Callable[[str], str]:
     """A call that stands alone on its line."""
 
     def checked(rest: str) -> str:
         if rest:
-            raise Refused("this call stands alone")
+            raise CommandRefusedError("this call stands alone")
         return call()
 
     return checked
 
 
-class Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection, for one call."""
 
-    def __init__(self, control: Control, line: bytes = b"") -> None:
+    def __init__(self, control: AdminServer, line: bytes = b"") -> None:
         self.control, self.line = control, line
         self.transport: asyncio.Transport | None = None
         self.answered = False
@@ -93,30 +93,30 @@
             self.transport.close()
 
 
-class Control:
+class AdminServer:
     """Listens for operators. Before the process can serve, `calls` is None and every call fails."""
 
     def __init__(self) -> None:
-        self.calls: Calls | None = None
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.calls: CommandTable | None = None
+        self.callers: dict[AdminConnection, None] = {}  # the oldest first
         self.listeners: dict[Address, Listener] = {}  # our own, and for a time that of the process before
 
     def listen(self, sock: socket.socket) -> Listener:
-        listener = Listener(sock, BACKLOG, lambda waited_us: Caller(self), self.room)
+        listener = Listener(sock, BACKLOG, lambda waited_us: AdminConnection(self), self.room)
         self.listeners[listener.where()] = listener
         return listener
 
     async def adopt(self, sock: socket.socket, line: bytes) -> None:
         """Go on with a caller of the process before."""
         sock.setblocking(False)
-        await asyncio.get_running_loop().connect_accepted_socket(lambda: Caller(self, line), sock)
+        await asyncio.get_running_loop().connect_accepted_socket(lambda: AdminConnection(self, line), sock)
 
     def room(self) -> int:
         """How many more may be accepted now: those that are closed hold a descriptor until the loop's next turn."""
         coming = sum(len(listener.coming) for listener in self.listeners.values())
         return 2 * MOST_CALLERS - len(self.callers) - coming
 
-    def joined(self, caller: Caller) -> None:
+    def joined(self, caller: AdminConnection) -> None:
         self.callers[caller] = None
         if len(self.callers) > MOST_CALLERS:
             oldest = min(self.callers, key=lambda c: not c.answered)
@@ -129,13 +129,13 @@
         try:
             word, _, rest = line.decode("ascii").strip().partition(" ")
             if self.calls is None:
-                raise Refused("not serving yet")
+                raise CommandRefusedError("not serving yet")
             if word not in self.calls:
-                raise Refused("no such call")
+                raise CommandRefusedError("no such call")
             return f"ok {self.calls[word](rest.strip())}".rstrip()
         except UnicodeDecodeError:
             text = "fail not a readable line"
-        except Refused as refused:
+        except CommandRefusedError as refused:
             text = f"fail {refused}"
         except Exception:
             log.exception("a call failed")
--- a/forwarder/clients/drain.py
+++ b/forwarder/clients/drain.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from forwarder.clients.server import Server
+from forwarder.clients.server import ClientServer
 from forwarder.runtime.supervisor import Repeating, Supervisor
 
 LATE_S = 1.0  # new connections come for a while, until the front has asked and heeded the no
 STEP_S = 0.05
 
 
-class Drain:
-    def __init__(self, server: Server, supervisor: Supervisor) -> None:
+class ClientDrain:
+    def __init__(self, server: ClientServer, supervisor: Supervisor) -> None:
         self.server, self.supervisor = server, supervisor
         self.timer: Repeating | None = None
 
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -19,9 +19,9 @@
 from forwarder.clients.arrival_time import PatientSocket, waited_us
 from forwarder.clients.listener import Listener, descriptor, fileno, unread
 from forwarder.decisions.settings import MessageClass, Settings
-from forwarder.protocol.http1 import MOST_BODY, destination
+from forwarder.protocol.http1 import MOST_BODY, parse_destination
 from forwarder.runtime.descriptor_watch import ready_now
-from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
 
 MOST_HEAD = 16 * 1024
@@ -40,21 +40,21 @@
 log = logging.getLogger("forwarder.server")
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     def __init__(self, status: HTTPStatus, text: str) -> None:
         super().__init__(text)
         self.status, self.text = status, text
 
 
 @dataclass(slots=True)
-class Request:
+class ClientRequest:
     came_us: int
     method: str = ""
     path: str = ""
     keep_alive: bool = True
     headers: dict[str, str] = field(default_factory=dict)
     body: bytearray = field(default_factory=bytearray)
-    bad: BadRequest | None = None
+    bad: BadRequestError | None = None
 
 
 @dataclass(slots=True)
@@ -78,36 +78,36 @@
     return len(text) <= most and text.isascii() and text.isprintable()
 
 
-def message(request: Request, settings: Settings) -> Submission:
+def parse_submission(request: ClientRequest, settings: Settings) -> Submission:
     """Read a message from a request, or say what is wrong with it."""
     name, bad = request.path.partition("?")[0].strip("/"), HTTPStatus.BAD_REQUEST
     cls = next((c for c in settings.classes if c.name == name.partition("/")[0]), None)
     if cls is None:
-        raise BadRequest(HTTPStatus.NOT_FOUND, "no such class of message")
+        raise BadRequestError(HTTPStatus.NOT_FOUND, "no such class of message")
     if request.method != "POST":
-        raise BadRequest(HTTPStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST")
+        raise BadRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST")
     h = request.headers
     ident = h.get("x-correlation-id", "")
     if not ident or not readable(ident, 128) or " " in ident:
-        raise BadRequest(bad, "X-Correlation-Id is missing or malformed")
+        raise BadRequestError(bad, "X-Correlation-Id is missing or malformed")
     try:
         left = float(h["x-time-left"])
         if not math.isfinite(left) or abs(left) > 86400:
             raise ValueError
     except (KeyError, ValueError):
-        raise BadRequest(bad, "X-Time-Left is missing or malformed") from None
-    dest = destination(h.get("x-addressing", ""))
+        raise BadRequestError(bad, "X-Time-Left is missing or malformed") from None
+    dest = parse_destination(h.get("x-addressing", ""))
     if dest is None:
-        raise BadRequest(bad, "X-Addressing names no destination")
+        raise BadRequestError(bad, "X-Addressing names no destination")
     key = h.get("x-session-key")
     if key is not None and not readable(key, 256):
-        raise BadRequest(bad, "X-Session-Key is malformed")
+        raise BadRequestError(bad, "X-Session-Key is malformed")
     once_key = h.get("idempotency-key")
     if once_key is not None and not readable(once_key, 256):
-        raise BadRequest(bad, "Idempotency-Key is malformed")
+        raise BadRequestError(bad, "Idempotency-Key is malformed")
     tenant = h.get("x-account")
     if settings.tenants and tenant not in {t.name for t in settings.tenants}:
-        raise BadRequest(bad, "X-Account is missing or unknown")
+        raise BadRequestError(bad, "X-Account is missing or unknown")
     return Submission(
         ident,
         cls,
@@ -127,16 +127,16 @@
     accepted, and its first request with it.
     """
 
-    def __init__(self, server: Server, told: dict[str, Any] | None = None, waited_us: int = 0) -> None:
+    def __init__(self, server: ClientServer, told: dict[str, Any] | None = None, waited_us: int = 0) -> None:
         self.server, self.told = server, told
         self.raw = bytearray()  # what has been read of the request that is being read
         self.shared = False  # what was read last held the end of a request too
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.reading: Request | None = None
+        self.reading: ClientRequest | None = None
         self.head = 0
-        self.waiting: deque[Request] = deque()
-        self.busy: Request | None = None
+        self.waiting: deque[ClientRequest] = deque()
+        self.busy: ClientRequest | None = None
         self.left: Callable[[], None] | None = None
         self.made_us = self.used_us = self.arrived_us = server.clock()
         self.attached_us = self.made_us
@@ -228,15 +228,15 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             pass
-        except (httptools.HttpParserError, BadRequest) as error:
+        except (httptools.HttpParserError, BadRequestError) as error:
             # After a request that cannot be read, nothing on this connection can be trusted to begin where
             # it seems to: it is answered, in its turn, and the connection closed.
-            cause = error.__context__ if isinstance(error.__context__, BadRequest) else error
-            if not isinstance(cause, BadRequest):
-                cause = BadRequest(HTTPStatus.BAD_REQUEST, "not a readable request")
+            cause = error.__context__ if isinstance(error.__context__, BadRequestError) else error
+            if not isinstance(cause, BadRequestError):
+                cause = BadRequestError(HTTPStatus.BAD_REQUEST, "not a readable request")
             self.broken = True
             # Without its traceback, whose frames hold this door.
-            self.waiting.append(Request(self.used_us, keep_alive=False, bad=cause.with_traceback(None)))
+            self.waiting.append(ClientRequest(self.used_us, keep_alive=False, bad=cause.with_traceback(None)))
             self.reading = None
         if self.reading is None or self.shared:
             self.raw.clear()
@@ -247,7 +247,7 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        self.reading, self.head = Request(self.arrived_us), 0
+        self.reading, self.head = ClientRequest(self.arrived_us), 0
 
     def on_url(self, url: bytes) -> None:
         self.grow(len(url))
@@ -260,26 +260,26 @@
             known = self.reading.headers
             low = name.decode("latin-1").lower()
             if low in known and low in ONLY_ONCE:
-                self.reading.bad = BadRequest(HTTPStatus.BAD_REQUEST, f"{low} stands twice")
+                self.reading.bad = BadRequestError(HTTPStatus.BAD_REQUEST, f"{low} stands twice")
             known[low] = value.decode("latin-1").strip()
 
     def grow(self, more: int) -> None:
         self.head += more
         if self.head > MOST_HEAD:
-            raise BadRequest(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
+            raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
 
     def on_headers_complete(self) -> None:
         if self.reading is not None and self.transport is not None:
             length = self.reading.headers.get("content-length", "0")
             if length.isdigit() and int(length) > MOST_BODY:
-                raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+                raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
             if self.reading.headers.get("expect", "").lower() == "100-continue" and self.busy is None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         if self.reading is not None:
             if len(self.reading.body) + len(body) > MOST_BODY:
-                raise BadRequest(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+                raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
             self.reading.body += body
 
     def on_message_complete(self) -> None:
@@ -369,7 +369,7 @@
         """Close it to make room. One that is half way into a request is told so."""
         if self.reading is not None:
             self.broken, self.reading = True, None
-            self.busy = Request(self.used_us, keep_alive=False)
+            self.busy = ClientRequest(self.used_us, keep_alive=False)
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason)
         self.close(reason)
 
@@ -386,7 +386,7 @@
         return self.transport is None or self.transport.is_closing()
 
 
-def gone(waiting: Mapping[str, ClientConnection]) -> list[str]:
+def disconnected(waiting: Mapping[str, ClientConnection]) -> list[str]:
     """Those of the messages that wait for an answer whose client has ended its side, or the whole connection. The end
     may lie in the kernel unread: after a loop that stood still, a request and its client's end are both there. One
     system call for all; where it fails, a message is taken on that its client may have given up, which does no harm.
@@ -401,7 +401,7 @@
     return [name for name, door in waiting.items() if door.closed()] + unread
 
 
-class Server:
+class ClientServer:
     """Listens for clients. `hand_in` gets each well-formed message together with its connection."""
 
     def __init__(
@@ -410,10 +410,10 @@
         clock: Callable[[], int],
         most: int,
         hand_in: Callable[[Submission, ClientConnection], None],
-        reasons: Reasons | None = None,
+        reasons: ReasonCounts | None = None,
         supervisor: Supervisor | None = None,
     ) -> None:
-        self.reasons, self.supervisor = reasons or Reasons(), supervisor or Supervisor()
+        self.reasons, self.supervisor = reasons or ReasonCounts(), supervisor or Supervisor()
         self.settings, self.clock, self.most, self.hand_in = settings, clock, most, hand_in
         self.doors: set[ClientConnection] = set()
         self.closing: set[ClientConnection] = (
@@ -511,12 +511,12 @@
                 continue
             elif door.reading is not None and door.reading.came_us < old:
                 door.broken, door.reading = True, None
-                door.busy = Request(old, keep_alive=False)
+                door.busy = ClientRequest(old, keep_alive=False)
                 door.answer(HTTPStatus.REQUEST_TIMEOUT, "the request did not come to its end")
             elif door.idle() and not door.asked and door.made_us < old:
                 door.close("no request came")
 
-    def handle(self, door: ClientConnection, request: Request) -> None:
+    def handle(self, door: ClientConnection, request: ClientRequest) -> None:
         if request.bad is not None:
             door.answer(request.bad.status, request.bad.text)
         elif request.path.partition("?")[0] == "/up":
@@ -528,8 +528,8 @@
                 door.answer(HTTPStatus.OK, "up")
         else:
             try:
-                handed = message(request, self.settings)
-            except BadRequest as bad:
+                handed = parse_submission(request, self.settings)
+            except BadRequestError as bad:
                 more = {"Allow": "POST"} if bad.status is HTTPStatus.METHOD_NOT_ALLOWED else {}
                 door.answer(bad.status, bad.text, **more)
                 return
--- a/forwarder/config/config.py
+++ b/forwarder/config/config.py
@@ -14,9 +14,9 @@
 
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import Settings
-from forwarder.simulator.adapter import Malformed, entry, need, settings
+from forwarder.simulator.adapter import MalformedInputError, parse_endpoint_entry, parse_settings, require_field
 
-PASSING = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
+TRANSIENT_ERRORS = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
 """Errors of open and read that may be over in a moment (open(2), read(2))."""
 HEALTH = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
 
@@ -25,7 +25,7 @@
     """The configuration is missing or cannot hold; the text is one line."""
 
 
-class ConfigUnreadable(ConfigError):
+class ConfigUnreadableError(ConfigError):
     """The file could not be read just now; it may be later. `passing`: by an error that says nothing of the file."""
 
     def __init__(self, text: str, passing: bool = False) -> None:
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
+class ListedEndpoint:
     """One target as discovery lists it."""
 
     name: str
@@ -51,23 +51,23 @@
 
     def entry(self, number: int) -> EndpointEntry:
         """The module's entry, by way of the adapter's own translation."""
-        return entry(
+        return parse_endpoint_entry(
             {
                 "target": number,
                 "hall": self.raw.get("site"),
                 "kind": self.raw.get("class"),
                 "belongs_to": self.destination,
                 "readiness": HEALTH[self.health],
-                "power_hint": need(self.raw, "share", float) if "share" in self.raw else 0.0,
+                "power_hint": require_field(self.raw, "share", float) if "share" in self.raw else 0.0,
             }
         )
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class EndpointList:
     seq: int
     whole: bool
-    hosts: tuple[Host, ...]
+    hosts: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,59 +82,67 @@
     memory_mb: int
     sockets: int
     disk_bytes: int
-    known: HostList
+    known: EndpointList
     settings: Settings
     report_fields: tuple[str, ...]
     told: dict[str, Any]
     """The file as it was read."""
 
 
-def address(text: Any) -> Address:
+def parse_address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise Malformed(f"not an address: {text!r}")
+        raise MalformedInputError(f"not an address: {text!r}")
     return Address(host, int(port))
 
 
-def host(raw: Any) -> Host:
-    health = need(raw, "health", str)
+def parse_endpoint(raw: Any) -> ListedEndpoint:
+    health = require_field(raw, "health", str)
     if health not in HEALTH:
-        raise Malformed(f"unknown health {health!r}")
-    if "share" in raw and not 0.0 <= need(raw, "share", float) < math.inf:
-        raise Malformed(f"no share: {raw['share']!r}")
-    made = Host(need(raw, "host", str), address(need(raw, "dial", str)), need(raw, "block", int), health, raw)
+        raise MalformedInputError(f"unknown health {health!r}")
+    if "share" in raw and not 0.0 <= require_field(raw, "share", float) < math.inf:
+        raise MalformedInputError(f"no share: {raw['share']!r}")
+    made = ListedEndpoint(
+        require_field(raw, "host", str),
+        parse_address(require_field(raw, "dial", str)),
+        require_field(raw, "block", int),
+        health,
+        raw,
+    )
     made.entry(0)  # a bad line must be found here, not in the middle of a round
     return made
 
 
-def host_list(told: Any) -> HostList:
+def parse_endpoint_list(told: Any) -> EndpointList:
     """One answer of discovery, or Malformed."""
-    return HostList(
-        need(told, "seq", int), need(told, "whole", bool), tuple(host(raw) for raw in need(told, "hosts", list))
+    return EndpointList(
+        require_field(told, "seq", int),
+        require_field(told, "whole", bool),
+        tuple(parse_endpoint(raw) for raw in require_field(told, "hosts", list)),
     )
 
 
-def check_whole(had: Any, told: Any, path: str) -> None:
+def check_complete(had: Any, told: Any, path: str) -> None:
     """A file that is read again must hold every key that the one before it held, with a value of its kind. In
     a list, each entry must have what all entries before had.
     """
     for kind in (bool, (int, float), str, dict, list):
         if isinstance(had, kind):
             if not isinstance(told, kind) or (isinstance(told, bool) and kind is not bool):
-                raise Malformed(f"{path} is {told!r:.40}, where it was {had!r:.40}")
+                raise MalformedInputError(f"{path} is {told!r:.40}, where it was {had!r:.40}")
             break
     if isinstance(had, dict):
         for key in had:
             if key not in told:
-                raise Malformed(f"{path} has no {key!r}")
-            check_whole(had[key], told[key], f"{path}.{key}")
+                raise MalformedInputError(f"{path} has no {key!r}")
+            check_complete(had[key], told[key], f"{path}.{key}")
     elif isinstance(had, list) and had and all(isinstance(entry, dict) for entry in had):
         common = {key: value for key, value in had[0].items() if all(key in entry for entry in had)}
         for n, entry in enumerate(told):
-            check_whole(common, entry, f"{path}[{n}]")
+            check_complete(common, entry, f"{path}[{n}]")
 
 
-def load(environ: Mapping[str, str] = os.environ, before: Config | None = None) -> Config:
+def load_config(environ: Mapping[str, str] = os.environ, before: Config | None = None) -> Config:
     """The configuration; the environment's names go before those in the file. When it is read again, it must
     be whole, and the address of discovery is the file's: the environment cannot have followed a change.
     """
@@ -144,35 +152,37 @@
     try:
         told = json.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigUnreadable(f"cannot read {path}: {error}", error.errno in PASSING) from None
+        raise ConfigUnreadableError(f"cannot read {path}: {error}", error.errno in TRANSIENT_ERRORS) from None
     except ValueError as error:
         raise ConfigError(f"cannot read {path}: {error}") from None
     try:
         if before is not None:
-            check_whole(before.told, told, "the file")
+            check_complete(before.told, told, "the file")
             if not told["settings"]["services"]:
-                raise Malformed("settings.services is empty")
+                raise MalformedInputError("settings.services is empty")
         limits = told.get("limits") or {}
-        facts = need(told, "settings", dict)
+        facts = require_field(told, "settings", dict)
         state = environ.get("LB_STATE")
         if not state:
             raise ConfigError("LB_STATE is not set")
         control = environ.get("LB_CONTROL") or told.get("control")
         return Config(
-            name=environ.get("LB_NAME") or need(told, "name", str),
-            listen=address(environ.get("LB_LISTEN") or need(told, "listen", str)),
-            discovery=address((before is None and environ.get("LB_DISCOVERY")) or need(told, "discovery", str)),
-            control=None if control is None else address(control),
+            name=environ.get("LB_NAME") or require_field(told, "name", str),
+            listen=parse_address(environ.get("LB_LISTEN") or require_field(told, "listen", str)),
+            discovery=parse_address(
+                (before is None and environ.get("LB_DISCOVERY")) or require_field(told, "discovery", str)
+            ),
+            control=None if control is None else parse_address(control),
             state=Path(state),
             seed=zlib.crc32(str(told.get("seed", "")).encode()),
             memory_mb=int(limits.get("memory_mb", 192)),
             sockets=int(limits.get("sockets", 1024)),
             disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
-            known=host_list(told.get("known") or {"seq": 0, "whole": True, "hosts": []}),
-            settings=settings(facts),
+            known=parse_endpoint_list(told.get("known") or {"seq": 0, "whole": True, "hosts": []}),
+            settings=parse_settings(facts),
             report_fields=tuple((facts.get("telemetry") or {}).get("fields") or ()),
             told=told,
         )
-    except (Malformed, ValueError, TypeError, AttributeError) as error:
+    except (MalformedInputError, ValueError, TypeError, AttributeError) as error:
         text = " ".join(str(error).split())
         raise ConfigError(f"bad configuration in {path}: {text}") from None
--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from forwarder.config.config import Address, Config, ConfigError, address
-from forwarder.runtime.engine import Maker
-from forwarder.simulator.adapter import Malformed
+from forwarder.config.config import Address, Config, ConfigError, parse_address
+from forwarder.runtime.engine import ExtensionFactory
+from forwarder.simulator.adapter import MalformedInputError
 
 MODULES = {
     "streaming": "forwarder.streaming.extension",
@@ -26,7 +26,7 @@
 """Where each part lives: a module with `prepare(table, config)`, which returns what makes the part."""
 
 
-class Table:
+class ExtensionTable:
     """One table of the file. Each key is taken once; `done` finds those that nobody took."""
 
     def __init__(self, name: str, told: dict[str, Any]) -> None:
@@ -63,23 +63,23 @@
 
     def address(self, key: str) -> Address:
         try:
-            return address(self.take(key, None))
-        except Malformed as error:
+            return parse_address(self.take(key, None))
+        except MalformedInputError as error:
             raise self.wrong(key, f"is {error}") from None
 
-    def part(self, key: str) -> Table:
+    def part(self, key: str) -> ExtensionTable:
         """A table within the table."""
         told = self.take(key, None)
         if not isinstance(told, dict):
             raise self.wrong(key, f"is no table: {told!r}")
-        return Table(f"{self.name}.{key}", told)
+        return ExtensionTable(f"{self.name}.{key}", told)
 
     def done(self) -> None:
         for key in self.left:
             raise self.wrong(key, "is unknown")
 
 
-def file_named(arguments: Sequence[str]) -> Path | None:
+def extensions_path(arguments: Sequence[str]) -> Path | None:
     """The parts file that the command line names."""
     parser = argparse.ArgumentParser(prog="python -m forwarder")
     parser.add_argument("--parts", type=Path, metavar="FILE", help="a TOML file, one table for each part")
@@ -87,19 +87,19 @@
     return found
 
 
-def prepare(path: Path, config: Config) -> list[Maker]:
+def load_extensions(path: Path, config: Config) -> list[ExtensionFactory]:
     """What makes the parts that the file turns on."""
     try:
         told = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"parts: cannot read {path}: {' '.join(str(error).split())}") from None
-    made: list[Maker] = []
+    made: list[ExtensionFactory] = []
     for name, rows in told.items():
         if name not in MODULES:
             raise ConfigError(f"parts: {name} is unknown")
         if not isinstance(rows, dict):
             raise ConfigError(f"parts: {name} is no table")
-        table = Table(name, rows)
+        table = ExtensionTable(name, rows)
         made.append(importlib.import_module(MODULES[name]).prepare(table, config))
         table.done()
     return made
--- a/forwarder/decisions/dispatcher.py
+++ b/forwarder/decisions/dispatcher.py
@@ -50,19 +50,19 @@
 from forwarder.decisions.learned_state import CallInFlight, LearnedState
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, TELLS_NOTHING, TOO_MUCH, Outcome
 from forwarder.decisions.records import (
-    PLACE_KEPT,
-    TARGET_KEPT,
+    ENDPOINT_LEARNED,
+    LIMIT_SCOPE_LEARNED,
     Attempt,
     Call,
-    Held,
+    Endpoint,
+    HeldMessages,
     HoldTimes,
     KeyQueue,
+    LimitScope,
     Message,
-    Place,
-    Target,
     TimerQueue,
-    kept,
-    restore,
+    learned_fields,
+    restore_fields,
 )
 from forwarder.decisions.settings import DestinationKind, Effect, MessageClass, Scope, Settings
 from forwarder.units import NEVER_US
@@ -119,12 +119,12 @@
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.now, self.random = now, random.Random(seed)
-        self.targets: dict[int, Target] = {}
-        self.by_destination: dict[int, list[Target]] = {}  # those that messages may go to
+        self.targets: dict[int, Endpoint] = {}
+        self.by_destination: dict[int, list[Endpoint]] = {}  # those that messages may go to
         self.banned: dict[int, int] = {}  # targets that operators leave out, since when
-        self.places: dict[tuple[int, int], Place] = {}
+        self.places: dict[tuple[int, int], LimitScope] = {}
         self.messages: dict[str, Message] = {}
-        self.held, self.timers, self.jammed = Held(), TimerQueue(), False
+        self.held, self.timers, self.jammed = HeldMessages(), TimerQueue(), False
         self.books, self.lists = HoldTimes(), 0
         self.tune(settings)
         self.idle_us = self.idle_top
@@ -244,8 +244,8 @@
         for attempt, a in self.attempts.items():
             calls.setdefault(id(a.call), []).append(attempt)
         return LearnedState(
-            tuple((*whose, kept(place, PLACE_KEPT)) for whose, place in self.places.items()),
-            tuple((t.id, kept(t, TARGET_KEPT)) for t in self.targets.values()),
+            tuple((*whose, learned_fields(place, LIMIT_SCOPE_LEARNED)) for whose, place in self.places.items()),
+            tuple((t.id, learned_fields(t, ENDPOINT_LEARNED)) for t in self.targets.values()),
             {key: line.rest_until for key, line in self.lines.items() if line.rest_until > self.now},
             dict(self.purses),
             self.idle_us,
@@ -258,10 +258,10 @@
         """Go on with the memory of the process before: its calls still hold their slots and their keys."""
         for destination, which, row in memory.places:
             if (destination, which) in self.places:
-                restore(self.places[(destination, which)], PLACE_KEPT, row)
+                restore_fields(self.places[(destination, which)], LIMIT_SCOPE_LEARNED, row)
         for number, row in memory.targets:
             if number in self.targets:
-                restore(self.targets[number], TARGET_KEPT, row)
+                restore_fields(self.targets[number], ENDPOINT_LEARNED, row)
         for key, until in memory.rests.items():
             line = self.lines.setdefault(key, KeyQueue())
             line.rest_until = max(line.rest_until, until)
@@ -282,10 +282,10 @@
                 if m.key is not None:
                     self.lines[m.key].out += 1
 
-    def departed(self, number: int, destination: int) -> Target:
+    def departed(self, number: int, destination: int) -> Endpoint:
         """A target that has left the list while a call to it is out: for that call alone."""
-        place = self.places.setdefault((destination, -1), Place(destination, 1.0, share=1.0 / self.size))
-        return Target(number, destination, "", 0.0, place, serving=False)
+        place = self.places.setdefault((destination, -1), LimitScope(destination, 1.0, share=1.0 / self.size))
+        return Endpoint(number, destination, "", 0.0, place, serving=False)
 
     def listed(self, event: EndpointListReceived) -> None:
         """Follow the list. A drained or gone target gets nothing new from this round on."""
@@ -304,8 +304,8 @@
             if known is None or known.destination != e.destination:
                 kind = self.kinds.get(e.kind, DestinationKind(e.kind))
                 whose = (e.destination, e.target if kind.routes_apart else -1)
-                place = self.places.setdefault(whose, Place(e.destination, 1.0, share=1.0 / self.size))
-                known = self.targets[e.target] = Target(
+                place = self.places.setdefault(whose, LimitScope(e.destination, 1.0, share=1.0 / self.size))
+                known = self.targets[e.target] = Endpoint(
                     e.target, e.destination, e.zone, e.weight, place, kind.batch, kind.routes_apart
                 )
             if e.kind in self.kinds:
@@ -333,13 +333,13 @@
             self.actions.append(EjectionChanged(t.id, t.outage_at, t.back_at))
         self.index()
 
-    def eject(self, t: Target) -> None:
+    def eject(self, t: Endpoint) -> None:
         """A part has found a target sick: it gets nothing, and counts as in an outage."""
         t.ejected, t.outage_at, t.back_at = True, t.outage_at if self.cold(t) else self.now, -1
         self.actions.append(EjectionChanged(t.id, t.outage_at))
         self.index()
 
-    def give_back(self, t: Target) -> None:
+    def give_back(self, t: Endpoint) -> None:
         """An ejected target is used again, and is as cold as after any outage."""
         t.ejected, t.back_at = False, self.now
         self.actions.append(EjectionChanged(t.id, t.outage_at, t.back_at))
@@ -352,7 +352,7 @@
                 place.share = min(1.0, place.share * self.size / size)
             self.size = size
 
-    def noticed(self, t: Target, outcome: Outcome) -> None:
+    def noticed(self, t: Endpoint, outcome: Outcome) -> None:
         for part in self.parts:
             part.noticed(t.id, outcome)
 
@@ -497,7 +497,7 @@
         free = m.ran_at < 0 or m.cls.effect is Effect.REPEATABLE
         return NEVER if free else m.ran_at + m.cls.window_us if m.cls.effect is Effect.KEYED else 0
 
-    def usable(self, m: Message) -> list[Target]:
+    def usable(self, m: Message) -> list[Endpoint]:
         """Serving targets of the message's destination within its key's scope."""
         targets = self.by_destination.get(m.destination, [])
         if m.ran_at < 0 or m.cls.effect is not Effect.KEYED or m.cls.scope is Scope.ALL:
@@ -556,13 +556,13 @@
         self.came_back.append(call)
         self.looks.add(target.destination)
 
-    def told_wait(self, place: Place, wait_us: int) -> None:
+    def told_wait(self, place: LimitScope, wait_us: int) -> None:
         place.wait_until = max(place.wait_until, self.now + wait_us)
         if wait_us and self.many:  # a wait ends for all at once, and where no limit is told only rests thin them out
             spread = max(wait_us, 0 if place.limit else place.rest)
             place.rest_until = place.wait_until + int(self.random.random() * spread)
 
-    def reported(self, place: Place, report: LoadReport) -> None:
+    def reported(self, place: LimitScope, report: LoadReport) -> None:
         """Of many forwarders each follows what the limit has left: all use it up together, and each is told
         what is left to all. By time, so that many that call seldom move as fast as fewer that call often; up
         only while some are held, since a share that is not used up need not grow.
@@ -577,7 +577,7 @@
             place.share = max(SHARE_LEAST / self.size, min(1.0, place.share))
         place.pace_at = min(place.pace_at, self.now + int(self.interval(place)))
 
-    def interval(self, place: Place) -> float:
+    def interval(self, place: LimitScope) -> float:
         """The time between our calls at our share of the limit; 0 where there is none. Of many forwarders
         most hold nothing for it at most times: while much is left, the few that do go faster at once.
         """
@@ -592,7 +592,7 @@
             self.idle_us = call.idle // 2
         return lost
 
-    def connections_kept(self, target: Target) -> None:
+    def connections_kept(self, target: Endpoint) -> None:
         """After a success: how long to trust idle connections. Those of many forwarders fill what a target
         accepts, so where one that refused a connection once goes on all the same, it was short of them; one
         that refused several running was down.
@@ -640,7 +640,7 @@
         target.failing += step * ((outcome is not Outcome.DELIVERED) - target.failing)
         self.watch_outage(target, outcome)
 
-    def watch_outage(self, target: Target, outcome: Outcome) -> None:
+    def watch_outage(self, target: Endpoint, outcome: Outcome) -> None:
         """Rule 4: from the signs of an outage until warm again, calls to the target take turns."""
         if outcome is Outcome.DELIVERED:
             if self.cold(target) and target.back_at < 0 and target.failing <= FAIL_MARK:
@@ -655,11 +655,11 @@
                 self.actions.append(EjectionChanged(target.id, target.outage_at))
             target.back_at = -1
 
-    def cold(self, t: Target) -> bool:
+    def cold(self, t: Endpoint) -> bool:
         """Whether the target is in an outage, or back from one and not yet warm."""
         return t.outage_at >= 0 and (t.back_at < 0 or self.now - t.back_at < self.s.warm_us)
 
-    def expected(self, place: Place, cls: MessageClass) -> float:
+    def expected(self, place: LimitScope, cls: MessageClass) -> float:
         """The expected call: decayed mean, seeded from the class aim, easing back while nothing is out."""
         seed = cls.aim_us / AIM_PER_CALL
         if place.mean_at < 0:
@@ -668,7 +668,7 @@
             return place.mean
         return float(seed + (place.mean - seed) * 0.5 ** ((self.now - place.mean_at) / EASE_US))
 
-    def cap(self, place: Place) -> float:
+    def cap(self, place: LimitScope) -> float:
         """The window's top: three quarters of the slots, half while failing or slow, never under one."""
         sick = place.mean > SLOW_TIMES * place.seed > 0 or any(
             self.cold(t) and t.place is place for t in self.by_destination.get(place.destination, [])
@@ -711,7 +711,7 @@
             first_drop = min(self.drop_at(m) for m in self.held.piles[destination].values())
             self.timers.add(max(self.now + LOOK_US, min(first_drop, opens)), destination)
 
-    def preference(self, m: Message, t: Target) -> tuple[float, ...]:
+    def preference(self, m: Message, t: Endpoint) -> tuple[float, ...]:
         """Which open target is best: a sound one, a call already forming, a cheap one, a quiet one."""
         fee = self.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
         return (
@@ -750,7 +750,7 @@
             return HoldReason.BAN
         return HoldReason.DRAIN if known else HoldReason.UNLISTED if self.lists > 1 else HoldReason.START
 
-    def gate(self, m: Message, t: Target) -> HoldReason | None:
+    def gate(self, m: Message, t: Endpoint) -> HoldReason | None:
         """The one gate that every send passes; what holds the message, None to let it go. Each line keeps a
         rule or a bound.
         """
@@ -770,7 +770,7 @@
             return HoldReason.KEY
         return HoldReason.KEY_REST if self.now < line.rest_until and not m.attempts else None
 
-    def room_at(self, t: Target) -> tuple[int, HoldReason | None]:
+    def room_at(self, t: Endpoint) -> tuple[int, HoldReason | None]:
         """The gate's part that is the same for every message: slots, window, pace, rest, turn. When it opens,
         and what shuts it until then; NEVER where only an event can open it.
         """
@@ -786,7 +786,7 @@
         full = None if joins else self.full(t)
         return (NEVER, full) if full is not None else self.opens_at(t)
 
-    def full(self, t: Target) -> HoldReason | None:
+    def full(self, t: Endpoint) -> HoldReason | None:
         """What has no room for one more call, of slots and window. The window never shuts messages out for as
         long as streams fill it: one call of messages has room beside them.
         """
@@ -798,7 +798,7 @@
             return None
         return HoldReason.CAP if cap < window else HoldReason.WINDOW
 
-    def opens_at(self, t: Target) -> tuple[int, HoldReason | None]:
+    def opens_at(self, t: Endpoint) -> tuple[int, HoldReason | None]:
         """When waits, rests, our pace and our turn let a call go, and the last of them to do so."""
         place, gate = t.place, HoldReason.WAIT
         at = place.wait_until
@@ -812,7 +812,7 @@
                 at, gate = turn, HoldReason.OUTAGE if t.back_at < 0 else HoldReason.COLD
         return at, gate if at > self.now else None
 
-    def turn(self, t: Target) -> float:
+    def turn(self, t: Endpoint) -> float:
         """Rule 4: the time between our calls to a cold target. Where it is long, few others hold a message
         for it, and a multiple of the outage's age suffices.
         """
@@ -833,7 +833,7 @@
         """
         return self.random.random() * math.sqrt(SPREAD[0] ** 2 + 2 * self.random.random())
 
-    def send(self, m: Message, t: Target) -> None:
+    def send(self, m: Message, t: Endpoint) -> None:
         """Send, and book what it takes."""
         place, call = t.place, self.round_calls.get(t.id)
         if call is None or call.joined >= t.batch:
@@ -851,7 +851,7 @@
         self.books.turn(m, None, self.now)
         self.actions.append(SendAttempt(m.id, t.id, self.timeout(m, place), self.leave_by(m)))
 
-    def begin(self, t: Target, longest: float) -> Call:
+    def begin(self, t: Endpoint, longest: float) -> Call:
         """Book a new call, whatever it carries; the next at our pace goes no later than the longest time."""
         place = t.place
         idle = 0 if t.out or t.idle_at < 0 else self.now - t.idle_at
@@ -865,7 +865,7 @@
         t.tried_at = self.now
         return call
 
-    def timeout(self, m: Message, place: Place) -> int:
+    def timeout(self, m: Message, place: LimitScope) -> int:
         """How long an attempt may take. To give up one that must not run twice is to lose it: it has more."""
         patience = m.cls.aim_us * (ONCE_AIMS if m.cls.effect is Effect.ONCE else 1)
         usual = self.expected(place, m.cls)
--- a/forwarder/decisions/fleet_messages.py
+++ b/forwarder/decisions/fleet_messages.py
@@ -13,7 +13,7 @@
 from forwarder.decisions.events import ExtensionEvent
 
 
-class Mode(Enum):
+class QuorumState(Enum):
     """How sure a forwarder is of who is up."""
 
     AGREED = "agreed"  # all that can be up are there, or have left by their own word
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class FleetView:
     """What membership tells: who is there, this forwarder among them, and who has left by its own word."""
 
     there: frozenset[str]
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Viewed(ExtensionEvent):
+class FleetViewChanged(ExtensionEvent):
     """Membership's view has been looked at."""
 
-    seen: Seen
+    seen: FleetView
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class Observation:
     """What one other forwarder has seen of a target: in an outage since then (-1: never), and back since (-1: it is
     not), or served by it then.
     """
@@ -53,10 +53,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard(ExtensionEvent):
+class GossipReceived(ExtensionEvent):
     """All that others say and that is not too old; of told waits only those that are new."""
 
-    words: Mapping[int, tuple[Word, ...]] = field(default_factory=dict)
+    words: Mapping[int, tuple[Observation, ...]] = field(default_factory=dict)
     """By target, one of each that says something of it."""
     waits: tuple[tuple[tuple[int, int], int], ...] = ()
     """Destination and which of its routes (-1: all), and until when."""
@@ -65,12 +65,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked(ExtensionEvent):
+class PeersQueried(ExtensionEvent):
     """The others have answered what a forwarder without a folder asks first, or the time for it is up."""
 
 
 @dataclass(frozen=True, slots=True)
-class TellOutage(ExtensionAction):
+class AnnounceEjection(ExtensionAction):
     """Seen by this forwarder itself: a target in an outage since then, or back from it (-1: not). Since -1: it was
     served by one that others take to be out.
     """
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellWait(ExtensionAction):
+class AnnounceRetryAfter(ExtensionAction):
     """A destination (or one route of it) has told this forwarder to wait until then."""
 
     whose: tuple[int, int]
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellHolding(ExtensionAction):
+class AnnounceHolding(ExtensionAction):
     """The cold targets for which this forwarder holds messages: all of them, whatever was told before."""
 
     targets: frozenset[int]
--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -26,19 +26,28 @@
 from forwarder.decisions.actions import EjectionChanged
 from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
 from forwarder.decisions.events import ExtensionEvent
-from forwarder.decisions.fleet_messages import Asked, Heard, Mode, Seen, TellHolding, TellOutage, TellWait, Viewed
+from forwarder.decisions.fleet_messages import (
+    AnnounceEjection,
+    AnnounceHolding,
+    AnnounceRetryAfter,
+    FleetView,
+    FleetViewChanged,
+    GossipReceived,
+    PeersQueried,
+    QuorumState,
+)
 from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
-from forwarder.decisions.records import Target
+from forwarder.decisions.records import Endpoint
 
 SECOND = 1_000_000
-SEERS = 2  # others whose word puts a target in an outage here; of one it is a doubt
-DOUBT_SHARE = 0.25  # of the destinations, one forwarder's word alone makes doubtful at most
-MOST_HOLDERS = 8  # that share what is kept for those that hold messages for a cold target
-LINGER_US = 2 * SECOND  # one that held some so lately still counts as holding
+MIN_OBSERVERS = 2  # others whose word puts a target in an outage here; of one it is a doubt
+MAX_SUSPECTED_SHARE = 0.25  # of the destinations, one forwarder's word alone makes doubtful at most
+MAX_HOLDERS = 8  # that share what is kept for those that hold messages for a cold target
+HOLDING_GRACE_US = 2 * SECOND  # one that held some so lately still counts as holding
 
 
 @dataclass(slots=True)
-class Shares:
+class FleetQuota:
     """Follows the view. `size` is what to divide by; it grows at once, and falls only when that is sure."""
 
     balancers: int
@@ -47,7 +56,7 @@
     detect_us: int
     told_us: int
     leased_until: int = 0  # by then others may have taken this forwarder's base; at the start, of its life before
-    seen: Seen = field(default_factory=lambda: Seen(frozenset(), stale=True))
+    seen: FleetView = field(default_factory=lambda: FleetView(frozenset(), stale=True))
     known: set[str] = field(default_factory=set)  # all that were ever there
     since: dict[str, int] = field(default_factory=dict)  # since when those not there are gone or left, unbroken
     quorum_at: int = -1  # since when more than half have been there, unbroken; -1 while they are not
@@ -57,7 +66,7 @@
         """N: how many can be up at once."""
         return max(self.balancers, len(self.known))
 
-    def see(self, now: int, seen: Seen) -> None:
+    def see(self, now: int, seen: FleetView) -> None:
         """Take in a view. A change in who is gone, or a stop, begins all waiting anew for those it concerns."""
         self.seen = seen
         self.known |= seen.there | seen.left
@@ -79,12 +88,12 @@
         there = len(self.seen.there)
         return self.seen.stale or (2 * there <= self.most > there + len(self._left(now)))
 
-    def mode(self, now: int) -> Mode:
+    def mode(self, now: int) -> QuorumState:
         if self.seen.stale or len(self.seen.there) <= 1 < self.most - len(self._left(now)):
-            return Mode.ALONE
+            return QuorumState.ALONE
         if self._cut_off(now):
-            return Mode.CUT_OFF
-        return Mode.AGREED if len(self.seen.there | self._left(now)) >= self.most else Mode.UNSURE
+            return QuorumState.CUT_OFF
+        return QuorumState.AGREED if len(self.seen.there | self._left(now)) >= self.most else QuorumState.UNSURE
 
     def proved(self, now: int) -> bool:
         """Whether more than half have been there for so long that all who could take this one's base know of it."""
@@ -119,14 +128,14 @@
         return min((end for end in ends if end > now), default=now + 3600 * SECOND)
 
 
-class FleetPolicy:
+class FleetQuotaExtension:
     """The Dispatcher's part that divides by who is there."""
 
-    def __init__(self, dispatcher: Dispatcher, shares: Shares) -> None:
+    def __init__(self, dispatcher: Dispatcher, shares: FleetQuota) -> None:
         self.dispatcher, self.shares = dispatcher, shares
 
     def absorb(self, event: ExtensionEvent) -> None:
-        if isinstance(event, Viewed):
+        if isinstance(event, FleetViewChanged):
             self.shares.see(self.dispatcher.now, event.seen)
 
     def noticed(self, target: int, outcome: Outcome) -> None: ...
@@ -139,7 +148,7 @@
 
 
 @dataclass(slots=True)
-class Turns:
+class SlowStartSlots:
     """Who calls a cold target how often. Half of its budget is divided by all that can be up, as ever; the other half
     among those that hold messages for it, or the first of them by rendezvous hashing where they are many, and that have
     said so for `told_us`, in which all that can hear it have heard it. So any two that use it know of each other, and
@@ -152,26 +161,26 @@
     order: Callable[[int, frozenset[str]], list[str]]  # rendezvous hashing: the same everywhere for one target
     since: dict[int, int] = field(default_factory=dict)  # since when it says that it holds some for a target
 
-    def see(self, now: int, holding: set[int], heard: Heard) -> None:
-        ranked = {t for t in holding if self.me in self.order(t, heard.holders.get(t, frozenset()))[:MOST_HOLDERS]}
+    def see(self, now: int, holding: set[int], heard: GossipReceived) -> None:
+        ranked = {t for t in holding if self.me in self.order(t, heard.holders.get(t, frozenset()))[:MAX_HOLDERS]}
         self.since = {target: self.since.get(target, now) for target in ranked}
 
-    def share(self, now: int, target: int, size: float, heard: Heard) -> float:
+    def share(self, now: int, target: int, size: float, heard: GossipReceived) -> float:
         """This forwarder's part of a cold target's budget, where the even part is one of so many."""
         if now - self.since.get(target, now) < self.told_us:
             return 0.5 / size
         return 0.5 / size + 0.5 / len(self.order(target, heard.holders.get(target, frozenset())))
 
 
-class NewsPolicy(FleetPolicy):
+class GossipExtension(FleetQuotaExtension):
     """Heeds what other forwarders have seen, too. That makes this one more careful; bolder only where a target is said
     to be back, and then within the same budget. Nobody's word alone takes a target out, and what this forwarder has
     seen itself, later than that, goes before it.
     """
 
-    def __init__(self, dispatcher: Dispatcher, shares: Shares, turns: Turns) -> None:
+    def __init__(self, dispatcher: Dispatcher, shares: FleetQuota, turns: SlowStartSlots) -> None:
         super().__init__(dispatcher, shares)
-        self.turns, self.heard = turns, Heard()
+        self.turns, self.heard = turns, GossipReceived()
         self.by_word: set[int] = set()  # in an outage here, or back from it, by the word of others
         self.well: dict[int, int] = {}  # when a call to it last went well
         self.touched: set[int] = set()
@@ -180,10 +189,10 @@
     def absorb(self, event: ExtensionEvent) -> None:
         super().absorb(event)
         d = self.dispatcher
-        if isinstance(event, Asked):
+        if isinstance(event, PeersQueried):
             d.asking_until = d.now
             d.looks.update(d.held.piles)
-        elif isinstance(event, Heard):
+        elif isinstance(event, GossipReceived):
             self.heard = event
             for whose, until in event.waits:  # costs one interval of our own pace at most
                 if (place := d.places.get(whose)) is not None:
@@ -199,7 +208,7 @@
 
     def heed(self) -> None:
         d, doubted = self.dispatcher, dict[str, set[int]]()
-        most = max(1, int(DOUBT_SHARE * len(d.by_destination)))
+        most = max(1, int(MAX_SUSPECTED_SHARE * len(d.by_destination)))
         for t, words in [(d.targets[n], words) for n, words in self.heard.words.items() if n in d.targets]:
             seers = [w for w in words if w.since_us >= 0]  # the rest have only been served by it
             since, back = min((w.since_us for w in seers), default=-1), max(w.back_us for w in words)
@@ -208,7 +217,7 @@
                     self.believe(t, t.outage_at, back)
             elif self.well.get(t.id, -1) < since and (back < 0 or d.now - back < d.s.warm_us):
                 whose = doubted.setdefault(seers[0].seer, set())
-                if len(seers) >= SEERS:
+                if len(seers) >= MIN_OBSERVERS:
                     self.believe(t, since, back)
                 elif t.destination in whose or len(whose) < most:
                     whose.add(t.destination)
@@ -218,7 +227,7 @@
             if t.back_at < 0:  # too old now, and nothing of it was seen here
                 self.believe(t, -1, -1)
 
-    def believe(self, t: Target, since: int, back: int) -> None:
+    def believe(self, t: Endpoint, since: int, back: int) -> None:
         """By the word of others a target is in an outage, or back from it; or (-1) it never was."""
         d = self.dispatcher
         t.failing = max(t.failing, SURE_MARK) if since >= 0 > back else min(t.failing, FAIL_MARK)
@@ -235,9 +244,11 @@
         cold = [t for t in d.targets.values() if d.cold(t)]
         self.held_at.update({t.id: now for t in cold if t.out or t.destination in d.held.piles})
         before = self.turns.since.keys()
-        self.turns.see(now, {t.id for t in cold if now - self.held_at.get(t.id, -LINGER_US) < LINGER_US}, self.heard)
+        self.turns.see(
+            now, {t.id for t in cold if now - self.held_at.get(t.id, -HOLDING_GRACE_US) < HOLDING_GRACE_US}, self.heard
+        )
         if before != self.turns.since.keys():
-            d.actions.append(TellHolding(frozenset(self.turns.since)))
+            d.actions.append(AnnounceHolding(frozenset(self.turns.since)))
         for t in cold:
             t.crowd = 1 / self.turns.share(now, t.id, most, self.heard) if self.shares.proved(now) else 2.0 * most
 
@@ -246,9 +257,9 @@
         d = self.dispatcher
         for t in [d.targets[number] for number in self.touched if number in d.targets]:
             if d.cold(t) and t.id not in self.by_word:
-                d.actions.append(TellOutage(t.id, t.outage_at, t.back_at))
+                d.actions.append(AnnounceEjection(t.id, t.outage_at, t.back_at))
             elif self.well.get(t.id) == d.now and any(w.back_us < 0 for w in self.heard.words.get(t.id, ())):
-                d.actions.append(TellOutage(t.id, -1, d.now))  # others think that it is out still
+                d.actions.append(AnnounceEjection(t.id, -1, d.now))  # others think that it is out still
             if t.place.wait_until > d.now:
-                d.actions.append(TellWait((t.place.destination, t.id if t.apart else -1), t.place.wait_until))
+                d.actions.append(AnnounceRetryAfter((t.place.destination, t.id if t.apart else -1), t.place.wait_until))
         self.touched.clear()
--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -25,7 +25,7 @@
 from forwarder.decisions.dispatcher import SECOND, Dispatcher
 from forwarder.decisions.events import ExtensionEvent
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.records import Target
+from forwarder.decisions.records import Endpoint
 
 BAD = frozenset({Outcome.FAILED, Outcome.UNREADABLE, Outcome.TIMED_OUT, Outcome.NO_CONNECTION, Outcome.RESET})
 SURE = 2.0  # standard errors by which a share of failures must stand out
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class OutlierSettings:
     half_life_us: int
     """In this time a sample loses half of its weight."""
     least_samples: float
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Record:
+class CallRecord:
     """What is known of one target."""
 
     good: float = 0.0
@@ -92,12 +92,12 @@
 
 
 @dataclass(slots=True)
-class Health:
+class OutlierDetector:
     """Joined to a Dispatcher by its `parts`."""
 
     dispatcher: Dispatcher
-    limits: Limits
-    records: dict[int, Record] = field(default_factory=dict)
+    limits: OutlierSettings
+    records: dict[int, CallRecord] = field(default_factory=dict)
     touched: set[int] = field(default_factory=set)
     """Destinations with news, for this round's decision."""
     doubted: dict[int, int] = field(default_factory=dict)
@@ -125,9 +125,9 @@
             r.trial = -1 if failed else r.trial - 1 if r.trial > 0 else self.limits.trial_calls
         self.touched.add(t.destination)
 
-    def weighed(self, number: int) -> Record:
+    def weighed(self, number: int) -> CallRecord:
         """A record, its samples weighed by their age."""
-        r, now = self.records.setdefault(number, Record()), self.dispatcher.now
+        r, now = self.records.setdefault(number, CallRecord()), self.dispatcher.now
         left = 0.5 ** ((now - r.weighed_at) / self.limits.half_life_us)
         r.good, r.bad, r.weighed_at = r.good * left, r.bad * left, now
         return r
@@ -176,7 +176,7 @@
             elif not t.ejected and d.now - t.tried_at > self.limits.again_us:
                 t.failing = 0.0
 
-    def stands_out(self, t: Target, here: list[Target]) -> bool:
+    def stands_out(self, t: Endpoint, here: list[Endpoint]) -> bool:
         """Whether a target fails for sure, and surely more than the others do."""
         r = self.weighed(t.id)
         if r.trial < 0 or r.run >= self.limits.run_calls:
@@ -191,7 +191,7 @@
             most = self.limits.least_share  # nothing to compare with
         return least > max(self.limits.least_share, min(most, 1 - self.limits.least_share))
 
-    def eject(self, t: Target) -> None:
+    def eject(self, t: Endpoint) -> None:
         d, r = self.dispatcher, self.weighed(t.id)
         if d.now - r.since > self.limits.eject_top_us:
             r.times = 0
@@ -204,7 +204,7 @@
         d.timers.add(r.until, t.destination)
         d.actions.append(LogLine(f"health: target {t.id} ejected for {(r.until - d.now) / SECOND:.1f} s: {r.why}"))
 
-    def give_back(self, number: int, r: Record) -> None:
+    def give_back(self, number: int, r: CallRecord) -> None:
         """An ejection is over, or cannot be upheld: back in use, on trial."""
         d = self.dispatcher
         r.until, r.trial, r.since = -1, self.limits.trial_calls, d.now
@@ -214,7 +214,7 @@
             d.give_back(t)
             d.actions.append(LogLine(f"health: target {number} is on trial"))
 
-    def verdict(self, t: Target) -> tuple[Verdict, str]:
+    def verdict(self, t: Endpoint) -> tuple[Verdict, str]:
         """What operators are told of a target: the verdict and its reason."""
         r, d = self.weighed(t.id), self.dispatcher
         told = f"failed {r.bad:.1f} of {r.good + r.bad:.1f}"
--- a/forwarder/decisions/records.py
+++ b/forwarder/decisions/records.py
@@ -11,7 +11,7 @@
 from forwarder.decisions.learned_state import StoredFields
 from forwarder.decisions.settings import MessageClass
 
-PLACE_KEPT = (
+LIMIT_SCOPE_LEARNED = (
     "window",
     "mean",
     "seed",
@@ -26,15 +26,15 @@
     "told_at",
     "pace_at",
 )
-TARGET_KEPT = ("failing", "tried_at", "idle_at", "outage_at", "back_at", "spread")
+ENDPOINT_LEARNED = ("failing", "tried_at", "idle_at", "outage_at", "back_at", "spread")
 
 
-def kept(record: Any, names: tuple[str, ...]) -> StoredFields:
+def learned_fields(record: Any, names: tuple[str, ...]) -> StoredFields:
     """The named fields of a record, for the process that takes over."""
     return {name: getattr(record, name) for name in names}
 
 
-def restore(record: Any, names: tuple[str, ...], row: StoredFields) -> None:
+def restore_fields(record: Any, names: tuple[str, ...], row: StoredFields) -> None:
     for name in names:
         if name in row:
             setattr(record, name, row[name])
@@ -69,12 +69,12 @@
 
 
 @dataclass(slots=True)
-class Target:
+class Endpoint:
     id: int
     destination: int
     zone: str
     weight: float
-    place: Place
+    place: LimitScope
     batch: int = 1
     """Messages in one call at most."""
     apart: bool = False
@@ -101,7 +101,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class LimitScope:
     """What shares a limit, a wait and a pace: a destination, or one route where routes are apart."""
 
     destination: int
@@ -134,7 +134,7 @@
 class Call:
     """One call out: messages released in one round to one target."""
 
-    target: Target
+    target: Endpoint
     sent_at: int
     idle: int = 0
     """How long the connection that it may have taken had been without use."""
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldMessages:
     """The messages held, by destination and the number under which they were taken."""
 
     piles: dict[int, dict[int, Message]] = field(default_factory=dict)
@@ -205,9 +205,9 @@
         return found
 
 
-MOST_BOOKED = 256
+MAX_HOLD_TIME_ROWS = 256
 """Destinations and classes with a book of their own; what others were held for is booked under OTHERS."""
-OTHERS = -1
+OTHER_DESTINATIONS = -1
 
 
 @dataclass(slots=True)
@@ -222,8 +222,8 @@
             return
         if m.gate is not None and now > m.gate_at:
             whose, passed = (m.destination, m.cls.name), now - m.gate_at
-            if whose not in self.sums and len(self.sums) >= MOST_BOOKED:
-                whose = (OTHERS, "")
+            if whose not in self.sums and len(self.sums) >= MAX_HOLD_TIME_ROWS:
+                whose = (OTHER_DESTINATIONS, "")
             book = self.sums.setdefault(whose, {})
             book[m.gate] = book.get(m.gate, 0) + passed
             m.waited[m.gate] = m.waited.get(m.gate, 0) + passed
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -15,7 +15,7 @@
 from forwarder.decisions.dispatcher import FORGET_US, HEALTHY_CAP, LEAST_AWAY_US, NEVER, SECOND, Dispatcher
 from forwarder.decisions.events import ExtensionEvent, LoadReport
 from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
-from forwarder.decisions.records import Call, Target
+from forwarder.decisions.records import Call, Endpoint
 
 LONGEST_PACE_US = SECOND  # by one stream, the next at our share of a limit is put off no longer
 
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked(ExtensionEvent):
+class StreamRequested(ExtensionEvent):
     """A client asks for a stream, or one found no connection and may go elsewhere."""
 
     stream: int
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told(ExtensionEvent):
+class StreamAttemptEnded(ExtensionEvent):
     """What a stream's target has shown: by the head of its answer, or by failing."""
 
     stream: int
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over(ExtensionEvent):
+class StreamEnded(ExtensionEvent):
     """A stream holds its slot no longer."""
 
     stream: int
@@ -54,13 +54,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Route(ExtensionAction):
+class RouteStream(ExtensionAction):
     stream: int
     target: int
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway(ExtensionAction):
+class RejectStream(ExtensionAction):
     stream: int
     wait_us: int
     """The client may come back after this."""
@@ -71,24 +71,24 @@
     return int(share * slots) if int(HEALTHY_CAP * slots) > 1 else 0
 
 
-class Streams:
+class StreamRouter:
     """Joined to a Dispatcher by its `parts`."""
 
     def __init__(self, dispatcher: Dispatcher, share: float) -> None:
         self.dispatcher, self.share = dispatcher, share
-        self.asked: dict[int, Asked] = {}
+        self.asked: dict[int, StreamRequested] = {}
         self.out: dict[int, Call] = {}
         self.used_at: dict[int, int] = {}
         """When a destination last had a stream."""
 
     def absorb(self, event: ExtensionEvent) -> None:
         match event:
-            case Asked(stream):
+            case StreamRequested(stream):
                 self.over(stream)
                 self.asked[stream] = event
-            case Told(stream) if stream in self.out:
+            case StreamAttemptEnded(stream) if stream in self.out:
                 self.learn(self.out[stream], event)
-            case Over(stream):
+            case StreamEnded(stream):
                 self.asked.pop(stream, None)
                 self.over(stream)
 
@@ -105,7 +105,7 @@
             call.target.place.streams -= 1
             self.dispatcher.call_ended(call)
 
-    def learn(self, call: Call, told: Told) -> None:
+    def learn(self, call: Call, told: StreamAttemptEnded) -> None:
         """As of a call of messages, but for the expected call, of which a stream's length tells nothing."""
         d, place = self.dispatcher, call.target.place
         if told.report is not None:
@@ -124,11 +124,11 @@
             if free:
                 self.begin(a, min(free, key=lambda t: self.preference(a, t)))
             else:
-                self.dispatcher.actions.append(TurnAway(a.stream, self.wait_us(opens)))
+                self.dispatcher.actions.append(RejectStream(a.stream, self.wait_us(opens)))
         if len(self.used_at) > len(self.dispatcher.by_destination):  # those that left the list
             self.used_at = {d: at for d, at in self.used_at.items() if d in self.dispatcher.by_destination}
 
-    def opens_at(self, t: Target) -> int:
+    def opens_at(self, t: Endpoint) -> int:
         """When one more stream may go to the target; NEVER while only an event can let it."""
         d, place = self.dispatcher, t.place
         here = sum(other.out for other in d.by_destination[t.destination])
@@ -142,20 +142,20 @@
             return NEVER
         return d.opens_at(t)[0]
 
-    def preference(self, a: Asked, t: Target) -> tuple[float, ...]:
+    def preference(self, a: StreamRequested, t: Endpoint) -> tuple[float, ...]:
         """Which of the open targets: a sound one, another than before, a cheap one, a quiet one."""
         d = self.dispatcher
         fee = d.s.zone_fees.get(t.zone, 0.0) if t.apart else 0.0
         return (t.outage_at >= 0 and t.back_at < 0, t.id == a.avoid, fee, t.failing, t.out, d.random.random())
 
-    def begin(self, a: Asked, t: Target) -> None:
+    def begin(self, a: StreamRequested, t: Endpoint) -> None:
         d, place = self.dispatcher, t.place
         if d.now - max(place.mean_at, self.used_at.get(t.destination, -1)) > FORGET_US and not place.streams:
             place.window = 1.0
         self.out[a.stream] = d.begin(t, LONGEST_PACE_US)
         self.used_at[t.destination] = d.now
         place.streams += 1
-        d.actions.append(Route(a.stream, t.id))
+        d.actions.append(RouteStream(a.stream, t.id))
 
     def wait_us(self, opens: dict[int, int]) -> int:
         """When to come back: as soon as a target's gate opens, where that is known. Spread, since many may be
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -11,11 +11,11 @@
 from typing import Protocol
 
 from forwarder.clients.listener import unread
-from forwarder.config.config import Address, HostList, host_list
+from forwarder.config.config import Address, EndpointList, parse_endpoint_list
 from forwarder.endpoints.pool import LOCAL_ERRORS
-from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadAnswer, ResponseReader, request
+from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadResponseError, ResponseReader, render_request
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.simulator.adapter import Malformed
+from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.store import PendingNotice
 
 FIRST_HOLD_MS = 1  # a start's first question is answered with what discovery holds, be it news or not
@@ -39,7 +39,7 @@
 log = logging.getLogger("forwarder.discovery")
 
 
-class Channel(asyncio.Protocol):
+class DiscoveryChannel(asyncio.Protocol):
     """One connection for one request after another."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self.reader.feed(data)
-        except BadAnswer as error:
+        except BadResponseError as error:
             self.end(error)
             self.close()
             return
@@ -107,19 +107,19 @@
         return self.reader
 
 
-class Client:
+class DiscoveryClient:
     """Requests to discovery on one kept connection. One that ends without an answer is replaced at once, a few times:
     all that is asked of discovery may be asked again, and what it had written counts as told.
     """
 
     def __init__(self, where: Address) -> None:
-        self.where, self.channel = where, Channel()
+        self.where, self.channel = where, DiscoveryChannel()
 
     def close(self) -> None:
         self.channel.close()
 
     async def ask(self, method: str, path: str, timeout_s: float, body: bytes = b"") -> ResponseReader:
-        data = request(method, path, f"{self.where.host}:{self.where.port}", (), body)
+        data = render_request(method, path, f"{self.where.host}:{self.where.port}", (), body)
         try:
             async with asyncio.timeout(timeout_s):
                 for pause_s in AGAIN_S:
@@ -139,7 +139,7 @@
     async def connect(self) -> None:
         """Raises OSError."""
         loop = asyncio.get_running_loop()
-        _, self.channel = await loop.create_connection(Channel, self.where.host, self.where.port)
+        _, self.channel = await loop.create_connection(DiscoveryChannel, self.where.host, self.where.port)
 
     async def connected(self) -> bool:
         """Connect; False where this machine could not, for a moment. Raises other OSErrors."""
@@ -152,7 +152,7 @@
         return True
 
 
-class Watch:
+class EndpointListWatch:
     """Follows the list from a version on (-1: has none and asks for the whole first). Tells its first failure
     and ends; the module asks again.
     """
@@ -161,12 +161,12 @@
         self,
         where: Address,
         seq: int,
-        listed: Callable[[HostList | None], None],
+        listed: Callable[[EndpointList | None], None],
         current: bool = False,
         supervisor: Supervisor | None = None,
     ) -> None:
         """`current`: the list of that version is what discovery told last, not one that was saved."""
-        self.client, self.seq, self.listed, self.current = Client(where), seq, listed, current
+        self.client, self.seq, self.listed, self.current = DiscoveryClient(where), seq, listed, current
         self.supervisor = supervisor or Supervisor()
         self.task: asyncio.Task[None] | None = None
 
@@ -184,7 +184,7 @@
             self.task.cancel()
             self.task = None
         self.client.close()
-        self.client = Client(where)
+        self.client = DiscoveryClient(where)
         self.subscribe()
 
     async def follow(self) -> None:
@@ -197,10 +197,10 @@
             try:
                 answer = await self.client.ask("GET", path, wait)
                 if answer.status != 200:
-                    raise BadAnswer(f"status {answer.status}")
-                told = host_list(json.loads(answer.body))
+                    raise BadResponseError(f"status {answer.status}")
+                told = parse_endpoint_list(json.loads(answer.body))
             except Exception as error:
-                if not isinstance(error, OSError | TimeoutError | BadAnswer | Malformed | ValueError):
+                if not isinstance(error, OSError | TimeoutError | BadResponseError | MalformedInputError | ValueError):
                     self.supervisor.failed("watch", error)
                 log.warning("the list cannot be had: %s", error or type(error).__name__)
                 self.ended()
@@ -218,7 +218,7 @@
         self.listed(None)
 
 
-class Platform(Protocol):
+class PendingNoticeSource(Protocol):
     """Where owed ends are kept until they are acknowledged."""
 
     def owed_ends(self) -> Mapping[str, PendingNotice]: ...
@@ -226,11 +226,11 @@
     def acknowledged(self, names: list[str]) -> None: ...
 
 
-class Notices:
+class Notifier:
     """Posts the ends that are owed, again and again until the platform has answered 204."""
 
-    def __init__(self, where: Address, book: Platform, supervisor: Supervisor | None = None) -> None:
-        self.client, self.book, self.supervisor = Client(where), book, supervisor or Supervisor()
+    def __init__(self, where: Address, book: PendingNoticeSource, supervisor: Supervisor | None = None) -> None:
+        self.client, self.book, self.supervisor = DiscoveryClient(where), book, supervisor or Supervisor()
         self.wanted = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
@@ -242,7 +242,7 @@
     def move(self, where: Address) -> None:
         """Post to a new address from now on; a post that is on its way is cut off and made again."""
         self.client.close()
-        self.client = Client(where)
+        self.client = DiscoveryClient(where)
 
     async def run(self) -> None:
         failures = 0
@@ -255,8 +255,8 @@
                 try:
                     answer = await self.client.ask("POST", "/v1/notices", POST_S, body)
                     if answer.status != 204:
-                        raise BadAnswer(f"status {answer.status}")
-                except (OSError, TimeoutError, BadAnswer) as error:
+                        raise BadResponseError(f"status {answer.status}")
+                except (OSError, TimeoutError, BadResponseError) as error:
                     if failures % 20 == 0:
                         log.warning("notices not accepted, trying again: %s", error or type(error).__name__)
                     await asyncio.sleep(NOTICE_PAUSES_S[min(failures, len(NOTICE_PAUSES_S) - 1)])
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Container, Iterable, Mapping
 
-from forwarder.config.config import Address, Host, HostList
+from forwarder.config.config import Address, EndpointList, ListedEndpoint
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import DestinationKind
 
-MOST_TARGETS = 2000  # remembered at most, those that are gone among them
+MAX_ENDPOINTS = 2000  # remembered at most, those that are gone among them
 
 
-class TargetTable:
+class EndpointTable:
     """What may be called, and where."""
 
     def __init__(
@@ -19,7 +19,7 @@
     ) -> None:
         """`numbers` and `destinations` are those of the process which this one takes over from."""
         self.tune(kinds)
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, ListedEndpoint] = {}
         """Those that are listed now, by name."""
         self.numbers = dict(numbers)
         self.names = {number: name for name, number in self.numbers.items()}
@@ -33,7 +33,7 @@
         """Take on the kinds of new settings."""
         self.kinds = {kind.name: kind for kind in kinds}
 
-    def take(self, told: HostList) -> None:
+    def take(self, told: EndpointList) -> None:
         """Follow the list, whole or in part."""
         if told.whole:
             self._gone.update(dict.fromkeys(name for name in self.hosts if name in self.numbers))
@@ -51,7 +51,7 @@
     def number(self, name: str, keep: Container[str] = ()) -> int:
         """The number of an endpoint. Those long gone are forgotten, the oldest first, but none of `keep`."""
         if name not in self.numbers:
-            if len(self.numbers) >= MOST_TARGETS:
+            if len(self.numbers) >= MAX_ENDPOINTS:
                 self._forget_one(keep)
             self._newest_number += 1
             self.numbers[name] = self._newest_number
@@ -66,7 +66,7 @@
             del self._gone[old]
             del self.names[self.numbers.pop(old)]
 
-    def entries(self, hosts: Iterable[Host], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
+    def entries(self, hosts: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
         """A list, as the decisions read it."""
         return tuple(host.entry(self.number(host.name, keep)) for host in hosts)
 
@@ -78,13 +78,13 @@
             if host.health == "up" and host.name not in banned
         }
 
-    def host(self, number: int) -> Host | None:
+    def host(self, number: int) -> ListedEndpoint | None:
         """The endpoint of that number, if it is listed."""
         return self.hosts.get(self.names.get(number, ""))
 
-    def kind(self, host: Host) -> DestinationKind:
+    def kind(self, host: ListedEndpoint) -> DestinationKind:
         return self.kinds.get(str(host.raw.get("class")), DestinationKind(""))
 
-    def place(self, host: Host) -> tuple[int, int]:
+    def place(self, host: ListedEndpoint) -> tuple[int, int]:
         """What shares a told wait with an endpoint: all of its destination, or itself alone."""
         return host.destination, self.number(host.name) if self.kind(host).routes_apart else -1
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -22,10 +22,17 @@
 from forwarder.config.config import Address
 from forwarder.decisions.events import AttemptEnded, LoadReport
 from forwarder.decisions.outcomes import Outcome
-from forwarder.protocol.http1 import MOST_BODY, BadAnswer, ResponseReader, load_report, request, wait_us
+from forwarder.protocol.http1 import (
+    MOST_BODY,
+    BadResponseError,
+    ResponseReader,
+    parse_load_report,
+    parse_retry_after_us,
+    render_request,
+)
 from forwarder.runtime.descriptor_watch import ready_now
-from forwarder.runtime.invariants import Attempt, Route, Rules, route_denial
-from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.runtime.invariants import AttemptFacts, Invariants, RouteFacts, route_denial
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Repeating, Supervisor
 from forwarder.units import NEVER_US
 
@@ -67,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class Item:
+class CallItem:
     """One message of a call."""
 
     id: str
@@ -89,23 +96,23 @@
 
 
 @dataclass(slots=True)
-class Call:
+class EndpointCall:
     target: int
     place: tuple[int, int]
     """What shares a wait: its destination, or one route where routes are apart."""
     sent_us: int
-    items: list[Item]
+    items: list[CallItem]
     until_us: int = 0
-    connection: Connection | None = None
+    connection: EndpointConnection | None = None
     timer: asyncio.TimerHandle | None = None
     quiet: asyncio.TimerHandle | None = None
     written: bool = False
     batched: bool = False
-    open: dict[str, Item] = field(default_factory=dict)
+    open: dict[str, CallItem] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Result:
+class CallResult:
     outcome: Outcome
     closed: bool = False
     wait_us: int = 0
@@ -114,14 +121,14 @@
 Sink = Callable[[AttemptEnded], None]
 
 
-class Connection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """A connection to a target, with at most one call on it.
 
     While a call is out, the end of the connection is a reset: bytes that still wait in the send buffer, since the
     target or the network takes none, must not arrive once the call has ended here.
     """
 
-    def __init__(self, pool: Pool, call: Call | None = None, seen: bytes = b"") -> None:
+    def __init__(self, pool: ConnectionPool, call: EndpointCall | None = None, seen: bytes = b"") -> None:
         self.pool, self.idle_us = pool, 0
         self.call = call
         self.answered = call is None
@@ -157,7 +164,7 @@
     def closing(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def start(self, call: Call, data: bytes) -> bool:
+    def start(self, call: EndpointCall, data: bytes) -> bool:
         """Write a call. False where the connection was dead already, or something has come on it that nothing asked
         for: not a byte of the call has left then.
         """
@@ -214,7 +221,7 @@
             return
         try:
             self.reader.feed(data)
-        except BadAnswer as error:
+        except BadResponseError as error:
             log.warning("target %d: bad answer: %s", call.target, error)
             self.call = None
             self.pool.ended(call, self.reader, broken=True)
@@ -232,7 +239,7 @@
                 self.finish(self.call)
         return False
 
-    def finish(self, call: Call) -> None:
+    def finish(self, call: EndpointCall) -> None:
         """The answer is whole."""
         self.call, call.connection = None, None
         self.answered = True
@@ -257,7 +264,7 @@
             self.pool.broke_off(call, self.reader, self.given_up)
 
 
-class Pool:
+class ConnectionPool:
     """All connections to all targets, and the calls that are out on them."""
 
     def __init__(
@@ -268,22 +275,22 @@
         idle_us: int,
         dial_us: int,
         most: int,
-        reasons: Reasons | None = None,
-        rules: Rules | None = None,
+        reasons: ReasonCounts | None = None,
+        rules: Invariants | None = None,
         supervisor: Supervisor | None = None,
     ) -> None:
-        self.reasons, self.rules = reasons or Reasons(), rules
+        self.reasons, self.rules = reasons or ReasonCounts(), rules
         self.supervisor = supervisor or Supervisor()
         self.clock, self.sink, self.most = clock, sink, most
         self.tune(fields, idle_us, dial_us)
-        self.idle: dict[int, list[Connection]] = {}
-        self.all: set[Connection] = set()
+        self.idle: dict[int, list[EndpointConnection]] = {}
+        self.all: set[EndpointConnection] = set()
         self.dials: set[asyncio.Task[None]] = set()
         self.where: dict[int, Address] = {}
         self.waits: dict[tuple[int, int], int] = {}
         self.sweeping: Repeating | None = None
         self.out = 0
-        self.calls: dict[tuple[str, int], Call] = {}
+        self.calls: dict[tuple[str, int], EndpointCall] = {}
 
     def tune(self, fields: tuple[str, ...], idle_us: int, dial_us: int) -> None:
         self.fields = fields
@@ -303,7 +310,7 @@
 
     # Starting
 
-    def start(self, call: Call) -> None:
+    def start(self, call: EndpointCall) -> None:
         """Send a call, on a connection that is open or on a new one."""
         self.out += 1
         for item in call.items:
@@ -311,7 +318,7 @@
             self.calls[(item.id, item.attempt)] = call
         self.arm(call)
         if call.target not in self.where:
-            self.finish(call, Result(Outcome.NO_CONNECTION))
+            self.finish(call, CallResult(Outcome.NO_CONNECTION))
             return
         self.drop_denied(call, self.where[call.target])
         if not call.open:
@@ -323,7 +330,7 @@
                 return
         if len(self.all) + len(self.dials) >= self.most and not self.make_room():
             self.reasons.note(Subject.HELD_BACK, "call: too many connections to endpoints", call.items[0].id)
-            self.finish(call, Result(Outcome.HELD_BACK))
+            self.finish(call, CallResult(Outcome.HELD_BACK))
             return
         task = asyncio.get_running_loop().create_task(self.dial_guarded(call, self.where[call.target]))
         self.dials.add(task)
@@ -338,57 +345,57 @@
         self.idle[target].pop(n).close("too many connections")
         return True
 
-    async def dial_guarded(self, call: Call, where: Address) -> None:
+    async def dial_guarded(self, call: EndpointCall, where: Address) -> None:
         """Dial; whatever goes wrong, the call has its end, and its slot is free."""
         try:
             await self.dial(call, where)
         except Exception as error:
             self.supervisor.failed("dial", error)
             connection = call.connection
-            self.finish(call, Result(Outcome.RESET if connection is not None else Outcome.HELD_BACK))
+            self.finish(call, CallResult(Outcome.RESET if connection is not None else Outcome.HELD_BACK))
 
-    async def dial(self, call: Call, where: Address) -> None:
+    async def dial(self, call: EndpointCall, where: Address) -> None:
         loop = asyncio.get_running_loop()
         left = min(self.dial_us, call.until_us - self.clock())
         try:
             async with asyncio.timeout(max(0.001, left / SECOND)):
-                _, connection = await loop.create_connection(lambda: Connection(self), where.host, where.port)
+                _, connection = await loop.create_connection(lambda: EndpointConnection(self), where.host, where.port)
         except (OSError, TimeoutError) as error:
             local = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
             if local:
                 self.reasons.note(Subject.HELD_BACK, f"call: {errno.errorcode[error.errno or 0]}", call.items[0].id)
-            self.finish(call, Result(Outcome.HELD_BACK if local else Outcome.NO_CONNECTION))
+            self.finish(call, CallResult(Outcome.HELD_BACK if local else Outcome.NO_CONNECTION))
             return
         self.all.add(connection)
         # What was decided before the connection came up may have been overtaken meanwhile.
         self.drop_denied(call, where)
         if connection.closing():
-            self.finish(call, Result(Outcome.NO_CONNECTION))
+            self.finish(call, CallResult(Outcome.NO_CONNECTION))
         elif self.where.get(call.target) != where:
             connection.close("not listed any more")
         elif not call.open:
             self.keep(connection, call.target)
         elif not connection.start(call, self.render(call)):
-            self.finish(call, Result(Outcome.NO_CONNECTION))
+            self.finish(call, CallResult(Outcome.NO_CONNECTION))
 
-    def drop_denied(self, call: Call, where: Address) -> None:
+    def drop_denied(self, call: EndpointCall, where: Address) -> None:
         """Ask for each message of a call whether it may leave now; hold back those that may not."""
         now = self.clock()
-        route = Route(self.where.get(call.target) == where, self.waits.get(call.place, 0))
+        route = RouteFacts(self.where.get(call.target) == where, self.waits.get(call.place, 0))
         others_out = {name for (name, _), other in self.calls.items() if other is not call}
         for item in list(call.open.values()):
-            attempt = Attempt(item.id, item.attempt, item.leave_by_us, item.due_us)
+            attempt = AttemptFacts(item.id, item.attempt, item.leave_by_us, item.due_us)
             denial = (
                 route_denial(attempt, route, now)
                 if self.rules is None
                 else self.rules.may_send(attempt, route, now, others_out)
             )
             if denial is not None:
-                self.tell(call, item, Result(Outcome.NOT_SENT))
+                self.tell(call, item, CallResult(Outcome.NOT_SENT))
         if not call.open:
             self.disarm(call)
 
-    def render(self, call: Call) -> bytes:
+    def render(self, call: EndpointCall) -> bytes:
         """The bytes of a call for those of its messages that are still open."""
         where = self.where[call.target]
         host = f"{where.host}:{where.port}"
@@ -402,8 +409,8 @@
                 headers.append(("X-Session-Key", item.key))
             if item.idempotency_key is not None:
                 headers.append(("Idempotency-Key", item.idempotency_key))
-            return request("POST", "/hook", host, headers, item.body)
-        return request(
+            return render_request("POST", "/hook", host, headers, item.body)
+        return render_request(
             "POST",
             "/hook/batch",
             host,
@@ -413,13 +420,13 @@
 
     # Ending
 
-    def hush(self, call: Call) -> None:
+    def hush(self, call: EndpointCall) -> None:
         """A piece of an answer has come: what it begins must go on."""
         if call.quiet is not None:
             call.quiet.cancel()
         call.quiet = asyncio.get_running_loop().call_later(QUIET_S, self.fell_quiet, call)
 
-    def fell_quiet(self, call: Call) -> None:
+    def fell_quiet(self, call: EndpointCall) -> None:
         """The rest of an answer does not come: what is there counts as if the connection had broken here, so
         that its slot is free for others.
         """
@@ -427,13 +434,13 @@
             call.connection.close("answer stands still")
 
     @staticmethod
-    def disarm(call: Call) -> None:
+    def disarm(call: EndpointCall) -> None:
         for timer in (call.timer, call.quiet):
             if timer is not None:
                 timer.cancel()
         call.timer = call.quiet = None
 
-    def arm(self, call: Call) -> None:
+    def arm(self, call: EndpointCall) -> None:
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
@@ -447,7 +454,7 @@
             delay = max(0, call.until_us - self.clock()) / SECOND
             call.timer = asyncio.get_running_loop().call_later(delay + 0.001, self.timed_out, call)
 
-    def timed_out(self, call: Call) -> None:
+    def timed_out(self, call: EndpointCall) -> None:
         self.give_up(call, list(call.open.values()), Outcome.TIMED_OUT)
 
     def cancel(self, message: str, attempt: int) -> None:
@@ -455,7 +462,7 @@
         if call is not None and message in call.open:
             self.give_up(call, [call.open[message]], Outcome.CANCELED)
 
-    def give_up(self, call: Call, items: list[Item], outcome: Outcome) -> None:
+    def give_up(self, call: EndpointCall, items: list[CallItem], outcome: Outcome) -> None:
         """Stop waiting for some messages of a call. With none left its connection is closed: a late answer
         must not be taken for the next call's.
         """
@@ -463,13 +470,13 @@
             call.connection.give_up(outcome)
             return
         for item in items:
-            self.tell(call, item, Result(outcome if call.written else Outcome.NO_CONNECTION))
+            self.tell(call, item, CallResult(outcome if call.written else Outcome.NO_CONNECTION))
         if call.open:
             self.arm(call)
         else:
             self.drop(call)
 
-    def broke_off(self, call: Call, reader: ResponseReader, given_up: Outcome | None) -> None:
+    def broke_off(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
         """The connection of a call is gone before its answer was whole: by itself, or as the call was given up. One
         that waited in vain for the rest of a delivery is delivered.
         """
@@ -477,22 +484,22 @@
         if given_up is None or delivered:
             self.ended(call, reader, broken=True)
         else:
-            self.finish(call, Result(given_up if call.written else Outcome.NO_CONNECTION))
+            self.finish(call, CallResult(given_up if call.written else Outcome.NO_CONNECTION))
 
-    def drop(self, call: Call) -> None:
+    def drop(self, call: EndpointCall) -> None:
         self.disarm(call)
         if call.connection is not None:
             connection, call.connection = call.connection, None
             connection.call = None
             connection.close("call dropped")
 
-    def finish(self, call: Call, result: Result, report: LoadReport | None = None) -> None:
+    def finish(self, call: EndpointCall, result: CallResult, report: LoadReport | None = None) -> None:
         """The same end for all that is still open."""
         for item in list(call.open.values()):
             self.tell(call, item, result, report)
         self.drop(call)
 
-    def tell(self, call: Call, item: Item, result: Result, report: LoadReport | None = None) -> None:
+    def tell(self, call: EndpointCall, item: CallItem, result: CallResult, report: LoadReport | None = None) -> None:
         del call.open[item.id]
         self.calls.pop((item.id, item.attempt), None)
         if result.wait_us:
@@ -512,7 +519,7 @@
             )
         )
 
-    def over(self, item: Item, result: Result) -> bool:
+    def over(self, item: CallItem, result: CallResult) -> bool:
         """Whether a message is surely over. Its time began when its client sent it, a little before it was read
         here: a delivery heard at the end of that time may have come too late to count, and its end is still owed.
         """
@@ -527,17 +534,17 @@
             self.waits = {place: end for place, end in self.waits.items() if end > now}
         self.waits[place] = max(now + wait_us, self.waits.get(place, 0))
 
-    def ended(self, call: Call, reader: ResponseReader, broken: bool = False) -> None:
+    def ended(self, call: EndpointCall, reader: ResponseReader, broken: bool = False) -> None:
         """An answer came, or the connection broke before it was whole."""
         self.disarm(call)
         many = call.batched
-        report = load_report(reader.headers, self.fields)
+        report = parse_load_report(reader.headers, self.fields)
         # A first line with 200 is a delivery though the rest is cut; of several, only the whole answer tells.
         # Nothing else that is cut or garbled may be believed: not a refusal either, for it may have run.
         if broken:
             ok = reader.says_ok() and not many
             outcome = Outcome.DELIVERED if ok else self.broken(call, reader)
-            self.finish(call, Result(outcome), report)
+            self.finish(call, CallResult(outcome), report)
             return
         if reader.status == 200 and many:
             self.batch_ended(call, reader, report)
@@ -545,14 +552,14 @@
         self.finish(call, single(reader), report)
 
     @staticmethod
-    def broken(call: Call, reader: ResponseReader) -> Outcome:
+    def broken(call: EndpointCall, reader: ResponseReader) -> Outcome:
         """What an answer that is cut, garbled or missing stands for."""
         if reader.begun:
             return Outcome.UNREADABLE
         return Outcome.RESET if call.written else Outcome.NO_CONNECTION
 
-    def batch_ended(self, call: Call, reader: ResponseReader, report: LoadReport | None) -> None:
-        wait = wait_us(reader.headers) or 0
+    def batch_ended(self, call: EndpointCall, reader: ResponseReader, report: LoadReport | None) -> None:
+        wait = parse_retry_after_us(reader.headers) or 0
         try:
             ends = {e["id"]: e["state"] for e in json.loads(reader.body)}
         except (ValueError, TypeError, KeyError) as error:
@@ -561,7 +568,7 @@
         for item in list(call.open.values()):
             state = ends.get(item.id)
             outcome = STATES.get(state, Outcome.FAILED) if isinstance(state, str) else Outcome.FAILED
-            self.tell(call, item, Result(outcome, state == "expired", wait), report)
+            self.tell(call, item, CallResult(outcome, state == "expired", wait), report)
 
     # Upgrades
 
@@ -573,11 +580,11 @@
             connection.close("given up, and handed over")
             connection.settle()
 
-    def hand_over(self) -> tuple[dict[str, Any], list[Connection]]:
+    def hand_over(self) -> tuple[dict[str, Any], list[EndpointConnection]]:
         """What is out and what is idle, for the process that takes over, and the connections to go with it.
         A call whose last byte is not written yet is not among the connections: it will never run.
         """
-        going: list[Connection] = []
+        going: list[EndpointConnection] = []
         calls, idle = [], []
         for call in {id(call): call for call in self.calls.values()}.values():
             number = -1
@@ -602,19 +609,19 @@
                     going.append(connection)
         return {"calls": calls, "idle": idle, "waits": [[*w, end] for w, end in self.waits.items()]}, going
 
-    async def adopt(self, call: Call, sock: socket.socket | None, seen: bytes) -> None:
+    async def adopt(self, call: EndpointCall, sock: socket.socket | None, seen: bytes) -> None:
         """Go on waiting for the answer to a call of the process before; without a connection it never ran."""
         self.out += 1
         for item in call.items:
             call.open[item.id] = item
             self.calls[(item.id, item.attempt)] = call
         if sock is None:
-            self.finish(call, Result(Outcome.NOT_SENT))
+            self.finish(call, CallResult(Outcome.NOT_SENT))
             return
         call.written = True
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        _, connection = await loop.create_connection(lambda: Connection(self, call, seen), sock=sock)
+        _, connection = await loop.create_connection(lambda: EndpointConnection(self, call, seen), sock=sock)
         if not connection.closing():
             self.all.add(connection)
         self.arm(call)
@@ -622,7 +629,7 @@
     async def adopt_idle(self, target: int, sock: socket.socket, idle_us: int) -> None:
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        _, connection = await loop.create_connection(lambda: Connection(self), sock=sock)
+        _, connection = await loop.create_connection(lambda: EndpointConnection(self), sock=sock)
         if not connection.closing():
             self.all.add(connection)
             self.keep(connection, target)
@@ -630,7 +637,7 @@
 
     # Idle connections
 
-    def keep(self, connection: Connection, target: int) -> None:
+    def keep(self, connection: EndpointConnection, target: int) -> None:
         held = self.idle.setdefault(target, [])
         if target not in self.where or self.idle_us <= 0 or len(held) >= MOST_IDLE:
             connection.close("enough idle ones are kept")
@@ -655,7 +662,7 @@
             self.sweeping.cancel()
             self.sweeping = None
 
-    def lost(self, connection: Connection) -> None:
+    def lost(self, connection: EndpointConnection) -> None:
         self.all.discard(connection)
         for held in self.idle.values():
             if connection in held:
@@ -680,7 +687,7 @@
         borrowed.detach()
 
 
-def batch_body(items: list[Item]) -> bytes:
+def batch_body(items: list[CallItem]) -> bytes:
     return json.dumps(
         [
             {
@@ -694,23 +701,23 @@
     ).encode()
 
 
-def fits(items: list[Item], item: Item) -> bool:
+def fits(items: list[CallItem], item: CallItem) -> bool:
     """Whether one more message leaves the body of a batch call within what targets take."""
     return sum(4 * len(x.body) // 3 + len(x.id) + len(x.batch_key or "") + 64 for x in [*items, item]) <= MOST_BODY
 
 
-def single(reader: ResponseReader) -> Result:
+def single(reader: ResponseReader) -> CallResult:
     """The outcome that a status stands for."""
     status = reader.status
     if status == 200:
-        return Result(Outcome.DELIVERED)
+        return CallResult(Outcome.DELIVERED)
     if status == 429:
-        wait = wait_us(reader.headers)
-        return Result(Outcome.UNREADABLE) if wait is None else Result(Outcome.FULL, wait_us=wait)
+        wait = parse_retry_after_us(reader.headers)
+        return CallResult(Outcome.UNREADABLE) if wait is None else CallResult(Outcome.FULL, wait_us=wait)
     if status == 503:
-        return Result(Outcome.NOT_SENT if "x-over-slots" in reader.headers else Outcome.FULL)
+        return CallResult(Outcome.NOT_SENT if "x-over-slots" in reader.headers else Outcome.FULL)
     if status in (410, 504):
-        return Result(Outcome.NOT_SENT, closed=status == 410)
+        return CallResult(Outcome.NOT_SENT, closed=status == 410)
     if status != 500:
         log.warning("a target answered %d", status)
-    return Result(Outcome.FAILED)
+    return CallResult(Outcome.FAILED)
--- a/forwarder/health/extension.py
+++ b/forwarder/health/extension.py
@@ -5,20 +5,20 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from forwarder.admin.server import Calls, Refused
+from forwarder.admin.server import CommandRefusedError, CommandTable
 from forwarder.config.config import Config
-from forwarder.config.extensions_file import Table
-from forwarder.decisions.outlier_detection import Health, Limits
-from forwarder.runtime.engine import Engine, QuietPart
+from forwarder.config.extensions_file import ExtensionTable
+from forwarder.decisions.outlier_detection import OutlierDetector, OutlierSettings
+from forwarder.runtime.engine import BaseExtension, Engine
 
 SECOND = 1_000_000
 
 
-def read(table: Table) -> Limits:
+def parse_settings(table: ExtensionTable) -> OutlierSettings:
     """The table `[health.passive]`."""
     passive = table.part("passive")
     first = passive.number("eject_s", 5.0, 0.1, 3600.0)
-    limits = Limits(
+    limits = OutlierSettings(
         half_life_us=int(passive.number("half_life_s", 10.0, 0.1, 3600.0) * SECOND),
         least_samples=passive.number("least_samples", 5.0, 1.0),
         run_calls=passive.whole("run_calls", 5, 1),
@@ -34,35 +34,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maker:
-    limits: Limits
+class HealthExtensionFactory:
+    limits: OutlierSettings
     descriptors: int = 0
 
-    def __call__(self, engine: Engine) -> HealthPart:
-        return HealthPart(engine, self.limits)
+    def __call__(self, engine: Engine) -> HealthExtension:
+        return HealthExtension(engine, self.limits)
 
 
-def prepare(table: Table, config: Config) -> Maker:
-    return Maker(read(table))
+def prepare(table: ExtensionTable, config: Config) -> HealthExtensionFactory:
+    return HealthExtensionFactory(parse_settings(table))
 
 
-class HealthPart(QuietPart):
+class HealthExtension(BaseExtension):
     name = "health"
 
-    def __init__(self, engine: Engine, limits: Limits) -> None:
+    def __init__(self, engine: Engine, limits: OutlierSettings) -> None:
         self.engine = engine
-        self.health = Health(engine.dispatcher, limits)
+        self.health = OutlierDetector(engine.dispatcher, limits)
         engine.dispatcher.parts.append(self.health)
 
     @property
-    def calls(self) -> Calls:
+    def calls(self) -> CommandTable:
         return {"VERDICT": self.verdict}
 
     def verdict(self, name: str) -> str:
         """`VERDICT ID`: the verdict of an endpoint, and why."""
         target = self.engine.dispatcher.targets.get(self.engine.targets.numbers.get(name, -1))
         if target is None:
-            raise Refused("no endpoint of that id is listed")
+            raise CommandRefusedError("no endpoint of that id is listed")
         verdict, why = self.health.verdict(target)
         return f"{name} {verdict.value}: {why}"
 
--- a/forwarder/membership/codec.py
+++ b/forwarder/membership/codec.py
@@ -17,7 +17,7 @@
 from msgspec import Meta
 
 from forwarder.membership.gossip_store import MOST_ITEMS, Item
-from forwarder.membership.view import News, Phase, State
+from forwarder.membership.view import MemberRecord, Phase, State
 
 VERSION = 1
 TAG = 16
@@ -58,10 +58,10 @@
     version: Text = ""
     by: Text = ""
 
-    def news(self) -> News:
+    def news(self) -> MemberRecord:
         """A phase of a later version counts as serving."""
         phase = Phase(self.phase) if self.phase <= max(Phase) else Phase.SERVING
-        return News(
+        return MemberRecord(
             self.name,
             (self.host, self.port),
             self.incarnation,
@@ -73,7 +73,7 @@
         )
 
 
-def row(news: News) -> Row:
+def row(news: MemberRecord) -> Row:
     return Row(
         news.name, *news.where, news.incarnation, int(news.state), news.id, int(news.phase), news.version, news.by
     )
@@ -113,7 +113,7 @@
     """Beside who is there; of those that have no board, none."""
 
 
-class Dropped(Exception):
+class DatagramRejectedError(Exception):
     """A datagram that is not taken; the text is the reason that it is counted under."""
 
 
@@ -156,23 +156,23 @@
         length and the version, so what is forged costs one hash.
         """
         if len(datagram) > MOST_BYTES:
-            raise Dropped("too long")
+            raise DatagramRejectedError("too long")
         if len(datagram) <= 1 + TAG or datagram[0] != VERSION:
-            raise Dropped("other version")
+            raise DatagramRejectedError("other version")
         tag, data = datagram[1 : 1 + TAG], datagram[1 + TAG :]
         if not any(hmac.compare_digest(tag, self._tag(key, data)) for key in self.keys):
-            raise Dropped("forged")
+            raise DatagramRejectedError("forged")
         try:
             body = _decoder.decode(data)
         except (msgspec.ValidationError, msgspec.DecodeError):
-            raise Dropped("garbled") from None
+            raise DatagramRejectedError("garbled") from None
         self._check_replay(body)
         return body
 
     def _check_replay(self, body: Body) -> None:
         life = self.lives.get(body.sender)
         if life is None and len(self.lives) >= MOST_SENDERS:
-            raise Dropped("too many senders")
+            raise DatagramRejectedError("too many senders")
         if life is not None and body.life < life:
             raise FormerLife(body.sender, body.seq)
         if life is None or body.life > life:
@@ -180,7 +180,7 @@
         ids = self.seen[body.sender]
         if body.id not in ids:
             if len(ids) >= MOST_IDS:
-                raise Dropped("too many ids")
+                raise DatagramRejectedError("too many ids")
             ids[body.id] = _Seen(body.number, 1)
             return
         seen = ids[body.id]
@@ -189,12 +189,12 @@
             seen.bits = (seen.bits << min(ahead, WINDOW) | 1) & ((1 << WINDOW) - 1)
             seen.top = body.number
         elif -ahead >= WINDOW or seen.bits >> -ahead & 1:
-            raise Dropped("replayed")
+            raise DatagramRejectedError("replayed")
         else:
             seen.bits |= 1 << -ahead
 
 
-class FormerLife(Dropped):
+class FormerLife(DatagramRejectedError):
     """From a life before the newest that is known: replayed, or its forwarder has lost its folder."""
 
     def __init__(self, sender: str, seq: int) -> None:
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -15,19 +15,19 @@
 from typing import Any, cast
 
 from forwarder import __version__
-from forwarder.admin.server import Calls, Refused, alone
-from forwarder.config.config import Address, Config, ConfigError, address
-from forwarder.config.extensions_file import Table
+from forwarder.admin.server import CommandRefusedError, CommandTable, without_arguments
+from forwarder.config.config import Address, Config, ConfigError, parse_address
+from forwarder.config.extensions_file import ExtensionTable
 from forwarder.decisions.actions import Action
-from forwarder.decisions.fleet_messages import Seen, Viewed
-from forwarder.decisions.fleet_quota import FleetPolicy, Shares
-from forwarder.membership.codec import Codec, Dropped, FormerLife
-from forwarder.membership.gossip import News
-from forwarder.membership.protocol import LEAST_LOG, Protocol, Timing, Told
+from forwarder.decisions.fleet_messages import FleetView, FleetViewChanged
+from forwarder.decisions.fleet_quota import FleetQuota, FleetQuotaExtension
+from forwarder.membership.codec import Codec, DatagramRejectedError, FormerLife
+from forwarder.membership.gossip import GossipBridge
+from forwarder.membership.protocol import LEAST_LOG, MemberChanged, Protocol, Timing
 from forwarder.membership.view import LIFE, Member, Phase, State, Where
-from forwarder.runtime.engine import Engine, QuietPart
-from forwarder.runtime.startup_phase import Phase as Start
-from forwarder.simulator.adapter import Malformed
+from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.startup_phase import StartupPhase
+from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.lease import Lease
 
 SECOND = 1_000_000
@@ -64,7 +64,7 @@
     ask_us: int
 
 
-def read(table: Table, config: Config) -> Settings:
+def read(table: ExtensionTable, config: Config) -> Settings:
     """Raises ConfigError, naming the key."""
     if not (config.told.get("settings") or {}).get("allowed", {}).get("may_tell"):
         raise ConfigError("parts: members: by settings.allowed.may_tell forwarders may not talk to each other")
@@ -120,12 +120,12 @@
     return made
 
 
-def addresses(table: Table, told: Any) -> tuple[Address, ...]:
+def addresses(table: ExtensionTable, told: Any) -> tuple[Address, ...]:
     if not isinstance(told, list):
         raise table.wrong("seeds", f"is no list and no file: {told!r}")
     try:
-        return tuple(address(text) for text in told)
-    except Malformed as error:
+        return tuple(parse_address(text) for text in told)
+    except MalformedInputError as error:
         raise table.wrong("seeds", f"has what is {error}") from None
 
 
@@ -134,8 +134,8 @@
     if not isinstance(settings.seeds, Path):
         return [(seed.host, seed.port) for seed in settings.seeds]
     try:
-        found = [address(line.strip()) for line in settings.seeds.read_text().splitlines() if line.strip()]
-    except (OSError, Malformed) as error:
+        found = [parse_address(line.strip()) for line in settings.seeds.read_text().splitlines() if line.strip()]
+    except (OSError, MalformedInputError) as error:
         raise ConfigError(f"parts: members.seeds: {error}") from None
     return [(seed.host, seed.port) for seed in found]
 
@@ -154,20 +154,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maker:
+class MembershipExtensionFactory:
     settings: Settings
     descriptors: int = 2
 
-    def __call__(self, engine: Engine) -> MembersPart:
-        return MembersPart(engine, self.settings)
+    def __call__(self, engine: Engine) -> MembershipExtension:
+        return MembershipExtension(engine, self.settings)
 
 
-def prepare(table: Table, config: Config) -> Maker:
-    return Maker(read(table, config))
+def prepare(table: ExtensionTable, config: Config) -> MembershipExtensionFactory:
+    return MembershipExtensionFactory(read(table, config))
 
 
 @dataclass(slots=True)
-class Doorkeeper:
+class DatagramRateLimiter:
     """How much each address may send."""
 
     room: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -183,7 +183,7 @@
         return left >= 1
 
 
-class MembersPart(QuietPart, asyncio.DatagramProtocol):
+class MembershipExtension(BaseExtension, asyncio.DatagramProtocol):
     """The socket of one forwarder, and the protocol behind it."""
 
     name = "members"
@@ -191,18 +191,18 @@
     def __init__(self, engine: Engine, settings: Settings) -> None:
         self.engine, self.settings = engine, settings
         self.codec = Codec(settings.cluster, keys(settings.key_file))
-        self.keeper = Doorkeeper()
+        self.keeper = DatagramRateLimiter()
         self.protocol: Protocol | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.full = False
         self.counts: Counter[str] = Counter()
         self.logged_s, self.logged = time.monotonic(), 0
-        self.viewed: Seen | None = None
+        self.viewed: FleetView | None = None
         self.view_s = 0.0
-        self.shares: Shares | None = None
+        self.shares: FleetQuota | None = None
         self.lease: Lease | None = None
-        self.news: News | None = None
+        self.news: GossipBridge | None = None
         if settings.divide:
             self.follow_view(engine)
 
@@ -210,7 +210,7 @@
         """The Dispatcher divides what all share by who is there."""
         s = self.settings
         self.lease = Lease(engine.config.state, engine.clock)
-        self.shares = Shares(
+        self.shares = FleetQuota(
             engine.config.settings.balancers,
             s.settle_us,
             s.believe_us,
@@ -219,30 +219,34 @@
             self.lease.read(s.settle_us - s.detect_us),
         )
         if self.settings.news:
-            self.news = News(engine, self.shares, self.settings.told_us, self.settings.ask_us)
+            self.news = GossipBridge(engine, self.shares, self.settings.told_us, self.settings.ask_us)
         else:
-            engine.dispatcher.parts.append(FleetPolicy(engine.dispatcher, self.shares))
+            engine.dispatcher.parts.append(FleetQuotaExtension(engine.dispatcher, self.shares))
 
-    def seen(self) -> Seen:
+    def seen(self) -> FleetView:
         assert self.protocol is not None
         view, gone = self.protocol.view, self.protocol.yielded
         left = frozenset(view.others(State.LEFT))
-        return Seen(frozenset(view.there()), left, self.protocol.stale or gone, gone)
+        return FleetView(frozenset(view.there()), left, self.protocol.stale or gone, gone)
 
     @property
-    def calls(self) -> Calls:
-        return {"MEMBERS": self.tell, "SHARES": alone(self.tell_shares), "NEWS": alone(self.tell_news)}
+    def calls(self) -> CommandTable:
+        return {
+            "MEMBERS": self.tell,
+            "SHARES": without_arguments(self.tell_shares),
+            "NEWS": without_arguments(self.tell_news),
+        }
 
     def tell_shares(self) -> str:
         """`SHARES`: by how many this forwarder divides, and why."""
         if self.shares is None:
-            raise Refused("members.divide is not turned on")
+            raise CommandRefusedError("members.divide is not turned on")
         return divided(self.shares, self.engine.clock())
 
     def tell_news(self) -> str:
         """`NEWS`: what this forwarder has seen of endpoints, what it has heard, and how old that is."""
         if self.news is None:
-            raise Refused("members.news is not turned on")
+            raise CommandRefusedError("members.news is not turned on")
         return self.news.tell(self.now())
 
     def act(self, actions: Iterable[Action]) -> None:
@@ -350,7 +354,7 @@
         except FormerLife as former:
             self.counts["dropped: former life"] += 1
             self.protocol.dropped(self.now(), source, former)
-        except Dropped as dropped:
+        except DatagramRejectedError as dropped:
             self.counts[f"dropped: {dropped}"] += 1
         else:
             self.protocol.receive(self.now(), source, body)
@@ -366,7 +370,7 @@
 
     def step(self) -> None:
         assert self.protocol is not None
-        if self.protocol.me.phase is Phase.RECOVERING and self.engine.life.phase is Start.SERVING:
+        if self.protocol.me.phase is Phase.RECOVERING and self.engine.life.phase is StartupPhase.SERVING:
             self.protocol.tell(self.now(), Phase.SERVING)
         self.protocol.tick(self.now())
         self.flush()
@@ -402,12 +406,12 @@
             self.log_news(news)
         if self.shares is not None and ((seen := self.seen()) != self.viewed or time.monotonic() >= self.view_s):
             self.viewed, self.view_s = seen, time.monotonic() + VIEW_S
-            self.engine.post(Viewed(seen))
+            self.engine.post(FleetViewChanged(seen))
         self.arm()
 
     # What people hear
 
-    def log_news(self, told: Told) -> None:
+    def log_news(self, told: MemberChanged) -> None:
         m = told.member.news
         assert self.protocol is not None
         if m.name == self.protocol.view.me:
@@ -457,9 +461,9 @@
     def tell(self, rest: str) -> str:
         """`MEMBERS`: the view, in words; `MEMBERS json`: as one line of JSON."""
         if rest not in ("", "json"):
-            raise Refused("MEMBERS stands alone, or with json")
+            raise CommandRefusedError("MEMBERS stands alone, or with json")
         if self.protocol is None:
-            raise Refused("not open yet")
+            raise CommandRefusedError("not open yet")
         p, now = self.protocol, self.now()
         head = {
             "me": p.view.me,
@@ -500,7 +504,7 @@
         )
 
 
-def divided(shares: Shares, now: int) -> str:
+def divided(shares: FleetQuota, now: int) -> str:
     """`SHARES`: mode, size, and what is held back for it until when."""
     size = shares.size(now)
     back = (
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -12,17 +12,24 @@
 
 from forwarder.decisions.actions import Action
 from forwarder.decisions.events import EndpointDisabled
-from forwarder.decisions.fleet_messages import Asked, Heard, TellHolding, TellOutage, TellWait, Word
-from forwarder.decisions.fleet_quota import NewsPolicy, Shares, Turns
-from forwarder.membership.gossip_store import AGES, Board, Fact, Kind, rendezvous
+from forwarder.decisions.fleet_messages import (
+    AnnounceEjection,
+    AnnounceHolding,
+    AnnounceRetryAfter,
+    GossipReceived,
+    Observation,
+    PeersQueried,
+)
+from forwarder.decisions.fleet_quota import FleetQuota, GossipExtension, SlowStartSlots
+from forwarder.membership.gossip_store import AGES, GossipRecord, GossipStore, RecordKind, rendezvous
 from forwarder.membership.protocol import Protocol
 from forwarder.runtime.engine import Engine
-from forwarder.storage.identity import Start
+from forwarder.storage.identity import StartKind
 
 SECOND = 1_000_000
 RESAY_US = SECOND
 """A target that is still seen out, or back, is told again at most this often."""
-HOLDS_US = AGES[Kind.HOLDS] // 3
+HOLDS_US = AGES[RecordKind.HOLDS] // 3
 BANS_US = 30 * SECOND
 HEARD_US = 50_000
 """The Dispatcher hears of a change at most this often."""
@@ -32,22 +39,24 @@
 log = logging.getLogger("forwarder.news")
 
 
-class News:
+class GossipBridge:
     """Joins one forwarder's board to its Dispatcher."""
 
-    def __init__(self, engine: Engine, shares: Shares, told_us: int, ask_us: int) -> None:
+    def __init__(self, engine: Engine, shares: FleetQuota, told_us: int, ask_us: int) -> None:
         self.engine, self.ask_us = engine, ask_us
         s = engine.config.settings
-        self.board = Board(
+        self.board = GossipStore(
             engine.config.name,
             ages=dict(AGES)
-            | dict.fromkeys((Kind.OUTAGE, Kind.BACK, Kind.WELL), s.warm_us)
-            | {Kind.WAIT: max(SECOND, s.max_retry_after_us)},
+            | dict.fromkeys((RecordKind.OUTAGE, RecordKind.BACK, RecordKind.WELL), s.warm_us)
+            | {RecordKind.WAIT: max(SECOND, s.max_retry_after_us)},
+        )
+        self.policy = GossipExtension(
+            engine.dispatcher, shares, SlowStartSlots(engine.config.name, told_us, self.order)
         )
-        self.policy = NewsPolicy(engine.dispatcher, shares, Turns(engine.config.name, told_us, self.order))
         engine.dispatcher.parts.append(self.policy)
         self.protocol: Protocol | None = None
-        self.lost = engine.start is not Start.AGAIN
+        self.lost = engine.start is not StartKind.AGAIN
         self.asking = True
         self.bans: dict[str, int] = {}
         self.holding: frozenset[str] = frozenset()
@@ -71,7 +80,9 @@
 
     # Said
 
-    def say(self, now: int, kind: Kind, subject: str, value: int = 0, lasted: int = 0, urgent: bool = False) -> None:
+    def say(
+        self, now: int, kind: RecordKind, subject: str, value: int = 0, lasted: int = 0, urgent: bool = False
+    ) -> None:
         assert self.protocol is not None
         self.counts[kind.value] = self.counts.get(kind.value, 0) + 1
         self.protocol.say(now, kind, subject, value, lasted, urgent)
@@ -80,14 +91,14 @@
         """What a round has seen."""
         for a in actions:
             match a:
-                case TellOutage() if a.target in self.engine.targets.names:
+                case AnnounceEjection() if a.target in self.engine.targets.names:
                     self.say_outage(now, self.engine.targets.names[a.target], a)
-                case TellWait((destination, which), until) if which < 0 or which in self.engine.targets.names:
+                case AnnounceRetryAfter((destination, which), until) if which < 0 or which in self.engine.targets.names:
                     subject = str(destination) if which < 0 else f"{destination} {self.engine.targets.names[which]}"
                     if until > self.waits.get(subject, 0):
                         self.waits[subject] = until
-                        self.say(now, Kind.WAIT, subject, until - self.engine.clock())
-                case TellHolding():
+                        self.say(now, RecordKind.WAIT, subject, until - self.engine.clock())
+                case AnnounceHolding():
                     self.say_holding(
                         now,
                         frozenset(self.engine.targets.names[t] for t in a.targets if t in self.engine.targets.names),
@@ -95,22 +106,24 @@
         if self.engine.store.bans != self.bans:
             self.say_bans(now)
 
-    def say_outage(self, now: int, name: str, a: TellOutage) -> None:
+    def say_outage(self, now: int, name: str, a: AnnounceEjection) -> None:
         clock = self.engine.clock()
-        kind = Kind.OUTAGE if a.back_us < 0 else Kind.BACK if a.since_us >= 0 else Kind.WELL
+        kind = RecordKind.OUTAGE if a.back_us < 0 else RecordKind.BACK if a.since_us >= 0 else RecordKind.WELL
         if self.board.lately(now, kind, name, RESAY_US):
             return
         urgent = not self.board.lately(now, kind, name, self.board.ages[kind])
-        if kind is Kind.OUTAGE:
+        if kind is RecordKind.OUTAGE:
             self.say(now, kind, name, clock - a.since_us, urgent=urgent)
         else:
-            self.say(now, kind, name, clock - a.back_us, a.back_us - a.since_us if kind is Kind.BACK else 0, urgent)
+            self.say(
+                now, kind, name, clock - a.back_us, a.back_us - a.since_us if kind is RecordKind.BACK else 0, urgent
+            )
 
     def say_holding(self, now: int, holding: frozenset[str]) -> None:
         for name in sorted(holding - self.holding):
-            self.say(now, Kind.HOLDS, name, urgent=True)
+            self.say(now, RecordKind.HOLDS, name, urgent=True)
         for name in sorted(self.holding - holding):
-            self.say(now, Kind.FREE, name)
+            self.say(now, RecordKind.FREE, name)
         self.holding = holding
 
     def say_bans(self, now: int, anew: bool = False) -> None:
@@ -118,9 +131,9 @@
         bans, clock = dict(self.engine.store.bans), self.engine.clock()
         for name, since in sorted(bans.items()):
             if anew or self.bans.get(name) != since:
-                self.say(now, Kind.BAN, name, clock - since, urgent=not anew)
+                self.say(now, RecordKind.BAN, name, clock - since, urgent=not anew)
         for name in sorted(self.bans.keys() - bans.keys()):
-            self.say(now, Kind.USED, name, urgent=True)
+            self.say(now, RecordKind.USED, name, urgent=True)
         self.bans, self.banned = bans, now
 
     # Heard
@@ -136,7 +149,7 @@
         if now - self.renewed >= HOLDS_US:
             self.renewed = now
             for name in sorted(self.holding):
-                self.say(now, Kind.HOLDS, name)
+                self.say(now, RecordKind.HOLDS, name)
         if now - self.banned >= BANS_US:
             self.say_bans(now, anew=True)
         if self.version != self.board.version and now - self.heard_at >= HEARD_US:
@@ -160,12 +173,12 @@
             if self.version != self.board.version:
                 self.version = self.board.version
                 self.engine.post(self.heard(now))
-            self.engine.post(Asked())
+            self.engine.post(PeersQueried())
 
     def take_up_bans(self, now: int) -> int:
         """Endpoints that this forwarder had left out, as the others remember, are left out again."""
         store, found = self.engine.store, 0
-        for fact in self.board.remembered(now, Kind.BAN):
+        for fact in self.board.remembered(now, RecordKind.BAN):
             if fact.subject not in store.bans:
                 since = self.engine.clock() - (now - fact.born) - fact.value
                 store.ban(fact.subject, since)
@@ -174,19 +187,19 @@
                 found += 1
         return found
 
-    def heard(self, now: int) -> Heard:
+    def heard(self, now: int) -> GossipReceived:
         """All that others say and that is not too old, in the Dispatcher's numbers and times."""
         numbers, ahead = self.engine.targets.numbers, self.engine.clock() - now
-        words: dict[int, list[Word]] = {}
-        for fact in self.board.told(now, Kind.OUTAGE, Kind.BACK, Kind.WELL):
+        words: dict[int, list[Observation]] = {}
+        for fact in self.board.told(now, RecordKind.OUTAGE, RecordKind.BACK, RecordKind.WELL):
             if fact.subject in numbers:
                 words.setdefault(numbers[fact.subject], []).append(word(fact, ahead))
         holders: dict[int, set[str]] = {}
         there = set() if self.protocol is None else set(self.protocol.view.there())
-        for fact in self.board.told(now, Kind.HOLDS):
+        for fact in self.board.told(now, RecordKind.HOLDS):
             if fact.subject in numbers and fact.seer in there:
                 holders.setdefault(numbers[fact.subject], set()).add(fact.seer)
-        return Heard(
+        return GossipReceived(
             {t: tuple(w) for t, w in sorted(words.items())},
             tuple(self.fresh_waits(now, ahead)),
             {t: frozenset(names) for t, names in holders.items()},
@@ -194,7 +207,7 @@
 
     def fresh_waits(self, now: int, ahead: int) -> Iterable[tuple[tuple[int, int], int]]:
         """Told waits that are heard of for the first time."""
-        facts = self.board.told(now, Kind.WAIT)
+        facts = self.board.told(now, RecordKind.WAIT)
         known = {fact.key: fact.number for fact in facts}
         for fact in facts:
             if self.waits_heard.get(fact.key) == fact.number:
@@ -220,16 +233,16 @@
         facts = [fact for _, fact in sorted(self.board.facts.items())]
         rows = [
             f"{fact.seer}: {fact.subject} {fact.kind.value}, {(now - fact.born) / SECOND:.1f} s old"
-            + (f", for {(now - fact.born + fact.value) / SECOND:.1f} s" if fact.kind is not Kind.WAIT else "")
+            + (f", for {(now - fact.born + fact.value) / SECOND:.1f} s" if fact.kind is not RecordKind.WAIT else "")
             for fact in facts[:MOST_SHOWN]
         ]
         by_word = sorted(self.engine.targets.names.get(t, "?") for t in self.policy.by_word)
         return "; ".join([f"{len(facts)} facts; by others' word: {', '.join(by_word) or 'nothing'}", *rows])
 
 
-def word(fact: Fact, ahead: int) -> Word:
+def word(fact: GossipRecord, ahead: int) -> Observation:
     """What it says, in the Dispatcher's time."""
     began = fact.born - fact.value + ahead
-    if fact.kind is Kind.OUTAGE:
-        return Word(fact.seer, began)
-    return Word(fact.seer, began - fact.lasted if fact.kind is Kind.BACK else -1, began)
+    if fact.kind is RecordKind.OUTAGE:
+        return Observation(fact.seer, began)
+    return Observation(fact.seer, began - fact.lasted if fact.kind is RecordKind.BACK else -1, began)
--- a/forwarder/membership/gossip_store.py
+++ b/forwarder/membership/gossip_store.py
@@ -32,7 +32,7 @@
 """Times log2 of the size: how often one fact is sent on by each."""
 
 
-class Kind(Enum):
+class RecordKind(Enum):
     """What is told, by the word that travels. Two of one topic replace each other."""
 
     OUTAGE = "out"
@@ -46,24 +46,24 @@
 
 
 TOPICS = {
-    Kind.OUTAGE: "outage",
-    Kind.BACK: "outage",
-    Kind.WELL: "outage",
-    Kind.WAIT: "wait",
-    Kind.BAN: "ban",
-    Kind.USED: "ban",
-    Kind.HOLDS: "holds",
-    Kind.FREE: "holds",
+    RecordKind.OUTAGE: "outage",
+    RecordKind.BACK: "outage",
+    RecordKind.WELL: "outage",
+    RecordKind.WAIT: "wait",
+    RecordKind.BAN: "ban",
+    RecordKind.USED: "ban",
+    RecordKind.HOLDS: "holds",
+    RecordKind.FREE: "holds",
 }
 AGES = {
-    Kind.OUTAGE: 13 * SECOND,
-    Kind.BACK: 13 * SECOND,
-    Kind.WELL: 13 * SECOND,
-    Kind.WAIT: 3 * SECOND,
-    Kind.BAN: 3600 * SECOND,
-    Kind.USED: 3600 * SECOND,
-    Kind.HOLDS: 9 * SECOND,
-    Kind.FREE: 9 * SECOND,
+    RecordKind.OUTAGE: 13 * SECOND,
+    RecordKind.BACK: 13 * SECOND,
+    RecordKind.WELL: 13 * SECOND,
+    RecordKind.WAIT: 3 * SECOND,
+    RecordKind.BAN: 3600 * SECOND,
+    RecordKind.USED: 3600 * SECOND,
+    RecordKind.HOLDS: 9 * SECOND,
+    RecordKind.FREE: 9 * SECOND,
 }
 """The greatest age of each kind, in microseconds, where nothing else is set. Outages: as long as a target stays cold
 (`contract.warm_after_us`); waits: the longest that are told (`max_retry_after_us`); bans: as long as it is remembered
@@ -109,10 +109,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class GossipRecord:
     """One thing that one forwarder saw. `born` is when, by this forwarder's clock, in microseconds."""
 
-    kind: Kind
+    kind: RecordKind
     subject: str
     seer: str
     life: int
@@ -142,16 +142,16 @@
 
 
 @dataclass(slots=True)
-class Board:
+class GossipStore:
     """All facts that this forwarder has seen or heard. `version` grows with each change."""
 
     me: str
     life: int = 0
-    ages: Mapping[Kind, int] = field(default_factory=lambda: AGES)
-    facts: dict[tuple[str, str, str], Fact] = field(default_factory=dict)
+    ages: Mapping[RecordKind, int] = field(default_factory=lambda: AGES)
+    facts: dict[tuple[str, str, str], GossipRecord] = field(default_factory=dict)
     queue: dict[tuple[str, str, str], int] = field(default_factory=dict)
     """What is to be sent on, and how often each was."""
-    former: dict[tuple[str, str, str], Fact] = field(default_factory=dict)
+    former: dict[tuple[str, str, str], GossipRecord] = field(default_factory=dict)
     """What others remember of this forwarder's lives before."""
     of: dict[str, int] = field(default_factory=dict)
     number: int = 0
@@ -161,12 +161,12 @@
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def say(self, now: int, kind: Kind, subject: str, value: int = 0, lasted: int = 0) -> None:
+    def say(self, now: int, kind: RecordKind, subject: str, value: int = 0, lasted: int = 0) -> None:
         """This forwarder has seen it, just now."""
         self.number += 1
-        self._put(Fact(kind, subject, self.me, self.life, self.number, now, value, lasted))
+        self._put(GossipRecord(kind, subject, self.me, self.life, self.number, now, value, lasted))
 
-    def lately(self, now: int, kind: Kind, subject: str, within: int) -> bool:
+    def lately(self, now: int, kind: RecordKind, subject: str, within: int) -> bool:
         """Whether this forwarder has said just that not longer ago."""
         fact = self.facts.get((self.me, TOPICS[kind], subject))
         return fact is not None and fact.kind is kind and now - fact.born < within
@@ -175,10 +175,10 @@
         """Take in what another has sent. What it says of kinds that this version does not know is passed over."""
         for item in items:
             try:
-                kind = Kind(item.kind)
+                kind = RecordKind(item.kind)
             except ValueError:
                 continue
-            fact = Fact(
+            fact = GossipRecord(
                 kind,
                 item.subject,
                 item.seer,
@@ -195,7 +195,7 @@
             else:
                 self._put(fact)
 
-    def _of_before(self, fact: Fact) -> None:
+    def _of_before(self, fact: GossipRecord) -> None:
         """Others tell what this forwarder itself has said: it is of a life before, if this one has not said it."""
         if (
             (fact.life < self.life or fact.key not in self.facts)
@@ -205,14 +205,14 @@
             self.former[fact.key] = fact
 
     @staticmethod
-    def _over(new: Fact, old: Fact | None) -> bool:
+    def _over(new: GossipRecord, old: GossipRecord | None) -> bool:
         return old is None or (new.life, new.number) > (old.life, old.number)
 
-    def _too_old(self, fact: Fact, now: int) -> bool:
+    def _too_old(self, fact: GossipRecord, now: int) -> bool:
         age = now - fact.born
-        return age > self.ages[fact.kind] or (fact.kind is Kind.WAIT and age > fact.value)
+        return age > self.ages[fact.kind] or (fact.kind is RecordKind.WAIT and age > fact.value)
 
-    def _put(self, fact: Fact) -> None:
+    def _put(self, fact: GossipRecord) -> None:
         old = self.facts.get(fact.key)
         if old is not None and (old.life, old.number) == (fact.life, fact.number):
             if fact.born < old.born and fact.kind is old.kind:  # the same, and older than it was thought to be
@@ -262,7 +262,7 @@
         """
         facts = sorted(
             (fact for fact in self.facts.values() if not self._too_old(fact, now)),
-            key=lambda f: (f.seer != whom, f.kind is not Kind.BAN, -f.born),
+            key=lambda f: (f.seer != whom, f.kind is not RecordKind.BAN, -f.born),
         )
         parts: list[list[Item]] = [[]]
         left = room
@@ -277,7 +277,7 @@
             left -= size_of(item)
         return parts
 
-    def told(self, now: int, *kinds: Kind) -> list[Fact]:
+    def told(self, now: int, *kinds: RecordKind) -> list[GossipRecord]:
         """What others say of these kinds."""
         return [
             fact
@@ -285,7 +285,7 @@
             if fact.kind in kinds and fact.seer != self.me and not self._too_old(fact, now)
         ]
 
-    def remembered(self, now: int, kind: Kind) -> list[Fact]:
+    def remembered(self, now: int, kind: RecordKind) -> list[GossipRecord]:
         """What others remember that this forwarder had said in a life before, and that it has not said anew."""
         return [
             fact
--- a/forwarder/membership/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field, replace
 
 from forwarder.membership.codec import MOST_BYTES, MOST_ROWS, TAG, Body, FormerLife, Row, row
-from forwarder.membership.gossip_store import Board, Kind
-from forwarder.membership.view import LIFE, Known, Member, News, Phase, State, View, Where
+from forwarder.membership.gossip_store import GossipStore, RecordKind
+from forwarder.membership.view import LIFE, Known, Member, MemberRecord, MembershipView, Phase, State, Where
 
 SECOND = 1_000_000
 ROOM = MOST_BYTES - TAG - 220
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class MemberChanged:
     """What has become of a member, for whoever follows the view."""
 
     member: Member
@@ -109,12 +109,12 @@
     ) -> None:
         self.timing, self.seeds, self.random = timing, list(seeds), random.Random(seed)
         self.id, self.now = ident, now
-        self.view = View(name)
+        self.view = MembershipView(name)
         self.view.members[name] = Member(
-            News(name, where, life * LIFE, State.JOINING, ident, Phase.SERVING, version), now, Known.OWN
+            MemberRecord(name, where, life * LIFE, State.JOINING, ident, Phase.SERVING, version), now, Known.OWN
         )
         self.out: list[tuple[Where, Body]] = []
-        self.told: list[Told] = []
+        self.told: list[MemberChanged] = []
         self.queue: dict[str, int] = {}
         """News to be sent on, and how often each was."""
         self.round: list[str] = []
@@ -137,7 +137,7 @@
         self.yielded = False
         self.former_told: dict[str, int] = {}
         self.counts: dict[str, int] = {}
-        self.board: Board | None = None
+        self.board: GossipStore | None = None
         """Facts that ride along, where a part wants them to."""
         self.asking_until = -1
         self.ask_at = 0
@@ -149,7 +149,7 @@
     # The outside
 
     @property
-    def me(self) -> News:
+    def me(self) -> MemberRecord:
         return self.view.members[self.view.me].news
 
     @property
@@ -353,7 +353,7 @@
         """News of this forwarder itself, which all must take: the next incarnation."""
         before = self.me.state
         self.view.set_self(self.now, incarnation=self.me.incarnation + 1, **changes)
-        self.told.append(Told(self.view.members[self.view.me], before))
+        self.told.append(MemberChanged(self.view.members[self.view.me], before))
         self._spread(self.view.me)
 
     def _take(self, told: Row, known: Known, sender: str) -> None:
@@ -370,7 +370,7 @@
             return
         self._settle(news, known)
 
-    def _settle(self, news: News, known: Known) -> None:
+    def _settle(self, news: MemberRecord, known: Known) -> None:
         old = self.view.members.get(news.name)
         before = None if old is None else old.news.state
         if not self.view.take(news, known, self.now):
@@ -378,9 +378,9 @@
         if news.state is not State.SUSPECT:
             self.suspicions.pop(news.name, None)
         self._spread(news.name)
-        self.told.append(Told(self.view.members[news.name], before))
+        self.told.append(MemberChanged(self.view.members[news.name], before))
 
-    def _of_me(self, news: News) -> None:
+    def _of_me(self, news: MemberRecord) -> None:
         """What others say of this forwarder. That it is suspected or gone is refuted (SWIM 4.2)."""
         life = news.incarnation // LIFE
         if life > self.life or (life == self.life and news.id not in ("", self.id)):
@@ -456,21 +456,21 @@
             elif self.now >= probe.helped_at and not probe.helpers:
                 self._ask_help(seq, probe, known.news)
 
-    def _ask_help(self, seq: int, probe: Probe, news: News) -> None:
+    def _ask_help(self, seq: int, probe: Probe, news: MemberRecord) -> None:
         there = [name for name in self.view.others(State.ALIVE) if name != probe.target]
         helpers = self.random.sample(there, min(len(there), self.timing.helpers))
         probe.helpers = len(helpers) or -1
         for name in helpers:
             self._send(self.view.members[name].news.where, "probe", seq, target=row(news), gossip=True)
 
-    def _missed(self, probe: Probe, news: News) -> None:
+    def _missed(self, probe: Probe, news: MemberRecord) -> None:
         """It has not answered. Helpers that have not even said no are a sign that we are slow (Lifeguard IV-A)."""
         silent = max(0, probe.helpers - probe.nacks)
         self._feel(silent if probe.helpers > 0 else 1)
         if not self.stale:
             self._suspect(replace(news, state=State.SUSPECT, by=self.view.me), self.view.me)
 
-    def _suspect(self, news: News, by: str) -> None:
+    def _suspect(self, news: MemberRecord, by: str) -> None:
         """Begin a suspicion, or confirm one that runs."""
         running = self.suspicions.get(news.name)
         known = self.view.members.get(news.name)
@@ -611,7 +611,9 @@
         self._look(now)
         self.asking_until, self.ask_at = now + for_us, now
 
-    def say(self, now: int, kind: Kind, subject: str, value: int = 0, lasted: int = 0, urgent: bool = False) -> None:
+    def say(
+        self, now: int, kind: RecordKind, subject: str, value: int = 0, lasted: int = 0, urgent: bool = False
+    ) -> None:
         """This forwarder has seen it; what is urgent leaves at once, and does not wait for the next probe."""
         self._look(now)
         if self.board is None or self.yielded:
--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class MemberRecord:
     """One member's state, as it travels."""
 
     name: str
@@ -58,7 +58,7 @@
     by: str = ""
     """Who suspects it."""
 
-    def over(self, old: News) -> bool:
+    def over(self, old: MemberRecord) -> bool:
         """Whether this replaces what was known (SWIM, section 4.2): a later incarnation does, but what failed or
         left comes back only by one; of the same the stronger state does.
         """
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Member:
-    news: News
+    news: MemberRecord
     since: int
     """When it took on this state here, in microseconds."""
     known: Known
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class View:
+class MembershipView:
     """All members, this one among them."""
 
     me: str
@@ -93,7 +93,7 @@
     _listed: int = -1
     """The number of the view that the lists are of: each is made once a change, not once a datagram."""
 
-    def take(self, news: News, known: Known, now: int) -> bool:
+    def take(self, news: MemberRecord, known: Known, now: int) -> bool:
         """Take news on, if it goes before what is known. Whether it did."""
         old = self.members.get(news.name)
         if old is None:
@@ -139,7 +139,7 @@
         if old:
             self.number, self.changed = self.number + 1, now
 
-    def set_self(self, now: int, **changes: object) -> News:
+    def set_self(self, now: int, **changes: object) -> MemberRecord:
         """Change what this forwarder tells of itself."""
         old = self.members[self.me]
         news = replace(old.news, **changes)  # type: ignore[arg-type]
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -21,7 +21,7 @@
 Headers = dict[str, str]
 
 
-class BadAnswer(Exception):
+class BadResponseError(Exception):
     """What came back is not the HTTP that was promised."""
 
 
@@ -56,10 +56,10 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                raise BadAnswer(str(error)) from None
+                raise BadResponseError(str(error)) from None
             self.keep_alive = False
         if self.size > self.most:
-            raise BadAnswer("the answer is too large")
+            raise BadResponseError("the answer is too large")
 
     def end(self) -> None:
         """The connection has ended in order: an answer that tells no length of its body is whole by that."""
@@ -92,14 +92,14 @@
         self.complete = True
 
 
-def destination(addressing: str) -> int | None:
+def parse_destination(addressing: str) -> int | None:
     """The number that the `dest` of an X-Addressing header names, or None where it names none."""
     extras = addressing.replace(",", ";").split(";")
     dest = dict(part.strip().partition("=")[::2] for part in extras).get("dest", "")
     return int(dest) if dest.isascii() and dest.isdigit() and len(dest) <= 10 else None
 
 
-def wait_us(headers: Headers) -> int | None:
+def parse_retry_after_us(headers: Headers) -> int | None:
     """The wait that an answer tells, 0 without one; None where it cannot be read."""
     try:
         wait = -int(-float(headers.get("x-ratelimit-wait-ms", "0")) * 1000 // 1)
@@ -108,7 +108,7 @@
     return min(wait, MOST_WAIT_US) if wait >= 0 else None
 
 
-def load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
+def parse_load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
     """What a target told of its limit; garbage counts as nothing told."""
     text = headers.get("x-backend-load")
     if not text or "x0" not in fields or "x1" not in fields:
@@ -122,7 +122,7 @@
     return report if sound else None
 
 
-def request(method: str, path: str, host: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
+def render_request(method: str, path: str, host: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{k}: {v}" for k, v in headers)]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -31,12 +31,12 @@
 )
 from forwarder.decisions.events import AttemptEnded, Event, MessageWithdrawn
 from forwarder.decisions.outcomes import Outcome
-from forwarder.endpoints.endpoint_table import TargetTable
-from forwarder.endpoints.pool import Call, Item, Pool, Result, fits
-from forwarder.runtime.invariants import Denial, Rules
-from forwarder.runtime.reason_counts import Reasons, Subject
+from forwarder.endpoints.endpoint_table import EndpointTable
+from forwarder.endpoints.pool import CallItem, CallResult, ConnectionPool, EndpointCall, fits
+from forwarder.runtime.invariants import Denial, Invariants
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore
 
 SECOND = 1_000_000
 MOST_REFUSED_BY = 1000  # destinations, classes and gates of refusals that are counted apart
@@ -44,7 +44,7 @@
 
 Arriving = dict[str, tuple[Submission, ClientConnection]]
 """Messages that were handed in since the last round, by their id."""
-Step = CloseIdleConnections | CancelAttempt | Call
+Step = CloseIdleConnections | CancelAttempt | EndpointCall
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
 
     accepted: Arriving
     steps: list[Step] = field(default_factory=list)
-    forming: dict[int, Call] = field(default_factory=dict)
+    forming: dict[int, EndpointCall] = field(default_factory=dict)
     """The newest call to each target, which more messages may join."""
 
 
@@ -64,11 +64,11 @@
 
     def __init__(
         self,
-        store: Store,
-        pool: Pool,
-        targets: TargetTable,
-        rules: Rules,
-        reasons: Reasons,
+        store: MessageStore,
+        pool: ConnectionPool,
+        targets: EndpointTable,
+        rules: Invariants,
+        reasons: ReasonCounts,
         supervisor: Supervisor,
         post: Callable[[Event], None],
         turn_away: Callable[[Submission, ClientConnection, RejectMessage | FailMessage], None],
@@ -145,12 +145,12 @@
             self.post(AttemptEnded(m.id, number, a.target, Outcome.NOT_SENT, 0))
             return
         self.store.attempt(m, number, now, target.name)
-        item = Item(
+        item = CallItem(
             m.id, number, m.key, m.body, min(now + a.timeout_us, m.due_us), m.due_us, m.idempotency_key, a.leave_by_us
         )
         call = departures.forming.get(a.target)
         if call is None or len(call.items) >= self.targets.kind(target).batch or not fits(call.items, item):
-            call = departures.forming[a.target] = Call(a.target, self.targets.place(target), now, [])
+            call = departures.forming[a.target] = EndpointCall(a.target, self.targets.place(target), now, [])
             departures.steps.append(call)
         call.items.append(item)
 
@@ -180,8 +180,8 @@
         for name, (handed, door) in departures.accepted.items():
             self.supervisor.guard("202", partial(self._accept, name, handed, door))
         for step in departures.steps:
-            if not self.supervisor.guard("call", partial(self._release, step)) and isinstance(step, Call):
-                self.supervisor.guard("call", partial(self.pool.finish, step, Result(Outcome.HELD_BACK)))
+            if not self.supervisor.guard("call", partial(self._release, step)) and isinstance(step, EndpointCall):
+                self.supervisor.guard("call", partial(self.pool.finish, step, CallResult(Outcome.HELD_BACK)))
 
     def _accept(self, name: str, handed: Submission, door: ClientConnection) -> None:
         if self.rules.may_accept(name, written=True) is None:
@@ -193,16 +193,16 @@
                 self.pool.close_idle(step.target, "not trusted any more")
             case CancelAttempt():
                 self.pool.cancel(step.message, step.attempt)
-            case Call():
+            case EndpointCall():
                 self.calls_made += 1
                 self.pool.start(step)
 
     def _hold_back(self, departures: Departures) -> None:
         """The journal cannot be written: new messages are refused, and of the calls only those leave that may."""
         for step in departures.steps:
-            if isinstance(step, Call):
+            if isinstance(step, EndpointCall):
                 step.items[:] = [item for item in step.items if self._may_go(step, item, departures.accepted)]
-        departures.steps = [step for step in departures.steps if not isinstance(step, Call) or step.items]
+        departures.steps = [step for step in departures.steps if not isinstance(step, EndpointCall) or step.items]
         for name, (handed, door) in departures.accepted.items():
             self.rules.may_accept(name, written=False)
             self.store.forget(name)
@@ -210,7 +210,7 @@
             self.refuse(handed, door, "cannot be recorded")
         departures.accepted = {}
 
-    def _may_go(self, call: Call, item: Item, accepted: Arriving) -> bool:
+    def _may_go(self, call: EndpointCall, item: CallItem, accepted: Arriving) -> bool:
         if item.id not in accepted and self.rules.may_go_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -19,12 +19,20 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from forwarder.admin.commands import Operators
-from forwarder.admin.server import Calls, Control, Refused
-from forwarder.clients.drain import LATE_S, Drain
+from forwarder.admin.commands import AdminCommands
+from forwarder.admin.server import AdminServer, CommandRefusedError, CommandTable
+from forwarder.clients.drain import LATE_S, ClientDrain
 from forwarder.clients.listener import bind
-from forwarder.clients.server import OVERSHOOT, ClientConnection, Server, Submission, gone
-from forwarder.config.config import Address, Config, ConfigError, ConfigUnreadable, HostList, host, load
+from forwarder.clients.server import OVERSHOOT, ClientConnection, ClientServer, Submission, disconnected
+from forwarder.config.config import (
+    Address,
+    Config,
+    ConfigError,
+    ConfigUnreadableError,
+    EndpointList,
+    load_config,
+    parse_endpoint,
+)
 from forwarder.decisions.actions import Action, FailMessage, LogLine, RejectMessage, RequestEndpointList, SetTimer
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import (
@@ -47,20 +55,20 @@
 )
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
 from forwarder.decisions.settings import Settings
-from forwarder.discovery.watch import FIRST_LIST_US, Notices, Watch
-from forwarder.endpoints.endpoint_table import TargetTable
-from forwarder.endpoints.pool import Pool
+from forwarder.discovery.watch import FIRST_LIST_US, EndpointListWatch, Notifier
+from forwarder.endpoints.endpoint_table import EndpointTable
+from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime import handover
 from forwarder.runtime.effects import Departures, Effects
-from forwarder.runtime.invariants import Rules
+from forwarder.runtime.invariants import Invariants
 from forwarder.runtime.ownership import HandoverState, Ownership, memory
-from forwarder.runtime.reason_counts import Reasons, Subject
-from forwarder.runtime.startup_phase import Life, Phase
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.startup_phase import StartupPhase, StartupProgress
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage import identity
 from forwarder.storage.clock import AnchoredClock
-from forwarder.storage.journal import goes_on
-from forwarder.storage.store import PendingNotice, Store
+from forwarder.storage.journal import may_resend
+from forwarder.storage.store import MessageStore, PendingNotice
 
 ROUND_US = 5_000  # least time between rounds: what goes to one target in one round travels together
 FREEZE_S = 2.8  # so long after SIGTERM nothing new is sent, and what is out is waited for
@@ -97,18 +105,18 @@
         return -1
 
 
-def away() -> str:
+def retry_after_jittered() -> str:
     """A time to come back at, for the Retry-After of a refusal at the door."""
     return f"{random.uniform(*AWAY_S):.3f}"
 
 
-class Part(Protocol):
+class Extension(Protocol):
     """What the parts file turns on, on sockets."""
 
     name: str
 
     @property
-    def calls(self) -> Calls:
+    def calls(self) -> CommandTable:
         """Words for operators, beside the engine's own."""
 
     async def open(self) -> None:
@@ -148,7 +156,7 @@
         """Sync here and now, and let go all that waits. Whether that worked."""
 
 
-class QuietPart:
+class BaseExtension:
     """A part that heeds none of this; parts override what they need."""
 
     async def open(self) -> None:
@@ -170,14 +178,14 @@
     def reload(self) -> None: ...
 
 
-class Maker(Protocol):
+class ExtensionFactory(Protocol):
     """Makes a part, from its table of the parts file."""
 
     @property
     def descriptors(self) -> int:
         """Those that it takes at most; clients of messages have so many fewer."""
 
-    def __call__(self, engine: Engine) -> Part: ...
+    def __call__(self, engine: Engine) -> Extension: ...
 
 
 class Engine:
@@ -185,10 +193,10 @@
         self,
         config: Config,
         ownership: Ownership,
-        control: Control,
+        control: AdminServer,
         clients: socket.socket,
         handed: HandoverState | None = None,
-        parts: Sequence[Maker] = (),
+        parts: Sequence[ExtensionFactory] = (),
         clock: AnchoredClock | None = None,
     ) -> None:
         """Reads the journal and writes nothing: until it runs, another process may own all of it. Raises OSError,
@@ -199,7 +207,7 @@
         self.clock = clock or AnchoredClock(config.state, told.get("clock"))
         s = on_sockets(config.settings)
         self.identity, self.start = identity.claim(config.state, config.name)
-        self.store = Store(
+        self.store = MessageStore(
             config.state,
             config.disk_bytes,
             {c.name: c for c in s.classes},
@@ -209,10 +217,10 @@
         # A share of the descriptors for each side; the rest is for files, discovery and the listener.
         descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         doors = descriptors // 2 - OVERSHOOT - sum(part.descriptors for part in parts)
-        self.reasons, self.supervisor = Reasons(), Supervisor()
-        self.rules = Rules(self.store, self.reasons)
-        self.server = Server(s, self.clock, max(8, doors), self.hand_in, self.reasons, self.supervisor)
-        self.pool = Pool(
+        self.reasons, self.supervisor = ReasonCounts(), Supervisor()
+        self.rules = Invariants(self.store, self.reasons)
+        self.server = ClientServer(s, self.clock, max(8, doors), self.hand_in, self.reasons, self.supervisor)
+        self.pool = ConnectionPool(
             self.clock,
             self.post,
             config.report_fields,
@@ -223,7 +231,7 @@
             self.rules,
             self.supervisor,
         )
-        self.targets = TargetTable(s.kinds, told.get("numbers", {}), told.get("destinations", ()))
+        self.targets = EndpointTable(s.kinds, told.get("numbers", {}), told.get("destinations", ()))
         self.effects = Effects(
             self.store,
             self.pool,
@@ -235,10 +243,10 @@
             self.turn_away,
             self.turn_off,
         )
-        self.notices = Notices(config.discovery, self, self.supervisor)
-        self.drain = Drain(self.server, self.supervisor)
+        self.notices = Notifier(config.discovery, self, self.supervisor)
+        self.drain = ClientDrain(self.server, self.supervisor)
         self.control = control
-        self.operators = Operators(self)
+        self.operators = AdminCommands(self)
         self.arriving: dict[str, tuple[Submission, ClientConnection]] = {}
         self.events: list[Event] = []
         self.scheduled = False
@@ -253,8 +261,10 @@
         self.done = asyncio.Event()
         self.syncer: Syncer | None = None  # set by a part: what a record precedes waits until that is synced
         self.parts = [make(self) for make in parts]
-        self.watch = Watch(config.discovery, self.recover(), self.listed, handed is not None, self.supervisor)
-        self.life = Life(self.clock(), self.store.messages)
+        self.watch = EndpointListWatch(
+            config.discovery, self.recover(), self.listed, handed is not None, self.supervisor
+        )
+        self.life = StartupProgress(self.clock(), self.store.messages)
 
     # Starting
 
@@ -264,7 +274,7 @@
         told = self.handover.told if self.handover is not None else {"pool": {"calls": []}}
         out = {(name, number) for call in told["pool"]["calls"] for name, number, _ in call["items"]}
         if kept.seq >= known.seq:  # `known` may be older than what this forwarder was told of drains
-            known = HostList(kept.seq, True, tuple(host(raw) for raw in kept.hosts.values()))
+            known = EndpointList(kept.seq, True, tuple(parse_endpoint(raw) for raw in kept.hosts.values()))
         kept.note_names(h.name for h in known.hosts)
         self.take_list(known)
         self.events += [EndpointDisabled(self.number(name), since) for name, since in kept.bans.items()]
@@ -311,7 +321,7 @@
         alone too.
         """
         kept = self.store
-        for m in [m for m in kept.messages.values() if m.doubtful and not goes_on(m.cls)]:
+        for m in [m for m in kept.messages.values() if m.doubtful and not may_resend(m.cls)]:
             kept.owe(m.id, "failed", 0)
         for name in kept.touched:
             kept.owe_stranger(name)
@@ -387,8 +397,8 @@
             self.reloading.cancel()
             self.reloading = None
         try:
-            told = load(before=before)
-        except ConfigUnreadable as error:  # discovery may have moved: without its new address no notice is heard
+            told = load_config(before=before)
+        except ConfigUnreadableError as error:  # discovery may have moved: without its new address no notice is heard
             log.error("the configuration is read again soon: %s", error)
             self.reloading = asyncio.get_running_loop().call_later(RELOAD_AGAIN_S, self.reload)
             return
@@ -440,7 +450,7 @@
         if now - self.reasons_s > REASONS_LOG_S:
             self.reasons_s = now
             self.reasons.report()
-        if self.life.phase is not Phase.SERVING and self.life.step(self.clock(), self.store.messages):
+        if self.life.phase is not StartupPhase.SERVING and self.life.step(self.clock(), self.store.messages):
             log.info("phase: %s", self.life.tell(self.clock()))
         if not late:  # after a standstill the decisions come first: their timers are due as well
             self.end_overdue()
@@ -544,14 +554,14 @@
     def turn_off(self, handed: Submission, door: ClientConnection, reason: str) -> None:
         """Answer 503: it was not taken on, and may be handed in again, here or elsewhere."""
         self.reasons.note(Subject.REFUSAL, reason, handed.id)
-        door.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, Retry_After=away())
+        door.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, Retry_After=retry_after_jittered())
 
     def withdrawn(self, name: str) -> None:
         """The client has gone before its answer: it may hand the message in elsewhere, so it is not ours."""
         if self.arriving.pop(name, None) is not None:
             self.post(MessageWithdrawn(name))
 
-    def listed(self, told: HostList | None) -> None:
+    def listed(self, told: EndpointList | None) -> None:
         """News of the list reaches the module at once: a drained target must get nothing from now on."""
         if told is None:
             self.post(EndpointListReceived(EndpointListKind.FAILED))
@@ -576,7 +586,7 @@
         if not self.frozen:
             self.round()
 
-    def take_list(self, told: HostList) -> None:
+    def take_list(self, told: EndpointList) -> None:
         self.targets.take(told)
         self.serving()
 
@@ -610,7 +620,7 @@
 
     def _round(self) -> None:
         self.rounds += 1
-        for name in gone({name: door for name, (_, door) in self.arriving.items()}):
+        for name in disconnected({name: door for name, (_, door) in self.arriving.items()}):
             self.withdrawn(name)  # its client cannot hear that it is taken on
         now = self.round_us = self.clock()
         events, self.events = self.events, []
@@ -727,7 +737,7 @@
         self.events.append(event)
         self.round()
         if self.syncer is not None and not self.syncer.barrier():
-            raise Refused("done, but the journal cannot be synced: a power cut would undo it")
+            raise CommandRefusedError("done, but the journal cannot be synced: a power cut would undo it")
 
     def send_away(self) -> None:
         self.drain.leave()
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -14,7 +14,7 @@
 
 from forwarder.clients.listener import fileno
 from forwarder.decisions.outcomes import Outcome
-from forwarder.endpoints.pool import Call, Item, Result
+from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
 from forwarder.runtime.ownership import HandoverState
 
 if TYPE_CHECKING:
@@ -102,7 +102,7 @@
 
 async def _adopt_call(engine: Engine, handed: HandoverState, told: dict[str, Any], numbers: list[int]) -> None:
     items = [
-        Item(name, number, m.key, m.body, until_us, m.due_us)
+        CallItem(name, number, m.key, m.body, until_us, m.due_us)
         for name, number, until_us in told["items"]
         if (m := engine.store.messages.get(name)) is not None
     ]
@@ -110,12 +110,12 @@
         return  # its connection is closed with all that is not taken out
     sock = handed.socket(numbers[told["connection"]]) if told["connection"] >= 0 else None
     destination, which = told["place"]
-    call = Call(told["target"], (destination, which), told["sent_us"], items, batched=told["batched"])
+    call = EndpointCall(told["target"], (destination, which), told["sent_us"], items, batched=told["batched"])
     try:
         await engine.pool.adopt(call, sock, base64.b64decode(told["seen"]))
     except OSError as error:  # it was written: its outcome is not known any more
         engine.supervisor.failed("hand-over of a call", error)
-        engine.pool.finish(call, Result(Outcome.RESET))
+        engine.pool.finish(call, CallResult(Outcome.RESET))
 
 
 async def adopt_clients(engine: Engine, handed: HandoverState) -> None:
--- a/forwarder/runtime/invariants.py
+++ b/forwarder/runtime/invariants.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 
 from forwarder.decisions.settings import Effect
-from forwarder.runtime.reason_counts import Reasons, Subject
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.storage.store import AcceptedMessage, MessageStore
 
 
 class Denial(enum.Enum):
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
+class AttemptFacts:
     """A message in a call that is about to be written."""
 
     message: str
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Route:
+class RouteFacts:
     """What is known, in the moment of writing, of where a call goes."""
 
     listed: bool
@@ -55,7 +55,7 @@
     """Until when its destination is to be left alone."""
 
 
-def route_denial(attempt: Attempt, route: Route, now_us: int) -> Denial | None:
+def route_denial(attempt: AttemptFacts, route: RouteFacts, now_us: int) -> Denial | None:
     """What of the route, or of the message's times, forbids a call now."""
     if not route.listed:
         return Denial.NOT_LISTED
@@ -66,13 +66,15 @@
     return Denial.TIME_OVER if now_us >= attempt.due_us else None
 
 
-class Rules:
+class Invariants:
     """Decides by what is on record."""
 
-    def __init__(self, store: Store, reasons: Reasons) -> None:
+    def __init__(self, store: MessageStore, reasons: ReasonCounts) -> None:
         self.store, self.reasons = store, reasons
 
-    def may_send(self, attempt: Attempt, route: Route, now_us: int, others_out: Iterable[str] = ()) -> Denial | None:
+    def may_send(
+        self, attempt: AttemptFacts, route: RouteFacts, now_us: int, others_out: Iterable[str] = ()
+    ) -> Denial | None:
         """Whether the first byte of a call with this message may be written. `others_out` are the messages of other
         calls that are on their way.
         """
@@ -83,7 +85,7 @@
             self._denied("call", denial, attempt.message)
         return denial
 
-    def _message_denial(self, attempt: Attempt, others_out: Iterable[str]) -> Denial | None:
+    def _message_denial(self, attempt: AttemptFacts, others_out: Iterable[str]) -> Denial | None:
         message = self.store.messages.get(attempt.message)
         if message is None:
             return Denial.ENDED if self.store.knows(attempt.message) else Denial.NEVER_TAKEN_ON
--- a/forwarder/runtime/reason_counts.py
+++ b/forwarder/runtime/reason_counts.py
@@ -37,7 +37,7 @@
     """The request, peer or endpoint that it was given for last."""
 
 
-class Reasons:
+class ReasonCounts:
     """Counts reasons of one process."""
 
     def __init__(self) -> None:
--- a/forwarder/runtime/startup_phase.py
+++ b/forwarder/runtime/startup_phase.py
@@ -23,49 +23,49 @@
 """Longer than the longest time that a message has: what is left then is not of before the start."""
 
 
-class Phase(Enum):
+class StartupPhase(Enum):
     STARTING = "starting"
     RECOVERING = "recovering"
     CATCHING_UP = "catching up"
     SERVING = "serving"
 
 
-class Life:
+class StartupProgress:
     """Follows one start. `backlog` names the messages that were taken up from the journal."""
 
     def __init__(self, now: int, backlog: Iterable[str]) -> None:
-        self.phase, self.began, self.backlog = Phase.STARTING, now, set(backlog)
+        self.phase, self.began, self.backlog = StartupPhase.STARTING, now, set(backlog)
         self.listed = False
-        self.took: dict[Phase, int] = {}
+        self.took: dict[StartupPhase, int] = {}
         """How long each phase took, in microseconds."""
 
     def step(self, now: int, held: Container[str]) -> bool:
         """Look whether the phase is over; `held` are the messages that are not over. Whether it has changed."""
         self.backlog = {name for name in self.backlog if name in held}
         passed, old = now - self.began, self.phase
-        if self.phase is Phase.RECOVERING and (self.listed or passed >= RECOVERING_US):
-            self._enter(Phase.CATCHING_UP, now)
-        if self.phase is Phase.CATCHING_UP and (not self.backlog or now - self.began >= CATCHING_UP_US):
-            self._enter(Phase.SERVING, now)
+        if self.phase is StartupPhase.RECOVERING and (self.listed or passed >= RECOVERING_US):
+            self._enter(StartupPhase.CATCHING_UP, now)
+        if self.phase is StartupPhase.CATCHING_UP and (not self.backlog or now - self.began >= CATCHING_UP_US):
+            self._enter(StartupPhase.SERVING, now)
         return self.phase is not old
 
     def ready(self, now: int) -> None:
         """Clients may come."""
-        self._enter(Phase.RECOVERING, now)
+        self._enter(StartupPhase.RECOVERING, now)
 
     def told(self) -> None:
         """Discovery has told the list, or that it has not changed."""
         self.listed = True
 
-    def _enter(self, phase: Phase, now: int) -> None:
+    def _enter(self, phase: StartupPhase, now: int) -> None:
         self.took[self.phase] = now - self.began
         self.phase, self.began = phase, now
 
     def tell(self, now: int) -> str:
         """For operators: the phase, since when, and what it waits for."""
         left = {
-            Phase.RECOVERING: "waits for the list",
-            Phase.CATCHING_UP: f"{len(self.backlog)} messages of before the start",
+            StartupPhase.RECOVERING: "waits for the list",
+            StartupPhase.CATCHING_UP: f"{len(self.backlog)} messages of before the start",
         }.get(self.phase, "")
         before = ", ".join(f"{phase.value} {us / SECOND:.2f} s" for phase, us in self.took.items())
         return "; ".join(
--- a/forwarder/simulator/adapter.py
+++ b/forwarder/simulator/adapter.py
@@ -63,29 +63,29 @@
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.ALL}
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """The input is not what the wire promises."""
 
 
-def need(obj: Any, key: str, kind: type) -> Any:
+def require_field(obj: Any, key: str, kind: type) -> Any:
     """The field, or Malformed where it is missing or of another type."""
     if not isinstance(obj, dict) or key not in obj:
-        raise Malformed(f"no field {key!r} in {_brief(obj)}")
+        raise MalformedInputError(f"no field {key!r} in {_brief(obj)}")
     value = obj[key]
     if kind is int and isinstance(value, float) and value.is_integer():
         value = int(value)
     if kind is float and isinstance(value, int):
         value = float(value)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise Malformed(f"field {key!r} is not of type {kind.__name__} in {_brief(obj)}")
+        raise MalformedInputError(f"field {key!r} is not of type {kind.__name__} in {_brief(obj)}")
     return value
 
 
-def word(table: dict[str, Any], obj: Any, key: str) -> Any:
+def require_word(table: dict[str, Any], obj: Any, key: str) -> Any:
     """The field, translated by a table of words."""
-    value = need(obj, key, str)
+    value = require_field(obj, key, str)
     if value not in table:
-        raise Malformed(f"field {key!r} has the unknown word {value!r}")
+        raise MalformedInputError(f"field {key!r} has the unknown word {value!r}")
     return table[value]
 
 
@@ -93,7 +93,7 @@
     return repr(obj)[:80]
 
 
-def settings(facts: dict[str, Any]) -> Settings:
+def parse_settings(facts: dict[str, Any]) -> Settings:
     """The settings as the module knows them; keys it does not know are passed over."""
     allowed, contract = facts.get("allowed", {}), facts.get("contract", {})
     family = facts.get("family_info", {})
@@ -101,17 +101,17 @@
     names = facts.get("host_types", [])
     classes = tuple(
         MessageClass(
-            name=need(c, "name", str),
-            aim_us=need(c, "aim_us", int),
-            deadline_us=need(c, "deadline_us", int),
-            effect=word(EFFECTS, c, "effect"),
+            name=require_field(c, "name", str),
+            aim_us=require_field(c, "aim_us", int),
+            deadline_us=require_field(c, "deadline_us", int),
+            effect=require_word(EFFECTS, c, "effect"),
             scope=SCOPES.get(c.get("key_scope", "all"), Scope.TARGET),
             window_us=int(c.get("window_us", 0)),
             in_order=bool(c.get("by_arrival", False)),
             worth=float(c.get("gain", 1.0)),
             late_worth=float(c.get("late_worth", 0.0)),
         )
-        for c in need(facts, "services", list)
+        for c in require_field(facts, "services", list)
     )
     kinds = tuple(
         DestinationKind(
@@ -121,9 +121,11 @@
         )
         for n, name in enumerate(names)
     )
-    tenants = tuple(Tenant(need(t, "name", str), float(t.get("allowance_per_s", 0.0))) for t in facts.get("orgs") or [])
+    tenants = tuple(
+        Tenant(require_field(t, "name", str), float(t.get("allowance_per_s", 0.0))) for t in facts.get("orgs") or []
+    )
     return Settings(
-        slots=need(family, "slots", int),
+        slots=require_field(family, "slots", int),
         classes=classes,
         kinds=kinds,
         tenants=tenants,
@@ -154,19 +156,19 @@
     )
 
 
-def entry(e: Any) -> EndpointEntry:
+def parse_endpoint_entry(e: Any) -> EndpointEntry:
     """One line of a list of targets."""
     return EndpointEntry(
-        target=need(e, "target", int),
-        destination=need(e, "belongs_to", int),
+        target=require_field(e, "target", int),
+        destination=require_field(e, "belongs_to", int),
         zone=e.get("hall") or "",
         kind=e.get("kind") or "",
-        state=word(STATES, e, "readiness"),
+        state=require_word(STATES, e, "readiness"),
         weight=float(e.get("power_hint") or 0.0),
     )
 
 
-def report(fields: list[str], e: dict[str, Any]) -> LoadReport | None:
+def parse_load_report(fields: list[str], e: dict[str, Any]) -> LoadReport | None:
     """What the destination told of its limit, if it did."""
     row = e.get("telemetry")
     if not row:
@@ -177,60 +179,63 @@
     return LoadReport(float(told["x0"] or 0.0), float(told["x1"] or 0.0))
 
 
-class Instance:
+class ForwarderInstance:
     """One forwarder: its dispatcher, and what is needed to read its events."""
 
     def __init__(self, up: dict[str, Any], now: int) -> None:
-        facts = need(up, "facts", dict)
+        facts = require_field(up, "facts", dict)
         self.fields: list[str] = list((facts.get("telemetry") or {}).get("fields") or [])
-        self.dispatcher = Dispatcher(settings(facts), need(up, "entropy", int), now)
+        self.dispatcher = Dispatcher(parse_settings(facts), require_field(up, "entropy", int), now)
         self.inbox: list[Event] = []
 
 
-def _arrived(inst: Instance, e: Any) -> Event:
+def _arrived(inst: ForwarderInstance, e: Any) -> Event:
     account = e.get("account")
     return MessageArrived(
-        message=need(e, "msg_id", str),
-        destination=need(e, "dest", int),
-        class_name=need(e, "class", str),
-        due_us=need(e, "due_us", int),
+        message=require_field(e, "msg_id", str),
+        destination=require_field(e, "dest", int),
+        class_name=require_field(e, "class", str),
+        due_us=require_field(e, "due_us", int),
         key=e.get("route_key"),
         tenant=account if isinstance(account, str) else None,
         resent=bool(e.get("resent", False)),
     )
 
 
-def _ended(inst: Instance, e: Any) -> Event:
-    outcome = word(OUTCOMES, e, "result")
+def _ended(inst: ForwarderInstance, e: Any) -> Event:
+    outcome = require_word(OUTCOMES, e, "result")
     wait_ms = e.get("wait_ms") or 0
     return AttemptEnded(
-        message=need(e, "msg_id", str),
-        attempt=need(e, "try", int),
-        target=need(e, "target", int),
+        message=require_field(e, "msg_id", str),
+        attempt=require_field(e, "try", int),
+        target=require_field(e, "target", int),
         outcome=outcome,
-        took_us=need(e, "lag_us", int),
+        took_us=require_field(e, "lag_us", int),
         closed=bool(e.get("closed", False)),
         wait_us=-int(-wait_ms * 1000 // 1) if outcome is Outcome.FULL else 0,
-        report=report(inst.fields, e),
+        report=parse_load_report(inst.fields, e),
     )
 
 
-def _probed(inst: Instance, e: Any) -> Event:
+def _probed(inst: ForwarderInstance, e: Any) -> Event:
     return HealthCheckEnded(
-        need(e, "target", int), word(OUTCOMES, e, "result"), need(e, "lag_us", int), report(inst.fields, e)
+        require_field(e, "target", int),
+        require_word(OUTCOMES, e, "result"),
+        require_field(e, "lag_us", int),
+        parse_load_report(inst.fields, e),
     )
 
 
-READERS: dict[str, Callable[[Instance, Any], Event]] = {
+READERS: dict[str, Callable[[ForwarderInstance, Any], Event]] = {
     "ASK": _arrived,
     "CLOSED_ATTEMPT": _ended,
     "CHECK_RESULT": _probed,
-    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(need(e, "msg_id", str)),
-    "DEADLINE_HIT": lambda inst, e: TimerFired(need(e, "token", str)),
+    "CLIENT_LEFT": lambda inst, e: MessageWithdrawn(require_field(e, "msg_id", str)),
+    "DEADLINE_HIT": lambda inst, e: TimerFired(require_field(e, "token", str)),
 }
 
 
-def action(name: str, a: Action) -> dict[str, Any]:
+def render_action(name: str, a: Action) -> dict[str, Any]:
     """One action in the words of the wire."""
     if isinstance(a, SendAttempt):
         return {
@@ -258,22 +263,22 @@
     return {"type": "PRINT", "forwarder_id": name, "reason_text": a.text}
 
 
-class Host:
+class SimulatorHost:
     """Many instances on one wire. They share nothing but the numbered tables of the wire itself."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, Instance] = {}
+        self.instances: dict[str, ForwarderInstance] = {}
         self.tables: dict[int, tuple[EndpointEntry, ...]] = {}
 
     def batch(self, line: str) -> str:
         try:
             told = json.loads(line)
         except ValueError as error:
-            raise Malformed(f"not JSON: {error}") from None
-        now = need(told, "clock_us", int)
+            raise MalformedInputError(f"not JSON: {error}") from None
+        now = require_field(told, "clock_us", int)
         done: list[dict[str, Any]] = []
-        touched: dict[str, Instance] = {}
-        for event in need(told, "inbox", list):
+        touched: dict[str, ForwarderInstance] = {}
+        for event in require_field(told, "inbox", list):
             self.event(now, event, touched, done)
         for name, inst in touched.items():
             if self.instances.get(name) is not inst:
@@ -284,57 +289,61 @@
                 if inst.dispatcher.faults:
                     raise inst.dispatcher.faults[0]
                 # An instance of the simulator comes up empty: there is nothing to remember an outage or a rest in.
-                done.extend(action(name, a) for a in actions if not isinstance(a, EjectionChanged | KeyBackoffStarted))
+                done.extend(
+                    render_action(name, a) for a in actions if not isinstance(a, EjectionChanged | KeyBackoffStarted)
+                )
             except Exception as error:  # any failure of the decisions is reported on the wire, in one line
-                done.append(fault(name, error))
+                done.append(render_error(name, error))
         return json.dumps({"do": done}, separators=(",", ":"))
 
-    def event(self, now: int, event: Any, touched: dict[str, Instance], done: list[dict[str, Any]]) -> None:
-        kind = need(event, "type", str)
+    def event(self, now: int, event: Any, touched: dict[str, ForwarderInstance], done: list[dict[str, Any]]) -> None:
+        kind = require_field(event, "type", str)
         if kind == "TABLE":
-            self.tables[need(event, "buffer", int)] = tuple(entry(e) for e in need(event, "elements", list))
+            self.tables[require_field(event, "buffer", int)] = tuple(
+                parse_endpoint_entry(e) for e in require_field(event, "elements", list)
+            )
             return
         if kind not in ("UP", "DOWN", "MEMBERS") and kind not in READERS:
             return
-        name = need(event, "forwarder_id", str)
+        name = require_field(event, "forwarder_id", str)
         if kind == "DOWN":
             self.instances.pop(name, None)
             touched.pop(name, None)
             return
         if kind == "UP":
             try:
-                self.instances[name] = touched[name] = Instance(event, now)
+                self.instances[name] = touched[name] = ForwarderInstance(event, now)
             except ValueError as error:
-                done.append(fault(name, error))
+                done.append(render_error(name, error))
             return
         if name not in self.instances:
             return
         inst = touched[name] = self.instances[name]
         if kind == "MEMBERS":
-            how = word(LISTS, event, "how")
+            how = require_word(LISTS, event, "how")
             entries: tuple[EndpointEntry, ...] = ()
             if how is not EndpointListKind.FAILED:
-                number = need(event, "buffer", int)
+                number = require_field(event, "buffer", int)
                 if number not in self.tables:
-                    raise Malformed(f"no table {number} was given")
+                    raise MalformedInputError(f"no table {number} was given")
                 entries = self.tables[number]
             inst.inbox.append(EndpointListReceived(how, entries))
         else:
             inst.inbox.append(READERS[kind](inst, event))
 
 
-def fault(name: str, error: Exception) -> dict[str, Any]:
+def render_error(name: str, error: Exception) -> dict[str, Any]:
     text = " ".join(f"{type(error).__name__}: {error}".split())
     return {"type": "INTERNAL_ERROR", "forwarder_id": name, "reason_text": text}
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
     """Answer each line until the input ends."""
-    host = Host()
+    host = SimulatorHost()
     for line in source:
         try:
             reply = host.batch(line)
-        except Malformed as error:
+        except MalformedInputError as error:
             print(f"forwarder: bad input: {error}", file=sys.stderr)
             return 2
         sink.write(reply + "\n")
--- a/forwarder/storage/clock.py
+++ b/forwarder/storage/clock.py
@@ -40,7 +40,7 @@
         try:
             told = small_file.read(folder / FILE)
             return None if told is None else Anchor(**told)
-        except (small_file.NotSound, TypeError) as error:
+        except (small_file.CorruptFileError, TypeError) as error:
             log.error("the clock's anchor is not sound: %s", error)
             return None
 
--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -23,11 +23,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from forwarder.admin.server import Calls
+from forwarder.admin.server import CommandTable
 from forwarder.config.config import Config
-from forwarder.config.extensions_file import Table
-from forwarder.runtime.engine import Engine, QuietPart
-from forwarder.storage.store import Store
+from forwarder.config.extensions_file import ExtensionTable
+from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.storage.store import MessageStore
 
 LEVELS = ("none", "interval", "data")
 AGAIN_S = 0.5
@@ -36,29 +36,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maker:
+class DurabilityExtensionFactory:
     """The table `[journal]`."""
 
     durability: str
     interval_s: float
     descriptors: int = 0
 
-    def __call__(self, engine: Engine) -> DurablePart:
-        return DurablePart(engine, self)
+    def __call__(self, engine: Engine) -> DurabilityExtension:
+        return DurabilityExtension(engine, self)
 
 
-def prepare(table: Table, config: Config) -> Maker:
+def prepare(table: ExtensionTable, config: Config) -> DurabilityExtensionFactory:
     """Raises ConfigError, naming the key."""
     level = table.take("durability", None)
     if level not in LEVELS:
         raise table.wrong("durability", f"is {level!r}, not one of {', '.join(LEVELS)}")
-    return Maker(level, table.number("interval_s", 1.0, 0.01, 3600.0))
+    return DurabilityExtensionFactory(level, table.number("interval_s", 1.0, 0.01, 3600.0))
 
 
 class Syncer:
     """Lets go what waits for a sync, in its order. `after` and `barrier` are called by the loop's thread alone."""
 
-    def __init__(self, store: Store, sync: Callable[[int], None] = os.fdatasync) -> None:
+    def __init__(self, store: MessageStore, sync: Callable[[int], None] = os.fdatasync) -> None:
         self.store, self.sync = store, sync
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[tuple[int, Callable[[], None]]] = deque()
@@ -170,17 +170,17 @@
         return True
 
 
-class DurablePart(QuietPart):
+class DurabilityExtension(BaseExtension):
     """The level that the table asks for."""
 
     name = "journal"
 
-    def __init__(self, engine: Engine, told: Maker) -> None:
+    def __init__(self, engine: Engine, told: DurabilityExtensionFactory) -> None:
         self.engine, self.told = engine, told
         self.syncer: Syncer | None = None
         self.timer: asyncio.TimerHandle | None = None
         engine.store.durable = told.durability != "none"
-        self.calls: Calls = {}
+        self.calls: CommandTable = {}
 
     async def open(self) -> None:
         if self.told.durability == "none":
--- a/forwarder/storage/identity.py
+++ b/forwarder/storage/identity.py
@@ -19,11 +19,11 @@
 log = logging.getLogger("forwarder.identity")
 
 
-class ForeignState(Exception):
+class ForeignStateError(Exception):
     """The folder is another forwarder's; the text says whose."""
 
 
-class Start(Enum):
+class StartKind(Enum):
     FIRST = "a first start, or the folder was lost"
     AGAIN = "a restart"
     UNKNOWN = "a restart, but whose folder it is was not readable"
@@ -46,20 +46,20 @@
     try:
         told = small_file.read(folder / FILE)
         return None if told is None else Identity(**told)
-    except (small_file.NotSound, TypeError) as error:
+    except (small_file.CorruptFileError, TypeError) as error:
         log.error("identity: not sound: %s", error)
         return None
 
 
-def claim(folder: Path, name: str) -> tuple[Identity | None, Start]:
+def claim(folder: Path, name: str) -> tuple[Identity | None, StartKind]:
     """What this start finds. Raises ForeignState, and OSError where the folder cannot be read just now."""
     found = read(folder)
     if found is not None:
         if found.name != name:
-            raise ForeignState(f"{folder} is the folder of {found.name}, not of {name}")
-        return found, Start.AGAIN
+            raise ForeignStateError(f"{folder} is the folder of {found.name}, not of {name}")
+        return found, StartKind.AGAIN
     used = (folder / FILE).exists() or any(folder.glob("journal*")) or any(folder.glob("snapshot*"))
-    return None, Start.UNKNOWN if used else Start.FIRST
+    return None, StartKind.UNKNOWN if used else StartKind.FIRST
 
 
 def begin(found: Identity | None, folder: Path, name: str, salt: int, durable: bool = False) -> Identity:
