--- a/forwarder/storage/journal.py
+++ b/forwarder/storage/journal.py
@@ -57,7 +57,7 @@
 """The last record of a journal that is closed, and of a snapshot that counts."""
 
 
-class NewerFormat(Exception):
+class NewerFormatError(Exception):
     """The file is of a version that this program does not know."""
 
 
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True)
-class Scan:
+class JournalScan:
     """What a file holds: its sound records in their order, and what is wrong with it."""
 
     version: int = VERSION
@@ -133,17 +133,17 @@
             magic, version, generation, salt = FILE_HEAD.unpack(head)
             if magic == MAGIC:
                 if version > VERSION:
-                    raise NewerFormat(f"the journal is of version {version}; this program knows up to {VERSION}")
+                    raise NewerFormatError(f"the journal is of version {version}; this program knows up to {VERSION}")
                 return version, generation, salt
     return None
 
 
-def scan(data: bytes, salt: int | None = None) -> Scan:
+def scan(data: bytes, salt: int | None = None) -> JournalScan:
     """Read a whole file. `salt` is what is known of it elsewhere, should both headers be damaged."""
     told = head_of(data)
     if told is None and (not data or _old_record(data, 0) is not None):
         return _scan_old(data)
-    found = Scan(salt=salt)
+    found = JournalScan(salt=salt)
     if told is not None:
         found.version, found.generation, found.salt = told
         found.headed = True
@@ -160,7 +160,7 @@
     return found
 
 
-def _scan_records(data: bytes, salt: int, found: Scan) -> None:
+def _scan_records(data: bytes, salt: int, found: JournalScan) -> None:
     at = HEADER
     sound: dict[int, bytes] = {}
     while at < len(data):
@@ -197,7 +197,7 @@
         last = number
 
 
-def _scan_tail(data: bytes, at: int, salt: int, found: Scan) -> None:
+def _scan_tail(data: bytes, at: int, salt: int, found: JournalScan) -> None:
     """No sound record follows: a clean beginning of one is torn, anything else is damaged."""
     rest = data[at : at + HEAD.size]
     whole_head = len(rest) == HEAD.size and _head_check(rest, salt)
@@ -253,9 +253,9 @@
     return payload, at + OLD_HEAD.size + length
 
 
-def _scan_old(data: bytes) -> Scan:
+def _scan_old(data: bytes) -> JournalScan:
     """Version 1: up to the first record that is not whole; what follows cannot be told from a torn tail."""
-    found, at = Scan(version=1), 0
+    found, at = JournalScan(version=1), 0
     while (got := _old_record(data, at)) is not None:
         payload, at = got
         line, _, body = payload.partition(b"\n")
@@ -267,16 +267,16 @@
     return found
 
 
-def goes_on(cls: MessageClass) -> bool:
+def may_resend(cls: MessageClass) -> bool:
     """Whether a message that may have run, and may be over, may be sent again all the same."""
     return cls.effect is Effect.REPEATABLE
 
 
 @dataclass(slots=True)
-class Found:
+class RecoveredJournal:
     """What a folder holds, over all the files that make its state."""
 
-    scans: dict[str, Scan] = field(default_factory=dict)
+    scans: dict[str, JournalScan] = field(default_factory=dict)
     """The files that make the state, by name, in the order in which they are to be read."""
     bad: list[str] = field(default_factory=list)
     """Files that are damaged, or snapshots that do not count."""
@@ -294,9 +294,9 @@
         return bool(self.bad or self.gaps)
 
     @property
-    def last(self) -> Scan:
+    def last(self) -> JournalScan:
         """The journal that is written to."""
-        return self.scans.get(JOURNAL, Scan())
+        return self.scans.get(JOURNAL, JournalScan())
 
     @property
     def version(self) -> int:
@@ -325,11 +325,11 @@
             yield from records
 
 
-def assemble(names: Iterable[str], read: Callable[[str], bytes], salt: int | None = None) -> Found:
+def recover_journal(names: Iterable[str], read: Callable[[str], bytes], salt: int | None = None) -> RecoveredJournal:
     """Choose the files that make the state, and read them. `salt` is what is known of it elsewhere. Raises NewerFormat,
     and OSError where a file that is needed cannot be read.
     """
-    there, found = set(names), Found()
+    there, found = set(names), RecoveredJournal()
     base = _base(there, read, salt, found)
     salt = found.salt if salt is None else salt
     closed = [g for g in _generations(there, f"{JOURNAL}-") if g >= base]
@@ -360,9 +360,9 @@
     return newest + (low - newest + 0x8000 & 0xFFFF) - 0x8000
 
 
-def _base(there: set[str], read: Callable[[str], bytes], salt: int | None, found: Found) -> int:
+def _base(there: set[str], read: Callable[[str], bytes], salt: int | None, found: RecoveredJournal) -> int:
     """Begin with the newest snapshot that counts; or else with what is sound of the newest. Returns its generation."""
-    spoilt: dict[int, Scan] = {}
+    spoilt: dict[int, JournalScan] = {}
     error: OSError | None = None
     for generation in reversed(_generations(there, SNAPSHOT)):
         name = snapshot_name(generation)
@@ -386,7 +386,7 @@
     return found.snapshot
 
 
-def snapshot(data: bytes, salt: int | None = None) -> Scan:
+def snapshot(data: bytes, salt: int | None = None) -> JournalScan:
     """Read a snapshot. It is damaged if its seal is not there, or is not that of these bytes."""
     found = scan(data, salt)
     last = found.records[-1] if found.records else None
@@ -397,13 +397,13 @@
     return found
 
 
-def seal(data: bytes, last: Record, found: Scan) -> int:
+def seal(data: bytes, last: Record, found: JournalScan) -> int:
     """The checksum of all bytes before the last record."""
     size = HEAD.size + len(json.dumps(last.line, separators=(",", ":"))) + 1 + len(last.body)
     return zlib.crc32(data[: found.size - size])
 
 
-def _add(found: Found, name: str, got: Scan, gap: bool) -> None:
+def _add(found: RecoveredJournal, name: str, got: JournalScan, gap: bool) -> None:
     """The next journal in their order. A closed one without its end, or a file that is missing, is a loss for what
     follows.
     """
--- a/forwarder/storage/journal_files.py
+++ b/forwarder/storage/journal_files.py
@@ -56,7 +56,7 @@
         return journal.record(self.salt, self.number, line, body)
 
 
-class Files:
+class JournalFiles:
     """One folder. Until `own` it is only read."""
 
     def __init__(self, folder: Path, most: int) -> None:
@@ -83,7 +83,7 @@
 
     # Owning
 
-    def own(self, found: journal.Found, salt: int) -> None:
+    def own(self, found: journal.RecoveredJournal, salt: int) -> None:
         """From here on this process alone writes here. What is damaged is set aside; the journal is opened where it
         ended, or begun. Raises OSError; it may be called again then, until it has succeeded.
         """
--- a/forwarder/storage/small_file.py
+++ b/forwarder/storage/small_file.py
@@ -11,7 +11,7 @@
 from forwarder.storage.journal_files import sync_folder
 
 
-class NotSound(ValueError):
+class CorruptFileError(ValueError):
     """The file is not as it was written."""
 
 
@@ -25,12 +25,12 @@
         return None
     try:
         if int(check, 16) != zlib.crc32(told):
-            raise NotSound("its checksum does not hold")
+            raise CorruptFileError("its checksum does not hold")
         return json.loads(told)
-    except NotSound:
+    except CorruptFileError:
         raise
     except ValueError as error:
-        raise NotSound(str(error)) from None
+        raise CorruptFileError(str(error)) from None
 
 
 def write(path: Path, content: Any, durable: bool = False) -> None:
--- a/forwarder/storage/state_check.py
+++ b/forwarder/storage/state_check.py
@@ -16,34 +16,34 @@
 from typing import Any
 
 from forwarder.storage import identity
-from forwarder.storage.journal import NewerFormat, goes_on
-from forwarder.storage.store import Store
+from forwarder.storage.journal import NewerFormatError, may_resend
+from forwarder.storage.store import MessageStore
 
 SOUND, DAMAGED, UNREADABLE = 0, 1, 2
 TRIES = 5
 
 
-def settled(folder: Path, salt: int | None) -> Store:
+def settled(folder: Path, salt: int | None) -> MessageStore:
     """The state of a folder whose files were not replaced while they were read: one in use is read again, a few times.
     Raises OSError and NewerFormat.
     """
     for _ in range(TRIES - 1):
         before = sorted(path.name for path in folder.iterdir())
         with suppress(OSError):
-            store = Store(folder, sys.maxsize, salt=salt)
+            store = MessageStore(folder, sys.maxsize, salt=salt)
             if sorted(path.name for path in folder.iterdir()) == before:
                 return store
-    return Store(folder, sys.maxsize, salt=salt)
+    return MessageStore(folder, sys.maxsize, salt=salt)
 
 
-def check(folder: Path) -> tuple[int, dict[str, Any], Store | None]:
+def check(folder: Path) -> tuple[int, dict[str, Any], MessageStore | None]:
     """What a start would find in the folder: exit status, what to tell, and the state itself."""
     if not folder.is_dir():
         return UNREADABLE, {"verdict": "unreadable", "why": f"{folder} is no folder"}, None
     known = identity.read(folder)
     try:
         store = settled(folder, None if known is None else known.salt)
-    except (OSError, NewerFormat) as error:
+    except (OSError, NewerFormatError) as error:
         return UNREADABLE, {"verdict": "unreadable", "why": str(error)}, None
     found = store.found
     broken_identity = known is None and (folder / identity.FILE).exists()
@@ -70,7 +70,7 @@
         },
         "lost": {
             "in_doubt": sorted(m.id for m in store.messages.values() if m.doubtful),
-            "never_sent_again": sorted(m.id for m in store.messages.values() if m.doubtful and not goes_on(m.cls)),
+            "never_sent_again": sorted(m.id for m in store.messages.values() if m.doubtful and not may_resend(m.cls)),
             "known_by_id_alone": sorted(store.touched),
         },
         "set_aside": sorted(path.name for path in folder.glob("*.bad-*")),
@@ -78,7 +78,7 @@
     return status, told, store
 
 
-def show(store: Store) -> dict[str, Any]:
+def show(store: MessageStore) -> dict[str, Any]:
     """The state itself."""
     return {
         "messages": [
--- a/forwarder/storage/store.py
+++ b/forwarder/storage/store.py
@@ -30,7 +30,7 @@
 
 from forwarder.decisions.settings import Effect, MessageClass, Scope
 from forwarder.storage import journal
-from forwarder.storage.journal_files import BLOCK, Files, Line
+from forwarder.storage.journal_files import BLOCK, JournalFiles, Line
 
 SECOND = 1_000_000
 ROOM = 128 * 1024  # kept free for the small records that follow a message that was taken on
@@ -86,7 +86,7 @@
     key: str | None
 
 
-class Store:
+class MessageStore:
     """Appends are gathered; `flush` writes them, before anything that they precede leaves."""
 
     def __init__(
@@ -96,7 +96,7 @@
         where it cannot be read, and NewerFormat.
         """
         self.classes = classes or {}  # for journals that tell a class by its name only
-        self.files = Files(folder, most_bytes - MOST_FILES * BLOCK)
+        self.files = JournalFiles(folder, most_bytes - MOST_FILES * BLOCK)
         self.messages: dict[str, AcceptedMessage] = {}
         self.ended: dict[str, None] = {}  # the oldest first
         self.owed: dict[str, PendingNotice] = {}
@@ -118,7 +118,7 @@
         """Messages that were taken since all was last on record: their clients have no answer yet."""
         self.pending: list[bytes] = []
         self.touched: set[str] = set()  # ids that later records tell of, whose message itself is lost
-        self.found = journal.assemble(self.files.names(), self.files.read, salt)
+        self.found = journal.recover_journal(self.files.names(), self.files.read, salt)
         known = salt if self.found.salt is None else self.found.salt
         self.salt: int = secrets.randbits(32) if known is None else known
         self.number = self.found.last.number
@@ -149,7 +149,7 @@
     def durable(self, to: bool) -> None:
         self.files.durable = to
 
-    def own(self) -> Store:
+    def own(self) -> MessageStore:
         """From here on the journal is written, by this process alone. A folder that cannot be written just now costs
         what comes new, and is tried again. Raises OSError where it is of a version that cannot be gone on with.
         """
@@ -170,7 +170,7 @@
 
     # Reading
 
-    def replay(self, found: journal.Found) -> None:
+    def replay(self, found: journal.RecoveredJournal) -> None:
         """Take on all sound records. After a loss, what was held then is doubtful."""
         readers: dict[str, Callable[[list[Any], bytes], None]] = {
             "taken": self._taken,
--- a/forwarder/streaming/exchange.py
+++ b/forwarder/streaming/exchange.py
@@ -13,16 +13,16 @@
 from typing import Any, Protocol
 
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.stream_routing import Route, TurnAway
+from forwarder.decisions.stream_routing import RejectStream, RouteStream
 from forwarder.protocol.http1 import Headers
-from forwarder.streaming.link import Link, Stalled
-from forwarder.streaming.settings import Limits
+from forwarder.streaming.link import Link, StalledError
+from forwarder.streaming.settings import StreamSettings
 from forwarder.streaming.wire import (
     EMPTY,
     Answer,
     Body,
     Framing,
-    Malformed,
+    MalformedMessageError,
     Request,
     cut_head,
     frame,
@@ -34,7 +34,7 @@
 SICK = frozenset({500, 502, 504})  # answers that say that the endpoint has failed
 
 
-async def request_head(link: Link, limits: Limits) -> Request | None:
+async def request_head(link: Link, limits: StreamSettings) -> Request | None:
     """The head of the request whose first bytes have come; None where the client goes before it is whole."""
     until, seen = time.monotonic() + limits.head_s, 0
     while (found := cut_head(link.rest, seen)) is None:
@@ -44,8 +44,8 @@
         try:
             if not await link.more(limits.buffer_bytes, max(0.001, until - time.monotonic())):
                 return None
-        except Stalled:
-            raise Malformed("the header did not come to its end", HTTPStatus.REQUEST_TIMEOUT) from None
+        except StalledError:
+            raise MalformedMessageError("the header did not come to its end", HTTPStatus.REQUEST_TIMEOUT) from None
     head = read_request(found[0].lstrip(b"\r\n"))
     link.put_back(found[1])
     return head
@@ -55,7 +55,7 @@
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
 
 
-class EndpointFailed(Exception):
+class EndpointFailedError(Exception):
     """The endpoint did not do its part; with the status that the client gets, if it can still get one."""
 
     def __init__(self, outcome: Outcome, text: str, status: HTTPStatus = HTTPStatus.BAD_GATEWAY) -> None:
@@ -63,7 +63,7 @@
         self.outcome, self.text, self.status = outcome, text, status
 
 
-class ClientFailed(Exception):
+class ClientFailedError(Exception):
     """The client did not do its part; with the status that it gets, or none where it has gone."""
 
     def __init__(self, text: str, status: HTTPStatus | None = None) -> None:
@@ -72,9 +72,9 @@
 
 
 class Front(Protocol):
-    limits: Limits
+    limits: StreamSettings
 
-    async def ask(self, number: int, destination: int, avoid: int) -> Route | TurnAway: ...
+    async def ask(self, number: int, destination: int, avoid: int) -> RouteStream | RejectStream: ...
     async def connect(self, target: int, kept: bool) -> Link: ...
     def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None: ...
     def over(self, number: int) -> None: ...
@@ -121,7 +121,7 @@
         self.take_first()
         self.client.ledger.give(self.head.size)
 
-    async def run(self) -> TurnAway | EndpointFailed | ClientFailed | None:
+    async def run(self) -> RejectStream | EndpointFailedError | ClientFailedError | None:
         """Carry it out. Returns what kept it from an answer, which the client is then owed; None where it had
         one to its end. Raises where its answer was cut: its connection must be reset.
         """
@@ -131,10 +131,10 @@
                 if tried:
                     self.front.count("retried")
                 decided = await self.front.ask(self.number, self.destination, avoid)
-                if isinstance(decided, TurnAway):
+                if isinstance(decided, RejectStream):
                     return failed or decided
                 failed = await self.attempt(decided.target)
-                if not isinstance(failed, EndpointFailed):
+                if not isinstance(failed, EndpointFailedError):
                     return failed
                 if self.answered:
                     raise failed
@@ -146,7 +146,7 @@
             self.drop()
             self.front.over(self.number)
 
-    async def attempt(self, target: int) -> EndpointFailed | ClientFailed | None:
+    async def attempt(self, target: int) -> EndpointFailedError | ClientFailedError | None:
         """Take the request to one endpoint."""
         self.target = target
         try:
@@ -161,10 +161,10 @@
             else:
                 self.endpoint.close()
             return None
-        except EndpointFailed as failed:
+        except EndpointFailedError as failed:
             self.front.told(self.number, target, failed.outcome, {})
             return failed
-        except ClientFailed as failed:
+        except ClientFailedError as failed:
             if self.answered:
                 raise
             return failed
@@ -201,8 +201,10 @@
         while True:
             try:
                 await link.write(data, limits.idle_s)
-            except Stalled as error:
-                raise EndpointFailed(Outcome.TIMED_OUT, f"of the request {error}", HTTPStatus.GATEWAY_TIMEOUT) from None
+            except StalledError as error:
+                raise EndpointFailedError(
+                    Outcome.TIMED_OUT, f"of the request {error}", HTTPStatus.GATEWAY_TIMEOUT
+                ) from None
             except OSError:
                 return  # it may have answered and gone: the other way tells
             if self.uploaded:
@@ -220,21 +222,21 @@
             if not await self.client.watch():
                 self.closing = True  # it has ended its side, and may still read
         except OSError:
-            raise ClientFailed("gone") from None
+            raise ClientFailedError("gone") from None
 
     async def from_client(self) -> bytes:
         limits = self.front.limits
         try:
             data = await self.client.read(limits.buffer_bytes, limits.idle_s)
             if not data:
-                raise ClientFailed("the body did not come to its end", HTTPStatus.BAD_REQUEST)
+                raise ClientFailedError("the body did not come to its end", HTTPStatus.BAD_REQUEST)
             return self.cut(data)
-        except Stalled as error:
-            raise ClientFailed(f"of the body {error}", HTTPStatus.REQUEST_TIMEOUT) from None
-        except Malformed as bad:
-            raise ClientFailed(bad.text, bad.status) from None
+        except StalledError as error:
+            raise ClientFailedError(f"of the body {error}", HTTPStatus.REQUEST_TIMEOUT) from None
+        except MalformedMessageError as bad:
+            raise ClientFailedError(bad.text, bad.status) from None
         except OSError:
-            raise ClientFailed("gone") from None
+            raise ClientFailedError("gone") from None
 
     async def download(self, link: Link) -> bool:
         """The answer to the client. Whether the endpoint keeps its connection."""
@@ -264,7 +266,7 @@
     async def body_part(self, link: Link, body: Body, framing: Framing) -> bytes:
         data = link.take_rest() if await self.more(link) else b""
         if not data and not body.end():
-            raise EndpointFailed(Outcome.RESET, "the answer was cut")
+            raise EndpointFailedError(Outcome.RESET, "the answer was cut")
         return self.reframed(body, framing, link, data)
 
     def reframed(self, body: Body, framing: Framing, link: Link, data: bytes) -> bytes:
@@ -273,8 +275,8 @@
         """
         try:
             pieces, rest = body.feed(data) if data else ([], b"")
-        except Malformed as bad:
-            raise EndpointFailed(Outcome.UNREADABLE, bad.text) from None
+        except MalformedMessageError as bad:
+            raise EndpointFailedError(Outcome.UNREADABLE, bad.text) from None
         link.put_back(rest)
         return frame(framing, pieces, body.complete, body.trailers)
 
@@ -294,33 +296,33 @@
                 while (found := cut_head(link.rest, seen)) is None:
                     seen = len(link.rest)
                     if not await self.more(link):
-                        raise EndpointFailed(Outcome.RESET, "the connection ended without an answer")
+                        raise EndpointFailedError(Outcome.RESET, "the connection ended without an answer")
                 head = read_answer(found[0])
-            except Malformed as bad:
-                raise EndpointFailed(Outcome.UNREADABLE, bad.text) from None
+            except MalformedMessageError as bad:
+                raise EndpointFailedError(Outcome.UNREADABLE, bad.text) from None
             link.put_back(found[1])
             if head.final:
                 return head
             if self.head.minor > 0:
                 await self.to_client(head.render(self.head.method, Framing(), False))
-        raise EndpointFailed(Outcome.UNREADABLE, "too many interim answers")
+        raise EndpointFailedError(Outcome.UNREADABLE, "too many interim answers")
 
     async def more(self, link: Link) -> bool:
         limits = self.front.limits
         try:
             return await link.more(limits.buffer_bytes, limits.silent_s)
-        except Stalled as error:
-            raise EndpointFailed(Outcome.TIMED_OUT, f"of the answer {error}", HTTPStatus.GATEWAY_TIMEOUT) from None
+        except StalledError as error:
+            raise EndpointFailedError(Outcome.TIMED_OUT, f"of the answer {error}", HTTPStatus.GATEWAY_TIMEOUT) from None
         except OSError:
-            raise EndpointFailed(Outcome.RESET, "the connection was reset") from None
+            raise EndpointFailedError(Outcome.RESET, "the connection was reset") from None
 
     async def to_client(self, data: bytes) -> None:
         if not data:
             return
         try:
             await self.client.write(data, self.front.limits.idle_s)
-        except (Stalled, OSError) as error:
-            raise ClientFailed(f"of the answer {error}") from None
+        except (StalledError, OSError) as error:
+            raise ClientFailedError(f"of the answer {error}") from None
 
 
 def outcome(head: Answer) -> Outcome:
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -12,26 +12,33 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from forwarder.admin.server import Calls, alone
+from forwarder.admin.server import CommandTable, without_arguments
 from forwarder.clients.arrival_time import PatientSocket
 from forwarder.clients.listener import Listener, bind
 from forwarder.config.config import Address, Config
-from forwarder.config.extensions_file import Table
+from forwarder.config.extensions_file import ExtensionTable
 from forwarder.decisions.actions import Action, CloseIdleConnections
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.stream_routing import Asked, Over, Route, Streams, Told, TurnAway
-from forwarder.protocol.http1 import Headers, destination, load_report, wait_us
+from forwarder.decisions.stream_routing import (
+    RejectStream,
+    RouteStream,
+    StreamAttemptEnded,
+    StreamEnded,
+    StreamRequested,
+    StreamRouter,
+)
+from forwarder.protocol.http1 import Headers, parse_destination, parse_load_report, parse_retry_after_us
 from forwarder.runtime.engine import Engine
 from forwarder.streaming.exchange import (
-    ClientFailed,
-    EndpointFailed,
+    ClientFailedError,
+    EndpointFailedError,
     Exchange,
     request_head,
     retry_after_s,
 )
-from forwarder.streaming.link import Ledger, Link, Stalled
-from forwarder.streaming.settings import SPARE_SOCKETS, Limits, read
-from forwarder.streaming.wire import Malformed, Request, render, reserved
+from forwarder.streaming.link import Ledger, Link, StalledError
+from forwarder.streaming.settings import SPARE_SOCKETS, StreamSettings, read
+from forwarder.streaming.wire import MalformedMessageError, Request, render, reserved
 
 BACKLOG = 128
 DECIDE_S = 5.0  # the Dispatcher answers in the next round; only a fault keeps it from that
@@ -59,7 +66,7 @@
 class Entrance(Listener):
     """Connections as bare sockets."""
 
-    def __init__(self, sock: socket.socket, streaming: Streaming) -> None:
+    def __init__(self, sock: socket.socket, streaming: StreamingExtension) -> None:
         self.streaming = streaming
         super().__init__(sock, BACKLOG, lambda waited_us: asyncio.Protocol(), lambda: SPARE_SOCKETS // 2)
 
@@ -71,32 +78,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Maker:
-    limits: Limits
+class StreamingExtensionFactory:
+    limits: StreamSettings
 
     @property
     def descriptors(self) -> int:
         return self.limits.descriptors
 
-    def __call__(self, engine: Engine) -> Streaming:
-        return Streaming(engine, self.limits)
+    def __call__(self, engine: Engine) -> StreamingExtension:
+        return StreamingExtension(engine, self.limits)
 
 
-def prepare(table: Table, config: Config) -> Maker:
-    return Maker(read(table, config))
+def prepare(table: ExtensionTable, config: Config) -> StreamingExtensionFactory:
+    return StreamingExtensionFactory(read(table, config))
 
 
-class Streaming:
+class StreamingExtension:
     name = "streaming"
 
-    def __init__(self, engine: Engine, limits: Limits) -> None:
+    def __init__(self, engine: Engine, limits: StreamSettings) -> None:
         self.engine, self.limits = engine, limits
-        engine.dispatcher.parts.append(Streams(engine.dispatcher, limits.slots_share))
+        engine.dispatcher.parts.append(StreamRouter(engine.dispatcher, limits.slots_share))
         self.ledger = Ledger()
         self.visitors: set[Visitor] = set()
         self.turning = 0  # connections that are only told that there is no room
         self.idle: dict[int, list[Link]] = {}
-        self.asking: dict[int, asyncio.Future[Route | TurnAway]] = {}
+        self.asking: dict[int, asyncio.Future[RouteStream | RejectStream]] = {}
         self.numbered = 0
         self.leaving = False
         self.counts: dict[str, int] = {}
@@ -106,8 +113,8 @@
     # As a part of the engine
 
     @property
-    def calls(self) -> Calls:
-        return {"STREAMS": alone(self.state)}
+    def calls(self) -> CommandTable:
+        return {"STREAMS": without_arguments(self.state)}
 
     async def open(self) -> None:
         self.entrance = Entrance(await bind(self.limits.listen), self)
@@ -122,7 +129,7 @@
     def act(self, actions: Iterable[Action]) -> None:
         for a in actions:
             match a:
-                case Route() | TurnAway():
+                case RouteStream() | RejectStream():
                     asking = self.asking.pop(a.stream, None)
                     if asking is not None and not asking.done():
                         asking.set_result(a)
@@ -190,9 +197,9 @@
             self.visitors.add(visitor)
             while await self.one(visitor):
                 visitor.busy, visitor.idle_s = False, time.monotonic()
-        except (OSError, Stalled):
+        except (OSError, StalledError):
             pass
-        except (EndpointFailed, ClientFailed) as cut:
+        except (EndpointFailedError, ClientFailedError) as cut:
             link.guard(True)
             self.count("cut", f"an answer was cut: {cut.text}")
         finally:
@@ -233,7 +240,7 @@
                 return await self.answer(link, HTTPStatus.OK, "the last hop", method)
             self.numbered += 1
             visitor.exchange = Exchange(self, self.numbered, link, head, where)
-        except Malformed as bad:
+        except MalformedMessageError as bad:
             self.count("refused as malformed", f"refused with {bad.status.value}: {bad.text}")
             return await self.answer(link, bad.status, bad.text, method)
         try:
@@ -254,12 +261,12 @@
     def check(self, head: Request) -> int:
         """The destination, or what is wrong with the request as a stream."""
         named = head.values(b"x-addressing")
-        where = destination(named[0].decode("latin-1")) if len(named) == 1 else None
+        where = parse_destination(named[0].decode("latin-1")) if len(named) == 1 else None
         if where is None:
-            raise Malformed("X-Addressing names no destination")
+            raise MalformedMessageError("X-Addressing names no destination")
         classes = (c.name.encode().lower() for c in self.engine.dispatcher.s.classes)
         if reserved(head.target, KEPT_PATHS.union(classes)):
-            raise Malformed("this path is kept for messages", HTTPStatus.FORBIDDEN)
+            raise MalformedMessageError("this path is kept for messages", HTTPStatus.FORBIDDEN)
         return where
 
     async def carry(self, link: Link, exchange: Exchange) -> bool:
@@ -277,7 +284,7 @@
                 if not exchange.uploaded or (exchange.closing and link.rest):
                     await self.linger(link)
                 return not exchange.closing and not self.leaving
-            case TurnAway():
+            case RejectStream():
                 self.count("turned away")
                 return await self.answer(
                     link,
@@ -287,11 +294,11 @@
                     retry_after_s(failed.wait_us),
                     self.may_keep(exchange),
                 )
-            case EndpointFailed():
+            case EndpointFailedError():
                 self.count("failed", f"{failed.status.value} for an endpoint: {failed.text}")
                 retry = 1 if failed.status is HTTPStatus.SERVICE_UNAVAILABLE else 0
                 return await self.answer(link, failed.status, failed.text, method, retry, self.may_keep(exchange))
-            case ClientFailed():
+            case ClientFailedError():
                 self.count("left", f"a client failed: {failed.text}")
                 if failed.status is None:
                     return False
@@ -323,7 +330,7 @@
         while left > 0 and (wait := until - time.monotonic()) > 0:
             try:
                 data = await link.read(self.limits.buffer_bytes, wait)
-            except Stalled:
+            except StalledError:
                 return
             if not data:
                 return
@@ -331,15 +338,15 @@
 
     # What an exchange needs
 
-    async def ask(self, number: int, destination: int, avoid: int) -> Route | TurnAway:
-        asking: asyncio.Future[Route | TurnAway] = asyncio.get_running_loop().create_future()
+    async def ask(self, number: int, destination: int, avoid: int) -> RouteStream | RejectStream:
+        asking: asyncio.Future[RouteStream | RejectStream] = asyncio.get_running_loop().create_future()
         self.asking[number] = asking
-        self.engine.post(Asked(number, destination, avoid))
+        self.engine.post(StreamRequested(number, destination, avoid))
         try:
             async with asyncio.timeout(DECIDE_S):
                 return await asking
         except TimeoutError:
-            return TurnAway(number, SECOND)
+            return RejectStream(number, SECOND)
         finally:
             self.asking.pop(number, None)
 
@@ -355,7 +362,7 @@
         pool, loop = self.engine.pool, asyncio.get_running_loop()
         where = pool.where.get(target)
         if where is None:
-            raise EndpointFailed(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
+            raise EndpointFailedError(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
         if sum(map(len, self.idle.values())) >= self.limits.connections - len(self.visitors):
             self.close_oldest()
         sock = socket.socket(socket.AF_INET6 if ":" in where.host else socket.AF_INET, socket.SOCK_STREAM)
@@ -365,10 +372,10 @@
             async with asyncio.timeout(pool.dial_us / SECOND):
                 await loop.sock_connect(sock, (where.host.strip("[]"), where.port))
             if pool.where.get(target) != where or self.waits(target):
-                raise EndpointFailed(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
+                raise EndpointFailedError(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
         except (OSError, TimeoutError):
             sock.close()
-            raise EndpointFailed(Outcome.NO_CONNECTION, "no connection to an endpoint") from None
+            raise EndpointFailedError(Outcome.NO_CONNECTION, "no connection to an endpoint") from None
         except BaseException:
             sock.close()
             raise
@@ -381,14 +388,14 @@
 
     def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None:
         """The Dispatcher learns from streams what it learns from calls."""
-        wait = (wait_us(headers) or 0) if outcome is Outcome.FULL else 0
+        wait = (parse_retry_after_us(headers) or 0) if outcome is Outcome.FULL else 0
         host = self.engine.targets.hosts.get(self.engine.targets.names.get(target, ""))
         if wait and host is not None:
             self.engine.pool.note_wait(self.engine.targets.place(host), wait)
-        self.engine.post(Told(number, outcome, wait, load_report(headers, self.engine.pool.fields)))
+        self.engine.post(StreamAttemptEnded(number, outcome, wait, parse_load_report(headers, self.engine.pool.fields)))
 
     def over(self, number: int) -> None:
-        self.engine.post(Over(number))
+        self.engine.post(StreamEnded(number))
 
     def keep(self, target: int, link: Link) -> None:
         """Keep a connection for the next stream, as long as the target would."""
--- a/forwarder/streaming/link.py
+++ b/forwarder/streaming/link.py
@@ -15,7 +15,7 @@
 PACE_S = 5.0  # time that a peer has kept us waiting, after which its pace is judged
 
 
-class Stalled(Exception):
+class StalledError(Exception):
     """A peer took longer than it may."""
 
 
@@ -44,7 +44,7 @@
         self.waited_s, self.moved = self.waited_s + waited_s, self.moved + moved
         if self.waited_s >= PACE_S:
             if self.moved < self.least * self.waited_s:
-                raise Stalled(f"{self.moved} bytes in {self.waited_s:.1f} s")
+                raise StalledError(f"{self.moved} bytes in {self.waited_s:.1f} s")
             self.waited_s, self.moved = 0.0, 0
 
 
@@ -73,7 +73,7 @@
             async with asyncio.timeout(within_s):
                 return await asyncio.get_running_loop().sock_recv(self.sock, most)
         except TimeoutError:
-            raise Stalled(f"nothing came for {within_s:g} s") from None
+            raise StalledError(f"nothing came for {within_s:g} s") from None
 
     async def more(self, most: int, within_s: float) -> bool:
         """Read on behind what was put back. False where the peer has ended its side."""
@@ -110,7 +110,7 @@
                 self.writes.step(waited_s, took)
                 waited_s = 0.0
         except TimeoutError:
-            raise Stalled(f"it took no bytes for {within_s:g} s") from None
+            raise StalledError(f"it took no bytes for {within_s:g} s") from None
         finally:
             self.ledger.give(len(data) - done)
 
--- a/forwarder/streaming/settings.py
+++ b/forwarder/streaming/settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from forwarder.config.config import Address, Config
-from forwarder.config.extensions_file import Table
+from forwarder.config.extensions_file import ExtensionTable
 from forwarder.decisions.stream_routing import most_streams
 from forwarder.streaming.wire import CHUNK_ROOM, MOST_HEAD
 
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class StreamSettings:
     listen: Address
     memory_bytes: int
     """For what all streams together have read and not yet written."""
@@ -52,7 +52,7 @@
     return 2 * (MOST_HEAD + buffer_bytes + CHUNK_ROOM)
 
 
-def read(table: Table, config: Config) -> Limits:
+def read(table: ExtensionTable, config: Config) -> StreamSettings:
     """Read the table. A configuration that cannot hold is refused here, by the key to be changed."""
     listen = table.address("listen")
     taken = {"listen": config.listen, "discovery": config.discovery, "control": config.control}
@@ -74,7 +74,7 @@
     slots = config.settings.slots
     if not 0 < most_streams(slots, share) < slots:
         raise table.wrong("slots_share", f"is {share:g}: of {slots} slots, streams and messages need some each")
-    return Limits(
+    return StreamSettings(
         listen,
         memory,
         buffer,
--- a/forwarder/streaming/wire.py
+++ b/forwarder/streaming/wire.py
@@ -50,7 +50,7 @@
 Fields = list[tuple[bytes, bytes]]
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What came is not a message that can be passed on; of a request, with the status that says so."""
 
     def __init__(self, text: str, status: HTTPStatus = HTTPStatus.BAD_REQUEST) -> None:
@@ -175,9 +175,9 @@
     end = data.find(b"\r\n\r\n", since)
     lone = LONE_END.search(data, since, len(data) if end < 0 else end + 4)
     if lone:
-        raise Malformed("a line ends with a lone CR or LF")
+        raise MalformedMessageError("a line ends with a lone CR or LF")
     if (len(data) if end < 0 else end) > MOST_HEAD:
-        raise Malformed("the header is too large", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+        raise MalformedMessageError("the header is too large", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
     return None if end < 0 else (data[: end + 4], data[end + 4 :])
 
 
@@ -186,7 +186,7 @@
     for line in lines:
         found = FIELD.fullmatch(line)
         if found is None:
-            raise Malformed("a header line cannot be read")
+            raise MalformedMessageError("a header line cannot be read")
         fields.append((found[1], found[2].rstrip(b" \t")))
     return fields
 
@@ -197,20 +197,20 @@
     lengths = [value for name, value in fields if name.lower() == b"content-length"]
     if codings:
         if lengths:
-            raise Malformed("both Content-Length and Transfer-Encoding")
+            raise MalformedMessageError("both Content-Length and Transfer-Encoding")
         if minor == 0:
-            raise Malformed("Transfer-Encoding in HTTP/1.0")
+            raise MalformedMessageError("Transfer-Encoding in HTTP/1.0")
         words = [word.strip().lower() for word in b",".join(codings).split(b",")]
         if words != [b"chunked"]:
             known = words[-1] == b"chunked" and words.count(b"chunked") == 1
-            raise Malformed(
+            raise MalformedMessageError(
                 "unknown Transfer-Encoding", HTTPStatus.NOT_IMPLEMENTED if known else HTTPStatus.BAD_REQUEST
             )
         return Framing(chunked=True)
     if not lengths:
         return None
     if len(lengths) > 1 or not re.fullmatch(rb"[0-9]{1,18}", lengths[0]):
-        raise Malformed("Content-Length cannot be read")
+        raise MalformedMessageError("Content-Length cannot be read")
     return Framing(int(lengths[0]))
 
 
@@ -219,23 +219,23 @@
     first, *lines = raw[:-4].split(b"\r\n")
     found = REQUEST_LINE.fullmatch(first)
     if found is None:
-        raise Malformed("the request line cannot be read")
+        raise MalformedMessageError("the request line cannot be read")
     method, target, major, minor = found[1], found[2], int(found[3]), int(found[4])
     if major != 1 or minor > 1:
-        raise Malformed("only HTTP/1.0 and HTTP/1.1", HTTPStatus.HTTP_VERSION_NOT_SUPPORTED)
+        raise MalformedMessageError("only HTTP/1.0 and HTTP/1.1", HTTPStatus.HTTP_VERSION_NOT_SUPPORTED)
     fields = read_fields(lines)
     head = Request(raw, minor, fields, read_framing(fields, minor) or EMPTY, method, target)
     if len(head.values(b"host")) != 1 and (minor == 1 or head.values(b"host")):
-        raise Malformed("not one Host header")
+        raise MalformedMessageError("not one Host header")
     if method in (b"CONNECT", b"TRACE") or head.values(b"upgrade"):
-        raise Malformed("no tunnels, traces or upgrades", HTTPStatus.NOT_IMPLEMENTED)
+        raise MalformedMessageError("no tunnels, traces or upgrades", HTTPStatus.NOT_IMPLEMENTED)
     absolute = ABSOLUTE.fullmatch(target)
     if absolute:  # its host goes before the header's, which is dropped
         path = absolute[2] or b"/"
         head.target = target = path if path.startswith(b"/") else b"/" + path
         head.fields = [(name, absolute[1] if name.lower() == b"host" else value) for name, value in fields]
     if b"#" in target or not (target.startswith(b"/") or (target == b"*" and method == b"OPTIONS")):
-        raise Malformed("the target of the request is no path")
+        raise MalformedMessageError("the target of the request is no path")
     return head
 
 
@@ -243,10 +243,10 @@
     first, *lines = raw[:-4].split(b"\r\n")
     found = STATUS_LINE.fullmatch(first)
     if found is None:
-        raise Malformed("the status line cannot be read")
+        raise MalformedMessageError("the status line cannot be read")
     fields, minor, status = read_fields(lines), int(found[1]), int(found[2])
     if status == 101:
-        raise Malformed("an upgrade that nobody asked for")
+        raise MalformedMessageError("an upgrade that nobody asked for")
     return Answer(raw, minor, fields, read_framing(fields, minor) or Framing(), status, found[3] or b"")
 
 
@@ -299,7 +299,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
                 cause = error.__context__  # what a callback here has raised
-                raise (cause if isinstance(cause, Malformed) else Malformed(f"not HTTP: {error}")) from None
+                raise (
+                    cause if isinstance(cause, MalformedMessageError) else MalformedMessageError(f"not HTTP: {error}")
+                ) from None
             self.extra = True
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes]:
@@ -333,7 +335,7 @@
         if self.headed and not self.extra:
             self.trailers.append((name, value))
             if sum(len(n) + len(v) for n, v in self.trailers) > MOST_HEAD:
-                raise Malformed("the trailers are too large", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+                raise MalformedMessageError("the trailers are too large", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_body(self, data: bytes) -> None:
         if not self.extra:
--- a/lab/single.py
+++ b/lab/single.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-from forwarder.admin.server import Control
+from forwarder.admin.server import AdminServer
 from forwarder.clients.server import Submission
-from forwarder.config.config import Config, host_list, load
+from forwarder.config.config import Config, load_config, parse_endpoint_list
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
-from forwarder.endpoints.pool import Call, Item, Result
+from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
 from forwarder.runtime.engine import Engine
-from forwarder.runtime.invariants import Attempt, Route
+from forwarder.runtime.invariants import AttemptFacts, RouteFacts
 from forwarder.runtime.ownership import HandoverState
 
 KEY_REST_US = 700_000
@@ -85,7 +85,7 @@
     }
     path = folder / "config.json"
     path.write_text(json.dumps(told))
-    return load({"LB_CONFIG": str(path), "LB_STATE": str(folder / "state")})
+    return load_config({"LB_CONFIG": str(path), "LB_STATE": str(folder / "state")})
 
 
 @dataclass(slots=True)
@@ -211,7 +211,7 @@
     engine: Engine
     oracle: Oracle
     out: int = 0
-    calls: dict[tuple[str, int], Call] = field(default_factory=dict)
+    calls: dict[tuple[str, int], EndpointCall] = field(default_factory=dict)
     waits: dict[tuple[int, int], int] = field(default_factory=dict)
     where: dict[int, Any] = field(default_factory=dict)
     all: set[Any] = field(default_factory=set)
@@ -219,25 +219,25 @@
     def serving(self, where: dict[int, Any]) -> None:
         self.where = where
 
-    def start(self, call: Call) -> None:
+    def start(self, call: EndpointCall) -> None:
         self.out += 1
         others = {name for name, _ in self.calls}
         for item in call.items:
             call.open[item.id] = item
             self.calls[(item.id, item.attempt)] = call
         for item in call.items:
-            attempt = Attempt(item.id, item.attempt, item.leave_by_us, item.due_us)
-            route = Route(call.target in self.where, self.waits.get(call.place, 0))
+            attempt = AttemptFacts(item.id, item.attempt, item.leave_by_us, item.due_us)
+            route = RouteFacts(call.target in self.where, self.waits.get(call.place, 0))
             if self.engine.rules.may_send(attempt, route, self.engine.clock(), others) is None:
                 self.oracle.sent(item.id)
             else:
                 self.tell(call, item, Outcome.NOT_SENT)
 
-    def finish(self, call: Call, result: Result) -> None:
+    def finish(self, call: EndpointCall, result: CallResult) -> None:
         for item in list(call.open.values()):
             self.tell(call, item, result.outcome)
 
-    def tell(self, call: Call, item: Item, outcome: Outcome) -> None:
+    def tell(self, call: EndpointCall, item: CallItem, outcome: Outcome) -> None:
         del call.open[item.id]
         del self.calls[(item.id, item.attempt)]
         self.out -= not call.open
@@ -319,7 +319,7 @@
         engine.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make(self, handed: HandoverState | None = None) -> Engine:
-        engine = Engine(self.config, Any, Control(), Any, handed, clock=self)  # type: ignore[arg-type]
+        engine = Engine(self.config, Any, AdminServer(), Any, handed, clock=self)  # type: ignore[arg-type]
         engine.store.monotonic_s = lambda: self.now_us / SECOND
         engine.schedule = lambda: None  # type: ignore[method-assign]
         engine.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
@@ -384,7 +384,7 @@
         """Discovery tells that an endpoint is up, draining or removed."""
         self.list_version += 1
         told = {"seq": self.list_version, "whole": False, "hosts": [host(number, health)]}
-        self.engine.listed(host_list(told))
+        self.engine.listed(parse_endpoint_list(told))
 
     def left_without_end(self) -> list[str]:
         """Messages that were taken on, are past their time, and have no end that is told or waits to be."""
--- a/tests/members_sim.py
+++ b/tests/members_sim.py
@@ -8,7 +8,7 @@
 import itertools
 import random
 
-from forwarder.membership.codec import Body, Codec, Dropped, FormerLife
+from forwarder.membership.codec import Body, Codec, DatagramRejectedError, FormerLife
 from forwarder.membership.protocol import MOST_QUEUE, SECOND, Protocol, Timing
 from forwarder.membership.view import LIFE, State, Where
 
@@ -145,7 +145,7 @@
                 p.receive(self.now, source, self.codecs[n].open(data))
             except FormerLife as former:
                 p.dropped(self.now, source, former)
-            except Dropped as dropped:
+            except DatagramRejectedError as dropped:
                 p.counts[str(dropped)] = p.counts.get(str(dropped), 0) + 1
         else:
             assert isinstance(data, Body)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -14,8 +14,8 @@
 import pytest
 
 from forwarder.storage import journal_files as module
-from forwarder.storage.durability import DurablePart, Maker, Syncer
-from forwarder.storage.store import Store
+from forwarder.storage.durability import DurabilityExtension, DurabilityExtensionFactory, Syncer
+from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
 from tests.test_journal import MB, taken
 
@@ -119,7 +119,7 @@
             (to / name).write_bytes(data)
 
 
-def life(store: Store, promised: Callable[[], None], chance: random.Random) -> Iterator[None]:
+def life(store: MessageStore, promised: Callable[[], None], chance: random.Random) -> Iterator[None]:
     """Messages taken on, called and ended; after each round a sync, and what it promises."""
     for n in range(60):
         store.take(taken(f"m{n}"))
@@ -147,11 +147,11 @@
         folder.mkdir()
         disk = Disk(folder, chance)
         monkeypatch.setattr(module, "os", disk)
-        store = Store(folder, MB, salt=7)
+        store = MessageStore(folder, MB, salt=7)
         store.durable = True
         sure: list[tuple[set[str], dict[str, set[int]]]] = []
 
-        def promised(disk: Disk = disk, store: Store = store, sure: Any = sure) -> None:
+        def promised(disk: Disk = disk, store: MessageStore = store, sure: Any = sure) -> None:
             disk.fdatasync(store.fd)
             sure.append(({*store.messages, *store.ended}, {m.id: {*m.out} for m in store.messages.values()}))
 
@@ -165,7 +165,7 @@
             pass
         monkeypatch.setattr(module, "os", os)
         disk.after_the_cut(tmp_path / f"disk{n}")
-        back = Store(tmp_path / f"disk{n}", MB, salt=7)
+        back = MessageStore(tmp_path / f"disk{n}", MB, salt=7)
         if sure:
             names, attempts = sure[-1]
             assert all(back.knows(name) or name in back.owed for name in names), (seed, n)
@@ -175,7 +175,7 @@
         back.own()
         back.take(taken("afterwards"))
         back.flush()
-        assert Store(tmp_path / f"disk{n}", MB, salt=7).knows("afterwards")
+        assert MessageStore(tmp_path / f"disk{n}", MB, salt=7).knows("afterwards")
 
 
 @pytest.mark.parametrize("first", range(5, 13))
@@ -188,7 +188,7 @@
         folder.mkdir()
         disk = Disk(folder, random.Random(dies_at))
         monkeypatch.setattr(module, "os", disk)
-        store, written = Store(folder, MB, salt=7), set[str]()
+        store, written = MessageStore(folder, MB, salt=7), set[str]()
         disk.dies_at = dies_at
         try:
             for _ in life(store.own(), lambda: None, disk.chance):
@@ -197,7 +197,7 @@
             pass
         monkeypatch.setattr(module, "os", os)
         for again in ("afterwards", "and again"):
-            back = Store(folder, MB, salt=7)
+            back = MessageStore(folder, MB, salt=7)
             assert not back.found.damaged and all(back.knows(name) for name in written), dies_at
             assert not any(m.doubtful for m in back.messages.values())
             back.own().take(taken(again))
@@ -213,12 +213,12 @@
         folder.mkdir()
         disk = Disk(folder, random.Random(n))
         monkeypatch.setattr(module, "os", disk)
-        store = Store(folder, MB, salt=7).own()
+        store = MessageStore(folder, MB, salt=7).own()
         for _ in life(store, lambda: None, disk.chance):
             pass
         monkeypatch.setattr(module, "os", os)
         disk.after_the_cut(tmp_path / f"disk{n}")
-        lost += len({*store.messages} - {*Store(tmp_path / f"disk{n}", MB, salt=7).messages})
+        lost += len({*store.messages} - {*MessageStore(tmp_path / f"disk{n}", MB, salt=7).messages})
     assert lost > 50
 
 
@@ -239,9 +239,9 @@
             raise OSError(errno.EIO, "no such block")
 
 
-def syncing(tmp_path: Path, scene: Callable[[Store, Syncer, Slow], Any]) -> None:
+def syncing(tmp_path: Path, scene: Callable[[MessageStore, Syncer, Slow], Any]) -> None:
     async def played() -> None:
-        store = Store(tmp_path, MB).own()
+        store = MessageStore(tmp_path, MB).own()
         store.durable = True
         slow = Slow()
         async with asyncio.timeout(PATIENCE):
@@ -257,7 +257,7 @@
 
 
 def test_one_sync_serves_all_that_came_while_another_ran_and_in_order(tmp_path: Path) -> None:
-    async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
+    async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[int] = []
         syncer.after(lambda: done.append(0))
         await asyncio.to_thread(slow.begun.acquire)
@@ -277,7 +277,7 @@
 def test_a_failed_sync_is_not_tried_again_on_the_same_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
 
-    async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
+    async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
         store.take(taken("a"))
         store.flush()
@@ -294,7 +294,7 @@
         await until(lambda: done == ["a"])
         assert os.fstat(store.fd).st_ino != inode
         assert not syncer.broken
-        assert Store(tmp_path, MB).knows("a")
+        assert MessageStore(tmp_path, MB).knows("a")
         assert syncer.syncs == 1
 
     syncing(tmp_path, scene)
@@ -307,7 +307,7 @@
     """The disk is full at a round's records; or the sync of a journal that is being closed fails."""
     monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
 
-    async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
+    async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
         disk = Disk(tmp_path, random.Random(1))
         monkeypatch.setattr(module, "os", disk)
@@ -325,22 +325,22 @@
         disk.fails = {}
         await until(lambda: done == ["a"])
         monkeypatch.setattr(module, "os", os)
-        assert Store(tmp_path, MB).knows("a")
+        assert MessageStore(tmp_path, MB).knows("a")
         assert not store.failed
 
     syncing(tmp_path, scene)
 
 
-def part_of(syncer: Syncer) -> DurablePart:
-    part = DurablePart.__new__(DurablePart)
-    part.told, part.syncer = Maker("data", 1.0), syncer
+def part_of(syncer: Syncer) -> DurabilityExtension:
+    part = DurabilityExtension.__new__(DurabilityExtension)
+    part.told, part.syncer = DurabilityExtensionFactory("data", 1.0), syncer
     return part
 
 
 def test_a_barrier_lets_go_all_that_waits_and_after_the_end_nothing_goes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene(store: Store, syncer: Syncer, slow: Slow) -> None:
+    async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[int] = []
         syncer.after(lambda: done.append(1))
         await asyncio.to_thread(slow.begun.acquire)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,26 +17,26 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as profile
+from hypothesis import parse_settings as profile
 from hypothesis import strategies as st
 
-from forwarder.admin.server import Control
+from forwarder.admin.server import AdminServer
 from forwarder.clients.listener import bind
-from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, Server, Submission
-from forwarder.config.config import Address, HostList, load
+from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, ClientServer, Submission
+from forwarder.config.config import Address, EndpointList, load_config
 from forwarder.decisions.actions import FailMessage, RequestEndpointList
 from forwarder.decisions.dispatcher import ASK_AGAIN_US, LOOK_US, NEVER, Dispatcher
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived, MessageRecovered
 from forwarder.decisions.outcomes import Outcome
 from forwarder.discovery import watch as watch_module
-from forwarder.endpoints.pool import EDGE_US, Call, Connection, Item, Pool
+from forwarder.endpoints.pool import EDGE_US, CallItem, ConnectionPool, EndpointCall, EndpointConnection
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import settings as settings_of
+from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
 from tests import test_node as real
-from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
+from tests.scripts import ENTRIES, MS, S, ask, end, finals, parse_settings, sends
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -75,8 +75,8 @@
         self.folder, self.platform = folder, platform
 
     async def start(self) -> Scene:
-        config = load({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
-        self.engine = Engine(config, Ownership(self.folder), Control(), await bind(Address("127.0.0.1", 0)))
+        config = load_config({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
+        self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
         self.engine.store.own()
         self.engine.round()
         self.engine.server.listen(self.engine.clients)
@@ -188,9 +188,9 @@
             return OK
 
         peer = await Peer(answer).start()
-        pool = Pool(clock, ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
         pool.serving({1: Address("127.0.0.1", peer.port)})
-        pool.start(Call(1, (7, -1), clock(), [Item("m", 0, None, b"x", due, due)]))
+        pool.start(EndpointCall(1, (7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.closed) for e in ends] == [(Outcome.DELIVERED, over)]
@@ -248,7 +248,7 @@
     ],
 )
 def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: Outcome, window: int | None) -> None:
-    d = Dispatcher(settings(), 1, 0)
+    d = Dispatcher(parse_settings(), 1, 0)
     (first,) = sends(d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
     assert first.leave_by_us == NEVER
     again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
@@ -274,14 +274,14 @@
             return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
 
         peer = await Peer(accept).start()
-        pool = Pool(clock, ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
         pool.serving({1: Address("127.0.0.1", peer.port)})
         far = now + DUE_US
         for alone in (True, False):
-            late = Item(f"late-{alone}", 0, None, b"x", far, far, leave_by_us=clock() + SECOND)
-            others = [] if alone else [Item(name, 0, None, b"x", far, far) for name in "ab"]
+            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, leave_by_us=clock() + SECOND)
+            others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
-            pool.start(Call(1, (7, -1), clock(), [late, *others]))
+            pool.start(EndpointCall(1, (7, -1), clock(), [late, *others]))
             clock.until(clock() + SECOND)  # the dial has not begun yet
             while pool.out:
                 await asyncio.sleep(0.005)
@@ -305,7 +305,7 @@
 MOST_UNREAD = 1 << 20
 
 
-async def flooded(server: Server) -> tuple[socket.socket, ClientConnection, asyncio.Task[None]]:
+async def flooded(server: ClientServer) -> tuple[socket.socket, ClientConnection, asyncio.Task[None]]:
     """A client in the middle of sending a flood, and its door, which has stopped to read it."""
     loop = asyncio.get_running_loop()
     server.listen(await bind(Address("127.0.0.1", 0)))
@@ -333,7 +333,7 @@
     """Answers to a client that reads none piled up in memory, as much as it sent. Nothing is lost by the pause."""
 
     async def scene(platform: Platform) -> None:
-        server = Server(settings_of(SETTINGS), Skewed(), 10, refuse)
+        server = ClientServer(settings_of(SETTINGS), Skewed(), 10, refuse)
         sock, door, sending = await flooded(server)
         assert not sending.done()
         assert not door.closed()
@@ -355,7 +355,7 @@
     """
 
     async def scene(platform: Platform) -> None:
-        server, handled = Server(settings_of(SETTINGS), Skewed(), 20, refuse), list[str]()
+        server, handled = ClientServer(settings_of(SETTINGS), Skewed(), 20, refuse), list[str]()
         server.handle = lambda door, request: (  # type: ignore[method-assign]
             handled.append(request.path),
             door.answer(HTTPStatus.NOT_FOUND),
@@ -384,7 +384,7 @@
 
     async def scene(platform: Platform) -> None:
         clock = Skewed()
-        server = Server(settings_of(SETTINGS), clock, 10, refuse)
+        server = ClientServer(settings_of(SETTINGS), clock, 10, refuse)
         sock, _, sending = await flooded(server)
         clock.until(clock() + STALLED_US + 1)
         while server.doors:
@@ -416,7 +416,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_after_any_failures_the_list_is_asked_for_before_its_news_counts_as_told(seed: int) -> None:
     """Discovery refuses at once, and is back just after a question. The pauses grew to 8 s."""
-    d, now = Dispatcher(settings(subscribe=True), seed, 0), 0
+    d, now = Dispatcher(parse_settings(subscribe=True), seed, 0), 0
     assert any(isinstance(a, RequestEndpointList) for a in d.handle(now, []))
     for _ in range(12):
         failed = now
@@ -495,7 +495,7 @@
             def acknowledged(self, names: list[str]) -> None:
                 told.extend(names)
 
-        notices = watch_module.Notices(at.where, Book())
+        notices = watch_module.Notifier(at.where, Book())
         notices.kick()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
@@ -535,16 +535,16 @@
     def address(self) -> Address:
         return Address(*self.listener.getsockname())
 
-    def pool(self, ends: list[AttemptEnded]) -> Pool:
+    def pool(self, ends: list[AttemptEnded]) -> ConnectionPool:
         """A pool whose target 1 this is."""
-        pool = Pool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
+        pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
         pool.serving({1: self.address})
         return pool
 
-    async def carry(self, pool: Pool, name: str) -> socket.socket:
+    async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
         """Start a call, which must come on a new connection, and return that."""
         far = pool.clock() + DUE_US
-        pool.start(Call(1, (7, -1), pool.clock(), [Item(name, 0, None, b"x", far, far)]))
+        pool.start(EndpointCall(1, (7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         sock.setblocking(False)
         assert b"X-Correlation-Id: " + name.encode() in await self.request(sock)
@@ -643,10 +643,10 @@
 
 WAIT_MS = 700
 TURNED_AWAY = b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\nContent-Length: 0\r\n\r\n" % WAIT_MS
-GIVE_UPS: dict[str, tuple[Callable[[Pool, Call], None], Outcome]] = {
-    "time-out": (Pool.timed_out, Outcome.TIMED_OUT),
+GIVE_UPS: dict[str, tuple[Callable[[ConnectionPool, EndpointCall], None], Outcome]] = {
+    "time-out": (ConnectionPool.timed_out, Outcome.TIMED_OUT),
     "cancel": (lambda pool, call: pool.cancel("a", 0), Outcome.CANCELED),
-    "quiet": (Pool.fell_quiet, Outcome.UNREADABLE),
+    "quiet": (ConnectionPool.fell_quiet, Outcome.UNREADABLE),
     "exit": (lambda pool, call: pool.close(), Outcome.RESET),
 }
 
@@ -737,7 +737,7 @@
             handed.append(got.id)
             door.answer(HTTPStatus.ACCEPTED)
 
-        server = Server(settings_of(SETTINGS), Skewed(), 1, hand_in)
+        server = ClientServer(settings_of(SETTINGS), Skewed(), 1, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         address = ("127.0.0.1", server.listener.where().port)
@@ -904,11 +904,11 @@
     ends: list[AttemptEnded] = []
 
     async def run() -> None:
-        pool = Pool(Skewed(), ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(Skewed(), ends.append, (), SECOND, SECOND, 10)
         pool.serving({1: Address("127.0.0.1", 9)})
-        connection, far = Connection(pool), pool.clock() + DUE_US
+        connection, far = EndpointConnection(pool), pool.clock() + DUE_US
         connection.connection_made(Paper(protocol=connection))
-        call = Call(1, (7, -1), pool.clock(), [Item("m", 0, None, b"x", far, far)])
+        call = EndpointCall(1, (7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
         pool.keep(connection, 1)
         pool.start(call)
         marks = sorted({0, came, *(cut for cut in cuts if cut < came)})
@@ -949,7 +949,7 @@
     handed: list[tuple[str, ClientConnection]] = []
 
     async def run() -> None:
-        server = Server(settings_of(SETTINGS), Skewed(), 10, lambda got, door: handed.append((got.id, door)))
+        server = ClientServer(settings_of(SETTINGS), Skewed(), 10, lambda got, door: handed.append((got.id, door)))
         paper, door = Paper(), ClientConnection(server)
         door.connection_made(paper)
         asked = answered = number = 0
@@ -1041,10 +1041,10 @@
         loop = asyncio.get_running_loop()
         real_time, ahead = loop.time, [0.0]
         setattr(loop, "time", lambda: real_time() + ahead[0])  # noqa: B010
-        heard: list[HostList | None] = []
+        heard: list[EndpointList | None] = []
         at = await Asked().start()
         places = [at]
-        watch = watch_module.Watch(at.where, -1, heard.append)
+        watch = watch_module.EndpointListWatch(at.where, -1, heard.append)
         watch.subscribe()
         seq, hosts, count, breaks = -1, {}, 0, 0  # the model
         for n, step in enumerate(steps):
@@ -1100,7 +1100,7 @@
 
 def test_a_clock_that_was_set_back_lets_nothing_run_twice() -> None:
     """Its first attempt was sent at a time that is still to come: what must not run twice has no time to go again."""
-    d = Dispatcher(settings(), 1, 0)
+    d = Dispatcher(parse_settings(), 1, 0)
     actions = d.handle(
         0,
         [
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,8 +14,8 @@
 
 from forwarder.__main__ import passing_read, retried
 from forwarder.clients.listener import BIND_S
-from forwarder.config.config import Address, ConfigError, HostList, load
-from forwarder.discovery.watch import NOTICE_PAUSES_S, Notices, Watch, post_body
+from forwarder.config.config import Address, ConfigError, EndpointList, load_config
+from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
 from forwarder.endpoints.pool import GIVEN_UP_S
 from forwarder.protocol.http1 import MOST_BODY
 from forwarder.runtime.ownership import LOCK_PATIENCE_S
@@ -251,7 +251,7 @@
     monkeypatch.setattr(Path, "read_bytes", read_bytes)
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     with pytest.raises(ConfigError):
-        retried(load, passing_read)
+        retried(load_config, passing_read)
     assert len(made) == tries
 
 
@@ -274,7 +274,7 @@
         platform = await Platform().start()
         supervisor = Supervisor()
         book = Book()
-        notices = Notices(Address("127.0.0.1", platform.port), book, supervisor)
+        notices = Notifier(Address("127.0.0.1", platform.port), book, supervisor)
         real: Callable[..., Awaitable[object]] = notices.client.ask
         failing = [RuntimeError("unforeseen"), AssertionError()]
 
@@ -376,8 +376,8 @@
     async def scene() -> None:
         listing = json.dumps(Platform().listing()).encode()
         peer = await Peer(always(None, None, None, Answer(200, body=listing), None)).start()
-        told: list[HostList | None] = []
-        watch = Watch(Address("127.0.0.1", peer.port), -1, told.append)
+        told: list[EndpointList | None] = []
+        watch = EndpointListWatch(Address("127.0.0.1", peer.port), -1, told.append)
         watch.subscribe()
         async with asyncio.timeout(PATIENCE):
             while not told:
@@ -394,15 +394,15 @@
 
     async def scene() -> None:
         platform = await Platform().start()
-        told: list[HostList | None] = []
+        told: list[EndpointList | None] = []
 
-        def listed(news: HostList | None) -> None:
+        def listed(news: EndpointList | None) -> None:
             told.append(news)
             if len(told) == 1:
                 raise RuntimeError("unforeseen")
 
         supervisor = Supervisor()
-        watch = Watch(Address("127.0.0.1", platform.port), -1, listed, supervisor=supervisor)
+        watch = EndpointListWatch(Address("127.0.0.1", platform.port), -1, listed, supervisor=supervisor)
         watch.subscribe()
         async with asyncio.timeout(PATIENCE):
             while len(told) < 2:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,8 +11,8 @@
 
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived
-from forwarder.decisions.fleet_messages import Mode, Seen, Viewed
-from forwarder.decisions.fleet_quota import FleetPolicy, Shares
+from forwarder.decisions.fleet_messages import FleetView, FleetViewChanged, QuorumState
+from forwarder.decisions.fleet_quota import FleetQuota, FleetQuotaExtension
 from forwarder.membership.extension import divided
 from forwarder.storage.lease import RENEW_US, Lease
 from tests.scripts import S, settings, started
@@ -20,8 +20,8 @@
 SETTLE, BELIEVE, DETECT, TOLD = 30 * S, 90 * S, 9 * S, 9 * S
 
 
-def shares_of(size: int, leased_until: int = 0, settle: int = SETTLE, detect: int = DETECT) -> Shares:
-    return Shares(size, settle, BELIEVE, detect, TOLD if detect else 0, leased_until)
+def shares_of(size: int, leased_until: int = 0, settle: int = SETTLE, detect: int = DETECT) -> FleetQuota:
+    return FleetQuota(size, settle, BELIEVE, detect, TOLD if detect else 0, leased_until)
 
 
 class Model:
@@ -32,7 +32,7 @@
         self.names = [f"n{n}" for n in range(size)]
         self.settle, self.detect, self.lag = settle, detect, DETECT
         self.leases = dict.fromkeys(self.names, 0)
-        self.shares: dict[str, Shares] = {}
+        self.shares: dict[str, FleetQuota] = {}
         self.part = dict.fromkeys(self.names, 0)
         self.left: set[str] = set()
         self.heard_left: dict[str, set[str]] = {}
@@ -69,7 +69,7 @@
             self.seen_at[(other, name)] = self.now + self.random.randrange(self.lag)
             self.seen_at[(name, other)] = self.now + self.random.randrange(self.lag)
 
-    def view(self, name: str) -> Seen:
+    def view(self, name: str) -> FleetView:
         """What this one believes: the truth of those it hears, each as late as it was noticed."""
         there = {name}
         for other in self.names:
@@ -82,7 +82,7 @@
                 self.heard_left[name].discard(other)
             if believed and other not in self.heard_left[name]:
                 there.add(other)
-        return Seen(frozenset(there), frozenset(self.heard_left[name] - there), len(there) == 1 < self.size)
+        return FleetView(frozenset(there), frozenset(self.heard_left[name] - there), len(there) == 1 < self.size)
 
     def step(self, for_us: int = S) -> float:
         self.now += for_us
@@ -165,26 +165,26 @@
             assert model.step() == pytest.approx(1.0)
 
 
-def seen(there: int, left: int = 0, stale: bool = False) -> Seen:
-    return Seen(frozenset(f"n{n}" for n in range(there)), frozenset(f"l{n}" for n in range(left)), stale)
+def seen(there: int, left: int = 0, stale: bool = False) -> FleetView:
+    return FleetView(frozenset(f"n{n}" for n in range(there)), frozenset(f"l{n}" for n in range(left)), stale)
 
 
 @pytest.mark.parametrize(
     ("view", "after_s", "size", "mode"),
     [
-        (seen(10), 17, 20.0, Mode.AGREED),  # until it has proved to be there it may be that others hold its part
-        (seen(10), 18, 10.0, Mode.AGREED),
-        (seen(5), 60, 20.0, Mode.CUT_OFF),
-        (seen(1), 60, 20.0, Mode.ALONE),
-        (seen(9, stale=True), 60, 20.0, Mode.ALONE),
-        (seen(6), 60, 10.0, Mode.UNSURE),
-        (seen(4, 6), 29, 10.0, Mode.AGREED),
-        (seen(4, 6), 30, 4.0, Mode.AGREED),
-        (seen(4, 6), 120, 20.0, Mode.CUT_OFF),
-        (seen(12), 18, 12.0, Mode.AGREED),
+        (seen(10), 17, 20.0, QuorumState.AGREED),  # until it has proved to be there it may be that others hold its part
+        (seen(10), 18, 10.0, QuorumState.AGREED),
+        (seen(5), 60, 20.0, QuorumState.CUT_OFF),
+        (seen(1), 60, 20.0, QuorumState.ALONE),
+        (seen(9, stale=True), 60, 20.0, QuorumState.ALONE),
+        (seen(6), 60, 10.0, QuorumState.UNSURE),
+        (seen(4, 6), 29, 10.0, QuorumState.AGREED),
+        (seen(4, 6), 30, 4.0, QuorumState.AGREED),
+        (seen(4, 6), 120, 20.0, QuorumState.CUT_OFF),
+        (seen(12), 18, 12.0, QuorumState.AGREED),
     ],
 )
-def test_the_size_that_a_view_comes_to(view: Seen, after_s: int, size: float, mode: Mode) -> None:
+def test_the_size_that_a_view_comes_to(view: FleetView, after_s: int, size: float, mode: QuorumState) -> None:
     shares = shares_of(10)
     for second in range(after_s + 1):
         shares.see(second * S, view)
@@ -215,7 +215,7 @@
     assert (shares.size(60 * S), shares.size(61 * S)) == (10.0, 20.0)
     assert "its share is its own for 5.0 s more" in divided(shares, 56 * S)
     assert "50% of its share held back" in divided(shares, 61 * S)
-    shares.see(42 * S, Seen(frozenset({"n0"}), stale=True, rival=True))
+    shares.see(42 * S, FleetView(frozenset({"n0"}), stale=True, rival=True))
     assert shares.size(42 * S) == 20.0
 
 
@@ -258,14 +258,14 @@
 
 def test_the_dispatcher_divides_by_the_size_and_as_ever_without_the_part() -> None:
     d, plain = started(balancers=10), started(balancers=10)
-    policy = FleetPolicy(d, shares_of(10))
+    policy = FleetQuotaExtension(d, shares_of(10))
     d.parts.append(policy)
     before = {whose: place.share for whose, place in plain.places.items()}
-    d.handle(0, [Viewed(seen(5))])
+    d.handle(0, [FleetViewChanged(seen(5))])
     assert d.size == 20.0
     assert all(place.share == pytest.approx(before[w] / 2) for w, place in d.places.items())
     for second in range(20):
-        d.handle(second * S, [Viewed(seen(10))])
+        d.handle(second * S, [FleetViewChanged(seen(10))])
     assert d.size == 10.0
     assert all(place.share == pytest.approx(before[w]) for w, place in d.places.items())
     plain.handle(20 * S, [])
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -12,11 +12,11 @@
 import pytest
 
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, Server
+from forwarder.clients.server import ClientConnection, ClientServer
 from forwarder.config.config import Address
-from forwarder.discovery.watch import Channel, Client
+from forwarder.discovery.watch import DiscoveryChannel, DiscoveryClient
 from forwarder.protocol.http1 import ResponseReader
-from forwarder.simulator.adapter import settings
+from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, always, message
 from tests.test_net import call, pool
@@ -75,7 +75,7 @@
     uncollected: None, made: list[weakref.ref[Any]], data: bytes, reset: bool
 ) -> None:
     async def scene() -> None:
-        server = Server(settings(SETTINGS), Clock(), 100, lambda handed, door: None)
+        server = ClientServer(parse_settings(SETTINGS), Clock(), 100, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         for _ in range(COUNT):
@@ -120,7 +120,7 @@
 ) -> None:
     async def scene() -> None:
         peer = await Peer(always(OK)).start()
-        client, unused = Client(Address("127.0.0.1", peer.port)), Channel()
+        client, unused = DiscoveryClient(Address("127.0.0.1", peer.port)), DiscoveryChannel()
         made.clear()  # its first channel is never connected, and the only one such
         for _ in range(COUNT):
             assert (await client.ask("GET", "/", PATIENCE)).status == 200
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -27,7 +27,7 @@
 )
 from forwarder.decisions.hold_reason import HoldReason
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.records import MOST_BOOKED, OTHERS, Message
+from forwarder.decisions.records import MAX_HOLD_TIME_ROWS, OTHER_DESTINATIONS, Message
 from forwarder.decisions.settings import Settings
 from tests.scripts import ENTRIES, MS, S, Script, ask, end, sends, settings, started
 
@@ -213,8 +213,8 @@
     d.handle(0, [ask(f"m{n}", dest=n, due=3 * S) for n in range(1, 1000)])
     d.handle(3 * S, [TimerFired("look")])
     assert not d.messages
-    assert len(d.books.sums) == MOST_BOOKED + 1
-    assert d.books.sums[(OTHERS, "")][HoldReason.BAN] > 0
+    assert len(d.books.sums) == MAX_HOLD_TIME_ROWS + 1
+    assert d.books.sums[(OTHER_DESTINATIONS, "")][HoldReason.BAN] > 0
 
 
 def test_logs_of_a_fleet_are_added_up(tmp_path: Path) -> None:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -15,11 +15,11 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.outlier_detection import Health, Limits, Verdict, share
+from forwarder.decisions.outlier_detection import OutlierDetector, OutlierSettings, Verdict, share
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request
 
-LIMITS = Limits(
+LIMITS = OutlierSettings(
     half_life_us=10 * S,
     least_samples=5,
     run_calls=5,
@@ -36,9 +36,9 @@
 class Fleet:
     """A dispatcher with health and one destination, driven by messages that end as a test says."""
 
-    def __init__(self, endpoints: int, limits: Limits = LIMITS, seed: int = 3) -> None:
+    def __init__(self, endpoints: int, limits: OutlierSettings = LIMITS, seed: int = 3) -> None:
         self.d = Dispatcher(settings(slots=8, balancers=1, max_attempts=50), seed, 0)
-        self.health = Health(self.d, limits)
+        self.health = OutlierDetector(self.d, limits)
         self.d.parts.append(self.health)
         self.d.handle(
             0,
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -22,9 +22,9 @@
 from forwarder.decisions.settings import Effect, MessageClass
 from forwarder.storage import identity, journal
 from forwarder.storage import store as module
-from forwarder.storage.journal_files import Files
+from forwarder.storage.journal_files import JournalFiles
 from forwarder.storage.state_check import main as state
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore
 from tests.sockets import OK, Node, Peer, Platform, always, hang
 
 SAFE = MessageClass("safe", 10**6, 10**7)
@@ -43,9 +43,9 @@
     return AcceptedMessage(name, cls, 7, 10**15, f"k-{name}" if cls is ONCE else None, None, body * 3)
 
 
-def filled(folder: Path) -> Store:
+def filled(folder: Path) -> MessageStore:
     """A journal with every kind of record, `ended` and `names` among them."""
-    store = Store(folder, MB, salt=1234).own()
+    store = MessageStore(folder, MB, salt=1234).own()
     store.take(taken("old"))
     store.over("old")
     store.take(taken("g", SAFE))
@@ -78,12 +78,12 @@
 SNAPSHOT = "snapshot-2"
 
 
-def reread(folder: Path, data: bytes, name: str = "journal") -> Store:
+def reread(folder: Path, data: bytes, name: str = "journal") -> MessageStore:
     (folder / name).write_bytes(data)
-    return Store(folder, MB, salt=1234)
+    return MessageStore(folder, MB, salt=1234)
 
 
-def check(back: Store, whole: Store) -> None:
+def check(back: MessageStore, whole: MessageStore) -> None:
     """Nothing wrong is believed: every message is a true one, and none that ran may run again without a doubt."""
     for name, m in back.messages.items():
         assert name in TRUTH or m.doubtful, f"{name} is over"
@@ -143,7 +143,7 @@
         assert [r.number for r in found.records] == numbers[: len(found.records)]
         back = reread(tmp_path, data[:size]).own()
         assert back.found.torn <= size and not [*back.found.records()], "bodies kept for nothing"
-        assert Store(tmp_path, MB, salt=1234).messages.keys() == back.messages.keys()
+        assert MessageStore(tmp_path, MB, salt=1234).messages.keys() == back.messages.keys()
         os.close(back.fd)
     assert whole.messages
 
@@ -179,7 +179,7 @@
         check(back, whole)
         assert back.found.damaged or back.found.torn
         for _ in range(2):  # what is written anew is sound, and says the same
-            back = Store(tmp_path, MB, salt=1234).own()
+            back = MessageStore(tmp_path, MB, salt=1234).own()
             os.close(back.fd)
         assert not back.found.damaged
 
@@ -191,7 +191,7 @@
         data = bytearray((tmp_path / "journal").read_bytes())
         data[len(data) // 2] ^= 1
         (tmp_path / "journal").write_bytes(data)
-        store = Store(tmp_path, MB).own()
+        store = MessageStore(tmp_path, MB).own()
         assert store.found.damaged
         assert store.aside >= 512
         kept = [path.read_bytes() for path in tmp_path.glob("*.bad-*")]
@@ -199,24 +199,24 @@
         assert len(kept) <= 2
         store.take(taken(f"n{n}", SAFE))
         store.close()
-    assert not Store(tmp_path, MB).found.damaged
+    assert not MessageStore(tmp_path, MB).found.damaged
 
 
 def test_a_thousand_messages_and_one_changed_bit(tmp_path: Path) -> None:
     """Nine hundred of them went with it."""
-    store = Store(tmp_path, MB).own()
+    store = MessageStore(tmp_path, MB).own()
     for n in range(1000):
         store.take(taken(f"m{n}", SAFE, b"x" * 50))
     store.close()
     data = bytearray((tmp_path / "journal").read_bytes())
     data[len(data) // 10] ^= 1
     (tmp_path / "journal").write_bytes(data)
-    assert len(Store(tmp_path, MB).messages) >= 999
+    assert len(MessageStore(tmp_path, MB).messages) >= 999
 
 
 def test_a_body_that_looks_like_a_record_is_none(tmp_path: Path) -> None:
     forged = [journal.record(salt, number, ("ban", "s9", 1)) for salt in (0, 1, 1234) for number in (1, 2, 3, 4, 99)]
-    store = Store(tmp_path, MB, salt=4321).own()
+    store = MessageStore(tmp_path, MB, salt=4321).own()
     store.take(taken("a", SAFE, b"".join(forged)))
     store.take(taken("b", SAFE))
     store.close()
@@ -238,8 +238,8 @@
     back = reread(tmp_path, bytes(data))
     assert back.touched == {"z"}
     assert all(m.doubtful for m in back.messages.values())
-    assert not journal.goes_on(ONCE)
-    assert journal.goes_on(SAFE)
+    assert not journal.may_resend(ONCE)
+    assert journal.may_resend(SAFE)
 
 
 def old_format(lines: list[tuple[Any, ...]]) -> bytes:
@@ -250,21 +250,21 @@
 def test_a_journal_of_before_the_header_is_carried_over(tmp_path: Path) -> None:
     lines = [("owed", "m", "failed", 0, None), ("ban", "s1", 5), ("outage", "s2", 7, -1)]
     (tmp_path / "journal").write_bytes(old_format(lines) + b"torn")
-    back = Store(tmp_path, MB).own()
+    back = MessageStore(tmp_path, MB).own()
     assert back.found.version == 1
     assert back.found.torn == 4
     assert not back.found.damaged
-    for store in (back, Store(tmp_path, MB)):
+    for store in (back, MessageStore(tmp_path, MB)):
         assert (list(store.owed), store.bans, store.outages) == (["m"], {"s1": 5}, {"s2": (7, -1)})
-    assert Store(tmp_path, MB).found.version == 3
+    assert MessageStore(tmp_path, MB).found.version == 3
 
 
 def test_a_newer_journal_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
     head = journal.FILE_HEAD.pack(journal.MAGIC, 4, 0, 1)
     data = 2 * (head + journal.CHECK.pack(journal.zlib.crc32(head))) + b"what this may be"
     (tmp_path / "journal").write_bytes(data)
-    with pytest.raises(journal.NewerFormat, match="version 4"):
-        Store(tmp_path, MB)
+    with pytest.raises(journal.NewerFormatError, match="version 4"):
+        MessageStore(tmp_path, MB)
     assert (tmp_path / "journal").read_bytes() == data
     assert state(["check", str(tmp_path)]) == 2
 
@@ -272,9 +272,9 @@
 # Generations
 
 
-def generations(folder: Path) -> Store:
+def generations(folder: Path) -> MessageStore:
     """Two snapshots that count, with journals before, between and after them."""
-    store = Store(folder, MB, salt=1234).own()
+    store = MessageStore(folder, MB, salt=1234).own()
     for n in range(40):
         store.take(taken(f"m{n}", ONCE if n % 2 else SAFE))
         store.attempt(store.messages[f"m{n}"], 0, 50, "s1")
@@ -292,7 +292,7 @@
     return {path.name for path in folder.iterdir()}
 
 
-def same(back: Store, whole: Store) -> bool:
+def same(back: MessageStore, whole: MessageStore) -> bool:
     return (back.messages, back.ended.keys(), back.owed, back.bans) == (
         whole.messages,
         whole.ended.keys(),
@@ -304,7 +304,7 @@
 def test_the_generation_before_is_kept_and_stands_in_for_a_bad_snapshot(tmp_path: Path) -> None:
     whole = generations(tmp_path)
     assert files(tmp_path) == {"snapshot-2", "journal-2", "snapshot-3", "journal"}
-    assert same(Store(tmp_path, MB), whole)
+    assert same(MessageStore(tmp_path, MB), whole)
     data = (tmp_path / "snapshot-3").read_bytes()
     for at in range(0, len(data), 7):
         spoilt = data[:at] + bytes([data[at] ^ 16]) + data[at + 1 :]
@@ -314,7 +314,7 @@
         assert back.found.snapshot == 2
     back.own()
     assert files(tmp_path) == {"snapshot-4", "journal", "snapshot-3.bad-1"}
-    assert same(Store(tmp_path, MB), whole)
+    assert same(MessageStore(tmp_path, MB), whole)
 
 
 @pytest.mark.parametrize(
@@ -325,7 +325,7 @@
     """What the newest snapshot makes needless is not missed; a journal since is noticed."""
     whole = generations(tmp_path)
     (tmp_path / lost).unlink()
-    back = Store(tmp_path, MB).own()
+    back = MessageStore(tmp_path, MB).own()
     assert len(back.messages) == held
     assert all(m.doubtful is doubt for m in back.messages.values())
     assert back.found.gaps == doubt
@@ -333,7 +333,7 @@
 
 
 def test_a_journal_that_was_set_back_is_told_from_one_that_is_being_replaced(tmp_path: Path) -> None:
-    store = Store(tmp_path, MB).own()
+    store = MessageStore(tmp_path, MB).own()
     store.take(taken("a"))
     store.flush()
     old = (tmp_path / "journal").read_bytes()
@@ -364,9 +364,9 @@
     monkeypatch.setattr(os, "open", dies)
     for _ in range(2):
         with pytest.raises(KeyboardInterrupt):
-            Store(tmp_path, MB).own()
+            MessageStore(tmp_path, MB).own()
     monkeypatch.undo()
-    back = Store(tmp_path, MB).own()
+    back = MessageStore(tmp_path, MB).own()
     assert not back.found.damaged
     assert same(back, whole)
     assert back.files.generation == 4
@@ -382,11 +382,11 @@
         assert back.found.damaged
         assert all(m.doubtful for m in back.messages.values() if m.id not in whole.messages)
     (tmp_path / "journal-2").unlink()
-    assert Store(tmp_path, MB).found.gaps == 1
+    assert MessageStore(tmp_path, MB).found.gaps == 1
 
 
 def test_a_snapshot_is_written_in_steps_while_records_go_on(tmp_path: Path) -> None:
-    store = Store(tmp_path, 60 * MB).own()
+    store = MessageStore(tmp_path, 60 * MB).own()
     for n in range(1500):
         store.take(taken(f"m{n}", SAFE, b"x" * 3000))
     store.flush()
@@ -401,14 +401,14 @@
         if store.files.writing is not None:
             assert store.files.writing.size - before <= 2 * module.STEP
         elif steps < 1500 // 7:
-            assert same(Store(tmp_path, 60 * MB), store)
+            assert same(MessageStore(tmp_path, 60 * MB), store)
     assert steps > 100
     assert store.compactions == 1
 
 
 def test_within_the_limit_the_generation_before_goes_first_then_all_is_written_anew(tmp_path: Path) -> None:
     limit, seen = 900_000, set[str]()
-    store = Store(tmp_path, limit).own()
+    store = MessageStore(tmp_path, limit).own()
     for n in range(4000):
         if store.has_room(600):
             store.take(taken(f"m{n}", SAFE, b"x" * 200))
@@ -420,7 +420,7 @@
     assert not store.failed
     assert store.compactions > 3
     assert len(store.messages) > 200
-    assert same(Store(tmp_path, limit), store)
+    assert same(MessageStore(tmp_path, limit), store)
     assert any(name.startswith("journal-") for name in seen)
 
 
@@ -431,7 +431,7 @@
     """The disk full, or an error, at each call of a snapshot, a switch and a compaction, one after the other."""
     for at in range(1, 12):
         folder = tmp_path / str(at)
-        store, left = Store(folder, MB, salt=9).own(), [at]
+        store, left = MessageStore(folder, MB, salt=9).own(), [at]
         real = getattr(os, call)
 
         def fails(*args: Any, real: Any = real, left: list[int] = left, **named: Any) -> Any:
@@ -453,7 +453,7 @@
         monkeypatch.setattr(os, call, real)
         store.take(taken("c"))
         store.flush()
-        back = Store(folder, MB)
+        back = MessageStore(folder, MB)
         assert back.messages.keys() == store.messages.keys() and not store.failed, at
         assert not any(m.doubtful for m in back.messages.values())
         store.close()
@@ -462,7 +462,7 @@
 def test_a_folder_that_becomes_read_only_ends_nothing_and_is_written_anew_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    store = Store(tmp_path, MB).own()
+    store = MessageStore(tmp_path, MB).own()
     for n in range(200):
         store.take(taken(f"m{n}", SAFE, b"x" * 500))
     store.flush()
@@ -486,7 +486,7 @@
     store.over("m0")
     assert store.flush()
     assert not store.failed
-    assert same(Store(tmp_path, MB), store)
+    assert same(MessageStore(tmp_path, MB), store)
     assert {"a", "b"} <= store.messages.keys()
 
 
@@ -518,12 +518,12 @@
     if name == "journal":
         before = files(folder)
         with pytest.raises(OSError):
-            Store(folder, MB)
+            MessageStore(folder, MB)
         assert files(folder) == before
     else:
-        assert same(Store(folder, MB).own(), whole)
+        assert same(MessageStore(folder, MB).own(), whole)
         monkeypatch.undo()
-        assert same(Store(folder, MB), whole)
+        assert same(MessageStore(folder, MB), whole)
         assert "snapshot-3.bad-1" in files(folder)
 
 
@@ -564,7 +564,7 @@
 
 def survives(tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, str]], noise: int) -> None:
     folder = tmp_path_factory.mktemp("s")
-    store = Store(folder, MB).own()
+    store = MessageStore(folder, MB).own()
     model: dict[str, tuple[int, int]] = {}  # attempts, out
     owed: set[str] = set()
     bans: set[str] = set()
@@ -596,7 +596,7 @@
             if what == "torn":
                 with (folder / "journal").open("ab") as file:
                     file.write(journal.record(store.salt, store.number + 1, ("over", name))[: 1 + noise % 20])
-            store = Store(folder, MB).own()
+            store = MessageStore(folder, MB).own()
         elif what == "compact":
             store.flush()
             assert store.compact()
@@ -618,13 +618,13 @@
 def test_a_folder_knows_whose_it_is_and_how_often_it_was_started(tmp_path: Path) -> None:
     found, start = identity.claim(tmp_path, "n1")
     assert found is None
-    assert start is identity.Start.FIRST
+    assert start is identity.StartKind.FIRST
     first = identity.begin(found, tmp_path, "n1", 99)
     again, start = identity.claim(tmp_path, "n1")
     assert again == first
-    assert start is identity.Start.AGAIN
+    assert start is identity.StartKind.AGAIN
     assert identity.begin(again, tmp_path, "n1", 99).starts == 2
-    with pytest.raises(identity.ForeignState, match="folder of n1, not of n2"):
+    with pytest.raises(identity.ForeignStateError, match="folder of n1, not of n2"):
         identity.claim(tmp_path, "n2")
     data = bytearray((tmp_path / "identity").read_bytes())
     for at in range(len(data)):
@@ -634,7 +634,7 @@
         found = identity.read(tmp_path)
         assert found is None or found == identity.Identity("n1", first.id, 2, 99)
     (tmp_path / "identity").write_bytes(b"")
-    assert identity.claim(tmp_path, "n1") == (None, identity.Start.UNKNOWN)
+    assert identity.claim(tmp_path, "n1") == (None, identity.StartKind.UNKNOWN)
 
 
 @pytest.mark.parametrize(
@@ -665,9 +665,9 @@
 def test_a_folder_whose_files_are_replaced_meanwhile_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    whole, real, left = generations(tmp_path), Files.read, [2]
+    whole, real, left = generations(tmp_path), JournalFiles.read, [2]
 
-    def read(self: Files, name: str) -> bytes:
+    def read(self: JournalFiles, name: str) -> bytes:
         if left[0] and name == "journal":  # a snapshot begins, and ends, just before it is read
             left[0] -= 1
             whole.begin_snapshot()
@@ -675,7 +675,7 @@
                 whole.step()
         return real(self, name)
 
-    monkeypatch.setattr(Files, "read", read)
+    monkeypatch.setattr(JournalFiles, "read", read)
     assert state(["show", str(tmp_path)]) == 0
     assert not left[0]
     told = json.loads(capsys.readouterr().out)
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -13,7 +13,7 @@
 import pytest
 
 from forwarder.clients.listener import reset_on_close
-from forwarder.simulator.adapter import settings
+from forwarder.simulator.adapter import parse_settings
 from lab import plan, scenario
 from lab.__main__ import swept
 from lab.judge import Finding
@@ -252,7 +252,7 @@
 @pytest.mark.parametrize(("name", "told"), [("herd", True), ("untold", False)])
 def test_the_settings_are_those_that_the_program_reads(name: str, told: bool) -> None:
     made = plan.make(scenario.load(HERD.with_name(f"{name}.toml"), 20, 1))
-    known = settings(facts(made))
+    known = parse_settings(facts(made))
     assert (known.balancers, known.max_attempts, known.fall_us) == (20, 8, 2_000_000)
     assert [c.name for c in known.classes] == ["statusvarsel", "refusjon"]
     assert known.classes[1].in_order
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,9 +13,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from forwarder.membership.codec import MOST_BYTES, Body, Codec, Dropped, FormerLife, Row
+from forwarder.membership.codec import MOST_BYTES, Body, Codec, DatagramRejectedError, FormerLife, Row
 from forwarder.membership.protocol import SECOND, Protocol, Timing
-from forwarder.membership.view import FORGET_US, LIFE, Known, News, Phase, State, View
+from forwarder.membership.view import FORGET_US, LIFE, Known, MemberRecord, MembershipView, Phase, State
 from tests.members_sim import KEY, Fleet
 
 SCHEDULES = int(os.environ.get("MEMBERS_SCHEDULES", "60"))
@@ -25,8 +25,8 @@
 # Which news goes before which
 
 
-def news(state: State, incarnation: int = LIFE, **more: object) -> News:
-    return News("a", ("h", 1), incarnation, state, **more)  # type: ignore[arg-type]
+def news(state: State, incarnation: int = LIFE, **more: object) -> MemberRecord:
+    return MemberRecord("a", ("h", 1), incarnation, state, **more)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -46,8 +46,8 @@
         (news(State.ALIVE), news(State.ALIVE, phase=Phase.LEAVING), True),
     ],
 )
-def test_of_two_news_one_goes_first(old: News, new: News, over: bool) -> None:
-    view = View("me")
+def test_of_two_news_one_goes_first(old: MemberRecord, new: MemberRecord, over: bool) -> None:
+    view = MembershipView("me")
     view.take(old, Known.TOLD, 5)
     number = view.number
     assert view.take(new, Known.TOLD, 9) is over
@@ -56,7 +56,7 @@
 
 
 def test_what_is_long_gone_is_forgotten_and_until_then_old_news_does_not_bring_it_back() -> None:
-    view = View("me")
+    view = MembershipView("me")
     view.take(news(State.LEFT), Known.TOLD, 0)
     view.forget(FORGET_US)
     assert not view.take(news(State.ALIVE), Known.TOLD, FORGET_US)
@@ -357,7 +357,7 @@
     ],
 )
 def test_what_is_forged_garbled_or_of_another_cluster_is_dropped(spoil: Callable[[bytes], bytes], reason: str) -> None:
-    with pytest.raises(Dropped, match=reason):
+    with pytest.raises(DatagramRejectedError, match=reason):
         codec().open(spoil(codec().seal(ping())))
 
 
@@ -368,9 +368,9 @@
     for n in order:
         assert receiver.open(sealed[n]).seq == 7
     for n in order:
-        with pytest.raises(Dropped, match="replayed"):
+        with pytest.raises(DatagramRejectedError, match="replayed"):
             receiver.open(sealed[n])
-    with pytest.raises(Dropped, match="replayed"):
+    with pytest.raises(DatagramRejectedError, match="replayed"):
         receiver.open(sealed[1])  # too old to tell
     assert receiver.open(codec().seal(ping(life=2))).life == 2
     with pytest.raises(FormerLife):
@@ -381,7 +381,7 @@
     new = b"n" * 32
     assert codec(KEY, "c", new).open(codec(new).seal(ping())).sender == "n1"
     assert codec(new, "c", KEY).open(codec(KEY).seal(ping())).sender == "n1"
-    with pytest.raises(Dropped):
+    with pytest.raises(DatagramRejectedError):
         codec(new).open(codec(KEY).seal(ping()))
 
 
@@ -406,7 +406,7 @@
     c = codec()
     p = Protocol("me", ("h", 1), 1, "x", Timing(), 1, 0, ())
     for data in (junk, bytes([1]) + c._tag(KEY, inside) + inside):
-        with contextlib.suppress(Dropped):
+        with contextlib.suppress(DatagramRejectedError):
             p.receive(5, ("h9", 1), c.open(data))
 
 
--- a/tests/test_members_socket.py
+++ b/tests/test_members_socket.py
@@ -14,9 +14,9 @@
 from forwarder.config.config import Address
 from forwarder.membership import extension
 from forwarder.membership.codec import Body, Codec
-from forwarder.membership.extension import BURST, MembersPart, Settings
+from forwarder.membership.extension import BURST, MembershipExtension, Settings
 from forwarder.membership.protocol import Timing
-from forwarder.runtime.startup_phase import Phase
+from forwarder.runtime.startup_phase import StartupPhase
 from forwarder.runtime.supervisor import Supervisor
 
 KEY = b"\0" * 32
@@ -34,7 +34,7 @@
     def close(self) -> None: ...
 
 
-def played(tmp_path: Path, scene: Callable[[MembersPart, Transport], Any]) -> MembersPart:
+def played(tmp_path: Path, scene: Callable[[MembershipExtension, Transport], Any]) -> MembershipExtension:
     (tmp_path / "key").write_text(KEY.hex())
     told = Settings(
         Address("127.0.0.1", 1),
@@ -54,10 +54,10 @@
     engine: Any = SimpleNamespace(
         config=SimpleNamespace(name="me"),
         identity=None,
-        life=SimpleNamespace(phase=Phase.SERVING),
+        life=SimpleNamespace(phase=StartupPhase.SERVING),
         supervisor=Supervisor(),
     )
-    part, transport = MembersPart(engine, told), Transport()
+    part, transport = MembershipExtension(engine, told), Transport()
 
     async def run() -> None:
         async def bound(make: Callable[[], Any], **more: Any) -> None:
@@ -73,7 +73,7 @@
 
 
 def test_a_full_socket_buffer_drops_as_a_network_would_and_goes_on(tmp_path: Path) -> None:
-    async def scene(part: MembersPart, transport: Transport) -> None:
+    async def scene(part: MembershipExtension, transport: Transport) -> None:
         part.pause_writing()
         before = len(transport.sent)
         await asyncio.sleep(0.1)
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.ENOBUFS])
 def test_errors_of_datagrams_are_counted_and_end_nothing(tmp_path: Path, code: int) -> None:
-    async def scene(part: MembersPart, transport: Transport) -> None:
+    async def scene(part: MembershipExtension, transport: Transport) -> None:
         part.error_received(OSError(code, "no"))
         before = len(transport.sent)
         async with asyncio.timeout(10.0):
@@ -107,7 +107,7 @@
     monkeypatch.setattr(extension, "EACH_S", 0.0)
     opened: list[bytes] = []
 
-    async def scene(part: MembersPart, transport: Transport) -> None:
+    async def scene(part: MembershipExtension, transport: Transport) -> None:
         taken = part.codec.open
         part.codec = SimpleNamespace(
             open=lambda data: (opened.append(data), taken(data))[1],  # type: ignore[assignment]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,23 +11,23 @@
 
 import pytest
 
-from forwarder.admin.server import Control
+from forwarder.admin.server import AdminServer
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, Server, Submission
-from forwarder.config.config import Address, HostList, host_list, load
+from forwarder.clients.server import ClientConnection, ClientServer, Submission
+from forwarder.config.config import Address, EndpointList, load_config, parse_endpoint_list
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import AttemptEnded, EndpointEntry, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import Outcome
-from forwarder.endpoints.endpoint_table import MOST_TARGETS, TargetTable
-from forwarder.endpoints.pool import Call, Connection, Item, Pool
+from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
+from forwarder.endpoints.pool import CallItem, ConnectionPool, EndpointCall, EndpointConnection
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import settings
+from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
-from forwarder.storage.store import MOST_ENDED, AcceptedMessage, Store
+from forwarder.storage.store import MOST_ENDED, AcceptedMessage, MessageStore
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, Skewed, always, hang, message
 
-ORDER = settings(SETTINGS).classes[0]
+ORDER = parse_settings(SETTINGS).classes[0]
 
 
 def taken(name: str, size: int = 100) -> AcceptedMessage:
@@ -35,7 +35,7 @@
 
 
 def test_store_gives_back_what_it_was_told_also_after_compacting(tmp_path: Path) -> None:
-    store = Store(tmp_path, 3_000_000).own()
+    store = MessageStore(tmp_path, 3_000_000).own()
     for name in "abcd":
         store.take(taken(name))
     a, b = store.messages["a"], store.messages["b"]
@@ -50,7 +50,7 @@
     store.outage("s1", 5, -1)
     for _ in range(2):
         store.flush()
-        back = Store(tmp_path, 3_000_000).own()
+        back = MessageStore(tmp_path, 3_000_000).own()
         assert list(back.messages) == ["a", "b"]
         assert back.messages == store.messages
         assert (a.attempts, a.ran_at_us, a.ran_on, a.out) == (2, 50, "s1", {1: (60, "s2")})
@@ -66,36 +66,36 @@
 
 
 def test_store_bounds_its_files_under_steady_traffic(tmp_path: Path) -> None:
-    store = Store(tmp_path, 1_000_000).own()
+    store = MessageStore(tmp_path, 1_000_000).own()
     for n in range(4000):
         store.take(taken(f"m{n}", 2000))
         store.flush()
         store.over(f"m{n}")
         store.flush()
         assert store.size < 1_000_000
-    assert Store(tmp_path, 1_000_000).own().messages == {}
+    assert MessageStore(tmp_path, 1_000_000).own().messages == {}
 
 
 def test_store_forgets_the_oldest_ids_and_keeps_to_its_size(tmp_path: Path) -> None:
-    store = Store(tmp_path, 1_000_000).own()
+    store = MessageStore(tmp_path, 1_000_000).own()
     for n in range(MOST_ENDED + 1000):
         store.take(taken(f"{n:016x}"))
         store.over(f"{n:016x}")
         store.flush()
         assert store.size < 1_000_000
-    back = Store(tmp_path, 1_000_000).own()
+    back = MessageStore(tmp_path, 1_000_000).own()
     assert len(back.ended) == MOST_ENDED
     assert back.knows(f"{MOST_ENDED + 999:016x}")
     assert not back.knows(f"{999:016x}")
     assert back.has_room(60_000)
 
 
-def pool(ends: list[AttemptEnded], idle_us: int = 5_000_000) -> Pool:
-    return Pool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
+def pool(ends: list[AttemptEnded], idle_us: int = 5_000_000) -> ConnectionPool:
+    return ConnectionPool(Clock(), ends.append, ("x0", "x1"), idle_us, 1_000_000, 10)
 
 
-def call(clock: Clock, name: str, left_us: int = 5_000_000) -> Call:
-    return Call(1, (7, -1), clock(), [Item(name, 0, None, b"x", clock() + left_us, clock() + left_us)])
+def call(clock: Clock, name: str, left_us: int = 5_000_000) -> EndpointCall:
+    return EndpointCall(1, (7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us, clock() + left_us)])
 
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
@@ -146,7 +146,7 @@
         peer = await Peer(accept).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
-        p.start(Call(1, (7, -1), now, [Item(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
+        p.start(EndpointCall(1, (7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.wait_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
@@ -156,7 +156,7 @@
 
 
 def test_targets_replaced_for_months_do_not_pile_up() -> None:
-    d = Dispatcher(settings(SETTINGS), 1, 0)
+    d = Dispatcher(parse_settings(SETTINGS), 1, 0)
     for n in range(3000):
         d.handle(n, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(n, 7, kind="plain"),))])
     assert len(d.targets) <= 2001
@@ -173,13 +173,13 @@
         return super().__iter__()
 
 
-def listed(seq: int, names: list[str], whole: bool = False, health: str = "up") -> HostList:
+def listed(seq: int, names: list[str], whole: bool = False, health: str = "up") -> EndpointList:
     hosts = [{"host": name, "dial": "127.0.0.1:9", "block": 7, "health": health} for name in names]
-    return host_list({"seq": seq, "whole": whole, "hosts": hosts})
+    return parse_endpoint_list({"seq": seq, "whole": whole, "hosts": hosts})
 
 
 def test_a_change_of_one_endpoint_goes_through_no_others() -> None:
-    table = TargetTable((), {}, ())
+    table = EndpointTable((), {}, ())
     table.numbers = counted = CountedNames()
     names = [f"s{n}" for n in range(3200)]
     table.take(listed(1, names, whole=True))
@@ -192,14 +192,14 @@
 
 
 def test_endpoints_replaced_for_months_are_forgotten_and_none_that_is_listed_or_kept() -> None:
-    table = TargetTable((), {}, ())
+    table = EndpointTable((), {}, ())
     kept = table.number("banned")
     for n in range(3000):
         table.take(listed(2 * n, [f"s{n}"]))
         table.entries(table.hosts.values(), {"banned"})
         table.take(listed(2 * n + 1, [f"s{n}"], health="removed"))
     table.take(listed(6001, ["s2999"]))
-    assert len(table.numbers) <= MOST_TARGETS
+    assert len(table.numbers) <= MAX_ENDPOINTS
     assert len(table.names) == len(table.numbers)
     assert table.number("banned", {"banned"}) == kept
     assert table.names[table.number("s2999")] == "s2999"
@@ -266,7 +266,7 @@
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", peer.port)})
         for _ in range(2):
-            connection = Connection(p)
+            connection = EndpointConnection(p)
             connection.connection_made(Dead())
             p.keep(connection, 1)
         p.start(call(Clock(), "m"))
@@ -286,7 +286,7 @@
         p = pool(ends)
         p.serving({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
-            connection = Connection(p)
+            connection = EndpointConnection(p)
             connection.connection_made(HalfWritten())
             p.keep(connection, 1)
             p.start(call(Clock(), "m"))
@@ -381,7 +381,9 @@
         peer = await Peer(answer).start()
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
-        p.start(Call(1, (7, -1), now, [Item(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"]))
+        p.start(
+            EndpointCall(1, (7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"])
+        )
         async with asyncio.timeout(PATIENCE):
             while len(ends) < 2:
                 await asyncio.sleep(0.01)
@@ -440,13 +442,13 @@
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(
-            Call(
+            EndpointCall(
                 1,
                 (7, -1),
                 now,
                 [
-                    Item("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
-                    Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
+                    CallItem("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
+                    CallItem("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
                 ],
             )
         )
@@ -471,13 +473,13 @@
         p, now = pool(ends), Clock()()
         p.serving({1: Address("127.0.0.1", peer.port)})
         p.start(
-            Call(
+            EndpointCall(
                 1,
                 (7, -1),
                 now,
                 [
-                    Item("due", 0, None, b"x", now + 100_000, now + 200_000),
-                    Item("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
+                    CallItem("due", 0, None, b"x", now + 100_000, now + 200_000),
+                    CallItem("long", 0, None, b"x", now + 60 * 10**6, now + 60 * 10**6),
                 ],
             )
         )
@@ -518,7 +520,7 @@
             door.left = gone.set
             came.put_nowait(handed)
 
-        server = Server(settings(SETTINGS), Clock(), 10, hand_in)
+        server = ClientServer(parse_settings(SETTINGS), Clock(), 10, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         port = server.listener.where().port
@@ -555,8 +557,8 @@
                 }
             )
         )
-        config = load({"LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path)})
-        engine = Engine(config, Ownership(tmp_path), Control(), await bind(Address("127.0.0.1", 0)))
+        config = load_config({"LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path)})
+        engine = Engine(config, Ownership(tmp_path), AdminServer(), await bind(Address("127.0.0.1", 0)))
         engine.clock.keep()
         engine.store.own()
         door = ClientConnection(engine.server)
@@ -590,7 +592,7 @@
 
     async def scene() -> None:
         clock = Skewed()
-        server = Server(settings(SETTINGS), clock, 10, lambda handed, door: None)
+        server = ClientServer(parse_settings(SETTINGS), clock, 10, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         port = server.listener.where().port
@@ -614,7 +616,7 @@
 
 def test_too_many_clients_cost_the_one_idle_longest() -> None:
     async def scene() -> None:
-        server = Server(settings(SETTINGS), Clock(), 2, lambda handed, door: None)
+        server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         port = server.listener.where().port
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -13,8 +13,23 @@
 from forwarder.decisions.actions import Action, EjectionChanged
 from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
 from forwarder.decisions.events import EjectionRecovered, EndpointEntry, EndpointListKind, EndpointListReceived
-from forwarder.decisions.fleet_messages import Asked, Heard, Seen, TellHolding, TellOutage, TellWait, Viewed, Word
-from forwarder.decisions.fleet_quota import DOUBT_SHARE, MOST_HOLDERS, NewsPolicy, Shares, Turns
+from forwarder.decisions.fleet_messages import (
+    AnnounceEjection,
+    AnnounceHolding,
+    AnnounceRetryAfter,
+    FleetView,
+    FleetViewChanged,
+    GossipReceived,
+    Observation,
+    PeersQueried,
+)
+from forwarder.decisions.fleet_quota import (
+    MAX_HOLDERS,
+    MAX_SUSPECTED_SHARE,
+    FleetQuota,
+    GossipExtension,
+    SlowStartSlots,
+)
 from forwarder.decisions.hold_reason import HoldReason
 from forwarder.decisions.outcomes import Outcome
 from forwarder.membership.gossip_store import rendezvous
@@ -27,8 +42,8 @@
     return rendezvous(f"s{target}", names | {me})
 
 
-def turns(me: str, told_us: int = TOLD) -> Turns:
-    return Turns(me, told_us, lambda target, names: order(me, target, names))
+def turns(me: str, told_us: int = TOLD) -> SlowStartSlots:
+    return SlowStartSlots(me, told_us, lambda target, names: order(me, target, names))
 
 
 # Whose turn it is
@@ -49,8 +64,8 @@
         self.part = dict.fromkeys(self.names, 0)
         self.unsure: set[str] = set()
 
-    def believed(self, name: str) -> Heard:
-        return Heard(
+    def believed(self, name: str) -> GossipReceived:
+        return GossipReceived(
             holders={
                 1: frozenset(
                     other for other in self.names if other != name and self.heard.get((name, other), (0, False))[1]
@@ -126,7 +141,7 @@
     many.holding = set(many.names)
     for _ in range(40):
         many.step()
-    assert sum(1 in t.since for t in many.turns.values()) <= 2 * MOST_HOLDERS, "the rest say nothing of it"
+    assert sum(1 in t.since for t in many.turns.values()) <= 2 * MAX_HOLDERS, "the rest say nothing of it"
 
 
 def test_while_a_cut_is_not_noticed_the_slack_is_that_half_and_then_none() -> None:
@@ -144,22 +159,22 @@
 # What others say of targets
 
 
-def fleet_of(size: int = 10) -> tuple[Dispatcher, NewsPolicy]:
+def fleet_of(size: int = 10) -> tuple[Dispatcher, GossipExtension]:
     entries = tuple(EndpointEntry(n, n // 2, "north", "plain", weight=10.0) for n in range(2, 10))
     d = Dispatcher(settings(balancers=size, weights_told=True), 7, 0)
-    policy = NewsPolicy(d, Shares(size, 4 * S, 60 * S, 2 * S, S), turns("me"))
+    policy = GossipExtension(d, FleetQuota(size, 4 * S, 60 * S, 2 * S, S), turns("me"))
     d.parts.append(policy)
-    view = Viewed(Seen(frozenset(f"n{n}" for n in range(size))))
+    view = FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(size))))
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries), view])
     d.handle(5 * S, [view])
     return d, policy
 
 
-def said(*rows: tuple[int, str, int, int], **more: object) -> Heard:
-    words: dict[int, tuple[Word, ...]] = {}
+def said(*rows: tuple[int, str, int, int], **more: object) -> GossipReceived:
+    words: dict[int, tuple[Observation, ...]] = {}
     for target, seer, since, back in rows:
-        words[target] = (*words.get(target, ()), Word(seer, since, back))
-    return Heard(words, **more)  # type: ignore[arg-type]
+        words[target] = (*words.get(target, ()), Observation(seer, since, back))
+    return GossipReceived(words, **more)  # type: ignore[arg-type]
 
 
 def test_two_that_saw_an_outage_put_the_target_in_turns_and_one_makes_it_doubtful() -> None:
@@ -171,7 +186,7 @@
     assert not d.cold(d.targets[4])
     assert d.targets[4].failing == FAIL_MARK
     assert 2 in {t.id for t in d.by_destination[1]}, "it stays in use"
-    assert not [a for a in actions if isinstance(a, TellOutage)], "only who saw it says so"
+    assert not [a for a in actions if isinstance(a, AnnounceEjection)], "only who saw it says so"
     actions = d.handle(7 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
     assert d.targets[2].back_at == 6500 * MS
     assert EjectionChanged(2, 5 * S, 6500 * MS) in actions
@@ -183,7 +198,7 @@
     assert not any(d.cold(t) for t in d.targets.values())
     assert not policy.by_word
     doubted = {t.destination for t in d.targets.values() if t.failing}
-    assert len(doubted) == max(1, int(DOUBT_SHARE * 4))
+    assert len(doubted) == max(1, int(MAX_SUSPECTED_SHARE * 4))
 
 
 def test_what_was_seen_here_later_goes_before_what_others_say() -> None:
@@ -224,7 +239,7 @@
     d.handle(6 * S, [said((2, "a", 5 * S, -1), (3, "a", 5 * S, -1))])
     send = sends(d.handle(7 * S, [ask("m", 1, due=12 * S)]))[0]
     actions = d.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
-    assert [a for a in actions if isinstance(a, TellOutage)] == [TellOutage(send.target, -1, 7100 * MS)]
+    assert [a for a in actions if isinstance(a, AnnounceEjection)] == [AnnounceEjection(send.target, -1, 7100 * MS)]
     d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)])
     assert not d.cold(d.targets[5]), "who was served by it did not see it fail"
     d.handle(9 * S, [said((4, "b", -1, 8500 * MS))])
@@ -234,7 +249,7 @@
 def test_words_that_are_too_old_leave_nothing_behind_unless_it_was_seen_here() -> None:
     d, policy = fleet_of()
     d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)])
-    actions = d.handle(19 * S, [Heard()])
+    actions = d.handle(19 * S, [GossipReceived()])
     assert not d.cold(d.targets[2])
     assert EjectionChanged(2, -1, -1) in actions
     assert not policy.by_word
@@ -247,10 +262,10 @@
     place = d.targets[2].place
     place.limit, place.left = 20.0, 0.4
     interval = int(d.interval(place))
-    d.handle(6 * S, [Heard(waits=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
+    d.handle(6 * S, [GossipReceived(waits=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
     assert place.pace_at == 6 * S + interval < 9 * S
     assert place.wait_until == 0
-    d.handle(6 * S + MS, [Heard(waits=(((1, -1), 6 * S + 2 * MS),))])
+    d.handle(6 * S + MS, [GossipReceived(waits=(((1, -1), 6 * S + 2 * MS),))])
     assert place.pace_at == 6 * S + interval, "no later than the wait itself"
 
 
@@ -265,17 +280,17 @@
             told += d.handle(now + 50 * MS, [end(send, Outcome.NO_CONNECTION)])
         now += 2 * S
         told += d.handle(now, [])
-    outages = [a for a in told if isinstance(a, TellOutage)]
+    outages = [a for a in told if isinstance(a, AnnounceEjection)]
     assert outages
     assert {a.target for a in outages} == {2}
     assert all(a.back_us < 0 for a in outages)
-    assert TellHolding(frozenset({2})) in told
+    assert AnnounceHolding(frozenset({2})) in told
     send = sends(told)[-1] if sends(told) else None
     while send is None:
         now += 200 * MS
         send = next(iter(sends(d.handle(now, []))), None)
     told = d.handle(now + 50 * MS, [end(send, Outcome.FULL, attempt=d.messages[send.message].attempts - 1, wait_us=S)])
-    assert [a for a in told if isinstance(a, TellWait)] == [TellWait((1, -1), now + 50 * MS + S)]
+    assert [a for a in told if isinstance(a, AnnounceRetryAfter)] == [AnnounceRetryAfter((1, -1), now + 50 * MS + S)]
 
 
 def test_no_call_before_the_others_were_asked_and_none_later_than_the_bound() -> None:
@@ -284,7 +299,7 @@
         d.asking_until = 8 * S
         assert not sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))
         assert d.why("m")[0][0] is HoldReason.START
-        assert bool(sends(d.handle(7 * S, [Asked()] if answered else []))) is answered
+        assert bool(sends(d.handle(7 * S, [PeersQueried()] if answered else []))) is answered
         assert bool(sends(d.handle(8 * S, []))) is not answered
 
 
@@ -298,16 +313,16 @@
     d, _ = fleet_of()
     d.targets[3].serving = False
     d.index()
-    lengths, wide = [], Viewed(Seen(frozenset(f"n{n}" for n in range(10))))
+    lengths, wide = [], FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(10))))
     d.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
     for now in (6 * S, 7 * S, 9 * S):
         d.handle(now, [wide, ask(f"m{now}", 1, due=60 * S)])
         lengths.append(d.targets[2].crowd)
     assert lengths[0] == 20
     assert lengths[-1] == pytest.approx(1 / (0.05 + 0.5))
-    d.handle(9 * S, [Heard(holders={2: frozenset({"a", "b", "c"})})])
+    d.handle(9 * S, [GossipReceived(holders={2: frozenset({"a", "b", "c"})})])
     assert d.targets[2].crowd == pytest.approx(1 / (0.05 + 0.125))
-    d.handle(9 * S, [Viewed(Seen(frozenset({"n1", "n2"})))])
+    d.handle(9 * S, [FleetViewChanged(FleetView(frozenset({"n1", "n2"})))])
     assert d.targets[2].crowd == 20 and d.size == 10, "cut off: nothing of the holders' half"
     d.handle(11 * S, [])
     assert d.targets[2].crowd == d.size == 20, "and its own is held back once others may have taken it"
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,8 +12,8 @@
 import pytest
 
 from forwarder.config import extensions_file
-from forwarder.config.config import Address, Config, ConfigError, HostList
-from forwarder.streaming.extension import Maker
+from forwarder.config.config import Address, Config, ConfigError, EndpointList
+from forwarder.streaming.extension import StreamingExtensionFactory
 from tests.scripts import settings
 from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
 from tests.streams import streaming
@@ -28,7 +28,7 @@
     192,
     256,
     3_000_000,
-    HostList(1, True, ()),
+    EndpointList(1, True, ()),
     settings(),
     (),
     {},
@@ -39,7 +39,7 @@
 def refused(text: str, folder: Path, config: Config = CONFIG) -> str:
     (folder / "parts.toml").write_text(text)
     with pytest.raises(ConfigError) as caught:
-        extensions_file.prepare(folder / "parts.toml", config)
+        extensions_file.load_extensions(folder / "parts.toml", config)
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
@@ -90,8 +90,8 @@
 def test_streams_at_once_follow_from_memory_and_descriptors(tmp_path: Path) -> None:
     def connections(text: str, config: Config) -> int:
         (tmp_path / "parts.toml").write_text(text)
-        maker = extensions_file.prepare(tmp_path / "parts.toml", config)[0]
-        assert isinstance(maker, Maker)
+        maker = extensions_file.load_extensions(tmp_path / "parts.toml", config)[0]
+        assert isinstance(maker, StreamingExtensionFactory)
         return maker.limits.connections
 
     assert connections(GOOD, CONFIG) == 1_000_000 // (2 * (16_384 + 65_536 + 64)) == 6
@@ -106,7 +106,7 @@
     (tmp_path / "members.key").write_text("00" * 32)
     example = (ROOT / "deploy/parts.toml").read_text().replace("members.key", str(tmp_path / "members.key"))
     (tmp_path / "parts.toml").write_text(example)
-    assert len(extensions_file.prepare(tmp_path / "parts.toml", MAY_TELL)) == len(extensions_file.MODULES)
+    assert len(extensions_file.load_extensions(tmp_path / "parts.toml", MAY_TELL)) == len(extensions_file.MODULES)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,8 +10,8 @@
 import pytest
 
 from forwarder.runtime import engine
-from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, Life, Phase
-from forwarder.storage.store import Store
+from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, StartupPhase, StartupProgress
+from forwarder.storage.store import MessageStore
 from tests.sockets import OK, ROOT, Node, Peer, Platform, always, hang
 
 S = 1_000_000
@@ -24,7 +24,7 @@
 def test_each_phase_ends_in_time_whatever_stays_down(
     listed_s: int | None, over_s: int | None, recovering_s: int, serving_s: int
 ) -> None:
-    life, seen = Life(0, ["a"]), {}
+    life, seen = StartupProgress(0, ["a"]), {}
     life.ready(0)
     for tenth in range(600):
         now = tenth * S // 10
@@ -32,10 +32,10 @@
             life.told()
         if life.step(now, {"a"} if over_s is None or now < over_s * S else {}):
             seen[life.phase] = now
-    assert seen.get(Phase.CATCHING_UP, recovering_s * S) == recovering_s * S
-    assert seen[Phase.SERVING] == serving_s * S
-    assert life.took[Phase.RECOVERING] <= RECOVERING_US
-    assert life.took[Phase.CATCHING_UP] <= CATCHING_UP_US
+    assert seen.get(StartupPhase.CATCHING_UP, recovering_s * S) == recovering_s * S
+    assert seen[StartupPhase.SERVING] == serving_s * S
+    assert life.took[StartupPhase.RECOVERING] <= RECOVERING_US
+    assert life.took[StartupPhase.CATCHING_UP] <= CATCHING_UP_US
 
 
 def test_a_restart_goes_through_its_phases_and_tells_them(tmp_path: Path) -> None:
@@ -86,7 +86,7 @@
 
 
 def test_refusals_at_the_door_name_times_of_their_own() -> None:
-    told = {float(engine.away()) for _ in range(50)}
+    told = {float(engine.retry_after_jittered()) for _ in range(50)}
     assert len(told) > 40
     assert min(told) >= 0.5
     assert max(told) <= 1.5
@@ -94,7 +94,7 @@
 
 def test_the_page_of_surviving_state_names_every_kind_of_record() -> None:
     page = (ROOT / "docs/state.md").read_text()
-    kinds = set(re.findall(r'"(\w+)": self\._\w+', inspect.getsource(Store.replay)))
+    kinds = set(re.findall(r'"(\w+)": self\._\w+', inspect.getsource(MessageStore.replay)))
     assert len(kinds) == 13
     assert all(f"`{kind}`" in page for kind in kinds)
-    assert all(f"| {phase.value} |" in page for phase in Phase)
+    assert all(f"| {phase.value} |" in page for phase in StartupPhase)
--- a/tests/test_store_random.py
+++ b/tests/test_store_random.py
@@ -14,7 +14,7 @@
 
 from forwarder.decisions.settings import Effect, MessageClass
 from forwarder.storage import store as store_module
-from forwarder.storage.store import AcceptedMessage, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore
 
 CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "close")
 FAILING = (None, None, ("write",), ("write", "open"), ("replace",), ("unlink",), ("pwrite",), ("write", "ftruncate"))
@@ -76,7 +76,7 @@
         self.refused: set[str] = set()
         self.over: set[str] = set()
 
-    def check(self, store: Store) -> None:
+    def check(self, store: MessageStore) -> None:
         assert not store.found.damaged
         assert not self.refused & store.messages.keys()
         assert all(store.knows(name) for name in self.promised)
@@ -85,7 +85,7 @@
         assert not any(m.doubtful for m in store.messages.values())
         assert [name for name in store.messages if name in held] == [name for name in self.taken if name in held]
 
-    def round(self, store: Store) -> None:
+    def round(self, store: MessageStore) -> None:
         new = [self.take(store) for _ in range(self.chance.choice((0, 0, 1, 3))) if store.has_room(200)]
         for m in [m for m in store.messages.values() if m.id not in new]:
             self.go_on(store, m)
@@ -101,13 +101,13 @@
             store.retry()
             store.step()
 
-    def take(self, store: Store) -> str:
+    def take(self, store: MessageStore) -> str:
         name, body = next(self.names), b"x" * self.chance.randrange(5, 400)
         store.take(AcceptedMessage(name, self.chance.choice(CLASSES), 1, 1, "key", None, body))
         self.taken.append(name)
         return name
 
-    def go_on(self, store: Store, m: AcceptedMessage) -> None:
+    def go_on(self, store: MessageStore, m: AcceptedMessage) -> None:
         what = self.chance.random()
         if what < 0.2:
             store.attempt(m, m.attempts, 5, "host")
@@ -135,7 +135,7 @@
         model = Model(tmp_path / str(seed), seed)
         disk.chance = model.chance
         for _ in range(model.chance.randrange(2, 6)):
-            store = Store(model.folder, 3_000_000)
+            store = MessageStore(model.folder, 3_000_000)
             store.monotonic_s = lambda: next(clock_s)
             model.check(store)
             try:
@@ -158,7 +158,7 @@
 ) -> None:
     """Attempts that this machine could not make, and that a snapshot had left out, counted as tries once more came."""
     monkeypatch.setattr(store_module, "STEP", 300)
-    store = Store(tmp_path, 3_000_000).own()
+    store = MessageStore(tmp_path, 3_000_000).own()
     held = [AcceptedMessage(f"m{n}", CLASSES[0], 1, 1, None, None, b"x" * 200) for n in range(20)]
     for m in held:
         store.take(m)
@@ -177,6 +177,6 @@
         store.attempt(m, m.attempts, 5, "host")
         store.outcome(m, m.attempts - 1, False)
     store.flush()
-    found = Store(tmp_path, 3_000_000).messages
+    found = MessageStore(tmp_path, 3_000_000).messages
     assert store.compactions == 1
     assert {m.attempts - m.held_back for m in held} == {m.attempts - m.held_back for m in found.values()} == {1}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,9 +20,9 @@
 
 from forwarder.decisions.settings import Effect, MessageClass, Scope
 from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, memory, receive
-from forwarder.simulator.adapter import Host
+from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
-from forwarder.storage.store import AcceptedMessage, PendingNotice, Store
+from forwarder.storage.store import AcceptedMessage, MessageStore, PendingNotice
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, message
 from tests.test_node import folder_nodes, play, target
 
@@ -70,7 +70,7 @@
 
 
 def test_a_snapshot_and_every_kind_of_record_are_read_field_by_field(tmp_path: Path) -> None:
-    store = Store(copied("records", tmp_path), MB)
+    store = MessageStore(copied("records", tmp_path), MB)
     assert (store.found.version, store.salt, store.found.damaged, store.found.torn) == (3, 1234, False, 0)
     assert {name: fields(m) for name, m in store.messages.items()} == {
         "tried": PLAIN
@@ -110,7 +110,7 @@
 ) -> None:
     folder = copied(f"version{version}", tmp_path)
     for read_as in (version, 3):
-        store = Store(folder, MB)
+        store = MessageStore(folder, MB)
         assert (store.found.version, store.found.damaged) == (read_as, False)
         assert {name: fields(m) for name, m in store.messages.items()} == {
             "old": PLAIN
@@ -133,7 +133,7 @@
 
 def test_what_a_killed_process_left_is_read_field_by_field(tmp_path: Path) -> None:
     folder, numbers = copied("killed", tmp_path), TOLD["numbers"]
-    store = Store(folder, MB)
+    store = MessageStore(folder, MB)
     assert not store.found.damaged
     assert not store.found.torn
     at = {c["attempts"][0][0]: c["sent_us"] for c in TOLD["memory"]["calls"]}
@@ -340,6 +340,6 @@
 
 
 def test_the_simulators_wire_is_repeated_to_the_byte() -> None:
-    host = Host()
+    host = SimulatorHost()
     for line, answer in json.loads((DATA / "lines.json").read_text()):
         assert host.batch(line) == answer
--- a/tests/test_stream_exchange.py
+++ b/tests/test_stream_exchange.py
@@ -12,15 +12,15 @@
 
 from forwarder.config.config import Address
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.stream_routing import Route, TurnAway
+from forwarder.decisions.stream_routing import RejectStream, RouteStream
 from forwarder.protocol.http1 import Headers
-from forwarder.streaming.exchange import ClientFailed, EndpointFailed, Exchange, request_head
-from forwarder.streaming.link import PACE_S, Ledger, Link, Pace, Stalled
-from forwarder.streaming.settings import Limits
+from forwarder.streaming.exchange import ClientFailedError, EndpointFailedError, Exchange, request_head
+from forwarder.streaming.link import PACE_S, Ledger, Link, Pace, StalledError
+from forwarder.streaming.settings import StreamSettings
 from forwarder.streaming.wire import reserved
 from tests import streams as peers
 
-LIMITS = Limits(
+LIMITS = StreamSettings(
     Address("127.0.0.1", 1),
     1 << 20,
     4096,
@@ -45,7 +45,7 @@
 class Front:
     """What the part would do: always one endpoint, which this test plays."""
 
-    def __init__(self, handler: Handler, limits: Limits = LIMITS) -> None:
+    def __init__(self, handler: Handler, limits: StreamSettings = LIMITS) -> None:
         self.handler, self.limits = handler, limits
         self.ledger = Ledger()
         self.endpoints: list[asyncio.Task[peers.Exchange]] = []
@@ -54,8 +54,8 @@
         self.kept: list[Link] = []
         self.ended = 0
 
-    async def ask(self, number: int, destination: int, avoid: int) -> Route | TurnAway:
-        return Route(number, 1)
+    async def ask(self, number: int, destination: int, avoid: int) -> RouteStream | RejectStream:
+        return RouteStream(number, 1)
 
     async def connect(self, target: int, kept: bool) -> Link:
         ours, theirs = pair()
@@ -83,7 +83,7 @@
         pass
 
 
-Result = TurnAway | EndpointFailed | ClientFailed | None
+Result = RejectStream | EndpointFailedError | ClientFailedError | None
 
 
 async def exchanged(front: Front, say: Callable[[socket.socket], Awaitable[None]]) -> tuple[Result, bytes]:
@@ -299,7 +299,7 @@
         assert 0 < held <= LIMITS.buffer_bytes + 64
         stop.set()
         result, _ = await running
-        assert isinstance(result, EndpointFailed)
+        assert isinstance(result, EndpointFailedError)
         assert front.ledger.held == 0
         await asyncio.gather(*front.endpoints, return_exceptions=True)
 
@@ -310,7 +310,7 @@
     pace = Pace(100)
     for _ in range(10):
         pace.step(PACE_S / 10, 60)  # 120 bytes a second of waiting
-    with pytest.raises(Stalled):
+    with pytest.raises(StalledError):
         for _ in range(10):
             pace.step(PACE_S / 10, 40)
     quick = Pace(100)
@@ -389,7 +389,7 @@
                 + b"\r\n"
             ),
         )
-        assert isinstance(result, ClientFailed)
+        assert isinstance(result, ClientFailedError)
         assert result.status == 431
         await asyncio.gather(*front.endpoints, return_exceptions=True)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,66 +18,74 @@
     SettingsChanged,
 )
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.stream_routing import Asked, Over, Route, Streams, Told, TurnAway, most_streams
+from forwarder.decisions.stream_routing import (
+    RejectStream,
+    RouteStream,
+    StreamAttemptEnded,
+    StreamEnded,
+    StreamRequested,
+    StreamRouter,
+    most_streams,
+)
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings
 
 
 def joined(share: float = 0.5, **changes: object) -> Dispatcher:
     d = Dispatcher(settings(**changes), 7, 0)
-    d.parts.append(Streams(d, share))
+    d.parts.append(StreamRouter(d, share))
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES)])
     return d
 
 
-def routes(actions: list[Action]) -> list[Route]:
-    return [a for a in actions if isinstance(a, Route)]
+def routes(actions: list[Action]) -> list[RouteStream]:
+    return [a for a in actions if isinstance(a, RouteStream)]
 
 
-def turned(actions: list[Action]) -> list[TurnAway]:
-    return [a for a in actions if isinstance(a, TurnAway)]
+def turned(actions: list[Action]) -> list[RejectStream]:
+    return [a for a in actions if isinstance(a, RejectStream)]
 
 
 def grown(d: Dispatcher, destination: int, calls: int = 8, now: int = 0) -> int:
     """Let a destination's window grow by streams that go well. Returns the time."""
     for n in range(calls):
         now += S
-        made = routes(d.handle(now, [Asked(10_000 + n, destination)]))
+        made = routes(d.handle(now, [StreamRequested(10_000 + n, destination)]))
         assert len(made) == 1
-        d.handle(now, [Told(10_000 + n, Outcome.DELIVERED), Over(10_000 + n)])
+        d.handle(now, [StreamAttemptEnded(10_000 + n, Outcome.DELIVERED), StreamEnded(10_000 + n)])
     return now
 
 
 def test_a_stream_goes_to_a_target_of_its_destination_and_holds_a_slot() -> None:
     d = joined()
-    made = routes(d.handle(0, [Asked(1, 10)]))
+    made = routes(d.handle(0, [StreamRequested(1, 10)]))
     assert [r.stream for r in made] == [1]
     assert made[0].target in (1, 2)
     assert d.calls_out == 1
     assert d.targets[made[0].target].place.streams == 1
-    d.handle(0, [Over(1)])
+    d.handle(0, [StreamEnded(1)])
     assert d.calls_out == 0
     assert all(t.out == t.place.out == t.place.streams == 0 for t in d.targets.values())
 
 
 def test_without_a_target_or_a_slot_it_is_turned_away_with_a_time() -> None:
     d = joined()
-    (gone,) = turned(d.handle(0, [Asked(1, 99)]))
+    (gone,) = turned(d.handle(0, [StreamRequested(1, 99)]))
     assert gone.wait_us >= S
-    assert len(routes(d.handle(0, [Asked(2, 10), Asked(3, 10)]))) == 1  # the window is one at first
+    assert len(routes(d.handle(0, [StreamRequested(2, 10), StreamRequested(3, 10)]))) == 1  # the window is one at first
     now = grown(d, 11)
-    assert len(routes(d.handle(now, [Asked(n, 11) for n in range(20, 30)]))) == 3  # one is out
+    assert len(routes(d.handle(now, [StreamRequested(n, 11) for n in range(20, 30)]))) == 3  # one is out
     assert d.calls_out == 4 == most_streams(8, 0.5)
 
 
 def test_streams_leave_messages_a_slot_at_each_destination() -> None:
     """The window is one and a stream holds it: a message goes all the same, and a second one waits."""
     d = joined()
-    assert routes(d.handle(0, [Asked(1, 10)]))
+    assert routes(d.handle(0, [StreamRequested(1, 10)]))
     out = sends(d.handle(0, [ask("a"), ask("b")]))
     assert [s.message for s in out] == ["a"]
-    assert not routes(d.handle(10 * MS, [Asked(2, 10)]))
+    assert not routes(d.handle(10 * MS, [StreamRequested(2, 10)]))
     now = grown(d, 11, 12)
-    taken = routes(d.handle(now, [Asked(n, 11) for n in range(20, 30)]))
+    taken = routes(d.handle(now, [StreamRequested(n, 11) for n in range(20, 30)]))
     assert len(taken) < int(0.75 * 8)
     assert len(sends(d.handle(now, [ask("c", dest=11, due=now + 6 * S)]))) == 1
 
@@ -85,8 +93,8 @@
 def test_no_stream_begins_while_messages_are_held_for_its_destination() -> None:
     d = joined()
     d.handle(0, [ask("a"), ask("b")])  # one goes, one is held
-    assert turned(d.handle(0, [Asked(1, 10)]))
-    assert routes(d.handle(0, [Asked(2, 11)]))
+    assert turned(d.handle(0, [StreamRequested(1, 10)]))
+    assert routes(d.handle(0, [StreamRequested(2, 11)]))
 
 
 def test_a_told_wait_binds_streams_and_one_told_to_a_stream_binds_messages() -> None:
@@ -94,10 +102,10 @@
     (sent,) = sends(d.handle(0, [ask("a", dest=11)]))
     d.handle(1, [end(sent, Outcome.FULL, wait_us=2 * S)])
     d.handle(2, [MessageWithdrawn("a")])
-    (away,) = turned(d.handle(S, [Asked(1, 11)]))
+    (away,) = turned(d.handle(S, [StreamRequested(1, 11)]))
     assert 1 * S <= away.wait_us <= 1.5 * 1.1 * S
-    assert routes(d.handle(3 * S, [Asked(2, 11)]))
-    d.handle(3 * S, [Told(2, Outcome.FULL, 5 * S), Over(2)])
+    assert routes(d.handle(3 * S, [StreamRequested(2, 11)]))
+    d.handle(3 * S, [StreamAttemptEnded(2, Outcome.FULL, 5 * S), StreamEnded(2)])
     assert not sends(d.handle(4 * S, [ask("b", dest=11, due=30 * S)]))
     assert sends(d.handle(9 * S, []))
 
@@ -111,10 +119,10 @@
     notes = []
     for n in range(3):
         now += 100 * MS
-        actions = d.handle(now, [Asked(n, 11)])
+        actions = d.handle(now, [StreamRequested(n, 11)])
         notes += actions
         if routes(actions):
-            notes += d.handle(now, [Told(n, Outcome.TIMED_OUT), Over(n)])
+            notes += d.handle(now, [StreamAttemptEnded(n, Outcome.TIMED_OUT), StreamEnded(n)])
     assert place.window <= had / 2
     assert any(isinstance(a, EjectionChanged) and a.target == 3 for a in notes)
 
@@ -122,8 +130,10 @@
 def test_another_target_than_before_is_taken_on_a_second_try() -> None:
     d = joined(slots=20)
     now = grown(d, 10, 8)
-    (first,) = routes(d.handle(now, [Asked(1, 10)]))
-    (second,) = routes(d.handle(now, [Told(1, Outcome.NO_CONNECTION), Asked(1, 10, first.target)]))
+    (first,) = routes(d.handle(now, [StreamRequested(1, 10)]))
+    (second,) = routes(
+        d.handle(now, [StreamAttemptEnded(1, Outcome.NO_CONNECTION), StreamRequested(1, 10, first.target)])
+    )
     assert {first.target, second.target} == {1, 2}
     assert d.calls_out == 1
 
@@ -131,7 +141,7 @@
 def test_banned_and_drained_targets_get_no_stream() -> None:
     d = joined()
     d.handle(0, [EndpointDisabled(3, 0)])
-    assert turned(d.handle(0, [Asked(1, 11)]))
+    assert turned(d.handle(0, [StreamRequested(1, 11)]))
     d.handle(
         0,
         [
@@ -140,17 +150,17 @@
             )
         ],
     )
-    (made,) = routes(d.handle(0, [Asked(2, 10)]))
+    (made,) = routes(d.handle(0, [StreamRequested(2, 10)]))
     assert made.target == 2
 
 
 def test_new_slots_hold_for_new_streams() -> None:
     d = joined()
-    assert routes(d.handle(0, [Asked(1, 10)]))
+    assert routes(d.handle(0, [StreamRequested(1, 10)]))
     d.handle(0, [SettingsChanged(settings(slots=2))])
-    assert turned(d.handle(0, [Asked(2, 11)]))
-    d.handle(0, [Over(1), SettingsChanged(settings())])
-    assert routes(d.handle(S, [Asked(3, 11)]))
+    assert turned(d.handle(0, [StreamRequested(2, 11)]))
+    d.handle(0, [StreamEnded(1), SettingsChanged(settings())])
+    assert routes(d.handle(S, [StreamRequested(3, 11)]))
 
 
 def test_streams_of_many_to_a_cold_target_stay_within_what_it_takes() -> None:
@@ -161,14 +171,14 @@
     gone: list[int] = []
     for seed in range(10):
         d = Dispatcher(settings(balancers=10, weights_told=True), seed, 0)
-        d.parts.append(Streams(d, 0.5))
+        d.parts.append(StreamRouter(d, 0.5))
         start = seed * 137 * MS
         d.handle(start, [EndpointListReceived(EndpointListKind.SAVED, (entry,)), EjectionRecovered(1, 0, 0)])
         for n in range(500):
             now = start + (n + 1) * 10 * MS
-            for a in routes(d.handle(now, [Asked(n, 10)])):
+            for a in routes(d.handle(now, [StreamRequested(n, 10)])):
                 gone.append(now)
-                d.handle(now + 5 * MS, [Told(a.stream, Outcome.DELIVERED), Over(a.stream)])
+                d.handle(now + 5 * MS, [StreamAttemptEnded(a.stream, Outcome.DELIVERED), StreamEnded(a.stream)])
     assert len(gone) > 10  # they are not shut out
     for first in gone:
         cold = 0.2 + 0.8 * min(1.0, (first + 1_500 * MS) / (10 * S))
@@ -188,20 +198,20 @@
             now += r.randrange(1, 200) * MS
             events: list[Event] = []
             if r.random() < 0.5:
-                events.append(Asked(n, r.choice((10, 11, 12))))
+                events.append(StreamRequested(n, r.choice((10, 11, 12))))
             if r.random() < 0.5:
                 events.append(ask(f"m{n}", r.choice((10, 11, 12)), due=now + 6 * S))
             if out and r.random() < 0.5:
                 stream = out.pop(r.randrange(len(out)))
                 told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.FULL, Outcome.RESET))
-                events += [Told(stream, told), Over(stream)]
+                events += [StreamAttemptEnded(stream, told), StreamEnded(stream)]
             if calls and r.random() < 0.6:
                 sent, number = calls.pop(r.randrange(len(calls)))
                 told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.FULL, Outcome.FAILED))
                 events.append(end(sent, told, number))
             for a in d.handle(now, events):
                 match a:
-                    case Route(stream, target):
+                    case RouteStream(stream, target):
                         assert d.targets[target].serving
                         out.append(stream)
                     case SendAttempt(message):
@@ -217,7 +227,7 @@
                 streams = sum(t.place.streams for t in targets) // (1 if targets[0].apart else len(targets))
                 assert streams < int(0.75 * 8), destination
         now += 60 * S
-        ended = [Over(stream) for stream in out] + [end(sent, Outcome.DELIVERED, n) for sent, n in calls]
+        ended = [StreamEnded(stream) for stream in out] + [end(sent, Outcome.DELIVERED, n) for sent, n in calls]
         while calls:
             actions = d.handle(now, ended)
             calls = [(s, attempts.setdefault(s.message, 0)) for s in sends(actions)]
