--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -28,7 +28,7 @@
 from forwarder.decisions.settings import Effect, MessageClass
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
-OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.FAILED
+OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.FAILED
 ONE = (EndpointEntry(1, 10, "north", "plain"),)
 CLASS = {c.name: c for c in settings().classes}
 
@@ -47,7 +47,7 @@
     order = []
     for n in range(3):
         send = sends(d.handle(903 * MS + n, [end(first, OK, took=MS)]))[0]
-        order.append(send.message)
+        order.append(send.message_id)
         first = send
     assert order == ["short", "long", "far"]
 
@@ -77,7 +77,7 @@
 def test_message_short_of_time_is_refused_unsent_with_a_retry_after() -> None:
     d = started(ONE)
     first = sends(d.handle(0, [ask("a")]))[0]
-    d.handle(10 * MS, [end(first, FULL, wait_us=3 * S)])
+    d.handle(10 * MS, [end(first, FULL, retry_after_us=3 * S)])
     actions = d.handle(20 * MS, [ask("b", due=150 * MS)])
     assert finals(actions) == [RejectMessage("b", 2990 * MS)]
 
@@ -85,7 +85,7 @@
 def test_told_wait_holds_to_its_end_and_a_shorter_one_never_cuts_it() -> None:
     d = started(ONE)
     first = sends(d.handle(0, [ask("a")]))[0]
-    d.handle(10 * MS, [end(first, FULL, wait_us=900 * MS)])
+    d.handle(10 * MS, [end(first, FULL, retry_after_us=900 * MS)])
     got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
     assert got
     assert got[0] >= 910 * MS
@@ -94,9 +94,9 @@
 def test_wait_of_a_route_apart_leaves_the_other_route_open() -> None:
     d = started()
     first = sends(d.handle(0, [ask("a", 12)]))[0]
-    again = sends(d.handle(10 * MS, [end(first, FULL, wait_us=2 * S)]))
+    again = sends(d.handle(10 * MS, [end(first, FULL, retry_after_us=2 * S)]))
     assert again
-    assert again[0].target != first.target
+    assert again[0].endpoint != first.endpoint
 
 
 def test_drained_target_gets_nothing_and_an_empty_list_drops_all() -> None:
@@ -130,7 +130,8 @@
     d = started()
     send = sends(d.handle(0, [ask("a", cls="zoned", due=10 * S)]))[0]
     d.handle(
-        5, [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(send.target, 10, state=EndpointState.GONE),))]
+        5,
+        [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(send.endpoint, 10, state=EndpointState.GONE),))],
     )
     d.handle(50 * MS, [end(send, FAILED)])
     later = [a for _, a in sweep(d, 60 * MS, 4 * S)]
@@ -143,7 +144,7 @@
     one = ask("a", 10, "turns", 9 * S, key="k")
     two = ask("b", 11, "turns", 9 * S, key="k")
     out = sends(d.handle(0, [one, two]))
-    assert [s.message for s in out] == ["a"]
+    assert [s.message_id for s in out] == ["a"]
     d.handle(2 * S, [end(out[0], LATE, took=2 * S), MessageWithdrawn("a")])
     got = [t for t, a in sweep(d, 2 * S + MS, 3 * S) if isinstance(a, SendAttempt)]
     assert got
@@ -171,10 +172,10 @@
 
 def test_full_buffer_costs_the_largest_pile() -> None:
     """i93776c: one destination's pile filled the buffer and all others were turned away at the door."""
-    d = started(max_open=20)
+    d = started(max_open_messages=20)
     d.handle(0, [ask(f"a{n}", due=6 * S) for n in range(15)] + [ask("b", 12)])
     actions = d.handle(MS, [ask("c", 12), ask("d", 12), ask("e", 12)])
-    refused = [a.message for a in finals(actions)]
+    refused = [a.message_id for a in finals(actions)]
     assert refused
     assert all(name.startswith("a") for name in refused)
 
@@ -193,7 +194,7 @@
 
 
 def test_subscribes_and_asks_again_backing_off() -> None:
-    d = Dispatcher(settings(subscribe=True), 1, 0)
+    d = Dispatcher(settings(poll_endpoint_list=True), 1, 0)
     assert RequestEndpointList() in d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ONE)])
     times, now = [], 0
     for _ in range(3):
@@ -211,9 +212,9 @@
     "bad",
     [
         {"slots": 0},
-        {"balancers": 0},
-        {"max_open": 0},
-        {"cold_from": 2.0},
+        {"forwarders": 0},
+        {"max_open_messages": 0},
+        {"slow_start_from": 2.0},
         {"classes": (MessageClass("x", 1, 0),)},
         {"classes": (MessageClass("x", 1, 5, "twice"),)},  # type: ignore[arg-type]
     ],
@@ -221,7 +222,13 @@
 def test_settings_that_cannot_hold_name_the_setting(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError) as told:
         settings(**bad)
-    name = {"classes": "deadline_us|effect"}.get(next(iter(bad)), next(iter(bad)))
+    names = {
+        "classes": "deadline_us|effect",
+        "forwarders": "balancers",
+        "max_open_messages": "max_open",
+        "slow_start_from": "cold_from",
+    }
+    name = names.get(next(iter(bad)), next(iter(bad)))
     assert any(part in str(told.value) for part in name.split("|"))
 
 
@@ -240,16 +247,20 @@
 
 def test_recalled_message_keeps_what_it_did_before_the_restart() -> None:
     d = started(ONE)
-    told = d.handle(MS, [MessageRecovered("once", 10, CLASS["once"], 8 * S, attempts=1, ran_at_us=0, ran_on=1)])
+    told = d.handle(
+        MS, [MessageRecovered("once", 10, CLASS["once"], 8 * S, attempts=1, maybe_ran_at_us=0, maybe_ran_on=1)]
+    )
     assert not sends(told)
     assert finals(told) == [FailMessage("once")]
-    told = d.handle(S, [MessageRecovered("k", 10, CLASS["keyed"], 8 * S, attempts=2, ran_at_us=0, ran_on=1)])
+    told = d.handle(
+        S, [MessageRecovered("k", 10, CLASS["keyed"], 8 * S, attempts=2, maybe_ran_at_us=0, maybe_ran_on=1)]
+    )
     send = sends(told)[0]
     told = d.handle(3 * S, [end(send, FAILED, attempt=2)])  # its key is remembered for 3 s from the first
     assert not sends(told)
-    assert [a.message for a in finals(told)] == ["k"]
+    assert [a.message_id for a in finals(told)] == ["k"]
     cls = CLASS["zoned"]
-    told = d.handle(8 * S, [MessageRecovered("z", 10, cls, 9 * S, attempts=1, ran_at_us=7 * S, ran_on=99)])
+    told = d.handle(8 * S, [MessageRecovered("z", 10, cls, 9 * S, attempts=1, maybe_ran_at_us=7 * S, maybe_ran_on=99)])
     assert not sends(told)  # its first target is gone, and only that one's zone knows the key
 
 
@@ -282,7 +293,7 @@
             ask("b", cls="turns", due=8 * S, key="k"),
         ],
     )
-    assert [a.message for a in finals(told)] == ["a"]
+    assert [a.message_id for a in finals(told)] == ["a"]
     assert not sends(told)
     got = [t for t, a in sweep(d, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
     assert got
@@ -305,12 +316,12 @@
     """Held to its end it blocked its key, and its client heard too late that it may come again."""
     d = started(ONE, max_retry_after_us=3 * S)
     send = sends(d.handle(0, [ask("first", due=20 * S)]))[0]
-    told = d.handle(MS, [end(send, FULL, wait_us=9 * S), ask("short"), ask("long", due=20 * S)])
+    told = d.handle(MS, [end(send, FULL, retry_after_us=9 * S), ask("short"), ask("long", due=20 * S)])
     assert finals(told) == [RejectMessage("short", 3 * S)]
-    assert [a.message for a in finals(d.handle(2 * MS, [ask("next")]))] == ["next"]
+    assert [a.message_id for a in finals(d.handle(2 * MS, [ask("next")]))] == ["next"]
     both = started((*ONE, EndpointEntry(9, 10, "south", "ways")))
-    send = next(s for s in sends(both.handle(0, [ask("a"), ask("b")])) if s.target == 1)
-    assert not finals(both.handle(MS, [end(send, FULL, wait_us=9 * S), ask("free")])), "one target is open"
+    send = next(s for s in sends(both.handle(0, [ask("a"), ask("b")])) if s.endpoint == 1)
+    assert not finals(both.handle(MS, [end(send, FULL, retry_after_us=9 * S), ask("free")])), "one target is open"
 
 
 def test_a_message_keeps_its_class_when_the_settings_change() -> None:
@@ -330,10 +341,10 @@
             end(send, Outcome.UNREADABLE),
         ],
     )
-    assert sorted(a.message for a in finals(told)) == ["gone", "old"]
+    assert sorted(a.message_id for a in finals(told)) == ["gone", "old"]
     assert all(isinstance(a, FailMessage) for a in finals(told))
     send = sends(told)[0]
-    assert send.message == "new"
+    assert send.message_id == "new"
     assert finals(d.handle(2 * MS, [end(send, Outcome.UNREADABLE)])) == [FailMessage("new")]
 
 
@@ -342,24 +353,24 @@
     send = sends(d.handle(0, [ask("m")]))[0]
     d.handle(MS, [SettingsChanged(settings(max_attempts=1)), EndpointListReceived(EndpointListKind.WHOLE, ONE)])
     told = d.handle(2 * MS, [end(send, FAILED)])
-    assert [a.message for a in finals(told)] == ["m"]
+    assert [a.message_id for a in finals(told)] == ["m"]
     assert not sends(told)
 
 
 def test_outage_is_told_to_be_remembered_and_binds_when_recalled() -> None:
-    d = started(ONE, weights_told=True)
+    d = started(ONE, weights_reported=True)
     now, told = 0, []
     out = sends(d.handle(0, [ask(f"m{n}", due=60 * S) for n in range(3)]))
     for _ in range(40):
         now += 100 * MS
         actions = d.handle(now, [end(o, FAILED, attempt=0) for o in out] + [TimerFired("look")])
         told += [a for a in actions if isinstance(a, EjectionChanged)]
-        out = [o for o in sends(actions) if o.message not in {x.message for x in out}]
+        out = [o for o in sends(actions) if o.message_id not in {x.message_id for x in out}]
     assert told
-    assert told[0].target == 1
-    assert told[0].back_us == -1
+    assert told[0].endpoint == 1
+    assert told[0].recovering_since_us == -1
     d = started(ONE)
     d.handle(S, [EjectionRecovered(1, 0)])
-    assert d.cold(d.targets[1])
+    assert d.is_slow_starting(d.endpoints[1])
     count = len(sends(d.handle(S, [ask(f"n{n}") for n in range(5)])))
     assert count + sum(isinstance(a, SendAttempt) for _, a in sweep(d, S + 20 * MS, S + 400 * MS)) <= 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import parse_settings as profile
+from hypothesis import settings as profile
 from hypothesis import strategies as st
 
 from forwarder.admin.server import AdminServer
@@ -36,7 +36,7 @@
 from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
 from tests import test_node as real
-from tests.scripts import ENTRIES, MS, S, ask, end, finals, parse_settings, sends
+from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
     OK,
     PATIENCE,
@@ -193,7 +193,7 @@
         pool.start(EndpointCall(1, (7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
-        assert [(e.outcome, e.closed) for e in ends] == [(Outcome.DELIVERED, over)]
+        assert [(e.outcome, e.is_final) for e in ends] == [(Outcome.DELIVERED, over)]
         pool.close()
 
     play(scene)
@@ -243,19 +243,19 @@
     [
         ("keyed", Outcome.RESET, 3 * S),
         ("zoned", Outcome.TIMED_OUT, 3 * S),
-        ("keyed", Outcome.FULL, None),
+        ("keyed", Outcome.REJECTED, None),
         ("safe", Outcome.RESET, None),
     ],
 )
 def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: Outcome, window: int | None) -> None:
-    d = Dispatcher(parse_settings(), 1, 0)
+    d = Dispatcher(settings(), 1, 0)
     (first,) = sends(d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
-    assert first.leave_by_us == NEVER
+    assert first.send_before_us == NEVER
     again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
     while not again:
         now += 10 * MS
         again = sends(d.handle(now, []))
-    assert again[0].leave_by_us == (NEVER if window is None else window)
+    assert again[0].send_before_us == (NEVER if window is None else window)
     assert now < 2 * S
 
 
@@ -285,7 +285,7 @@
             clock.until(clock() + SECOND)  # the dial has not begun yet
             while pool.out:
                 await asyncio.sleep(0.005)
-        assert [(e.message, e.outcome) for e in ends] == [
+        assert [(e.message_id, e.outcome) for e in ends] == [
             ("late-True", Outcome.NOT_SENT),
             ("late-False", Outcome.NOT_SENT),
             ("a", Outcome.DELIVERED),
@@ -416,7 +416,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_after_any_failures_the_list_is_asked_for_before_its_news_counts_as_told(seed: int) -> None:
     """Discovery refuses at once, and is back just after a question. The pauses grew to 8 s."""
-    d, now = Dispatcher(parse_settings(subscribe=True), seed, 0), 0
+    d, now = Dispatcher(settings(poll_endpoint_list=True), seed, 0), 0
     assert any(isinstance(a, RequestEndpointList) for a in d.handle(now, []))
     for _ in range(12):
         failed = now
@@ -656,9 +656,9 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        (TURNED_AWAY, Outcome.FULL),
+        (TURNED_AWAY, Outcome.REJECTED),
         (WHOLE, Outcome.DELIVERED),
-        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
+        (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.REJECTED),
     ],
 )
 def test_an_answer_that_crosses_the_giving_up_of_its_call_counts(
@@ -689,7 +689,7 @@
             await asyncio.sleep(0.002)
         assert [e.outcome for e in ends] == [alone if crossing == "never" else outcome]
         told = crossing != "never" and answer == TURNED_AWAY
-        assert ends[0].wait_us == (WAIT_MS * 1000 if told else 0)
+        assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
         assert bool(pool.waits) == told
         assert pool.out == 0
         assert not pool.calls
@@ -873,8 +873,8 @@
 ANSWERS = {
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok": Outcome.DELIVERED,
     b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n": Outcome.FAILED,
-    b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n": Outcome.FULL,
-    b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": Outcome.FULL,
+    b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 0\r\n\r\n": Outcome.REJECTED,
+    b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n": Outcome.REJECTED,
 }
 BREAKS = ["end", "reset", "quiet", "time-out", "cancel"]
 
@@ -1100,12 +1100,14 @@
 
 def test_a_clock_that_was_set_back_lets_nothing_run_twice() -> None:
     """Its first attempt was sent at a time that is still to come: what must not run twice has no time to go again."""
-    d = Dispatcher(parse_settings(), 1, 0)
+    d = Dispatcher(settings(), 1, 0)
     actions = d.handle(
         0,
         [
             EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]),
-            MessageRecovered("m", 10, d.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].target, False),
+            MessageRecovered(
+                "m", 10, d.message_classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
+            ),
         ],
     )
     assert not sends(actions)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -77,7 +77,7 @@
                 continue
             true = other in self.shares and self.part[other] == self.part[name]
             known = self.now >= self.seen_at.get((name, other), 0)
-            believed = true if known else other in self.shares[name].seen.there
+            believed = true if known else other in self.shares[name].view.alive
             if true and known:
                 self.heard_left[name].discard(other)
             if believed and other not in self.heard_left[name]:
@@ -87,8 +87,8 @@
     def step(self, for_us: int = S) -> float:
         self.now += for_us
         for name, shares in self.shares.items():
-            shares.see(self.now, self.view(name))
-        return sum(1 / shares.size(self.now) for shares in self.shares.values())
+            shares.update(self.now, self.view(name))
+        return sum(1 / shares.divisor(self.now) for shares in self.shares.values())
 
     def slack(self) -> float:
         """What the rule allows beyond the whole: who left by its word and is back where some do not hear it."""
@@ -187,9 +187,9 @@
 def test_the_size_that_a_view_comes_to(view: FleetView, after_s: int, size: float, mode: QuorumState) -> None:
     shares = shares_of(10)
     for second in range(after_s + 1):
-        shares.see(second * S, view)
+        shares.update(second * S, view)
     now = after_s * S
-    assert (shares.size(now), shares.mode(now)) == (pytest.approx(size), mode)
+    assert (shares.divisor(now), shares.mode(now)) == (pytest.approx(size), mode)
     assert mode.value in divided(shares, now)
     assert 0 <= shares.confidence(now) <= 1
 
@@ -197,26 +197,26 @@
 def test_the_dead_ones_half_is_taken_when_it_is_sure_and_given_back_at_once() -> None:
     shares = shares_of(10)
     for second in range(70):
-        shares.see(second * S, seen(10 if second < 40 else 8))
-    assert shares.size(69 * S) == 10.0
+        shares.update(second * S, seen(10 if second < 40 else 8))
+    assert shares.divisor(69 * S) == 10.0
     assert shares.next_at(69 * S) == 70 * S
-    shares.see(70 * S, seen(8))
-    assert shares.size(70 * S) == pytest.approx(10 / (1 + 1 / 8))
-    shares.see(71 * S, seen(10))
-    assert shares.size(71 * S) == 10.0
+    shares.update(70 * S, seen(8))
+    assert shares.divisor(70 * S) == pytest.approx(10 / (1 + 1 / 8))
+    shares.update(71 * S, seen(10))
+    assert shares.divisor(71 * S) == 10.0
 
 
 def test_a_lease_ends_in_time_and_at_once_where_another_has_the_name() -> None:
     shares = shares_of(10)
     for second in range(41):
-        shares.see(second * S, seen(10))
+        shares.update(second * S, seen(10))
     assert shares.leased_until == 61 * S
-    shares.see(41 * S, seen(3))
-    assert (shares.size(60 * S), shares.size(61 * S)) == (10.0, 20.0)
+    shares.update(41 * S, seen(3))
+    assert (shares.divisor(60 * S), shares.divisor(61 * S)) == (10.0, 20.0)
     assert "its share is its own for 5.0 s more" in divided(shares, 56 * S)
     assert "50% of its share held back" in divided(shares, 61 * S)
-    shares.see(42 * S, FleetView(frozenset({"n0"}), stale=True, rival=True))
-    assert shares.size(42 * S) == 20.0
+    shares.update(42 * S, FleetView(frozenset({"n0"}), stale=True, has_rival=True))
+    assert shares.divisor(42 * S) == 20.0
 
 
 def test_a_lease_is_kept_in_its_file_for_this_boot_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -257,33 +257,33 @@
 
 
 def test_the_dispatcher_divides_by_the_size_and_as_ever_without_the_part() -> None:
-    d, plain = started(balancers=10), started(balancers=10)
+    d, plain = started(forwarders=10), started(forwarders=10)
     policy = FleetQuotaExtension(d, shares_of(10))
-    d.parts.append(policy)
-    before = {whose: place.share for whose, place in plain.places.items()}
+    d.extensions.append(policy)
+    before = {whose: place.quota_share for whose, place in plain.limit_scopes.items()}
     d.handle(0, [FleetViewChanged(seen(5))])
-    assert d.size == 20.0
-    assert all(place.share == pytest.approx(before[w] / 2) for w, place in d.places.items())
+    assert d.fleet_size == 20.0
+    assert all(place.quota_share == pytest.approx(before[w] / 2) for w, place in d.limit_scopes.items())
     for second in range(20):
         d.handle(second * S, [FleetViewChanged(seen(10))])
-    assert d.size == 10.0
-    assert all(place.share == pytest.approx(before[w]) for w, place in d.places.items())
+    assert d.fleet_size == 10.0
+    assert all(place.quota_share == pytest.approx(before[w]) for w, place in d.limit_scopes.items())
     plain.handle(20 * S, [])
-    assert plain.size == 10.0
-    assert {w: place.share for w, place in plain.places.items()} == before
+    assert plain.fleet_size == 10.0
+    assert {w: place.quota_share for w, place in plain.limit_scopes.items()} == before
 
 
 def test_a_cold_target_has_longer_turns_for_a_forwarder_that_is_cut_off() -> None:
     turns = []
     for size in (10.0, 20.0):
-        d = Dispatcher(settings(balancers=10, weights_told=True), 1, 0)
+        d = Dispatcher(settings(forwarders=10, weights_reported=True), 1, 0)
         d.handle(
             0, [EndpointListReceived(EndpointListKind.SAVED, (EndpointEntry(1, 10, "north", "plain", weight=10.0),))]
         )
-        d.divide(size)
-        t = d.targets[1]
-        t.outage_at, t.tried_at, t.back_at, d.now = S, 100 * S, 100 * S, 101 * S
-        turns.append(d.turn(t))
+        d.set_fleet_size(size)
+        t = d.endpoints[1]
+        t.ejected_at_us, t.last_call_at_us, t.recovering_since_us, d.now_us = S, 100 * S, 100 * S, 101 * S
+        turns.append(d.slow_start_interval_us(t))
     assert turns[1] == pytest.approx(2 * turns[0])
 
 
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -47,7 +47,7 @@
         self.last = self.now
         for name in before:
             self.lay[name] = self.lay.get(name, 0) + passed
-        self.held = {m.id: (m, self.now) for pile in self.d.held.piles.values() for m in pile.values()}
+        self.held = {m.id: (m, self.now) for pile in self.d.held.by_destination.values() for m in pile.values()}
         for m, _ in self.held.values():
             self.check(m)
         for name, (m, _) in before.items():
@@ -55,18 +55,18 @@
                 self.check(m)
 
     def check(self, m: Message) -> None:
-        open_now = 0 if m.gate is None else self.now - m.gate_at
-        assert sum(m.waited.values()) + open_now == self.lay.get(m.id, 0), m
+        open_now = 0 if m.hold_reason is None else self.now - m.held_since_us
+        assert sum(m.hold_times_us.values()) + open_now == self.lay.get(m.id, 0), m
 
 
 @profile(derandomize=True, max_examples=25, deadline=None)
 @given(st.integers(0, 10**6), st.sampled_from([2, 40]))
 def test_booked_time_is_the_time_held_to_the_microsecond(seed: int, balancers: int) -> None:
-    known = settings(balancers=balancers, ends_confirmed=False)
+    known = settings(forwarders=balancers, notices_acknowledged=False)
     script = Ledger(Dispatcher(known, seed, 0), known, seed)
     script.run(500)
     assert sum(script.lay.values()) > 0
-    assert sum(us for _, us in script.d.books.total()) == sum(script.lay.values())
+    assert sum(us for _, us in script.d.hold_times.totals()) == sum(script.lay.values())
 
 
 def out(d: Dispatcher, name: str, now: int = 0, cls: str = "safe", **more: object) -> SendAttempt:
@@ -76,15 +76,15 @@
 
 def one() -> Dispatcher:
     """A single target, one slot for each of eight."""
-    return started((EndpointEntry(1, 10, "north", "plain", weight=10.0),), weights_told=True)
+    return started((EndpointEntry(1, 10, "north", "plain", weight=10.0),), weights_reported=True)
 
 
 def waits(d: Dispatcher) -> None:
-    d.handle(MS, [end(out(d, "x"), Outcome.FULL, wait_us=3 * S)])
+    d.handle(MS, [end(out(d, "x"), Outcome.REJECTED, retry_after_us=3 * S)])
 
 
 def rests(d: Dispatcher) -> None:
-    d.handle(MS, [end(out(d, "x"), Outcome.FULL)])
+    d.handle(MS, [end(out(d, "x"), Outcome.REJECTED)])
 
 
 def paces(d: Dispatcher) -> None:
@@ -100,23 +100,28 @@
 
 def comes_back(d: Dispatcher) -> None:
     falls(d)
-    t = d.targets[1]
-    t.back_at, t.tried_at, t.failing = d.now, d.now, 0.0
+    t = d.endpoints[1]
+    t.recovering_since_us, t.last_call_at_us, t.error_rate = d.now_us, d.now_us, 0.0
 
 
 def doubted(d: Dispatcher) -> None:
-    d.targets[1].failing = 0.99
+    d.endpoints[1].error_rate = 0.99
 
 
 def fills(d: Dispatcher) -> None:
-    d.places[(10, -1)].window = 8.0
+    d.limit_scopes[(10, -1)].concurrency_window = 8.0
     for n in range(6):
         out(d, f"x{n}")
 
 
 def sickens(d: Dispatcher) -> None:
-    place = d.places[(10, -1)]
-    place.window, place.mean, place.seed, place.mean_at = 6.0, 1.5 * S, 0.2 * S, 0
+    place = d.limit_scopes[(10, -1)]
+    place.concurrency_window, place.expected_call_us, place.initial_call_us, place.learned_at_us = (
+        6.0,
+        1.5 * S,
+        0.2 * S,
+        0,
+    )
     for n in range(4):
         out(d, f"x{n}")
 
@@ -130,35 +135,35 @@
 
 
 def goes(d: Dispatcher) -> None:
-    d.targets.clear()
+    d.endpoints.clear()
     d.handle(0, [EndpointListReceived(EndpointListKind.WHOLE, ())])
 
 
 def key_out(d: Dispatcher) -> None:
     out(d, "x", cls="turns", key="k")
-    d.places[(10, -1)].window = 8.0
+    d.limit_scopes[(10, -1)].concurrency_window = 8.0
 
 
 def key_rests(d: Dispatcher) -> None:
     send = out(d, "x", cls="turns", key="k")
-    d.places[(10, -1)].window = 8.0
+    d.limit_scopes[(10, -1)].concurrency_window = 8.0
     d.handle(0, [end(send, Outcome.TIMED_OUT, took=1 * MS, closed=True)])
 
 
 GATES: dict[HoldReason, tuple[Callable[[Dispatcher], object], str]] = {
-    HoldReason.WAIT: (waits, "safe"),
-    HoldReason.REST: (rests, "safe"),
-    HoldReason.PACE: (paces, "safe"),
-    HoldReason.WINDOW: (lambda d: out(d, "x"), "safe"),
-    HoldReason.CAP: (sickens, "safe"),
+    HoldReason.RETRY_AFTER: (waits, "safe"),
+    HoldReason.BACKOFF: (rests, "safe"),
+    HoldReason.QUOTA_PACE: (paces, "safe"),
+    HoldReason.CONCURRENCY_WINDOW: (lambda d: out(d, "x"), "safe"),
+    HoldReason.DEGRADED_CAP: (sickens, "safe"),
     HoldReason.SLOTS: (fills, "safe"),
-    HoldReason.OUTAGE: (falls, "safe"),
-    HoldReason.COLD: (comes_back, "safe"),
-    HoldReason.SURE: (doubted, "once"),
-    HoldReason.KEY: (key_out, "turns"),
-    HoldReason.KEY_REST: (key_rests, "turns"),
-    HoldReason.BAN: (is_banned, "safe"),
-    HoldReason.DRAIN: (drains, "safe"),
+    HoldReason.EJECTED: (falls, "safe"),
+    HoldReason.SLOW_START: (comes_back, "safe"),
+    HoldReason.UNSAFE_RETRY: (doubted, "once"),
+    HoldReason.KEY_ORDER: (key_out, "turns"),
+    HoldReason.KEY_BACKOFF: (key_rests, "turns"),
+    HoldReason.DISABLED: (is_banned, "safe"),
+    HoldReason.DRAINING: (drains, "safe"),
     HoldReason.UNLISTED: (goes, "safe"),
 }
 
@@ -168,53 +173,53 @@
     d = one()
     prepare, cls = GATES[gate]
     prepare(d)
-    now = d.now
+    now = d.now_us
     assert not sends(d.handle(now, [ask("m", cls=cls, due=now + 8 * S, key="k")]))
-    assert d.messages["m"].gate is gate
+    assert d.messages["m"].hold_reason is gate
     d.handle(now + 20 * MS, [TimerFired("look")])
-    assert d.why("m")[0] == (gate, 20 * MS)
+    assert d.hold_times_of("m")[0] == (gate, 20 * MS)
 
 
 def test_before_the_list_a_message_is_held_by_the_start() -> None:
     d = Dispatcher(settings(), 1, 0)
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ())])
     d.handle(0, [ask("m")])
-    assert d.messages["m"].gate is HoldReason.START
+    assert d.messages["m"].hold_reason is HoldReason.STARTING
 
 
 def test_of_two_gates_the_one_that_opens_last_has_it() -> None:
     d = one()
     waits(d)
-    d.places[(10, -1)].rest_until = 5 * S
-    d.handle(d.now, [ask("m", due=50 * S)])
-    assert d.messages["m"].gate is HoldReason.REST
+    d.limit_scopes[(10, -1)].backoff_until_us = 5 * S
+    d.handle(d.now_us, [ask("m", due=50 * S)])
+    assert d.messages["m"].hold_reason is HoldReason.BACKOFF
 
 
 def test_a_gate_that_opens_and_closes_within_a_round_books_nothing() -> None:
     d = one()
     d.handle(0, [EndpointDisabled(1, 0), ask("m"), EndpointEnabled(1)])
-    assert HoldReason.BAN not in dict(d.books.total())
+    assert HoldReason.DISABLED not in dict(d.hold_times.totals())
 
 
 def test_a_refusal_tells_what_held_it() -> None:
     d = one()
     waits(d)
-    d.handle(d.now, [ask("m", due=d.now + 2900 * MS)])
+    d.handle(d.now_us, [ask("m", due=d.now_us + 2900 * MS)])
     refused = [a for a in d.handle(4 * S, [TimerFired("look")]) if isinstance(a, RejectMessage)]
-    assert [a.why for a in refused] in ([HoldReason.WAIT], [])
+    assert [a.hold_reason for a in refused] in ([HoldReason.RETRY_AFTER], [])
 
 
 def test_books_are_bounded() -> None:
-    d = Dispatcher(settings(max_open=10**6), 1, 0)
-    entries = tuple(replace(ENTRIES[0], target=n, destination=n) for n in range(1, 1000))
+    d = Dispatcher(settings(max_open_messages=10**6), 1, 0)
+    entries = tuple(replace(ENTRIES[0], endpoint=n, destination=n) for n in range(1, 1000))
     d.handle(
         0, [EndpointListReceived(EndpointListKind.SAVED, entries), *(EndpointDisabled(n, 0) for n in range(1, 1000))]
     )
     d.handle(0, [ask(f"m{n}", dest=n, due=3 * S) for n in range(1, 1000)])
     d.handle(3 * S, [TimerFired("look")])
     assert not d.messages
-    assert len(d.books.sums) == MAX_HOLD_TIME_ROWS + 1
-    assert d.books.sums[(OTHER_DESTINATIONS, "")][HoldReason.BAN] > 0
+    assert len(d.hold_times.sums_us) == MAX_HOLD_TIME_ROWS + 1
+    assert d.hold_times.sums_us[(OTHER_DESTINATIONS, "")][HoldReason.DISABLED] > 0
 
 
 def test_logs_of_a_fleet_are_added_up(tmp_path: Path) -> None:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -37,9 +37,9 @@
     """A dispatcher with health and one destination, driven by messages that end as a test says."""
 
     def __init__(self, endpoints: int, limits: OutlierSettings = LIMITS, seed: int = 3) -> None:
-        self.d = Dispatcher(settings(slots=8, balancers=1, max_attempts=50), seed, 0)
+        self.d = Dispatcher(settings(slots=8, forwarders=1, max_attempts=50), seed, 0)
         self.health = OutlierDetector(self.d, limits)
-        self.d.parts.append(self.health)
+        self.d.extensions.append(self.health)
         self.d.handle(
             0,
             [
@@ -66,23 +66,23 @@
             actions = self.d.handle(self.now, [*self.owed, arrived])
             self.owed = []
             for s in sends(actions):
-                self.calls[s.target] += 1
-                assert not self.d.targets[s.target].ejected
-                self.owed.append(end(s, fate(s.target, self.now), self.attempts[s.message], took=MS))
-                self.attempts[s.message] += 1
+                self.calls[s.endpoint] += 1
+                assert not self.d.endpoints[s.endpoint].excluded
+                self.owed.append(end(s, fate(s.endpoint, self.now), self.attempts[s.message_id], took=MS))
+                self.attempts[s.message_id] += 1
             self.notes += [a.text for a in actions if isinstance(a, LogLine)]
-            self.most_out = max(self.most_out, sum(t.ejected for t in self.d.targets.values()))
+            self.most_out = max(self.most_out, sum(t.excluded for t in self.d.endpoints.values()))
         return self
 
     def until_ejected(self, number: int, fate: Fate) -> Fleet:
         for _ in range(1000):
-            if self.d.targets[number].ejected:
+            if self.d.endpoints[number].excluded:
                 return self
             self.run(0.1, fate)
         raise AssertionError("never ejected")
 
     def verdicts(self) -> list[Verdict]:
-        return [self.health.verdict(t)[0] for _, t in sorted(self.d.targets.items())]
+        return [self.health.verdict(t)[0] for _, t in sorted(self.d.endpoints.items())]
 
 
 def failing(*numbers: int, outcome: Outcome = Outcome.FAILED) -> Fate:
@@ -100,7 +100,7 @@
     assert set(fleet.verdicts()[:1] + fleet.verdicts()[2:]) == {Verdict.HEALTHY}
     assert fleet.most_out == 1
     assert fleet.calls[2] <= 12
-    assert fleet.d.cold(fleet.d.targets[2])  # what the Dispatcher knows of it is the same
+    assert fleet.d.is_slow_starting(fleet.d.endpoints[2])  # what the Dispatcher knows of it is the same
 
 
 def test_a_share_of_failures_is_enough_where_the_others_have_none() -> None:
@@ -116,7 +116,7 @@
     assert alone.most_out == 0
     assert alone.verdicts() == [Verdict.SUSPECT]
     both = Fleet(2).run(30, failing(1, 2))
-    assert not any(t.ejected for t in both.d.targets.values())
+    assert not any(t.excluded for t in both.d.endpoints.values())
     assert [n for n in both.notes if "2 of 2 endpoints of destination 10 look bad; all stay in use" in n]
     one = both.run(30, failing(2))
     assert one.verdicts()[0] is not Verdict.EJECTED
@@ -128,7 +128,7 @@
     for endpoints in (1, 2, 3):
         fleet = Fleet(endpoints, limits).run(30, failing(*range(1, endpoints + 1)))
         assert fleet.most_out < endpoints
-        assert fleet.d.by_destination[10]
+        assert fleet.d.endpoints_by_destination[10]
 
 
 def test_chance_failures_eject_nobody() -> None:
@@ -143,7 +143,7 @@
 
 
 def test_refusals_are_no_sickness() -> None:
-    fleet = Fleet(3).run(20, failing(2, outcome=Outcome.FULL))
+    fleet = Fleet(3).run(20, failing(2, outcome=Outcome.REJECTED))
     assert fleet.most_out == 0
     assert fleet.health.records[2].bad == 0
 
@@ -174,11 +174,11 @@
 
 def test_a_returning_endpoint_is_on_trial_with_few_calls() -> None:
     fleet = Fleet(3).until_ejected(2, failing(2))
-    while fleet.d.targets[2].ejected:
+    while fleet.d.endpoints[2].excluded:
         fleet.run(0.1, failing(2))
-    t = fleet.d.targets[2]
-    assert t.back_at >= 0
-    assert fleet.d.cold(t)
+    t = fleet.d.endpoints[2]
+    assert t.recovering_since_us >= 0
+    assert fleet.d.is_slow_starting(t)
     before = fleet.calls[2]
     fleet.run(1, failing())
     assert fleet.calls[2] - before < 5  # of 20 messages
@@ -214,7 +214,7 @@
             )
         ],
     )  # the id now serves another destination
-    assert not fleet.d.targets[2].ejected
+    assert not fleet.d.endpoints[2].excluded
     fleet.run(20, failing())
     fleet.d.handle(fleet.now, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(1, 10, "north", "plain"),))])
     fleet.run(5, failing())
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -266,13 +266,23 @@
         (),
     ),
     "the line of a key": (
-        (("decisions/dispatcher.py", "if line.queue[0] is not m or line.out or any(", "if line.out or any("),),
+        (
+            (
+                "decisions/dispatcher.py",
+                "            line.messages[0] is not m\n            or line.in_flight\n",
+                "            line.in_flight\n",
+            ),
+        ),
         "order",
         (),
     ),
     "told waits": (
         (  # decided by, and asked for again as a call leaves
-            ("decisions/dispatcher.py", "        place.wait_until = max(place.wait_until, self.now + wait_us)\n", ""),
+            (
+                "decisions/dispatcher.py",
+                "        place.retry_after_until_us = max(place.retry_after_until_us, self.now_us + wait_us)\n",
+                "",
+            ),
             ("runtime/invariants.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", ""),
         ),
         "wait",
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -253,10 +253,10 @@
 def test_the_settings_are_those_that_the_program_reads(name: str, told: bool) -> None:
     made = plan.make(scenario.load(HERD.with_name(f"{name}.toml"), 20, 1))
     known = parse_settings(facts(made))
-    assert (known.balancers, known.max_attempts, known.fall_us) == (20, 8, 2_000_000)
+    assert (known.forwarders, known.max_attempts, known.overload_window_us) == (20, 8, 2_000_000)
     assert [c.name for c in known.classes] == ["statusvarsel", "refusjon"]
     assert known.classes[1].in_order
-    assert known.weights_told == made.scenario.endpoints.tells_limits == told
+    assert known.weights_reported == made.scenario.endpoints.tells_limits == told
 
 
 @pytest.mark.parametrize("told", [True, False])
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -26,13 +26,13 @@
 from forwarder.decisions.records import Message
 from tests.scripts import MS, S, ask, end, finals, sends, settings
 
-OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.FAILED
+OK, FULL, LATE, FAILED = Outcome.DELIVERED, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.FAILED
 COLD_CALLS = 6.0  # 10 calls a second x 0.2 cold x factor 2 x 1.5 s: what a cold target 1 can take in fall_us
 TOLD = (EndpointEntry(1, 10, "north", "plain", weight=10.0),)
 
 
 def fleet(number: int, **changes: object) -> list[Dispatcher]:
-    known = settings(balancers=number, weights_told=True, slots=3, max_attempts=10**6, **changes)
+    known = settings(forwarders=number, weights_reported=True, slots=3, max_attempts=10**6, **changes)
     made = [Dispatcher(known, seed, 0) for seed in range(number)]
     for d in made:
         d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, TOLD)])
@@ -53,8 +53,8 @@
             for a in actions:
                 if isinstance(a, SendAttempt):
                     times.append(now)
-                    k = tries.get(a.message, 0)
-                    tries[a.message] = k + 1
+                    k = tries.get(a.message_id, 0)
+                    tries[a.message_id] = k + 1
                     events.append(end(a, outcome, k, 5 * MS, **more))
                 elif isinstance(a, SetTimer):
                     wake = now + a.delay_us
@@ -84,7 +84,7 @@
     """hbe47fd: shut targets refused without a wait; hundreds came back every second or two. ccb835b9: the same with
     told waits, where no limit is told. The larger the fleet, the longer each stays away.
     """
-    times = failing(number, FULL, 40 * S, wait_us=wait_us)
+    times = failing(number, FULL, 40 * S, retry_after_us=wait_us)
     assert most_in_window(times, 20 * S, 1500 * MS) <= 45
 
 
@@ -104,7 +104,7 @@
     notes: list[str] = []
     while refused < 8:
         for a in sends(actions):
-            actions = d.handle(now + 80 * MS, [end(a, FULL, refused, 80 * MS, report=told, wait_us=wait_us)])
+            actions = d.handle(now + 80 * MS, [end(a, FULL, refused, 80 * MS, report=told, retry_after_us=wait_us)])
             refused += 1
         notes += [a.text for a in actions if isinstance(a, LogLine)]
         now += 100 * MS
@@ -116,7 +116,7 @@
     back = []
     for d in fleet(60):
         out = sends(d.handle(0, [ask("a", due=60 * S)]))[0]
-        actions = d.handle(5 * MS, [end(out, FULL, wait_us=4 * S)])
+        actions = d.handle(5 * MS, [end(out, FULL, retry_after_us=4 * S)])
         now = 5 * MS
         while not sends(actions):
             now += 20 * MS
@@ -140,7 +140,7 @@
         used = 0 if now % S == 0 else used
         for n, d in enumerate(ds):
             for a in sends(actions[n]):
-                k = tries[n, a.message] = tries.get((n, a.message), -1) + 1
+                k = tries[n, a.message_id] = tries.get((n, a.message_id), -1) + 1
                 used += 1
                 ok = used <= limit
                 delivered, refused = delivered + (ok and now > 5 * S), refused + (not ok and now > 5 * S)
@@ -194,7 +194,7 @@
     now = 100 * MS
     while len(order) < 15 and now < 2 * S:
         late = sends(d.handle(now, [end(s, OK) for s in late]))
-        order += [s.message for s in late]
+        order += [s.message_id for s in late]
         now += 20 * MS
     assert max(order.index(f"fair{n}") for n in range(3)) <= 8
 
@@ -224,7 +224,7 @@
     """d08e7732: idle connections of all filled what a target accepts; two in three attempts got none.
     c43c08c6: none was kept for longer than 0.2 s, and nearly every call cost a handshake.
     """
-    d, now = fleet(number, conn_idle_us=5 * S)[0], 0
+    d, now = fleet(number, idle_timeout_us=5 * S)[0], 0
 
     def sent(actions: list[Action]) -> SendAttempt:
         nonlocal now
@@ -247,7 +247,7 @@
 
 def test_the_end_of_an_outage_is_no_want_of_connections() -> None:
     """f76aa4e0: after an outage of 5 s all closed their connections after 0.2 s for the rest of the day."""
-    d, now = fleet(60, conn_idle_us=5 * S)[0], 0
+    d, now = fleet(60, idle_timeout_us=5 * S)[0], 0
     actions = d.handle(now, [ask("a", due=200 * S)])
     for attempt, outcome in enumerate([Outcome.NO_CONNECTION] * 4 + [OK]):
         while not sends(actions):
@@ -261,7 +261,7 @@
 
 
 def test_a_dead_target_does_not_cost_the_others_their_connections() -> None:
-    d = fleet(60, conn_idle_us=5 * S)[0]
+    d = fleet(60, idle_timeout_us=5 * S)[0]
     d.handle(
         0, [EndpointListReceived(EndpointListKind.WHOLE, (*TOLD, EndpointEntry(2, 11, "north", "plain", weight=10.0)))]
     )
@@ -277,7 +277,7 @@
 
 
 def test_a_dead_idle_connection_is_no_outage_and_is_not_used_again() -> None:
-    d = fleet(2, conn_idle_us=5 * S)[0]
+    d = fleet(2, idle_timeout_us=5 * S)[0]
     out = sends(d.handle(0, [ask("a")]))[0]
     d.handle(100 * MS, [end(out, OK)])
     out = sends(d.handle(2 * S, [ask("b", due=9 * S)]))[0]
@@ -295,7 +295,7 @@
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     d.handle(0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)])
     looked: list[int] = []
-    plain = Dispatcher.drop_at
+    plain = Dispatcher.give_up_at_us
 
     def counted(self: Dispatcher, m: Message) -> int:
         looked.append(m.destination)
@@ -367,7 +367,7 @@
 def test_many_whose_question_for_the_list_failed_at_once_ask_again_apart() -> None:
     """Discovery short of room: each has one question out, and comes back later and at times of its own."""
     asked: list[list[int]] = []
-    for d in fleet(48, subscribe=True):
+    for d in fleet(48, poll_endpoint_list=True):
         at: list[int] = []
         d.handle(0, [EndpointListReceived(EndpointListKind.FAILED)])
         for now in range(10 * MS, 8 * S, 10 * MS):
@@ -385,15 +385,15 @@
     """When each of many that start at once, and know of an outage that lasts, first calls its target."""
     times = []
     for n in range(number):
-        d = Dispatcher(settings(balancers=number, weights_told=True, slots=3), seed * 10_000 + n, 100 * S)
+        d = Dispatcher(settings(forwarders=number, weights_reported=True, slots=3), seed * 10_000 + n, 100 * S)
         actions = d.handle(
             100 * S,
             [EndpointListReceived(EndpointListKind.SAVED, TOLD), EjectionRecovered(1, 80 * S), ask("m", due=900 * S)],
         )
         while not sends(actions):
             [timer] = [a for a in actions if isinstance(a, SetTimer)]
-            actions = d.handle(d.now + timer.delay_us, [TimerFired("look")])
-        times.append(d.now - 100 * S)
+            actions = d.handle(d.now_us + timer.delay_us, [TimerFired("look")])
+        times.append(d.now_us - 100 * S)
     return sorted(times)
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -123,7 +123,7 @@
         p.start(call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
-        assert ends[0].wait_us == 60_000_000
+        assert ends[0].retry_after_us == 60_000_000
         p.close_idle(1)
         p.start(call(Clock(), "b"))
         while len(ends) < 2:
@@ -149,7 +149,7 @@
         p.start(EndpointCall(1, (7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
-        assert [(e.outcome, e.wait_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
+        assert [(e.outcome, e.retry_after_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
         p.close()
 
     asyncio.run(scene())
@@ -159,8 +159,8 @@
     d = Dispatcher(parse_settings(SETTINGS), 1, 0)
     for n in range(3000):
         d.handle(n, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(n, 7, kind="plain"),))])
-    assert len(d.targets) <= 2001
-    assert 2999 in d.targets
+    assert len(d.endpoints) <= 2001
+    assert 2999 in d.endpoints
 
 
 class CountedNames(dict[str, int]):
@@ -312,7 +312,7 @@
         while not ends:
             await asyncio.sleep(0.01)
         assert ends[0].outcome is Outcome.TIMED_OUT
-        assert not ends[0].closed
+        assert not ends[0].is_final
         while p.all:
             await asyncio.sleep(0.01)
         assert p.out == 0
@@ -357,7 +357,7 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
-        assert [(e.outcome, e.closed) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
+        assert [(e.outcome, e.is_final) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
         assert p.out == 0
         assert not p.calls
         p.close()
@@ -390,12 +390,12 @@
             p.start(call(Clock(), "c"))
             while len(ends) < 3:
                 await asyncio.sleep(0.01)
-        assert [(e.message, e.outcome) for e in ends] == [
+        assert [(e.message_id, e.outcome) for e in ends] == [
             ("a", Outcome.DELIVERED),
             ("b", Outcome.DELIVERED),
-            ("c", Outcome.FULL),
+            ("c", Outcome.REJECTED),
         ]
-        assert ends[2].wait_us == 700_000
+        assert ends[2].retry_after_us == 700_000
         assert not p.idle.get(1)
         p.close()
 
@@ -419,7 +419,7 @@
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
-        assert (ends[0].outcome, ends[0].wait_us) == (Outcome.FULL, 700_000)
+        assert (ends[0].outcome, ends[0].retry_after_us) == (Outcome.REJECTED, 700_000)
         assert len(p.idle[1]) == 1
         p.close()
 
@@ -458,7 +458,7 @@
         free.set()
         while p.out:
             await asyncio.sleep(0.01)
-        assert [(e.message, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
+        assert [(e.message_id, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
         p.close()
 
     asyncio.run(scene())
@@ -485,7 +485,7 @@
         )
         while not ends:
             await asyncio.sleep(0.01)
-        assert {(e.message, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
+        assert {(e.message_id, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
         while p.all:
             await asyncio.sleep(0.01)
         p.close()
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -84,9 +84,9 @@
         total = 0.0
         for name, t in self.turns.items():
             heard = self.believed(name)
-            t.see(self.now, {1} if name in self.holding else set(), heard)
-            if self.said[name] != (1 in t.since):
-                self.said[name] = 1 in t.since
+            t.update(self.now, {1} if name in self.holding else set(), heard)
+            if self.said[name] != (1 in t.holding_since_us):
+                self.said[name] = 1 in t.holding_since_us
                 self.due += [
                     (self.now + self.random.randrange(TOLD), other, name, (self.now, self.said[name]))
                     for other in self.names
@@ -141,7 +141,7 @@
     many.holding = set(many.names)
     for _ in range(40):
         many.step()
-    assert sum(1 in t.since for t in many.turns.values()) <= 2 * MAX_HOLDERS, "the rest say nothing of it"
+    assert sum(1 in t.holding_since_us for t in many.turns.values()) <= 2 * MAX_HOLDERS, "the rest say nothing of it"
 
 
 def test_while_a_cut_is_not_noticed_the_slack_is_that_half_and_then_none() -> None:
@@ -161,9 +161,9 @@
 
 def fleet_of(size: int = 10) -> tuple[Dispatcher, GossipExtension]:
     entries = tuple(EndpointEntry(n, n // 2, "north", "plain", weight=10.0) for n in range(2, 10))
-    d = Dispatcher(settings(balancers=size, weights_told=True), 7, 0)
+    d = Dispatcher(settings(forwarders=size, weights_reported=True), 7, 0)
     policy = GossipExtension(d, FleetQuota(size, 4 * S, 60 * S, 2 * S, S), turns("me"))
-    d.parts.append(policy)
+    d.extensions.append(policy)
     view = FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(size))))
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries), view])
     d.handle(5 * S, [view])
@@ -180,24 +180,24 @@
 def test_two_that_saw_an_outage_put_the_target_in_turns_and_one_makes_it_doubtful() -> None:
     d, policy = fleet_of()
     actions = d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1), (4, "a", 5 * S, -1))])
-    assert d.cold(d.targets[2])
+    assert d.is_slow_starting(d.endpoints[2])
     assert EjectionChanged(2, 5 * S, -1) in actions
-    assert policy.by_word == {2}
-    assert not d.cold(d.targets[4])
-    assert d.targets[4].failing == FAIL_MARK
-    assert 2 in {t.id for t in d.by_destination[1]}, "it stays in use"
+    assert policy.ejected_by_gossip == {2}
+    assert not d.is_slow_starting(d.endpoints[4])
+    assert d.endpoints[4].error_rate == FAIL_MARK
+    assert 2 in {t.id for t in d.endpoints_by_destination[1]}, "it stays in use"
     assert not [a for a in actions if isinstance(a, AnnounceEjection)], "only who saw it says so"
     actions = d.handle(7 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
-    assert d.targets[2].back_at == 6500 * MS
+    assert d.endpoints[2].recovering_since_us == 6500 * MS
     assert EjectionChanged(2, 5 * S, 6500 * MS) in actions
 
 
 def test_a_broken_forwarder_that_says_all_are_down_takes_none_and_doubts_few() -> None:
     d, policy = fleet_of()
     d.handle(6 * S, [said(*((n, "broken", 5 * S, -1) for n in range(2, 10)))])
-    assert not any(d.cold(t) for t in d.targets.values())
-    assert not policy.by_word
-    doubted = {t.destination for t in d.targets.values() if t.failing}
+    assert not any(d.is_slow_starting(t) for t in d.endpoints.values())
+    assert not policy.ejected_by_gossip
+    doubted = {t.destination for t in d.endpoints.values() if t.error_rate}
     assert len(doubted) == max(1, int(MAX_SUSPECTED_SHARE * 4))
 
 
@@ -206,32 +206,32 @@
     send = sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))[0]
     d.handle(6100 * MS, [end(send, Outcome.DELIVERED)])
     d.handle(7 * S, [said(*((n, seer, 6 * S, -1) for n in (2, 3) for seer in ("a", "b")))])
-    assert not d.cold(d.targets[send.target])
-    assert d.cold(d.targets[5 - send.target])
-    d.handle(8 * S, [said((send.target, "a", 7 * S, -1), (send.target, "b", 7 * S, -1))])
-    assert d.cold(d.targets[send.target])
+    assert not d.is_slow_starting(d.endpoints[send.endpoint])
+    assert d.is_slow_starting(d.endpoints[5 - send.endpoint])
+    d.handle(8 * S, [said((send.endpoint, "a", 7 * S, -1), (send.endpoint, "b", 7 * S, -1))])
+    assert d.is_slow_starting(d.endpoints[send.endpoint])
 
 
 def test_a_target_out_here_is_back_by_the_word_of_one_and_only_if_that_is_newer() -> None:
     d, policy = fleet_of()
-    t = d.targets[2]
+    t = d.endpoints[2]
     d.handle(6 * S, [EjectionRecovered(2, 5 * S)])
     d.handle(7 * S, [said((2, "a", 4 * S, 5500 * MS))])
-    assert t.back_at < 0, "our own try was later"
+    assert t.recovering_since_us < 0, "our own try was later"
     d.handle(8 * S, [said((2, "a", 4 * S, 7500 * MS))])
-    assert t.back_at == 7500 * MS
-    assert t.outage_at == 5 * S
-    assert t.failing <= FAIL_MARK
-    assert policy.by_word == {2}
-    d.targets[3].serving = False
-    d.index()
+    assert t.recovering_since_us == 7500 * MS
+    assert t.ejected_at_us == 5 * S
+    assert t.error_rate <= FAIL_MARK
+    assert policy.ejected_by_gossip == {2}
+    d.endpoints[3].serving = False
+    d.index_endpoints()
     tried, now = 0, 8 * S
     while not tried:
         now += 100 * MS
         for n, send in enumerate(sends(d.handle(now, [ask(f"m{now}", 1, due=now + 6 * S)]))):
             tried += 1
             d.handle(now + MS + n, [end(send, Outcome.NO_CONNECTION)])
-    assert t.back_at < 0 and policy.by_word == set(), "seen here to be out after all"
+    assert t.recovering_since_us < 0 and policy.ejected_by_gossip == set(), "seen here to be out after all"
 
 
 def test_who_is_served_by_what_others_take_to_be_out_tells_them() -> None:
@@ -239,40 +239,40 @@
     d.handle(6 * S, [said((2, "a", 5 * S, -1), (3, "a", 5 * S, -1))])
     send = sends(d.handle(7 * S, [ask("m", 1, due=12 * S)]))[0]
     actions = d.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
-    assert [a for a in actions if isinstance(a, AnnounceEjection)] == [AnnounceEjection(send.target, -1, 7100 * MS)]
+    assert [a for a in actions if isinstance(a, AnnounceEjection)] == [AnnounceEjection(send.endpoint, -1, 7100 * MS)]
     d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)])
-    assert not d.cold(d.targets[5]), "who was served by it did not see it fail"
+    assert not d.is_slow_starting(d.endpoints[5]), "who was served by it did not see it fail"
     d.handle(9 * S, [said((4, "b", -1, 8500 * MS))])
-    assert d.targets[4].back_at == 8500 * MS
+    assert d.endpoints[4].recovering_since_us == 8500 * MS
 
 
 def test_words_that_are_too_old_leave_nothing_behind_unless_it_was_seen_here() -> None:
     d, policy = fleet_of()
     d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)])
     actions = d.handle(19 * S, [GossipReceived()])
-    assert not d.cold(d.targets[2])
+    assert not d.is_slow_starting(d.endpoints[2])
     assert EjectionChanged(2, -1, -1) in actions
-    assert not policy.by_word
-    assert d.cold(d.targets[4])
-    assert d.targets[4].failing == SURE_MARK
+    assert not policy.ejected_by_gossip
+    assert d.is_slow_starting(d.endpoints[4])
+    assert d.endpoints[4].error_rate == SURE_MARK
 
 
 def test_a_told_wait_of_others_costs_one_interval_of_the_pace_at_most() -> None:
     d, _ = fleet_of()
-    place = d.targets[2].place
-    place.limit, place.left = 20.0, 0.4
-    interval = int(d.interval(place))
-    d.handle(6 * S, [GossipReceived(waits=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
-    assert place.pace_at == 6 * S + interval < 9 * S
-    assert place.wait_until == 0
-    d.handle(6 * S + MS, [GossipReceived(waits=(((1, -1), 6 * S + 2 * MS),))])
-    assert place.pace_at == 6 * S + interval, "no later than the wait itself"
+    place = d.endpoints[2].limit_scope
+    place.limit_per_s, place.limit_left = 20.0, 0.4
+    interval = int(d.call_interval_us(place))
+    d.handle(6 * S, [GossipReceived(retry_afters=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
+    assert place.next_call_at_us == 6 * S + interval < 9 * S
+    assert place.retry_after_until_us == 0
+    d.handle(6 * S + MS, [GossipReceived(retry_afters=(((1, -1), 6 * S + 2 * MS),))])
+    assert place.next_call_at_us == 6 * S + interval, "no later than the wait itself"
 
 
 def test_what_this_forwarder_sees_is_told_and_what_it_holds() -> None:
     d, _ = fleet_of()
-    d.targets[3].serving = False
-    d.index()
+    d.endpoints[3].serving = False
+    d.index_endpoints()
     told: list[Action] = []
     now = 6 * S
     for n in range(4):
@@ -282,47 +282,51 @@
         told += d.handle(now, [])
     outages = [a for a in told if isinstance(a, AnnounceEjection)]
     assert outages
-    assert {a.target for a in outages} == {2}
-    assert all(a.back_us < 0 for a in outages)
+    assert {a.endpoint for a in outages} == {2}
+    assert all(a.recovering_since_us < 0 for a in outages)
     assert AnnounceHolding(frozenset({2})) in told
     send = sends(told)[-1] if sends(told) else None
     while send is None:
         now += 200 * MS
         send = next(iter(sends(d.handle(now, []))), None)
-    told = d.handle(now + 50 * MS, [end(send, Outcome.FULL, attempt=d.messages[send.message].attempts - 1, wait_us=S)])
+    told = d.handle(
+        now + 50 * MS, [end(send, Outcome.REJECTED, attempt=d.messages[send.message_id].attempts - 1, retry_after_us=S)]
+    )
     assert [a for a in told if isinstance(a, AnnounceRetryAfter)] == [AnnounceRetryAfter((1, -1), now + 50 * MS + S)]
 
 
 def test_no_call_before_the_others_were_asked_and_none_later_than_the_bound() -> None:
     for answered in (True, False):
         d, _ = fleet_of()
-        d.asking_until = 8 * S
+        d.peers_queried_until_us = 8 * S
         assert not sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))
-        assert d.why("m")[0][0] is HoldReason.START
+        assert d.hold_times_of("m")[0][0] is HoldReason.STARTING
         assert bool(sends(d.handle(7 * S, [PeersQueried()] if answered else []))) is answered
         assert bool(sends(d.handle(8 * S, []))) is not answered
 
 
 def test_cold_turns_are_shorter_for_the_few_that_hold_and_as_ever_without_the_part() -> None:
-    plain = Dispatcher(settings(balancers=10, weights_told=True), 7, 0)
+    plain = Dispatcher(settings(forwarders=10, weights_reported=True), 7, 0)
     plain.handle(
         0, [EndpointListReceived(EndpointListKind.SAVED, (EndpointEntry(2, 1, "north", "plain", weight=10.0),))]
     )
-    assert plain.targets[2].crowd == 0
-    assert plain.asking_until == 0
+    assert plain.endpoints[2].slow_start_divisor == 0
+    assert plain.peers_queried_until_us == 0
     d, _ = fleet_of()
-    d.targets[3].serving = False
-    d.index()
+    d.endpoints[3].serving = False
+    d.index_endpoints()
     lengths, wide = [], FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(10))))
     d.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
     for now in (6 * S, 7 * S, 9 * S):
         d.handle(now, [wide, ask(f"m{now}", 1, due=60 * S)])
-        lengths.append(d.targets[2].crowd)
+        lengths.append(d.endpoints[2].slow_start_divisor)
     assert lengths[0] == 20
     assert lengths[-1] == pytest.approx(1 / (0.05 + 0.5))
     d.handle(9 * S, [GossipReceived(holders={2: frozenset({"a", "b", "c"})})])
-    assert d.targets[2].crowd == pytest.approx(1 / (0.05 + 0.125))
+    assert d.endpoints[2].slow_start_divisor == pytest.approx(1 / (0.05 + 0.125))
     d.handle(9 * S, [FleetViewChanged(FleetView(frozenset({"n1", "n2"})))])
-    assert d.targets[2].crowd == 20 and d.size == 10, "cut off: nothing of the holders' half"
+    assert d.endpoints[2].slow_start_divisor == 20 and d.fleet_size == 10, "cut off: nothing of the holders' half"
     d.handle(11 * S, [])
-    assert d.targets[2].crowd == d.size == 20, "and its own is held back once others may have taken it"
+    assert d.endpoints[2].slow_start_divisor == d.fleet_size == 20, (
+        "and its own is held back once others may have taken it"
+    )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -175,7 +175,7 @@
     assert not sends(d.handle(S, [ask("a"), ask("b"), ask("c")]))
     d.handle(2 * S, [EndpointListReceived(EndpointListKind.WHOLE, ENTRIES)])
     first = d.handle(3 * S, [EndpointEnabled(1), EndpointEnabled(1)])
-    assert [s.target for s in sends(first)] == [1], "one at a time, and none for the other"
+    assert [s.endpoint for s in sends(first)] == [1], "one at a time, and none for the other"
     assert EjectionChanged(1, 0, 3 * S) in first
     again = d.handle(3 * S + 5 * MS, [end(sends(first)[0], Outcome.DELIVERED, took=5 * MS)])
     assert not sends(again), "a cold endpoint gets turns"
--- a/tests/test_order_model.py
+++ b/tests/test_order_model.py
@@ -23,12 +23,12 @@
 OUTCOMES = (
     Outcome.DELIVERED,
     Outcome.FAILED,
-    Outcome.FULL,
+    Outcome.REJECTED,
     Outcome.TIMED_OUT,
     Outcome.RESET,
     Outcome.NO_CONNECTION,
     Outcome.UNREADABLE,
-    Outcome.HELD_BACK,
+    Outcome.LOCAL_FAILURE,
 )
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace")
 
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -35,7 +35,7 @@
     with contextlib.redirect_stdout(out):
         for block in code:
             exec(compile(block, "README.md", "exec"), {})
-    assert out.getvalue() == "send m1 to target 1\nstill to do: []\n"
+    assert out.getvalue() == "send m1 to endpoint 1\nstill to do: []\n"
 
 
 def test_readme_names_the_test_command() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
 @profile(derandomize=True, max_examples=15, deadline=None)
 @given(st.integers(0, 10**6), st.sampled_from([1, 2, 40]), st.sampled_from([1, 3]))
 def test_rules_hold_with_few_or_many_of_everything(seed: int, slots: int, attempts: int) -> None:
-    play(seed, 500, slots=slots, max_attempts=attempts, tenants=(), balancers=1, kinds=(), retry_after=False)
+    play(seed, 500, slots=slots, max_attempts=attempts, tenants=(), forwarders=1, kinds=(), retry_after_allowed=False)
 
 
 def test_scripts_see_every_kind_of_answer() -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -13,13 +13,15 @@
 import socket
 import threading
 import time
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
 import pytest
 
 from forwarder.decisions.settings import Effect, MessageClass, Scope
-from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, memory, receive
+from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
+from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.store import AcceptedMessage, MessageStore, PendingNotice
@@ -201,15 +203,52 @@
 
 def test_the_memory_that_was_handed_over_is_read_field_by_field() -> None:
     told = TOLD["memory"]
-    found = memory(told)
-    assert [[*row] for row in found.places] == told["places"]
-    assert len(found.places) == 7
-    assert [[*row] for row in found.targets] == told["targets"]
-    assert len(found.targets) == 7
-    assert (found.rests, found.purses, found.idle_us) == (told["rests"], told["purses"], told["idle_us"])
-    assert [(c.target, c.sent_us, c.idle_us, c.gap_us, c.judged, c.attempts) for c in found.calls] == [
-        (c["target"], c["sent_us"], c["idle_us"], c["gap_us"], c["judged"], (("out", 0),)) for c in told["calls"]
+    found = learned_state_from_stored(told)
+    assert [(*scope[:2], as_stored(scope[2], SCOPE_FIELDS)) for scope in found.limit_scopes] == [
+        (destination, endpoint, stored) for destination, endpoint, stored in told["places"]
     ]
+    assert [(number, as_stored(fields, ENDPOINT_FIELDS)) for number, fields in found.endpoints] == [
+        (number, stored) for number, stored in told["targets"]
+    ]
+    assert (len(found.limit_scopes), len(found.endpoints)) == (7, 7)
+    assert found.key_backoffs == told["rests"]
+    assert found.tenant_buckets == told["purses"]
+    assert found.trusted_idle_us == told["idle_us"]
+    assert [
+        (c.endpoint, c.sent_us, c.connection_idle_us, c.since_previous_us, c.counted, c.attempts) for c in found.calls
+    ] == [(c["target"], c["sent_us"], c["idle_us"], c["gap_us"], c["judged"], (("out", 0),)) for c in told["calls"]]
+    assert json.loads(json.dumps(learned_state_to_stored(found))) == told, "and is written as it was"
+
+
+SCOPE_FIELDS = {
+    "window": "concurrency_window",
+    "mean": "expected_call_us",
+    "seed": "initial_call_us",
+    "mean_at": "learned_at_us",
+    "wait_until": "retry_after_until_us",
+    "rest_until": "backoff_until_us",
+    "rest": "backoff_us",
+    "cut_at": "window_cut_at_us",
+    "limit": "limit_per_s",
+    "left": "limit_left",
+    "share": "quota_share",
+    "told_at": "reported_at_us",
+    "pace_at": "next_call_at_us",
+}
+ENDPOINT_FIELDS = {
+    "failing": "error_rate",
+    "tried_at": "last_call_at_us",
+    "idle_at": "idle_since_us",
+    "outage_at": "ejected_at_us",
+    "back_at": "recovering_since_us",
+    "spread": "slow_start_jitter",
+}
+
+
+def as_stored(fields: Mapping[str, float], names: dict[str, str]) -> dict[str, float]:
+    """The fields under their stored names; nothing else may be among them."""
+    assert set(fields) == set(names.values())
+    return {stored: fields[name] for stored, name in names.items()}
 
 
 def test_what_is_handed_over_has_the_fields_that_it_had(tmp_path: Path) -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -32,7 +32,7 @@
 
 def joined(share: float = 0.5, **changes: object) -> Dispatcher:
     d = Dispatcher(settings(**changes), 7, 0)
-    d.parts.append(StreamRouter(d, share))
+    d.extensions.append(StreamRouter(d, share))
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES)])
     return d
 
@@ -60,11 +60,13 @@
     made = routes(d.handle(0, [StreamRequested(1, 10)]))
     assert [r.stream for r in made] == [1]
     assert made[0].target in (1, 2)
-    assert d.calls_out == 1
-    assert d.targets[made[0].target].place.streams == 1
+    assert d.calls_in_flight == 1
+    assert d.endpoints[made[0].target].limit_scope.streams_in_flight == 1
     d.handle(0, [StreamEnded(1)])
-    assert d.calls_out == 0
-    assert all(t.out == t.place.out == t.place.streams == 0 for t in d.targets.values())
+    assert d.calls_in_flight == 0
+    assert all(
+        t.in_flight == t.limit_scope.in_flight == t.limit_scope.streams_in_flight == 0 for t in d.endpoints.values()
+    )
 
 
 def test_without_a_target_or_a_slot_it_is_turned_away_with_a_time() -> None:
@@ -74,7 +76,7 @@
     assert len(routes(d.handle(0, [StreamRequested(2, 10), StreamRequested(3, 10)]))) == 1  # the window is one at first
     now = grown(d, 11)
     assert len(routes(d.handle(now, [StreamRequested(n, 11) for n in range(20, 30)]))) == 3  # one is out
-    assert d.calls_out == 4 == most_streams(8, 0.5)
+    assert d.calls_in_flight == 4 == most_streams(8, 0.5)
 
 
 def test_streams_leave_messages_a_slot_at_each_destination() -> None:
@@ -82,7 +84,7 @@
     d = joined()
     assert routes(d.handle(0, [StreamRequested(1, 10)]))
     out = sends(d.handle(0, [ask("a"), ask("b")]))
-    assert [s.message for s in out] == ["a"]
+    assert [s.message_id for s in out] == ["a"]
     assert not routes(d.handle(10 * MS, [StreamRequested(2, 10)]))
     now = grown(d, 11, 12)
     taken = routes(d.handle(now, [StreamRequested(n, 11) for n in range(20, 30)]))
@@ -98,14 +100,14 @@
 
 
 def test_a_told_wait_binds_streams_and_one_told_to_a_stream_binds_messages() -> None:
-    d = joined(balancers=1)
+    d = joined(forwarders=1)
     (sent,) = sends(d.handle(0, [ask("a", dest=11)]))
-    d.handle(1, [end(sent, Outcome.FULL, wait_us=2 * S)])
+    d.handle(1, [end(sent, Outcome.REJECTED, retry_after_us=2 * S)])
     d.handle(2, [MessageWithdrawn("a")])
     (away,) = turned(d.handle(S, [StreamRequested(1, 11)]))
     assert 1 * S <= away.wait_us <= 1.5 * 1.1 * S
     assert routes(d.handle(3 * S, [StreamRequested(2, 11)]))
-    d.handle(3 * S, [StreamAttemptEnded(2, Outcome.FULL, 5 * S), StreamEnded(2)])
+    d.handle(3 * S, [StreamAttemptEnded(2, Outcome.REJECTED, 5 * S), StreamEnded(2)])
     assert not sends(d.handle(4 * S, [ask("b", dest=11, due=30 * S)]))
     assert sends(d.handle(9 * S, []))
 
@@ -113,8 +115,8 @@
 def test_failing_streams_are_signs_of_an_outage_and_halve_the_window() -> None:
     d = joined()
     now = grown(d, 11, 6)
-    place = d.targets[3].place
-    had = place.window
+    place = d.endpoints[3].limit_scope
+    had = place.concurrency_window
     assert had > 2
     notes = []
     for n in range(3):
@@ -123,8 +125,8 @@
         notes += actions
         if routes(actions):
             notes += d.handle(now, [StreamAttemptEnded(n, Outcome.TIMED_OUT), StreamEnded(n)])
-    assert place.window <= had / 2
-    assert any(isinstance(a, EjectionChanged) and a.target == 3 for a in notes)
+    assert place.concurrency_window <= had / 2
+    assert any(isinstance(a, EjectionChanged) and a.endpoint == 3 for a in notes)
 
 
 def test_another_target_than_before_is_taken_on_a_second_try() -> None:
@@ -135,7 +137,7 @@
         d.handle(now, [StreamAttemptEnded(1, Outcome.NO_CONNECTION), StreamRequested(1, 10, first.target)])
     )
     assert {first.target, second.target} == {1, 2}
-    assert d.calls_out == 1
+    assert d.calls_in_flight == 1
 
 
 def test_banned_and_drained_targets_get_no_stream() -> None:
@@ -170,8 +172,8 @@
     entry = EndpointEntry(1, 10, "north", "plain", weight=10.0)
     gone: list[int] = []
     for seed in range(10):
-        d = Dispatcher(settings(balancers=10, weights_told=True), seed, 0)
-        d.parts.append(StreamRouter(d, 0.5))
+        d = Dispatcher(settings(forwarders=10, weights_reported=True), seed, 0)
+        d.extensions.append(StreamRouter(d, 0.5))
         start = seed * 137 * MS
         d.handle(start, [EndpointListReceived(EndpointListKind.SAVED, (entry,)), EjectionRecovered(1, 0, 0)])
         for n in range(500):
@@ -203,37 +205,40 @@
                 events.append(ask(f"m{n}", r.choice((10, 11, 12)), due=now + 6 * S))
             if out and r.random() < 0.5:
                 stream = out.pop(r.randrange(len(out)))
-                told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.FULL, Outcome.RESET))
+                told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.REJECTED, Outcome.RESET))
                 events += [StreamAttemptEnded(stream, told), StreamEnded(stream)]
             if calls and r.random() < 0.6:
                 sent, number = calls.pop(r.randrange(len(calls)))
-                told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.FULL, Outcome.FAILED))
+                told = r.choice((Outcome.DELIVERED, Outcome.DELIVERED, Outcome.REJECTED, Outcome.FAILED))
                 events.append(end(sent, told, number))
             for a in d.handle(now, events):
                 match a:
                     case RouteStream(stream, target):
-                        assert d.targets[target].serving
+                        assert d.endpoints[target].serving
                         out.append(stream)
                     case SendAttempt(message):
                         calls.append((a, attempts.get(message, 0)))
                         attempts[message] = attempts.get(message, 0) + 1
-                        place = d.targets[a.target].place
-                        assert place.out <= max(place.window, place.streams + 1)
+                        place = d.endpoints[a.endpoint].limit_scope
+                        assert place.in_flight <= max(place.concurrency_window, place.streams_in_flight + 1)
             assert len(out) <= most_streams(8, 0.5)
             assert sum(
-                t.place.streams for t in {t.place.destination: t for t in d.targets.values() if not t.apart}.values()
-            ) + sum(t.place.streams for t in d.targets.values() if t.apart) == len(out)
-            for destination, targets in d.by_destination.items():
-                streams = sum(t.place.streams for t in targets) // (1 if targets[0].apart else len(targets))
+                t.limit_scope.streams_in_flight
+                for t in {t.limit_scope.destination: t for t in d.endpoints.values() if not t.separate_route}.values()
+            ) + sum(t.limit_scope.streams_in_flight for t in d.endpoints.values() if t.separate_route) == len(out)
+            for destination, targets in d.endpoints_by_destination.items():
+                streams = sum(t.limit_scope.streams_in_flight for t in targets) // (
+                    1 if targets[0].separate_route else len(targets)
+                )
                 assert streams < int(0.75 * 8), destination
         now += 60 * S
         ended = [StreamEnded(stream) for stream in out] + [end(sent, Outcome.DELIVERED, n) for sent, n in calls]
         while calls:
             actions = d.handle(now, ended)
-            calls = [(s, attempts.setdefault(s.message, 0)) for s in sends(actions)]
+            calls = [(s, attempts.setdefault(s.message_id, 0)) for s in sends(actions)]
             for s, _ in calls:
-                attempts[s.message] += 1
+                attempts[s.message_id] += 1
             ended = [end(s, Outcome.DELIVERED, n) for s, n in calls]
         d.handle(now, ended)
-        assert d.calls_out == 0
-        assert all(t.place.streams == t.place.out == 0 for t in d.targets.values())
+        assert d.calls_in_flight == 0
+        assert all(t.limit_scope.streams_in_flight == t.limit_scope.in_flight == 0 for t in d.endpoints.values())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,6 @@
 import signal
 import socket
 from collections.abc import Callable
-from dataclasses import asdict
 from pathlib import Path
 
 import pytest
@@ -25,7 +24,8 @@
     TimerFired,
 )
 from forwarder.decisions.outcomes import Outcome
-from forwarder.runtime.ownership import ASK, HEAD, Ownership, memory, receive
+from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
+from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always, hang, message
 from tests.test_node import folder_nodes, ids, node_on, play, target
@@ -288,8 +288,15 @@
 def heir_of(d: Dispatcher, messages: list[Event], now: int) -> Dispatcher:
     """A dispatcher that takes over from another, with its memory as it comes over the wire."""
     new = Dispatcher(settings(), 8, now)
-    told = json.loads(json.dumps(asdict(d.memory())))
-    new.handle(now, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES), *messages, HandoverReceived(memory(told))])
+    told = json.loads(json.dumps(learned_state_to_stored(d.learned_state())))
+    new.handle(
+        now,
+        [
+            EndpointListReceived(EndpointListKind.SAVED, ENTRIES),
+            *messages,
+            HandoverReceived(learned_state_from_stored(told)),
+        ],
+    )
     return new
 
 
@@ -298,7 +305,7 @@
     cls = {c.name: c for c in settings().classes}["turns"]
     first = sends(d.handle(0, [ask("a", 11, cls="turns", due=9 * S, key="k")]))[0]
     full = sends(d.handle(0, [ask("x")]))[0]
-    d.handle(MS, [end(full, Outcome.FULL, wait_us=3 * S), ask("b", 11, cls="turns", due=9 * S, key="k")])
+    d.handle(MS, [end(full, Outcome.REJECTED, retry_after_us=3 * S), ask("b", 11, cls="turns", due=9 * S, key="k")])
     held: list[Event] = [
         MessageRecovered("x", 10, settings().classes[0], 6 * S, attempts=1),
         MessageRecovered("a", 11, cls, 9 * S, "k", attempts=1),
@@ -307,9 +314,9 @@
     new = heir_of(d, held, 2 * MS)
     assert not sends(new.handle(S, [ask("y")])), "the wait still binds, and the key is still out"
     after = sends(new.handle(2 * S, [end(first, Outcome.DELIVERED)]))
-    assert [s.message for s in after] == ["b"]
-    assert {s.message for s in sends(new.handle(4 * S, [TimerFired("look")]))} <= {"x", "y"}
-    assert new.calls_out == len(new.attempts) > 1
+    assert [s.message_id for s in after] == ["b"]
+    assert {s.message_id for s in sends(new.handle(4 * S, [TimerFired("look")]))} <= {"x", "y"}
+    assert new.calls_in_flight == len(new.attempts) > 1
 
 
 def test_what_the_platform_refuses_of_an_upgrade_is_logged_once_and_left_out(
