--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,7 +35,7 @@
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
-from tests import test_node as real
+from tests import scenes as real
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
     OK,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,8 +23,8 @@
 from forwarder.storage.clock import Anchor, base_ns
 from forwarder.storage.store import PendingNotice
 from lab.shim import FILE_CALLS, Failure
+from tests.scenes import folder_nodes, ids, play, target
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always
-from tests.test_node import folder_nodes, ids, play, target
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
 MESSAGES = 40
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -12,8 +12,8 @@
 import pytest
 
 from lab.shim import Failure
+from tests.scenes import folder_nodes, ids, node_on, play, target
 from tests.sockets import OK, Answer, Client, Node, Platform, Request, always, message, once
-from tests.test_node import folder_nodes, ids, node_on, play, target
 
 DESCRIPTORS = 256  # as Node configures
 RESTING_CLIENTS = 500  # under the listener's backlog
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,21 +9,19 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 
 from forwarder.discovery.watch import FIRST_HOLD_MS, HOLD_MS
+from tests.scenes import ids, node_on, play, target
 from tests.sockets import (
     OK,
     PATIENCE,
     ROOT,
     SETTINGS,
     Answer,
-    Node,
-    Peer,
     Platform,
     always,
     free_port,
@@ -31,40 +29,6 @@
     message,
 )
 
-Scene = Callable[[Platform, Path], Awaitable[None]]
-
-
-def play(scene: Scene, folder: Path) -> None:
-    async def run() -> None:
-        platform = Platform()
-        await platform.start()
-        nodes: list[Node] = []
-        folder_nodes.append(nodes)
-        try:
-            await scene(platform, folder)
-        finally:
-            for node in nodes:
-                await node.end()
-            folder_nodes.pop()
-
-    asyncio.run(run())
-
-
-folder_nodes: list[list[Node]] = []
-
-
-async def node_on(folder: Path, platform: Platform, **more: Any) -> Node:
-    node = Node(folder, platform, **more)
-    await node.start()
-    folder_nodes[-1].append(node)
-    return node
-
-
-async def target(platform: Platform, handler: Any, name: str = "s1", **more: Any) -> Peer:
-    peer = await Peer(handler).start()
-    platform.host(name, peer.port, **more)
-    return peer
-
 
 def test_delivers_unchanged_and_owes_nothing(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
@@ -145,10 +109,6 @@
     play(scene, tmp_path)
 
 
-def ids(peer: Peer) -> list[str]:
-    return [r.headers["x-correlation-id"] for r in peer.requests]
-
-
 def test_messages_of_one_key_go_one_at_a_time_also_after_a_restart(tmp_path: Path) -> None:
     """The second destination stands open all the time: only the key holds its message back."""
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -13,9 +13,9 @@
 from forwarder.decisions.actions import EjectionChanged
 from forwarder.decisions.events import EndpointDisabled, EndpointEnabled, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import Outcome
+from tests.scenes import node_on, play, target
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Client, Node, Peer, Platform, always, hang, message
-from tests.test_node import node_on, play, target
 
 
 def test_every_caller_is_answered_and_none_holds_up_another(tmp_path: Path) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,8 +25,8 @@
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.store import AcceptedMessage, MessageStore, PendingNotice
+from tests.scenes import folder_nodes, play, target
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, message
-from tests.test_node import folder_nodes, play, target
 
 DATA = Path(__file__).resolve().parent / "data" / "e0ee873"
 MB = 3_000_000
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,9 +26,9 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
 from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
+from tests.scenes import folder_nodes, ids, node_on, play, target
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always, hang, message
-from tests.test_node import folder_nodes, ids, node_on, play, target
 
 
 async def upgraded(node: Node) -> Node:
