--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -200,7 +200,7 @@
         later. Its end is told as the connection is gone, and not before: an answer that crosses the giving up was
         written, so the wait that it tells holds.
         """
-        if self.given_up is not None:
+        if self.given_up is not None or self.closing():
             return
         self.given_up = outcome
         call, reason = self.call, f"call given up: {outcome.value}"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
@@ -899,6 +899,7 @@
     came=st.integers(0, 70),
     breaks=st.lists(st.sampled_from(BREAKS), min_size=1, max_size=3),
 )
+@example(answer=b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", cuts=[], came=1, breaks=["quiet", "time-out"])
 def test_a_call_has_one_end_in_any_order_of_steps(answer: bytes, cuts: list[int], came: int, breaks: list[str]) -> None:
     came = min(came, len(answer))
     ends: list[AttemptEnded] = []
