--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -148,7 +148,7 @@
         if self.engine.leaving_s:
             raise CommandRefusedError("stopping")
         log.info("drain: back to work")
-        self.engine.drain.join()
+        self.engine.drain.stop()
         for part in self.engine.parts:
             part.join()
         return "joined"
--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -103,7 +103,7 @@
 
     def listen(self, sock: socket.socket) -> Listener:
         listener = Listener(sock, BACKLOG, lambda waited_us: AdminConnection(self), self.room)
-        self.listeners[listener.where()] = listener
+        self.listeners[listener.address()] = listener
         return listener
 
     async def adopt(self, sock: socket.socket, line: bytes) -> None:
@@ -113,7 +113,7 @@
 
     def room(self) -> int:
         """How many more may be accepted now: those that are closed hold a descriptor until the loop's next turn."""
-        coming = sum(len(listener.coming) for listener in self.listeners.values())
+        coming = sum(len(listener.attaching) for listener in self.listeners.values())
         return 2 * MOST_CALLERS - len(self.callers) - coming
 
     def joined(self, caller: AdminConnection) -> None:
--- a/forwarder/clients/drain.py
+++ b/forwarder/clients/drain.py
@@ -15,21 +15,21 @@
         self.timer: Repeating | None = None
 
     @property
-    def on(self) -> bool:
-        return self.server.leaving
+    def is_draining(self) -> bool:
+        return self.server.draining
 
-    def leave(self) -> None:
+    def start(self) -> None:
         """`/up` says no and every answer closes its connection from now on; idle ones are closed after a
         while.
         """
         if self.timer is None:
-            self.server.leaving = True
-            self.timer = self.supervisor.repeat("drain", STEP_S, self.server.let_go)
+            self.server.draining = True
+            self.timer = self.supervisor.repeat("drain", STEP_S, self.server.close_idle_connections)
             self.timer.arm(LATE_S)
 
-    def join(self) -> None:
+    def stop(self) -> None:
         """Back to work, in one step."""
-        self.server.leaving = False
+        self.server.draining = False
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -111,7 +111,7 @@
         short: Callable[[OSError], None] | None = None,
     ) -> None:
         self.sock, self.protocol, self.room, self.short = sock, protocol, room, short
-        self.coming: dict[PatientSocket, asyncio.Task[None]] = {}  # taken, with no protocol yet
+        self.attaching: dict[PatientSocket, asyncio.Task[None]] = {}  # taken, with no protocol yet
         self.paused_s: float | None = None  # since when accepting rests
         self.sock.setblocking(False)
         self.sock.listen(backlog)
@@ -152,7 +152,7 @@
                 return
             conn = PatientSocket.of(accepted)
             conn.setblocking(False)
-            self.coming[conn] = asyncio.get_running_loop().create_task(self.attach(conn, self.waited_us()))
+            self.attaching[conn] = asyncio.get_running_loop().create_task(self.attach(conn, self.waited_us()))
 
     def failed(self, error: OSError) -> None:
         """No connection can be accepted, most likely for want of descriptors."""
@@ -170,9 +170,9 @@
             log.info("a connection was lost as it was taken on: %s", error)
             conn.close()
         finally:
-            del self.coming[conn]
+            del self.attaching[conn]
 
-    def where(self) -> Address:
+    def address(self) -> Address:
         return Address(*self.sock.getsockname()[:2])
 
     def close(self) -> None:
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -62,7 +62,7 @@
     """A message as a client handed it in, well-formed but not yet taken on."""
 
     id: str
-    cls: MessageClass
+    message_class: MessageClass
     destination: int
     due_us: int
     key: str | None
@@ -136,32 +136,34 @@
         self.reading: ClientRequest | None = None
         self.head = 0
         self.waiting: deque[ClientRequest] = deque()
-        self.busy: ClientRequest | None = None
-        self.left: Callable[[], None] | None = None
-        self.made_us = self.used_us = self.arrived_us = server.clock()
+        self.current_request: ClientRequest | None = None
+        self.on_withdrawn: Callable[[], None] | None = None
+        self.made_us = self.last_used_us = self.arrived_us = server.clock()
         self.attached_us = self.made_us
         """Since when the loop watches it."""
         self.unread_since_us = self.attached_us - min(waited_us, CLIENT_PATIENCE_US)
         """Since when something may lie unread that the loop has not reported. No client waits longer than its patience,
         so what is left open now is no older than that."""
-        self.asked = self.broken = self.ended = self.full = False  # full: it does not read what it is answered
+        self.has_sent_request = self.broken = self.ended = self.full = (
+            False  # full: it does not read what it is answered
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.server.joined(self)
+        self.server.connection_opened(self)
         if self.told:
-            self.made_us, self.asked = self.told["made_us"], self.told["asked"]
+            self.made_us, self.has_sent_request = self.told["made_us"], self.told["asked"]
             if self.told["raw"]:
                 self.data_received(base64.b64decode(self.told["raw"]))
             if self.reading is not None:
                 self.reading.came_us = self.told["came_us"]
-            self.used_us = self.told["used_us"]
+            self.last_used_us = self.told["used_us"]
             self.unread_since_us = self.told.get("handed_us", self.attached_us)
 
     def arrival(self) -> int:
         """When what is read now may have come, at the earliest."""
-        at_us = self.used_us - waited_us()
+        at_us = self.last_used_us - waited_us()
         if at_us <= self.attached_us or self.unread_since_us > self.attached_us:
             at_us = min(at_us, self.unread_since_us)
         self.unread_since_us = self.attached_us
@@ -172,7 +174,7 @@
         assert self.transport is not None
         mixed = self.reading is not None and not self.raw
         if (
-            self.busy is not None
+            self.current_request is not None
             or self.waiting
             or self.broken
             or self.ended
@@ -184,15 +186,15 @@
         came_us = 0 if self.reading is None else self.reading.came_us
         return {
             "made_us": self.made_us,
-            "used_us": self.used_us,
-            "asked": self.asked,
+            "used_us": self.last_used_us,
+            "asked": self.has_sent_request,
             "handed_us": self.server.clock(),
             "came_us": came_us,
             "raw": base64.b64encode(self.raw).decode(),
         }
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.server.doors.discard(self)
+        self.server.connections.discard(self)
         self.server.closing.discard(self)
         self.waiting.clear()
         self.gone()
@@ -201,14 +203,14 @@
     def eof_received(self) -> bool:
         """A client that ends its side no longer waits; what it may still read is a refusal."""
         self.ended = True
-        if self.busy is None:
+        if self.current_request is None:
             return False
         self.gone()
         self.answer(HTTPStatus.SERVICE_UNAVAILABLE, "withdrawn")
         return False
 
     def gone(self) -> None:
-        left, self.left = self.left, None
+        left, self.on_withdrawn = self.on_withdrawn, None
         if left is not None:
             left()
 
@@ -219,7 +221,7 @@
         self.data_received(bytes(self.server.buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        self.used_us = self.server.clock()
+        self.last_used_us = self.server.clock()
         self.arrived_us = self.arrival()
         if self.broken:
             return
@@ -236,7 +238,7 @@
                 cause = BadRequestError(HTTPStatus.BAD_REQUEST, "not a readable request")
             self.broken = True
             # Without its traceback, whose frames hold this door.
-            self.waiting.append(ClientRequest(self.used_us, keep_alive=False, bad=cause.with_traceback(None)))
+            self.waiting.append(ClientRequest(self.last_used_us, keep_alive=False, bad=cause.with_traceback(None)))
             self.reading = None
         if self.reading is None or self.shared:
             self.raw.clear()
@@ -273,7 +275,7 @@
             length = self.reading.headers.get("content-length", "0")
             if length.isdigit() and int(length) > MOST_BODY:
                 raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
-            if self.reading.headers.get("expect", "").lower() == "100-continue" and self.busy is None:
+            if self.reading.headers.get("expect", "").lower() == "100-continue" and self.current_request is None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
@@ -286,7 +288,7 @@
         if self.reading is not None:
             self.reading.method = self.parser.get_method().decode("latin-1")
             self.reading.keep_alive = self.parser.should_keep_alive()
-            self.asked = self.shared = True
+            self.has_sent_request = self.shared = True
             self.waiting.append(self.reading)
             self.reading = None
 
@@ -298,13 +300,13 @@
 
     def resume_writing(self) -> None:
         self.full = False
-        self.used_us = self.server.clock()
+        self.last_used_us = self.server.clock()
         self.next()
 
     def next(self) -> None:
-        while self.busy is None and self.waiting and self.transport is not None and not self.full:
-            self.busy = self.waiting.popleft()
-            self.server.handle(self, self.busy)
+        while self.current_request is None and self.waiting and self.transport is not None and not self.full:
+            self.current_request = self.waiting.popleft()
+            self.server.handle(self, self.current_request)
         if self.transport is not None and not self.transport.is_closing():
             if self.full or len(self.waiting) >= MOST_WAITING:
                 if self.transport.is_reading():
@@ -314,10 +316,10 @@
                 self.transport.resume_reading()
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        request, self.busy, self.left = self.busy, None, None
+        request, self.current_request, self.on_withdrawn = self.current_request, None, None
         if request is None or self.transport is None or self.transport.is_closing():
             return
-        keep = request.keep_alive and not self.server.leaving and not self.ended
+        keep = request.keep_alive and not self.server.draining and not self.ended
         body = (text + "\n").encode() if text else b""
         lines = [
             f"HTTP/1.1 {status.value} {status.phrase}",
@@ -330,7 +332,7 @@
             lines.append("Connection: close")
         data = "\r\n".join(lines).encode() + b"\r\n\r\n"
         self.transport.write(data if request.method == "HEAD" else data + body)
-        self.used_us = self.server.clock()
+        self.last_used_us = self.server.clock()
         if self.broken and not self.waiting:
             # The client may still be sending: to close now would reset what it has not read yet.
             if self.transport.can_write_eof():
@@ -343,19 +345,19 @@
 
     def answer_waiting(self) -> None:
         """Go on with what was read already, without waiting for the loop's next turn."""
-        while self.busy is None and self.waiting and not self.full:
+        while self.current_request is None and self.waiting and not self.full:
             self.next()
 
-    def idle(self) -> bool:
-        return self.busy is None and self.reading is None and not self.waiting
+    def is_idle(self) -> bool:
+        return self.current_request is None and self.reading is None and not self.waiting
 
     def close(self, reason: str = "on demand") -> None:
         if self.transport is not None and not self.transport.is_closing():
-            if self.busy is not None and not self.server.ended:
+            if self.current_request is not None and not self.server.closed:
                 self.server.reasons.note(
                     Subject.VIOLATION,
                     f"closed with a request unanswered: {reason}",
-                    self.busy.headers.get("x-correlation-id", ""),
+                    self.current_request.headers.get("x-correlation-id", ""),
                 )
             self.noted(reason)
             self.transport.close()
@@ -369,7 +371,7 @@
         """Close it to make room. One that is half way into a request is told so."""
         if self.reading is not None:
             self.broken, self.reading = True, None
-            self.busy = ClientRequest(self.used_us, keep_alive=False)
+            self.current_request = ClientRequest(self.last_used_us, keep_alive=False)
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason)
         self.close(reason)
 
@@ -378,11 +380,11 @@
         self.server.closing.add(self)
         self.server.reasons.note(Subject.CLIENT_CLOSED, reason, str(self.transport.get_extra_info("peername")))
 
-    def unsent(self) -> bool:
+    def has_unsent_answers(self) -> bool:
         """Whether it has not taken all of its answers yet."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
 
@@ -393,12 +395,12 @@
     """
     ends, names = select.poll(), {}
     for name, door in waiting.items():
-        if not door.closed():
+        if not door.is_closed():
             number = fileno(door.transport)
             names[number] = name
             ends.register(number, select.POLLRDHUP)
     unread = [names[number] for number, _ in ready_now(ends) or ()] if names else []
-    return [name for name, door in waiting.items() if door.closed()] + unread
+    return [name for name, door in waiting.items() if door.is_closed()] + unread
 
 
 class ClientServer:
@@ -414,13 +416,13 @@
         supervisor: Supervisor | None = None,
     ) -> None:
         self.reasons, self.supervisor = reasons or ReasonCounts(), supervisor or Supervisor()
-        self.settings, self.clock, self.most, self.hand_in = settings, clock, most, hand_in
-        self.doors: set[ClientConnection] = set()
+        self.settings, self.clock, self.max_connections, self.hand_in = settings, clock, most, hand_in
+        self.connections: set[ClientConnection] = set()
         self.closing: set[ClientConnection] = (
             set()
         )  # those of them that are closed here, and whose descriptors are not free yet
         self.buffer = memoryview(bytearray(MOST_READ))  # for all doors: what is read is copied at once
-        self.leaving = self.ended = False
+        self.draining = self.closed = False
         self.listener: Listener | None = None
 
     def listen(self, sock: socket.socket) -> None:
@@ -441,18 +443,18 @@
         """
         while self.crowded() and (door := self.spare()) is not None:  # one that could not be spared before, now can
             door.evict("too many clients")
-        coming = 0 if self.listener is None else len(self.listener.coming)
-        return self.most + OVERSHOOT - len(self.doors) - coming
+        coming = 0 if self.listener is None else len(self.listener.attaching)
+        return self.max_connections + OVERSHOOT - len(self.connections) - coming
 
     def crowded(self) -> bool:
         """Whether there are more than the bound, without those that are closing."""
-        return len(self.doors) - len(self.closing) > self.most
+        return len(self.connections) - len(self.closing) > self.max_connections
 
-    def joined(self, door: ClientConnection) -> None:
+    def connection_opened(self, door: ClientConnection) -> None:
         """Keep the bound: each connection beyond it costs another one, or itself where none can be spared. One whose
         request waits unread stays: nothing more is accepted until others have gone.
         """
-        self.doors.add(door)
+        self.connections.add(door)
         if not self.crowded():
             return
         victim = self.spare(door)
@@ -469,17 +471,17 @@
         recent = self.clock() - NEW_US
 
         def rank(door: ClientConnection) -> tuple[int, int]:
-            return (1 if door.asked else 0 if door.made_us < recent else 2), door.used_us
+            return (1 if door.has_sent_request else 0 if door.made_us < recent else 2), door.last_used_us
 
         free = sorted(
             (
                 door
-                for door in self.doors - self.closing
+                for door in self.connections - self.closing
                 if door is not new
                 and door.transport is not None
-                and (door.idle() or (door.busy is None and not door.asked))
-                and not door.closed()
-                and not door.unsent()
+                and (door.is_idle() or (door.current_request is None and not door.has_sent_request))
+                and not door.is_closed()
+                and not door.has_unsent_answers()
             ),
             key=rank,
         )
@@ -497,23 +499,23 @@
     @staticmethod
     def unread(doors: Iterable[ClientConnection]) -> set[ClientConnection]:
         """Those with bytes, or an end, that wait in the kernel: closed now, a request might be lost."""
-        by_number = {descriptor(door.transport): door for door in doors if not door.closed()}
+        by_number = {descriptor(door.transport): door for door in doors if not door.is_closed()}
         return {by_number[number] for number in unread(door.transport for door in by_number.values())}
 
     def sweep(self) -> None:
         """Peers that send nothing, or a part of a request, must not hold their sockets: clients need them."""
         old = self.clock() - STALLED_US
-        unread = self.unread(door for door in self.doors if not door.asked and door.made_us < old)
-        for door in [door for door in self.doors if door not in unread or door.full]:
-            if (door.full or door.closed()) and door.used_us < old:
+        unread = self.unread(door for door in self.connections if not door.has_sent_request and door.made_us < old)
+        for door in [door for door in self.connections if door not in unread or door.full]:
+            if (door.full or door.is_closed()) and door.last_used_us < old:
                 door.abort("its answers stay unread")  # it reads nothing: a close in order would wait for it for ever
-            elif door.busy is not None or door.broken:
+            elif door.current_request is not None or door.broken:
                 continue
             elif door.reading is not None and door.reading.came_us < old:
                 door.broken, door.reading = True, None
-                door.busy = ClientRequest(old, keep_alive=False)
+                door.current_request = ClientRequest(old, keep_alive=False)
                 door.answer(HTTPStatus.REQUEST_TIMEOUT, "the request did not come to its end")
-            elif door.idle() and not door.asked and door.made_us < old:
+            elif door.is_idle() and not door.has_sent_request and door.made_us < old:
                 door.close("no request came")
 
     def handle(self, door: ClientConnection, request: ClientRequest) -> None:
@@ -522,7 +524,7 @@
         elif request.path.partition("?")[0] == "/up":
             if request.method not in ("GET", "HEAD"):
                 door.answer(HTTPStatus.METHOD_NOT_ALLOWED, "GET only", Allow="GET, HEAD")
-            elif self.leaving:
+            elif self.draining:
                 door.answer(HTTPStatus.SERVICE_UNAVAILABLE, "stopping")
             else:
                 door.answer(HTTPStatus.OK, "up")
@@ -535,25 +537,28 @@
                 return
             self.hand_in(handed, door)
 
-    def let_go(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close connections between requests only. One that is new may have its first request on the way."""
         new = self.clock() - NEW_US
-        free = [door for door in self.doors if door.idle() and (door.asked or door.made_us < new)]
+        free = [door for door in self.connections if door.is_idle() and (door.has_sent_request or door.made_us < new)]
         unread = self.unread(free)
         for door in [door for door in free if door not in unread]:
             door.close("sent away between requests")
 
-    async def finish(self) -> None:
+    async def flush(self) -> None:
         """Before the end: requests that were read are answered, and answers have a moment to leave."""
-        for door in list(self.doors):
+        for door in list(self.connections):
             door.answer_waiting()
         patience_s = asyncio.get_running_loop().time() + FLUSH_S
-        while any(door.unsent() for door in self.doors) and asyncio.get_running_loop().time() < patience_s:
+        while (
+            any(door.has_unsent_answers() for door in self.connections)
+            and asyncio.get_running_loop().time() < patience_s
+        ):
             await asyncio.sleep(FLUSH_STEP_S)
 
     def close(self) -> None:
-        self.ended = True
+        self.closed = True
         if self.listener is not None:
             self.listener.close()
-        for door in list(self.doors):
+        for door in list(self.connections):
             door.close("the process ends")
--- a/forwarder/config/config.py
+++ b/forwarder/config/config.py
@@ -44,9 +44,9 @@
     """One target as discovery lists it."""
 
     name: str
-    dial: Address
+    address: Address
     destination: int
-    health: str
+    state: str
     raw: dict[str, Any]
 
     def entry(self, number: int) -> EndpointEntry:
@@ -57,7 +57,7 @@
                 "hall": self.raw.get("site"),
                 "kind": self.raw.get("class"),
                 "belongs_to": self.destination,
-                "readiness": HEALTH[self.health],
+                "readiness": HEALTH[self.state],
                 "power_hint": require_field(self.raw, "share", float) if "share" in self.raw else 0.0,
             }
         )
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    seq: int
-    whole: bool
-    hosts: tuple[ListedEndpoint, ...]
+    version: int
+    is_complete: bool
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -170,7 +170,7 @@
         self.supervisor = supervisor or Supervisor()
         self.task: asyncio.Task[None] | None = None
 
-    def behind(self) -> bool:
+    def has_unread_list(self) -> bool:
         """Whether discovery has told something that is not heeded yet."""
         return self.client.channel.behind()
 
@@ -178,7 +178,7 @@
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.follow())
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Discovery has a new address: follow the list there at once, from the version that is known."""
         if self.task is not None:
             self.task.cancel()
@@ -205,8 +205,8 @@
                 log.warning("the list cannot be had: %s", error or type(error).__name__)
                 self.ended()
                 return
-            news, self.seq, self.current = told.seq != self.seq, told.seq, True
-            if (news or not told.whole) and not self.supervisor.guard("list", partial(self.listed, told)):
+            news, self.seq, self.current = told.version != self.seq, told.version, True
+            if (news or not told.is_complete) and not self.supervisor.guard("list", partial(self.listed, told)):
                 self.ended()
                 return
             if not news and time.monotonic() - asked < LEAST_WATCH_S:
@@ -221,9 +221,9 @@
 class PendingNoticeSource(Protocol):
     """Where owed ends are kept until they are acknowledged."""
 
-    def owed_ends(self) -> Mapping[str, PendingNotice]: ...
+    def pending_notices(self) -> Mapping[str, PendingNotice]: ...
 
-    def acknowledged(self, names: list[str]) -> None: ...
+    def acknowledge_notices(self, names: list[str]) -> None: ...
 
 
 class Notifier:
@@ -234,12 +234,12 @@
         self.wanted = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         self.wanted.set()
         if self.task is None:
             self.task = self.supervisor.keep("notices", self.run)
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Post to a new address from now on; a post that is on its way is cut off and made again."""
         self.client.close()
         self.client = DiscoveryClient(where)
@@ -250,7 +250,7 @@
         while True:
             await self.wanted.wait()
             self.wanted.clear()
-            while owed := list(self.book.owed_ends().items())[:MOST_NOTICES]:
+            while owed := list(self.book.pending_notices().items())[:MOST_NOTICES]:
                 body, owed = post_body(owed)
                 try:
                     answer = await self.client.ask("POST", "/v1/notices", POST_S, body)
@@ -263,7 +263,7 @@
                     failures += 1
                     continue
                 failures = 0
-                self.book.acknowledged([name for name, _ in owed])
+                self.book.acknowledge_notices([name for name, _ in owed])
 
 
 def post_body(owed: list[tuple[str, PendingNotice]]) -> tuple[bytes, list[tuple[str, PendingNotice]]]:
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -18,8 +18,8 @@
         self, kinds: Iterable[DestinationKind], numbers: Mapping[str, int], destinations: Iterable[int]
     ) -> None:
         """`numbers` and `destinations` are those of the process which this one takes over from."""
-        self.tune(kinds)
-        self.hosts: dict[str, ListedEndpoint] = {}
+        self.apply_settings(kinds)
+        self.endpoints: dict[str, ListedEndpoint] = {}
         """Those that are listed now, by name."""
         self.numbers = dict(numbers)
         self.names = {number: name for name, number in self.numbers.items()}
@@ -29,22 +29,22 @@
         """All that were ever listed."""
         self._newest_number = max(self.names, default=0)
 
-    def tune(self, kinds: Iterable[DestinationKind]) -> None:
+    def apply_settings(self, kinds: Iterable[DestinationKind]) -> None:
         """Take on the kinds of new settings."""
         self.kinds = {kind.name: kind for kind in kinds}
 
-    def take(self, told: EndpointList) -> None:
+    def apply(self, told: EndpointList) -> None:
         """Follow the list, whole or in part."""
-        if told.whole:
-            self._gone.update(dict.fromkeys(name for name in self.hosts if name in self.numbers))
-            self.hosts = {}
-        for host in told.hosts:
+        if told.is_complete:
+            self._gone.update(dict.fromkeys(name for name in self.endpoints if name in self.numbers))
+            self.endpoints = {}
+        for host in told.endpoints:
             self.destinations.add(host.destination)
             self._gone.pop(host.name, None)
-            if host.health != "removed":
-                self.hosts[host.name] = host
+            if host.state != "removed":
+                self.endpoints[host.name] = host
                 continue
-            self.hosts.pop(host.name, None)
+            self.endpoints.pop(host.name, None)
             if host.name in self.numbers:
                 self._gone[host.name] = None
 
@@ -56,7 +56,7 @@
             self._newest_number += 1
             self.numbers[name] = self._newest_number
             self.names[self._newest_number] = name
-            if name not in self.hosts:
+            if name not in self.endpoints:
                 self._gone[name] = None
         return self.numbers[name]
 
@@ -73,18 +73,18 @@
     def serving(self, banned: Container[str]) -> dict[int, Address]:
         """Where those are that may get new calls."""
         return {
-            self.number(host.name, banned): host.dial
-            for host in self.hosts.values()
-            if host.health == "up" and host.name not in banned
+            self.number(host.name, banned): host.address
+            for host in self.endpoints.values()
+            if host.state == "up" and host.name not in banned
         }
 
-    def host(self, number: int) -> ListedEndpoint | None:
+    def endpoint(self, number: int) -> ListedEndpoint | None:
         """The endpoint of that number, if it is listed."""
-        return self.hosts.get(self.names.get(number, ""))
+        return self.endpoints.get(self.names.get(number, ""))
 
     def kind(self, host: ListedEndpoint) -> DestinationKind:
         return self.kinds.get(str(host.raw.get("class")), DestinationKind(""))
 
-    def place(self, host: ListedEndpoint) -> tuple[int, int]:
+    def limit_scope(self, host: ListedEndpoint) -> tuple[int, int]:
         """What shares a told wait with an endpoint: all of its destination, or itself alone."""
         return host.destination, self.number(host.name) if self.kind(host).separate_routes else -1
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -81,12 +81,12 @@
     attempt: int
     key: str | None
     body: bytes
-    until_us: int
+    timeout_at_us: int
     """Its own time-out, when it is alone in its call."""
     due_us: int
     """Its time is up then, and its end is owed."""
     idempotency_key: str | None = None
-    leave_by_us: int = NEVER_US
+    send_before_us: int = NEVER_US
     """It may not leave at this time or later."""
 
     @property
@@ -97,8 +97,8 @@
 
 @dataclass(slots=True)
 class EndpointCall:
-    target: int
-    place: tuple[int, int]
+    endpoint: int
+    limit_scope: tuple[int, int]
     """What shares a wait: its destination, or one route where routes are apart."""
     sent_us: int
     items: list[CallItem]
@@ -108,14 +108,14 @@
     quiet: asyncio.TimerHandle | None = None
     written: bool = False
     batched: bool = False
-    open: dict[str, CallItem] = field(default_factory=dict)
+    open_items: dict[str, CallItem] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class CallResult:
     outcome: Outcome
-    closed: bool = False
-    wait_us: int = 0
+    is_final: bool = False
+    retry_after_us: int = 0
 
 
 Sink = Callable[[AttemptEnded], None]
@@ -134,7 +134,7 @@
         self.answered = call is None
         """Whether nothing is out on it: its end says nothing of a call."""
         self.given_up: Outcome | None = None
-        self.seen = bytearray(seen)  # of the answer that is being read
+        self.received = bytearray(seen)  # of the answer that is being read
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
         self.unread = select.poll()  # one for all calls on it: what has come and is not read yet
@@ -148,8 +148,8 @@
             self.unread.register(fileno(transport), select.POLLIN)
         if self.call is not None:  # another process wrote it
             self.call.connection = self
-            if self.seen:
-                self.read(bytes(self.seen))
+            if self.received:
+                self.read(bytes(self.received))
 
     def reset_on_close(self, on: bool) -> None:
         sock = None if self.transport is None else self.transport.get_extra_info("socket")
@@ -161,7 +161,7 @@
         if self.call is not None:
             self.call.written = True
 
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
     def start(self, call: EndpointCall, data: bytes) -> bool:
@@ -173,7 +173,7 @@
             self.close("bytes or an end that nothing asked for")
             return False
         self.reader.renew()
-        self.seen.clear()
+        self.received.clear()
         self.answered = False
         self.transport.write(data)
         if self.transport.is_closing():
@@ -200,7 +200,7 @@
         later. Its end is told as the connection is gone, and not before: an answer that crosses the giving up was
         written, so the wait that it tells holds.
         """
-        if self.given_up is not None or self.closing():
+        if self.given_up is not None or self.is_closing():
             return
         self.given_up = outcome
         call, reason = self.call, f"call given up: {outcome.value}"
@@ -211,7 +211,7 @@
         call.timer = asyncio.get_running_loop().call_later(GIVEN_UP_S, self.close, reason)
 
     def data_received(self, data: bytes) -> None:
-        self.seen += data
+        self.received += data
         self.read(data)
 
     def read(self, data: bytes) -> None:
@@ -222,7 +222,7 @@
         try:
             self.reader.feed(data)
         except BadResponseError as error:
-            log.warning("target %d: bad answer: %s", call.target, error)
+            log.warning("target %d: bad answer: %s", call.endpoint, error)
             self.call = None
             self.pool.ended(call, self.reader, broken=True)
             self.close("bad answer")
@@ -244,8 +244,8 @@
         self.call, call.connection = None, None
         self.answered = True
         self.pool.ended(call, self.reader)
-        if self.reader.keep_alive and self.given_up is None and not self.closing():
-            self.pool.keep(self, call.target)
+        if self.reader.keep_alive and self.given_up is None and not self.is_closing():
+            self.pool.keep_idle(self, call.endpoint)
         else:
             self.close("not kept alive by the endpoint")
 
@@ -279,30 +279,30 @@
         rules: Invariants | None = None,
         supervisor: Supervisor | None = None,
     ) -> None:
-        self.reasons, self.rules = reasons or ReasonCounts(), rules
+        self.reasons, self.invariants = reasons or ReasonCounts(), rules
         self.supervisor = supervisor or Supervisor()
-        self.clock, self.sink, self.most = clock, sink, most
-        self.tune(fields, idle_us, dial_us)
+        self.clock, self.sink, self.max_connections = clock, sink, most
+        self.apply_settings(fields, idle_us, dial_us)
         self.idle: dict[int, list[EndpointConnection]] = {}
-        self.all: set[EndpointConnection] = set()
+        self.connections: set[EndpointConnection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.where: dict[int, Address] = {}
+        self.addresses: dict[int, Address] = {}
         self.waits: dict[tuple[int, int], int] = {}
         self.sweeping: Repeating | None = None
-        self.out = 0
+        self.calls_in_flight = 0
         self.calls: dict[tuple[str, int], EndpointCall] = {}
 
-    def tune(self, fields: tuple[str, ...], idle_us: int, dial_us: int) -> None:
-        self.fields = fields
-        self.idle_us = max(0, (idle_us or 60 * SECOND) - IDLE_MARGIN_US)
-        self.dial_us = dial_us or SECOND
+    def apply_settings(self, fields: tuple[str, ...], idle_us: int, dial_us: int) -> None:
+        self.report_fields = fields
+        self.idle_timeout_us = max(0, (idle_us or 60 * SECOND) - IDLE_MARGIN_US)
+        self.connect_timeout_us = dial_us or SECOND
 
-    def serving(self, where: dict[int, Address]) -> None:
+    def update_addresses(self, where: dict[int, Address]) -> None:
         """The list changed: what is not in it any more gets no new call, and keeps no idle connection."""
-        for target, old in self.where.items():
+        for target, old in self.addresses.items():
             if where.get(target) != old:
                 self.close_idle(target, "not listed any more")
-        self.where = where
+        self.addresses = where
 
     def close_idle(self, target: int, reason: str = "on demand") -> None:
         for connection in self.idle.pop(target, []):
@@ -312,27 +312,27 @@
 
     def start(self, call: EndpointCall) -> None:
         """Send a call, on a connection that is open or on a new one."""
-        self.out += 1
+        self.calls_in_flight += 1
         for item in call.items:
-            call.open[item.id] = item
+            call.open_items[item.id] = item
             self.calls[(item.id, item.attempt)] = call
         self.arm(call)
-        if call.target not in self.where:
+        if call.endpoint not in self.addresses:
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
             return
-        self.drop_denied(call, self.where[call.target])
-        if not call.open:
+        self.drop_denied(call, self.addresses[call.endpoint])
+        if not call.open_items:
             return
-        idle = self.idle.get(call.target, [])
+        idle = self.idle.get(call.endpoint, [])
         while idle:
             connection = idle.pop()
-            if not connection.closing() and connection.start(call, self.render(call)):
+            if not connection.is_closing() and connection.start(call, self.render(call)):
                 return
-        if len(self.all) + len(self.dials) >= self.most and not self.make_room():
+        if len(self.connections) + len(self.dials) >= self.max_connections and not self.make_room():
             self.reasons.note(Subject.HELD_BACK, "call: too many connections to endpoints", call.items[0].id)
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE))
             return
-        task = asyncio.get_running_loop().create_task(self.dial_guarded(call, self.where[call.target]))
+        task = asyncio.get_running_loop().create_task(self.dial_guarded(call, self.addresses[call.endpoint]))
         self.dials.add(task)
         task.add_done_callback(self.dials.discard)
 
@@ -356,7 +356,7 @@
 
     async def dial(self, call: EndpointCall, where: Address) -> None:
         loop = asyncio.get_running_loop()
-        left = min(self.dial_us, call.until_us - self.clock())
+        left = min(self.connect_timeout_us, call.until_us - self.clock())
         try:
             async with asyncio.timeout(max(0.001, left / SECOND)):
                 _, connection = await loop.create_connection(lambda: EndpointConnection(self), where.host, where.port)
@@ -366,40 +366,40 @@
                 self.reasons.note(Subject.HELD_BACK, f"call: {errno.errorcode[error.errno or 0]}", call.items[0].id)
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE if local else Outcome.NO_CONNECTION))
             return
-        self.all.add(connection)
+        self.connections.add(connection)
         # What was decided before the connection came up may have been overtaken meanwhile.
         self.drop_denied(call, where)
-        if connection.closing():
+        if connection.is_closing():
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
-        elif self.where.get(call.target) != where:
+        elif self.addresses.get(call.endpoint) != where:
             connection.close("not listed any more")
-        elif not call.open:
-            self.keep(connection, call.target)
+        elif not call.open_items:
+            self.keep_idle(connection, call.endpoint)
         elif not connection.start(call, self.render(call)):
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
 
     def drop_denied(self, call: EndpointCall, where: Address) -> None:
         """Ask for each message of a call whether it may leave now; hold back those that may not."""
         now = self.clock()
-        route = RouteFacts(self.where.get(call.target) == where, self.waits.get(call.place, 0))
+        route = RouteFacts(self.addresses.get(call.endpoint) == where, self.waits.get(call.limit_scope, 0))
         others_out = {name for (name, _), other in self.calls.items() if other is not call}
-        for item in list(call.open.values()):
-            attempt = AttemptFacts(item.id, item.attempt, item.leave_by_us, item.due_us)
+        for item in list(call.open_items.values()):
+            attempt = AttemptFacts(item.id, item.attempt, item.send_before_us, item.due_us)
             denial = (
                 route_denial(attempt, route, now)
-                if self.rules is None
-                else self.rules.may_send(attempt, route, now, others_out)
+                if self.invariants is None
+                else self.invariants.may_send(attempt, route, now, others_out)
             )
             if denial is not None:
                 self.tell(call, item, CallResult(Outcome.NOT_SENT))
-        if not call.open:
+        if not call.open_items:
             self.disarm(call)
 
     def render(self, call: EndpointCall) -> bytes:
         """The bytes of a call for those of its messages that are still open."""
-        where = self.where[call.target]
+        where = self.addresses[call.endpoint]
         host = f"{where.host}:{where.port}"
-        items = list(call.open.values())
+        items = list(call.open_items.values())
         call.batched = len(items) > 1
         left = f"{max(1, (call.until_us - self.clock()) // 1000) / 1000:.3f}"
         if len(items) == 1:
@@ -444,34 +444,35 @@
         if call.timer is not None:
             call.timer.cancel()
             call.timer = None
-        if call.open:
+        if call.open_items:
             # A call is given up by closing its connection, for all its messages or for none: while it carries
             # one that has ended here, that one may not go again, nor the next of its key. So all wait for the
             # last of them, but not past the time of any: its end is owed then.
             call.until_us = min(
-                max(item.until_us for item in call.open.values()), *(item.due_us for item in call.open.values())
+                max(item.timeout_at_us for item in call.open_items.values()),
+                *(item.due_us for item in call.open_items.values()),
             )
             delay = max(0, call.until_us - self.clock()) / SECOND
             call.timer = asyncio.get_running_loop().call_later(delay + 0.001, self.timed_out, call)
 
     def timed_out(self, call: EndpointCall) -> None:
-        self.give_up(call, list(call.open.values()), Outcome.TIMED_OUT)
+        self.give_up(call, list(call.open_items.values()), Outcome.TIMED_OUT)
 
     def cancel(self, message: str, attempt: int) -> None:
         call = self.calls.get((message, attempt))
-        if call is not None and message in call.open:
-            self.give_up(call, [call.open[message]], Outcome.CANCELED)
+        if call is not None and message in call.open_items:
+            self.give_up(call, [call.open_items[message]], Outcome.CANCELED)
 
     def give_up(self, call: EndpointCall, items: list[CallItem], outcome: Outcome) -> None:
         """Stop waiting for some messages of a call. With none left its connection is closed: a late answer
         must not be taken for the next call's.
         """
-        if call.connection is not None and len(items) == len(call.open):
+        if call.connection is not None and len(items) == len(call.open_items):
             call.connection.give_up(outcome)
             return
         for item in items:
             self.tell(call, item, CallResult(outcome if call.written else Outcome.NO_CONNECTION))
-        if call.open:
+        if call.open_items:
             self.arm(call)
         else:
             self.drop(call)
@@ -495,26 +496,26 @@
 
     def finish(self, call: EndpointCall, result: CallResult, report: LoadReport | None = None) -> None:
         """The same end for all that is still open."""
-        for item in list(call.open.values()):
+        for item in list(call.open_items.values()):
             self.tell(call, item, result, report)
         self.drop(call)
 
     def tell(self, call: EndpointCall, item: CallItem, result: CallResult, report: LoadReport | None = None) -> None:
-        del call.open[item.id]
+        del call.open_items[item.id]
         self.calls.pop((item.id, item.attempt), None)
-        if result.wait_us:
-            self.note_wait(call.place, result.wait_us)
-        if not call.open:
-            self.out -= 1
+        if result.retry_after_us:
+            self.note_wait(call.limit_scope, result.retry_after_us)
+        if not call.open_items:
+            self.calls_in_flight -= 1
         self.sink(
             AttemptEnded(
                 item.id,
                 item.attempt,
-                call.target,
+                call.endpoint,
                 result.outcome,
                 self.clock() - call.sent_us,
                 self.over(item, result),
-                result.wait_us,
+                result.retry_after_us,
                 report,
             )
         )
@@ -525,7 +526,7 @@
         """
         if result.outcome is Outcome.DELIVERED:
             return self.clock() < item.due_us - EDGE_US
-        return result.closed
+        return result.is_final
 
     def note_wait(self, place: tuple[int, int], wait_us: int) -> None:
         """A wait was told: it binds what is on its way too."""
@@ -538,7 +539,7 @@
         """An answer came, or the connection broke before it was whole."""
         self.disarm(call)
         many = call.batched
-        report = parse_load_report(reader.headers, self.fields)
+        report = parse_load_report(reader.headers, self.report_fields)
         # A first line with 200 is a delivery though the rest is cut; of several, only the whole answer tells.
         # Nothing else that is cut or garbled may be believed: not a refusal either, for it may have run.
         if broken:
@@ -563,9 +564,9 @@
         try:
             ends = {e["id"]: e["state"] for e in json.loads(reader.body)}
         except (ValueError, TypeError, KeyError) as error:
-            log.warning("target %d: bad batch answer: %r", call.target, error)
+            log.warning("target %d: bad batch answer: %r", call.endpoint, error)
             ends = {}
-        for item in list(call.open.values()):
+        for item in list(call.open_items.values()):
             state = ends.get(item.id)
             outcome = STATES.get(state, Outcome.FAILED) if isinstance(state, str) else Outcome.FAILED
             self.tell(call, item, CallResult(outcome, state == "expired", wait), report)
@@ -576,7 +577,7 @@
         """End the calls that are given up or whose connections are closing now, and not in the loop's next turn, which
         may never come.
         """
-        for connection in [c for c in self.all if c.closing() or c.given_up is not None]:
+        for connection in [c for c in self.connections if c.is_closing() or c.given_up is not None]:
             connection.close("given up, and handed over")
             connection.settle()
 
@@ -588,32 +589,32 @@
         calls, idle = [], []
         for call in {id(call): call for call in self.calls.values()}.values():
             number = -1
-            if call.connection is not None and call.written and not call.connection.closing():
+            if call.connection is not None and call.written and not call.connection.is_closing():
                 number = len(going)
                 going.append(call.connection)
             calls.append(
                 {
                     "connection": number,
-                    "target": call.target,
-                    "place": call.place,
+                    "target": call.endpoint,
+                    "place": call.limit_scope,
                     "sent_us": call.sent_us,
                     "batched": call.batched,
-                    "items": [[x.id, x.attempt, x.until_us] for x in call.open.values()],
-                    "seen": base64.b64encode(call.connection.seen if call.connection else b"").decode(),
+                    "items": [[x.id, x.attempt, x.timeout_at_us] for x in call.open_items.values()],
+                    "seen": base64.b64encode(call.connection.received if call.connection else b"").decode(),
                 }
             )
         for target, held in self.idle.items():
             for connection in held:
-                if not connection.closing():
+                if not connection.is_closing():
                     idle.append({"connection": len(going), "target": target, "idle_us": connection.idle_us})
                     going.append(connection)
         return {"calls": calls, "idle": idle, "waits": [[*w, end] for w, end in self.waits.items()]}, going
 
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, seen: bytes) -> None:
         """Go on waiting for the answer to a call of the process before; without a connection it never ran."""
-        self.out += 1
+        self.calls_in_flight += 1
         for item in call.items:
-            call.open[item.id] = item
+            call.open_items[item.id] = item
             self.calls[(item.id, item.attempt)] = call
         if sock is None:
             self.finish(call, CallResult(Outcome.NOT_SENT))
@@ -622,24 +623,24 @@
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(lambda: EndpointConnection(self, call, seen), sock=sock)
-        if not connection.closing():
-            self.all.add(connection)
+        if not connection.is_closing():
+            self.connections.add(connection)
         self.arm(call)
 
     async def adopt_idle(self, target: int, sock: socket.socket, idle_us: int) -> None:
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(lambda: EndpointConnection(self), sock=sock)
-        if not connection.closing():
-            self.all.add(connection)
-            self.keep(connection, target)
+        if not connection.is_closing():
+            self.connections.add(connection)
+            self.keep_idle(connection, target)
             connection.idle_us = idle_us
 
     # Idle connections
 
-    def keep(self, connection: EndpointConnection, target: int) -> None:
+    def keep_idle(self, connection: EndpointConnection, target: int) -> None:
         held = self.idle.setdefault(target, [])
-        if target not in self.where or self.idle_us <= 0 or len(held) >= MOST_IDLE:
+        if target not in self.addresses or self.idle_timeout_us <= 0 or len(held) >= MOST_IDLE:
             connection.close("enough idle ones are kept")
             return
         connection.idle_us = self.clock()
@@ -648,12 +649,12 @@
             self.sweeping = self.supervisor.repeat("sweep of idle connections", SWEEP_S, self.sweep)
 
     def sweep(self) -> None:
-        old = self.clock() - self.idle_us
+        old = self.clock() - self.idle_timeout_us
         for target, held in list(self.idle.items()):
             for connection in held:
                 if connection.idle_us < old:
                     connection.close("idle too long")
-            kept = [c for c in held if c.idle_us >= old and not c.closing()]
+            kept = [c for c in held if c.idle_us >= old and not c.is_closing()]
             if kept:
                 self.idle[target] = kept
             else:
@@ -663,13 +664,13 @@
             self.sweeping = None
 
     def lost(self, connection: EndpointConnection) -> None:
-        self.all.discard(connection)
+        self.connections.discard(connection)
         for held in self.idle.values():
             if connection in held:
                 held.remove(connection)
 
     def close(self) -> None:
-        for connection in list(self.all):
+        for connection in list(self.connections):
             connection.close("the process ends")
 
 
@@ -713,11 +714,11 @@
         return CallResult(Outcome.DELIVERED)
     if status == 429:
         wait = parse_retry_after_us(reader.headers)
-        return CallResult(Outcome.UNREADABLE) if wait is None else CallResult(Outcome.REJECTED, wait_us=wait)
+        return CallResult(Outcome.UNREADABLE) if wait is None else CallResult(Outcome.REJECTED, retry_after_us=wait)
     if status == 503:
         return CallResult(Outcome.NOT_SENT if "x-over-slots" in reader.headers else Outcome.REJECTED)
     if status in (410, 504):
-        return CallResult(Outcome.NOT_SENT, closed=status == 410)
+        return CallResult(Outcome.NOT_SENT, is_final=status == 410)
     if status != 500:
         log.warning("a target answered %d", status)
     return CallResult(Outcome.FAILED)
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -93,7 +93,7 @@
             self.store.take(
                 AcceptedMessage(
                     handed.id,
-                    handed.cls,
+                    handed.message_class,
                     handed.destination,
                     handed.due_us,
                     handed.key,
@@ -137,7 +137,7 @@
         if m is None:  # only after a fault: the slot must come free again
             self.post(AttemptEnded(a.message_id, 0, a.endpoint, Outcome.NOT_SENT, 0, is_final=True))
             return
-        number, target = m.attempts, self.targets.host(a.endpoint)
+        number, target = m.attempts, self.targets.endpoint(a.endpoint)
         if target is None or target.destination != m.destination:
             # A message that reaches an endpoint of another destination cannot be called back.
             log.error("held back: %s is no target of destination %d", self.targets.names.get(a.endpoint), m.destination)
@@ -157,7 +157,7 @@
         )
         call = departures.forming.get(a.endpoint)
         if call is None or len(call.items) >= self.targets.kind(target).max_batch or not fits(call.items, item):
-            call = departures.forming[a.endpoint] = EndpointCall(a.endpoint, self.targets.place(target), now, [])
+            call = departures.forming[a.endpoint] = EndpointCall(a.endpoint, self.targets.limit_scope(target), now, [])
             departures.steps.append(call)
         call.items.append(item)
 
@@ -221,5 +221,5 @@
         if item.id not in accepted and self.rules.may_go_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
-        self.post(AttemptEnded(item.id, item.attempt, call.target, Outcome.LOCAL_FAILURE, 0))
+        self.post(AttemptEnded(item.id, item.attempt, call.endpoint, Outcome.LOCAL_FAILURE, 0))
         return False
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -274,13 +274,13 @@
         known, kept = self.config.known, self.store
         told = self.handover.told if self.handover is not None else {"pool": {"calls": []}}
         out = {(name, number) for call in told["pool"]["calls"] for name, number, _ in call["items"]}
-        if kept.seq >= known.seq:  # `known` may be older than what this forwarder was told of drains
+        if kept.seq >= known.version:  # `known` may be older than what this forwarder was told of drains
             known = EndpointList(kept.seq, True, tuple(parse_endpoint(raw) for raw in kept.hosts.values()))
-        kept.note_names(h.name for h in known.hosts)
+        kept.note_names(h.name for h in known.endpoints)
         self.take_list(known)
         self.events += [EndpointDisabled(self.number(name), since) for name, since in kept.bans.items()]
         self.events.append(
-            EndpointListReceived(EndpointListKind.SAVED, self.targets.entries(known.hosts, self.store.bans))
+            EndpointListReceived(EndpointListKind.SAVED, self.targets.entries(known.endpoints, self.store.bans))
         )
         if self.handover is None:
             self.events.append(EndpointListAwaited(self.clock() + FIRST_LIST_US))
@@ -315,7 +315,7 @@
             log.info("took up %d messages and %d owed ends again", len(kept.messages), len(kept.owed))
         if "memory" in told:
             self.events.append(HandoverReceived(learned_state_from_stored(told["memory"])))
-        return known.seq if known.hosts else -1
+        return known.version if known.endpoints else -1
 
     def give_up_doubtful(self) -> None:
         """After damage: what may be over, and may not be sent again, ends by a notice; what is known by its id
@@ -342,13 +342,13 @@
             soft,
             hard,
             open_descriptors(),
-            self.server.most,
-            self.pool.most,
+            self.server.max_connections,
+            self.pool.max_connections,
         )
         if self.handover is not None:
             await handover.adopt_calls(self, self.handover)
         self.round()
-        self.notices.kick()
+        self.notices.wake()
         self.control.calls = self.operators.calls()  # those who are handed over have called a forwarder that serves
         if self.handover is not None:
             await handover.adopt_clients(self, self.handover)
@@ -367,7 +367,7 @@
         self.frozen = self.closed = True
         for part in self.parts:
             self.supervisor.guard(part.name, part.cut)
-        await self.supervisor.guarded("answers at the end", self.server.finish())
+        await self.supervisor.guarded("answers at the end", self.server.flush())
         for name, close in (
             ("server", self.server.close),
             ("control", self.control.close),
@@ -418,17 +418,17 @@
             told.settings.max_attempts,
         )
         if told.discovery != before.discovery:
-            self.watch.move(told.discovery)
-            self.notices.move(told.discovery)
+            self.watch.change_address(told.discovery)
+            self.notices.change_address(told.discovery)
         if told.settings != before.settings and not self.frozen:
             self.round()  # what came under the old settings is taken on under them
             self.retune(on_sockets(told.settings))
 
     def retune(self, s: Settings) -> None:
         self.server.settings = s
-        self.targets.tune(s.kinds)
-        self.pool.tune(self.config.report_fields, s.idle_timeout_us, s.connect_timeout_us)
-        entries = self.targets.entries(self.targets.hosts.values(), self.store.bans)
+        self.targets.apply_settings(s.kinds)
+        self.pool.apply_settings(self.config.report_fields, s.idle_timeout_us, s.connect_timeout_us)
+        entries = self.targets.entries(self.targets.endpoints.values(), self.store.bans)
         self.events += [SettingsChanged(s), EndpointListReceived(EndpointListKind.WHOLE, entries)]
         self.round()
 
@@ -447,7 +447,7 @@
         self.store.step()
         self.clock.keep()
         if self.store.owed:
-            self.notices.kick()
+            self.notices.wake()
         if now - self.reasons_s > REASONS_LOG_S:
             self.reasons_s = now
             self.reasons.report()
@@ -476,11 +476,11 @@
             len(store.messages),
             sum(len(line.messages) for line in lines),
             len(lines),
-            self.pool.out,
+            self.pool.calls_in_flight,
             len(store.owed),
             len(store.bans),
-            len(self.server.doors),
-            len(self.pool.all),
+            len(self.server.connections),
+            len(self.pool.connections),
             open_descriptors(),
             self.rounds,
             time.process_time(),
@@ -545,10 +545,16 @@
             self.turn_off(handed, door, "no such destination")
             return
         self.arriving[handed.id] = (handed, door)
-        door.left = lambda: self.withdrawn(handed.id)
+        door.on_withdrawn = lambda: self.withdrawn(handed.id)
         self.post(
             MessageArrived(
-                handed.id, handed.destination, handed.cls.name, handed.due_us, handed.key, handed.tenant, handed.resent
+                handed.id,
+                handed.destination,
+                handed.message_class.name,
+                handed.due_us,
+                handed.key,
+                handed.tenant,
+                handed.resent,
             )
         )
 
@@ -572,30 +578,30 @@
             self.first_list_s = time.monotonic() - self.begun_s
             log.info(
                 "list: version %d is the first that discovery told, %.3f s after the start; %d calls were made before",
-                told.seq,
+                told.version,
                 self.first_list_s,
                 self.effects.calls_made,
             )
-        if told.hosts or told.whole:
-            entries = self.targets.entries(told.hosts, self.store.bans)
+        if told.endpoints or told.is_complete:
+            entries = self.targets.entries(told.endpoints, self.store.bans)
             self.take_list(told)
-            self.store.list(told.seq, {h.name: h.raw for h in self.targets.hosts.values()}, self.clock())
+            self.store.list(told.version, {h.name: h.raw for h in self.targets.endpoints.values()}, self.clock())
         else:
             entries = ()
-        kind = EndpointListKind.WHOLE if told.whole else EndpointListKind.CHANGES
+        kind = EndpointListKind.WHOLE if told.is_complete else EndpointListKind.CHANGES
         self.events.append(EndpointListReceived(kind, entries))
         if not self.frozen:
             self.round()
 
     def take_list(self, told: EndpointList) -> None:
-        self.targets.take(told)
+        self.targets.apply(told)
         self.serving()
 
     def serving(self) -> None:
         """What the pool may call: the last check before the wire."""
-        self.pool.serving(self.targets.serving(self.store.bans))
+        self.pool.update_addresses(self.targets.serving(self.store.bans))
         for part in self.parts:
-            part.served(self.pool.where)
+            part.served(self.pool.addresses)
 
     def number(self, name: str) -> int:
         return self.targets.number(name, self.store.bans)
@@ -606,7 +612,7 @@
         """A round, but first what discovery has told already: after the process stood still, a drain may lie unread
         beside the events that would send to the drained endpoint.
         """
-        if self.put_off < MOST_PUT_OFF and self.watch.behind():
+        if self.put_off < MOST_PUT_OFF and self.watch.has_unread_list():
             self.put_off += 1
             asyncio.get_running_loop().call_soon(self.scheduled_round)
             return
@@ -673,7 +679,7 @@
         """What a round's records precede leaves."""
         self.effects.release(departures, written)
         if self.store.owed:
-            self.notices.kick()
+            self.notices.wake()
 
     def turn_away(self, handed: Submission, door: ClientConnection, a: RejectMessage | FailMessage) -> None:
         """Given up in the round in which it came: the client hears so, and it was never taken on."""
@@ -716,12 +722,12 @@
 
     # Notices
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         """Those that may be told now."""
         now = self.clock()
         return {name: owed for name, owed in self.store.owed.items() if self.rules.may_notify(name, now) is None}
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         for name in names:
             end = self.store.owed.get(name)
             if end is not None and end.key is not None:
@@ -741,7 +747,7 @@
             raise CommandRefusedError("done, but the journal cannot be synced: a power cut would undo it")
 
     def send_away(self) -> None:
-        self.drain.leave()
+        self.drain.start()
         for part in self.parts:
             part.leave()
 
@@ -763,14 +769,14 @@
             return
         for part in self.parts:
             part.cut()
-        log.info("handed over: %d messages, %d calls out", len(self.store.messages), self.pool.out)
+        log.info("handed over: %d messages, %d calls out", len(self.store.messages), self.pool.calls_in_flight)
         os._exit(0)  # not one callback more: it would read what is meant for the other process
 
     def settle(self) -> None:
         """Decide on all that has come until now, so that nothing is under way between two rounds."""
         self.pool.settle()
         self.round()
-        for door in self.server.doors:
+        for door in self.server.connections:
             door.answer_waiting()
         if self.arriving or self.events:
             self.round()  # what the first one brought about
@@ -782,7 +788,7 @@
         if self.leaving_s:
             return
         self.leaving_s = time.monotonic()
-        log.info("stopping: %d messages held, %d calls out", len(self.store.messages), self.pool.out)
+        log.info("stopping: %d messages held, %d calls out", len(self.store.messages), self.pool.calls_in_flight)
         self.send_away()
         self.supervisor.repeat("stop", STOP_STEP_S, self.stop_step).arm(LATE_S)
 
@@ -800,7 +806,7 @@
         nothing = not (
             self.store.messages or self.store.owed or self.arriving or any(part.busy() for part in self.parts)
         )
-        if nothing or passed >= EXIT_S or (self.frozen and not self.pool.out and not self.store.owed):
+        if nothing or passed >= EXIT_S or (self.frozen and not self.pool.calls_in_flight and not self.store.owed):
             log.info(
                 "stopped: %d messages and %d owed ends stay in the journal",
                 len(self.store.messages),
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -46,7 +46,7 @@
         "numbers": engine.targets.numbers,
         "destinations": [*engine.targets.destinations],
         "memory": learned_state_to_stored(engine.dispatcher.learned_state()),
-        "leaving": engine.drain.on,
+        "leaving": engine.drain.is_draining,
         "clients": descriptors.put(listener.sock.fileno()),
         "connections": [descriptors.put(fileno(connection.transport)) for connection in connections],
         "pool": pool,
@@ -61,7 +61,7 @@
     listeners = [found for where, found in engine.control.listeners.items() if where == engine.config.control]
     callers = engine.control.callers
     known = {fileno(caller.transport) for caller in callers}
-    new = [conn.fileno() for found in listeners for conn in found.coming if conn.fileno() not in known]
+    new = [conn.fileno() for found in listeners for conn in found.attaching if conn.fileno() not in known]
     asking = [
         {"fd": descriptors.put(fileno(caller.transport)), "line": base64.b64encode(caller.line).decode()}
         for caller in callers
@@ -79,11 +79,11 @@
     """
     server = engine.server
     assert server.listener is not None
-    doors = [(door, told) for door in server.doors if (told := door.hand_over()) is not None]
-    doors.sort(key=lambda each: (not each[0].idle(), each[0].used_us), reverse=True)
-    room = max(0, engine.config.sockets - len(server.doors) - len(engine.pool.all) - SPARE_SOCKETS)
-    known = {fileno(door.transport) for door in server.doors}
-    new = [conn.fileno() for conn in server.listener.coming if conn.fileno() not in known]
+    doors = [(door, told) for door in server.connections if (told := door.hand_over()) is not None]
+    doors.sort(key=lambda each: (not each[0].is_idle(), each[0].last_used_us), reverse=True)
+    room = max(0, engine.config.sockets - len(server.connections) - len(engine.pool.connections) - SPARE_SOCKETS)
+    known = {fileno(door.transport) for door in server.connections}
+    new = [conn.fileno() for conn in server.listener.attaching if conn.fileno() not in known]
     going = [told | {"fd": descriptors.put(fileno(door.transport))} for door, told in doors[:room]]
     return going + [{"fd": descriptors.put(number)} for number in new]
 
@@ -128,7 +128,7 @@
         await engine.supervisor.guarded("hand-over of a client", engine.server.adopt(sock, door))
     for number in told["controls"]:
         listener = engine.control.listen(handed.socket(number))
-        if listener.where() != engine.config.control:
+        if listener.address() != engine.config.control:
             asyncio.get_running_loop().call_later(OLD_CONTROL_S, listener.close)
     for caller in told["callers"]:
         sock = handed.socket(caller["fd"])
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -74,7 +74,7 @@
         try:
             await self.streaming.visited(conn)
         finally:
-            del self.coming[conn]
+            del self.attaching[conn]
 
 
 @dataclass(frozen=True, slots=True)
@@ -360,7 +360,7 @@
                 return link
             link.close()
         pool, loop = self.engine.pool, asyncio.get_running_loop()
-        where = pool.where.get(target)
+        where = pool.addresses.get(target)
         if where is None:
             raise EndpointFailedError(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
         if sum(map(len, self.idle.values())) >= self.limits.connections - len(self.visitors):
@@ -369,9 +369,9 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            async with asyncio.timeout(pool.dial_us / SECOND):
+            async with asyncio.timeout(pool.connect_timeout_us / SECOND):
                 await loop.sock_connect(sock, (where.host.strip("[]"), where.port))
-            if pool.where.get(target) != where or self.waits(target):
+            if pool.addresses.get(target) != where or self.waits(target):
                 raise EndpointFailedError(Outcome.NOT_SENT, "no endpoint", HTTPStatus.SERVICE_UNAVAILABLE)
         except (OSError, TimeoutError):
             sock.close()
@@ -383,16 +383,18 @@
 
     def waits(self, target: int) -> bool:
         """Whether a wait was told meanwhile."""
-        host = self.engine.targets.hosts[self.engine.targets.names[target]]
-        return self.engine.clock() < self.engine.pool.waits.get(self.engine.targets.place(host), 0)
+        host = self.engine.targets.endpoints[self.engine.targets.names[target]]
+        return self.engine.clock() < self.engine.pool.waits.get(self.engine.targets.limit_scope(host), 0)
 
     def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None:
         """The Dispatcher learns from streams what it learns from calls."""
         wait = (parse_retry_after_us(headers) or 0) if outcome is Outcome.REJECTED else 0
-        host = self.engine.targets.hosts.get(self.engine.targets.names.get(target, ""))
+        host = self.engine.targets.endpoints.get(self.engine.targets.names.get(target, ""))
         if wait and host is not None:
-            self.engine.pool.note_wait(self.engine.targets.place(host), wait)
-        self.engine.post(StreamAttemptEnded(number, outcome, wait, parse_load_report(headers, self.engine.pool.fields)))
+            self.engine.pool.note_wait(self.engine.targets.limit_scope(host), wait)
+        self.engine.post(
+            StreamAttemptEnded(number, outcome, wait, parse_load_report(headers, self.engine.pool.report_fields))
+        )
 
     def over(self, number: int) -> None:
         self.engine.post(StreamEnded(number))
@@ -400,12 +402,12 @@
     def keep(self, target: int, link: Link) -> None:
         """Keep a connection for the next stream, as long as the target would."""
         pool = self.engine.pool
-        if target not in pool.where or pool.idle_us <= 0 or self.leaving:
+        if target not in pool.addresses or pool.idle_timeout_us <= 0 or self.leaving:
             link.close()
             return
         link.idle_s = time.monotonic()
         self.idle.setdefault(target, []).append(link)
-        asyncio.get_running_loop().call_later(pool.idle_us / SECOND, self.expire, target, link, link.idle_s)
+        asyncio.get_running_loop().call_later(pool.idle_timeout_us / SECOND, self.expire, target, link, link.idle_s)
 
     def expire(self, target: int, link: Link, since_s: float) -> None:
         """Its time is up, if it was not used meanwhile."""
--- a/lab/single.py
+++ b/lab/single.py
@@ -195,9 +195,9 @@
 
     answered: Callable[[int], None]
     transport: OpenTransport
-    left: Callable[[], None] | None = None
+    on_withdrawn: Callable[[], None] | None = None
 
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         return False
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
@@ -210,51 +210,51 @@
 
     engine: Engine
     oracle: Oracle
-    out: int = 0
+    calls_in_flight: int = 0
     calls: dict[tuple[str, int], EndpointCall] = field(default_factory=dict)
     waits: dict[tuple[int, int], int] = field(default_factory=dict)
-    where: dict[int, Any] = field(default_factory=dict)
-    all: set[Any] = field(default_factory=set)
+    addresses: dict[int, Any] = field(default_factory=dict)
+    connections: set[Any] = field(default_factory=set)
 
-    def serving(self, where: dict[int, Any]) -> None:
-        self.where = where
+    def update_addresses(self, addresses: dict[int, Any]) -> None:
+        self.addresses = addresses
 
     def start(self, call: EndpointCall) -> None:
-        self.out += 1
+        self.calls_in_flight += 1
         others = {name for name, _ in self.calls}
         for item in call.items:
-            call.open[item.id] = item
+            call.open_items[item.id] = item
             self.calls[(item.id, item.attempt)] = call
         for item in call.items:
-            attempt = AttemptFacts(item.id, item.attempt, item.leave_by_us, item.due_us)
-            route = RouteFacts(call.target in self.where, self.waits.get(call.place, 0))
+            attempt = AttemptFacts(item.id, item.attempt, item.send_before_us, item.due_us)
+            route = RouteFacts(call.endpoint in self.addresses, self.waits.get(call.limit_scope, 0))
             if self.engine.rules.may_send(attempt, route, self.engine.clock(), others) is None:
                 self.oracle.sent(item.id)
             else:
                 self.tell(call, item, Outcome.NOT_SENT)
 
     def finish(self, call: EndpointCall, result: CallResult) -> None:
-        for item in list(call.open.values()):
+        for item in list(call.open_items.values()):
             self.tell(call, item, result.outcome)
 
     def tell(self, call: EndpointCall, item: CallItem, outcome: Outcome) -> None:
-        del call.open[item.id]
+        del call.open_items[item.id]
         del self.calls[(item.id, item.attempt)]
-        self.out -= not call.open
+        self.calls_in_flight -= not call.open_items
         took_us = self.engine.clock() - call.sent_us
         closed = outcome is Outcome.DELIVERED
-        self.engine.post(AttemptEnded(item.id, item.attempt, call.target, outcome, took_us, closed))
+        self.engine.post(AttemptEnded(item.id, item.attempt, call.endpoint, outcome, took_us, closed))
 
     def end(self, name: str, outcome: Outcome) -> None:
         """The endpoint's answer, or what stands for it."""
         call = next(call for (message, _), call in self.calls.items() if message == name)
         self.oracle.ended(name, outcome)
-        self.tell(call, call.open[name], outcome)
+        self.tell(call, call.open_items[name], outcome)
 
     def overdue(self) -> list[str]:
         now = self.engine.clock()
-        items = [call.open[name] for (name, _), call in self.calls.items()]
-        return [item.id for item in items if now >= min(item.until_us, item.due_us)]
+        items = [call.open_items[name] for (name, _), call in self.calls.items()]
+        return [item.id for item in items if now >= min(item.timeout_at_us, item.due_us)]
 
     def close_idle(self, target: int, reason: str = "") -> None: ...
 
@@ -266,10 +266,10 @@
 class Quiet:
     """Stands in for the watch and the notices, which the test works itself."""
 
-    def behind(self) -> bool:
+    def has_unread_list(self) -> bool:
         return False
 
-    def kick(self) -> None: ...
+    def wake(self) -> None: ...
 
     def subscribe(self) -> None: ...
 
@@ -308,7 +308,9 @@
         }
         self.let_go()
         new = self._make(HandoverState(Any, json.loads(json.dumps(told)), []))  # type: ignore[arg-type]
-        self.calls.out, self.calls.calls, self.calls.waits = calls.out, calls.calls, calls.waits
+        self.calls.calls_in_flight = calls.calls_in_flight
+        self.calls.calls = calls.calls
+        self.calls.waits = calls.waits
         self._begin(new)
         return True
 
@@ -357,8 +359,8 @@
         door = self.doors.pop(name)
         self.busy.discard(self.oracle.fates[name].key)
         self.oracle.withdrawn(name)
-        if door.left is not None:
-            door.left()
+        if door.on_withdrawn is not None:
+            door.on_withdrawn()
 
     def stop(self) -> None:
         """SIGTERM, and the process ends by itself: nothing is sent from the freeze on, and calls may end till then."""
@@ -394,11 +396,11 @@
 
     def notify(self, heard: bool) -> None:
         """The platform is told what is owed; whether its answer comes back is the caller's to say."""
-        owed = self.engine.owed_ends()
+        owed = self.engine.pending_notices()
         for name, notice in owed.items():
             self.oracle.notified(name, notice.state)
         if heard:
-            self.engine.acknowledged([*owed])
+            self.engine.acknowledge_notices([*owed])
 
     def close(self) -> None:
         self.transport.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -189,7 +189,7 @@
 
         peer = await Peer(answer).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", peer.port)})
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         pool.start(EndpointCall(1, (7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
@@ -275,15 +275,15 @@
 
         peer = await Peer(accept).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", peer.port)})
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         far = now + DUE_US
         for alone in (True, False):
-            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, leave_by_us=clock() + SECOND)
+            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND)
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
             pool.start(EndpointCall(1, (7, -1), clock(), [late, *others]))
             clock.until(clock() + SECOND)  # the dial has not begun yet
-            while pool.out:
+            while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(e.message_id, e.outcome) for e in ends] == [
             ("late-True", Outcome.NOT_SENT),
@@ -313,11 +313,11 @@
     sock = socket.socket()
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
-    await loop.sock_connect(sock, ("127.0.0.1", server.listener.where().port))
+    await loop.sock_connect(sock, ("127.0.0.1", server.listener.address().port))
     sending = asyncio.create_task(loop.sock_sendall(sock, FLOOD))
-    while not server.doors:
+    while not server.connections:
         await asyncio.sleep(0.005)
-    (door,) = server.doors
+    (door,) = server.connections
     assert door.transport is not None
     while door.transport.is_reading() and not sending.done():
         await asyncio.sleep(0.005)
@@ -336,7 +336,7 @@
         server = ClientServer(settings_of(SETTINGS), Skewed(), 10, refuse)
         sock, door, sending = await flooded(server)
         assert not sending.done()
-        assert not door.closed()
+        assert not door.is_closed()
         loop, got, answered = asyncio.get_running_loop(), b"", 0
         while answered < FLOOD.count(b"POST"):
             *whole, got = (got + await loop.sock_recv(sock, 1 << 20)).split(b"HTTP/1.1 404")
@@ -387,7 +387,7 @@
         server = ClientServer(settings_of(SETTINGS), clock, 10, refuse)
         sock, _, sending = await flooded(server)
         clock.until(clock() + STALLED_US + 1)
-        while server.doors:
+        while server.connections:
             await asyncio.sleep(0.005)
         with pytest.raises(ConnectionError):
             await sending
@@ -458,9 +458,9 @@
         platform.host("s2", 9)
         at = await Scene(tmp_path, platform).start()
         await platform.got(1)
-        assert len(at.engine.pool.where) == 2
+        assert len(at.engine.pool.addresses) == 2
         await platform.change("s1", "draining")
-        while len(at.engine.pool.where) == 2:
+        while len(at.engine.pool.addresses) == 2:
             await asyncio.sleep(0.005)
         assert len(platform.requests) >= silent + 1
         at.end()
@@ -489,14 +489,14 @@
         told: list[str] = []
 
         class Book:
-            def owed_ends(self) -> dict[str, PendingNotice]:
+            def pending_notices(self) -> dict[str, PendingNotice]:
                 return {} if told else {"m": PendingNotice("failed", 0, None)}
 
-            def acknowledged(self, names: list[str]) -> None:
+            def acknowledge_notices(self, names: list[str]) -> None:
                 told.extend(names)
 
         notices = watch_module.Notifier(at.where, Book())
-        notices.kick()
+        notices.wake()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
             path, writer = await at.questions.get()
@@ -538,7 +538,7 @@
     def pool(self, ends: list[AttemptEnded]) -> ConnectionPool:
         """A pool whose target 1 this is."""
         pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
-        pool.serving({1: self.address})
+        pool.update_addresses({1: self.address})
         return pool
 
     async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
@@ -625,7 +625,7 @@
         sock = await wire.carry(pool, "a")
         if answer:
             sock.send(answer)
-            while not ends and not any(c.connection and c.connection.seen == answer for c in pool.calls.values()):
+            while not ends and not any(c.connection and c.connection.received == answer for c in pool.calls.values()):
                 await asyncio.sleep(0.002)
         if broken == "reset":
             wire.reset(sock)
@@ -677,7 +677,7 @@
         give_up, alone = GIVE_UPS[how]
         if crossing == "split" or how == "quiet":
             sock.send(answer[:9])
-            while call.connection is not None and not call.connection.seen:
+            while call.connection is not None and not call.connection.received:
                 await asyncio.sleep(0.002)
         rest = answer[9:] if crossing == "split" or how == "quiet" else answer
         if crossing in ("before", "split"):
@@ -691,9 +691,9 @@
         told = crossing != "never" and answer == TURNED_AWAY
         assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
         assert bool(pool.waits) == told
-        assert pool.out == 0
+        assert pool.calls_in_flight == 0
         assert not pool.calls
-        assert not pool.all
+        assert not pool.connections
         pool.close()
 
     play(scene)
@@ -740,7 +740,7 @@
         server = ClientServer(settings_of(SETTINGS), Skewed(), 1, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        address = ("127.0.0.1", server.listener.where().port)
+        address = ("127.0.0.1", server.listener.address().port)
         loop, sock = asyncio.get_running_loop(), socket.socket()
         sock.setblocking(False)
         await loop.sock_connect(sock, address)
@@ -749,11 +749,11 @@
         if sent == "before the close":
             sock.send(message("crossing"))
         if ending == "drain":
-            server.let_go()
+            server.close_idle_connections()
         elif ending == "exit":
             server.close()
         else:
-            server.joined(ClientConnection(server))
+            server.connection_opened(ClientConnection(server))
         if sent == "after the close":
             sock.send(message("crossing"))
         answered = sent == "before the close" and ending != "exit"
@@ -906,11 +906,11 @@
 
     async def run() -> None:
         pool = ConnectionPool(Skewed(), ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", 9)})
+        pool.update_addresses({1: Address("127.0.0.1", 9)})
         connection, far = EndpointConnection(pool), pool.clock() + DUE_US
         connection.connection_made(Paper(protocol=connection))
         call = EndpointCall(1, (7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
-        pool.keep(connection, 1)
+        pool.keep_idle(connection, 1)
         pool.start(call)
         marks = sorted({0, came, *(cut for cut in cuts if cut < came)})
         for first, last in itertools.pairwise(marks):
@@ -974,8 +974,8 @@
                 await asyncio.sleep(0)
             elif step == "let go":
                 idle = len(handed) == answered and asked == answered and not half
-                server.let_go()
-                assert paper.closed == (idle and door.asked)
+                server.close_idle_connections()
+                assert paper.closed == (idle and door.has_sent_request)
             elif step in ("half-close", "gone"):
                 if step == "gone":
                     door.connection_lost(None)
@@ -1065,7 +1065,7 @@
                 places.append(at)
                 if step == "moved and answered":  # in the kernel, and not read
                     writer.write(json_answer(seq=seq + 1, whole=seq < 0, hosts=[more]))
-                watch.move(at.where)
+                watch.change_address(at.where)
                 breaks = 0
                 continue
             else:
@@ -1087,7 +1087,7 @@
             ahead[0] += watch_module.LEAST_WATCH_S
         known: dict[str, Any] = {}
         for told in filter(None, heard):
-            known = ({} if told.whole else known) | {h.name: h.raw for h in told.hosts}
+            known = ({} if told.is_complete else known) | {h.name: h.raw for h in told.endpoints}
         assert len(heard) == count
         assert known == hosts
         watch.client.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -261,10 +261,10 @@
     def __init__(self) -> None:
         self.owed = {"m": PendingNotice("failed", 0, None)}
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         return self.owed
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         for name in names:
             del self.owed[name]
 
@@ -284,7 +284,7 @@
             return await real(*args, **named)
 
         notices.client.ask = ask  # type: ignore[assignment, method-assign]
-        notices.kick()
+        notices.wake()
         await platform.notice("m")
         async with asyncio.timeout(PATIENCE):
             while book.owed:
@@ -383,7 +383,7 @@
             while not told:
                 await asyncio.sleep(0.01)
         assert told[0] is not None
-        assert told[0].whole
+        assert told[0].is_complete
         watch.client.close()
 
     asyncio.run(scene())
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -79,7 +79,7 @@
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         for _ in range(COUNT):
-            await ask_and_close(server.listener.where(), data, reset)
+            await ask_and_close(server.listener.address(), data, reset)
         await freed(made, COUNT)
         server.close()
 
@@ -101,7 +101,7 @@
 
         peer, ends = await Peer(once).start(), []
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(COUNT):
             p.start(call(Clock(), f"m{n}"))
             async with asyncio.timeout(PATIENCE):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -103,13 +103,13 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
-        p.serving({})
+        p.update_addresses({})
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests
         assert [e.outcome for e in ends] == [Outcome.NOT_SENT]
-        assert p.out == 0
+        assert p.calls_in_flight == 0
 
     asyncio.run(scene())
 
@@ -119,7 +119,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
@@ -145,7 +145,7 @@
 
         peer = await Peer(accept).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(EndpointCall(1, (7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
@@ -182,11 +182,11 @@
     table = EndpointTable((), {}, ())
     table.numbers = counted = CountedNames()
     names = [f"s{n}" for n in range(3200)]
-    table.take(listed(1, names, whole=True))
+    table.apply(listed(1, names, whole=True))
     assert len(table.serving(())) == len(names)
     for n in range(20):
-        table.take(listed(2 + n, [names[n]], health="draining"))
-        table.entries(table.hosts.values())
+        table.apply(listed(2 + n, [names[n]], health="draining"))
+        table.entries(table.endpoints.values())
     assert len(table.serving(())) == len(names) - 20
     assert counted.scans == 0
 
@@ -195,10 +195,10 @@
     table = EndpointTable((), {}, ())
     kept = table.number("banned")
     for n in range(3000):
-        table.take(listed(2 * n, [f"s{n}"]))
-        table.entries(table.hosts.values(), {"banned"})
-        table.take(listed(2 * n + 1, [f"s{n}"], health="removed"))
-    table.take(listed(6001, ["s2999"]))
+        table.apply(listed(2 * n, [f"s{n}"]))
+        table.entries(table.endpoints.values(), {"banned"})
+        table.apply(listed(2 * n + 1, [f"s{n}"], health="removed"))
+    table.apply(listed(6001, ["s2999"]))
     assert len(table.numbers) <= MAX_ENDPOINTS
     assert len(table.names) == len(table.numbers)
     assert table.number("banned", {"banned"}) == kept
@@ -213,7 +213,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends, 1_000_000)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert [e.outcome for e in ends] == [Outcome.DELIVERED]
@@ -264,11 +264,11 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for _ in range(2):
             connection = EndpointConnection(p)
             connection.connection_made(Dead())
-            p.keep(connection, 1)
+            p.keep_idle(connection, 1)
         p.start(call(Clock(), "m"))
         async with asyncio.timeout(20):
             while not ends:
@@ -284,11 +284,11 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", 9)})
+        p.update_addresses({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
             connection = EndpointConnection(p)
             connection.connection_made(HalfWritten())
-            p.keep(connection, 1)
+            p.keep_idle(connection, 1)
             p.start(call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
@@ -304,18 +304,18 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 150_000))
         await peer.got(1)
-        assert p.out == 1
+        assert p.calls_in_flight == 1
         assert not ends
         while not ends:
             await asyncio.sleep(0.01)
         assert ends[0].outcome is Outcome.TIMED_OUT
         assert not ends[0].is_final
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.01)
-        assert p.out == 0
+        assert p.calls_in_flight == 0
         assert not p.calls
         assert not p.idle
         p.start(call(Clock(), "n"))
@@ -324,8 +324,8 @@
         while len(ends) < 2:  # told as its connection is gone
             await asyncio.sleep(0.01)
         assert ends[1].outcome is Outcome.CANCELED
-        assert p.out == 0
-        assert not p.all
+        assert p.calls_in_flight == 0
+        assert not p.connections
         p.close()
 
     asyncio.run(scene())
@@ -352,13 +352,13 @@
 
         peer = await Peer(quiet).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
         assert [(e.outcome, e.is_final) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
-        assert p.out == 0
+        assert p.calls_in_flight == 0
         assert not p.calls
         p.close()
 
@@ -380,7 +380,7 @@
 
         peer = await Peer(answer).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
             EndpointCall(1, (7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"])
         )
@@ -414,7 +414,7 @@
 
         peer = await Peer(pieces).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
@@ -440,7 +440,7 @@
 
         peer = await Peer(slow).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
             EndpointCall(
                 1,
@@ -456,7 +456,7 @@
         await asyncio.sleep(0.2)
         assert not ends
         free.set()
-        while p.out:
+        while p.calls_in_flight:
             await asyncio.sleep(0.01)
         assert [(e.message_id, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
         p.close()
@@ -471,7 +471,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
             EndpointCall(
                 1,
@@ -486,7 +486,7 @@
         while not ends:
             await asyncio.sleep(0.01)
         assert {(e.message_id, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.01)
         p.close()
 
@@ -498,7 +498,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
             p.start(call(Clock(), f"m{n}"))
             while len(ends) <= n:
@@ -517,13 +517,13 @@
         gone = asyncio.Event()
 
         def hand_in(handed: Submission, door: ClientConnection) -> None:
-            door.left = gone.set
+            door.on_withdrawn = gone.set
             came.put_nowait(handed)
 
         server = ClientServer(parse_settings(SETTINGS), Clock(), 10, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(message("m"))
         assert (await came.get()).id == "m"
@@ -595,13 +595,13 @@
         server = ClientServer(parse_settings(SETTINGS), clock, 10, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         client = await asyncio.open_connection("127.0.0.1", port)
         client[1].write(b"GET /up HTTP/1.1\r\n\r\n")
         await client[0].readuntil(b"up\n")
         peer = await asyncio.open_connection("127.0.0.1", port)
         peer[1].write(sent)
-        while len(server.doors) < 2 or (sent and all(d.reading is None for d in server.doors)):
+        while len(server.connections) < 2 or (sent and all(d.reading is None for d in server.connections)):
             await asyncio.sleep(0.01)
         clock.skew = 2_100_000
         async with asyncio.timeout(20):
@@ -619,7 +619,7 @@
         server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         first, *others = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         async with asyncio.timeout(20):
             assert await first[0].read() == b""
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -98,7 +98,7 @@
         endpoint = await RecordingServer([OK]).start()
         ends: list[AttemptEnded] = []
         pool = ConnectionPool(lambda: NOW_US, ends.append, (), 0, 0, 10)
-        pool.serving({1: endpoint.address})
+        pool.update_addresses({1: endpoint.address})
         pool.start(EndpointCall(1, (7, -1), NOW_US, [item]))
         assert await endpoint.received(1) == [
             b"POST /hook HTTP/1.1\r\n"
@@ -122,7 +122,7 @@
         endpoint = await RecordingServer([answer]).start()
         ends: list[AttemptEnded] = []
         pool = ConnectionPool(lambda: NOW_US, ends.append, (), 0, 0, 10)
-        pool.serving({1: endpoint.address})
+        pool.update_addresses({1: endpoint.address})
         due = NOW_US + 9_000_000
         items = [
             CallItem("a", 0, None, b"\x00\xff", NOW_US + 2_000_000, due),
@@ -228,7 +228,7 @@
         server = ClientServer(parse_settings(SETTINGS), Clock(), 10, answer_by_id)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        reader, writer = await asyncio.open_connection("127.0.0.1", server.listener.where().port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", server.listener.address().port)
         writer.write(request)
         writer.write_eof() if b"Connection: close" in expected else None
         assert await reader.readexactly(len(expected)) == expected
@@ -276,11 +276,11 @@
         server = ClientServer(parse_settings(SETTINGS), Clock(), 10, answer_by_id)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        reader, writer = await asyncio.open_connection("127.0.0.1", server.listener.where().port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", server.listener.address().port)
         writer.write(message("half")[:-3])
-        while not server.doors or next(iter(server.doors)).reading is None:
+        while not server.connections or next(iter(server.connections)).reading is None:
             await asyncio.sleep(0.002)
-        next(iter(server.doors)).evict("too many clients")
+        next(iter(server.connections)).evict("too many clients")
         assert await reader.read() == plain(b"503 Service Unavailable", b"too many clients", close=True)
         writer.close()
         server.close()
@@ -298,10 +298,10 @@
         self.pending = pending
         self.done = asyncio.Event()
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         return dict(self.pending)
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         for name in names:
             del self.pending[name]
         if not self.pending:
@@ -313,7 +313,7 @@
         discovery = await RecordingServer([b"HTTP/1.1 204 No Content\r\n\r\n"]).start()
         book = Notices({"a": PendingNotice("failed", 0, None), "b": PendingNotice("returned", 1500, "key")})
         notifier = Notifier(discovery.address, book)
-        notifier.kick()
+        notifier.wake()
         body = b'{"id":"a","state":"failed"}\n{"id":"b","state":"returned","after_ms":1500}\n'
         assert await discovery.received(1) == [
             b"POST /v1/notices HTTP/1.1\r\n" + discovery.host() + b"Content-Length: %d\r\n\r\n" % len(body) + body
