--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -19,7 +19,7 @@
 from forwarder.clients.arrival_time import PatientSocket, waited_us
 from forwarder.clients.listener import Listener, descriptor, fileno, unread
 from forwarder.decisions.settings import MessageClass, Settings
-from forwarder.protocol.http1 import MOST_BODY, parse_destination
+from forwarder.protocol.http1 import MAX_BODY_BYTES, parse_destination
 from forwarder.runtime.descriptor_watch import ready_now
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
@@ -273,14 +273,14 @@
     def on_headers_complete(self) -> None:
         if self.reading is not None and self.transport is not None:
             length = self.reading.headers.get("content-length", "0")
-            if length.isdigit() and int(length) > MOST_BODY:
+            if length.isdigit() and int(length) > MAX_BODY_BYTES:
                 raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
             if self.reading.headers.get("expect", "").lower() == "100-continue" and self.current_request is None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         if self.reading is not None:
-            if len(self.reading.body) + len(body) > MOST_BODY:
+            if len(self.reading.body) + len(body) > MAX_BODY_BYTES:
                 raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
             self.reading.body += body
 
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -12,8 +12,14 @@
 
 from forwarder.clients.listener import unread
 from forwarder.config.config import Address, EndpointList, parse_endpoint_list
-from forwarder.endpoints.pool import LOCAL_ERRORS
-from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadResponseError, ResponseReader, render_request
+from forwarder.endpoints.local_errors import LOCAL_ERRORS
+from forwarder.protocol.http1 import (
+    MAX_BODY_BYTES,
+    MAX_ENDPOINT_LIST_BYTES,
+    BadResponseError,
+    ResponseReader,
+    render_request,
+)
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.store import PendingNotice
@@ -35,7 +41,7 @@
 # the forwarder has not read what discovery wrote, it goes by an older list, and a drain's grace is short
 NOTICE_PAUSES_S = (0.05, 0.1)  # a post that failed is made again after these: see above
 MOST_NOTICES = 500  # lines in one post
-MOST_POST = MOST_BODY  # and its bytes
+MOST_POST = MAX_BODY_BYTES  # and its bytes
 log = logging.getLogger("forwarder.discovery")
 
 
@@ -43,7 +49,7 @@
     """One connection for one request after another."""
 
     def __init__(self) -> None:
-        self.reader = ResponseReader(MOST_LIST)
+        self.reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[None] | None = None
 
--- /dev/null
+++ b/forwarder/endpoints/call_outcome.py
@@ -0,0 +1,83 @@
+"""Decides from an endpoint's answer, or from its lack, how the attempts of a call ended (PROTOCOL)."""
+
+from __future__ import annotations
+
+import json
+import logging
+from collections.abc import Iterable
+
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import CallItem, CallResult, EndpointCall
+from forwarder.protocol.http1 import ResponseReader, parse_retry_after_us
+
+BATCH_OUTCOMES = {
+    "accepted": Outcome.DELIVERED,
+    "fault": Outcome.FAILED,
+    "deferred": Outcome.REJECTED,
+    "expired": Outcome.NOT_SENT,
+    "no_more": Outcome.NOT_SENT,
+}
+"""The outcome for each state in the answer to a batch call."""
+FINAL_BATCH_STATE = "expired"
+log = logging.getLogger("forwarder.client")
+
+
+def result_of_answer(reader: ResponseReader) -> CallResult:
+    """Return the result that a complete answer's status stands for, for all messages of its call."""
+    status = reader.status
+    if status == 200:
+        return CallResult(Outcome.DELIVERED)
+    if status == 429:
+        return _result_of_rejection(reader)
+    if status == 503:
+        return CallResult(Outcome.NOT_SENT if "x-over-slots" in reader.headers else Outcome.REJECTED)
+    if status in (410, 504):
+        return CallResult(Outcome.NOT_SENT, is_final=status == 410)
+    if status != 500:
+        log.warning("a target answered %d", status)
+    return CallResult(Outcome.FAILED)
+
+
+def results_of_batch(
+    reader: ResponseReader, items: Iterable[CallItem], endpoint: int
+) -> list[tuple[CallItem, CallResult]]:
+    """Return the result of each message from the body of a complete answer to a batch call.
+
+    A message that the answer does not mention has failed: it may have run.
+    """
+    retry_after_us = parse_retry_after_us(reader.headers) or 0
+    states = _batch_states(reader.body, endpoint)
+    results = []
+    for item in items:
+        state = states.get(item.id)
+        outcome = BATCH_OUTCOMES.get(state, Outcome.FAILED) if isinstance(state, str) else Outcome.FAILED
+        results.append((item, CallResult(outcome, state == FINAL_BATCH_STATE, retry_after_us)))
+    return results
+
+
+def outcome_of_broken_answer(call: EndpointCall, reader: ResponseReader) -> Outcome:
+    """Return the outcome of a call whose answer is cut, malformed or missing.
+
+    A first line with status 200 is a delivery though the rest is cut. Of a batch call only the complete answer counts.
+    Nothing else that is cut or malformed is believed, not even a rejection: the call may have run.
+    """
+    if reader.says_ok() and not call.batched:
+        return Outcome.DELIVERED
+    if reader.begun:
+        return Outcome.UNREADABLE
+    return Outcome.RESET if call.written else Outcome.NO_CONNECTION
+
+
+def _result_of_rejection(reader: ResponseReader) -> CallResult:
+    retry_after_us = parse_retry_after_us(reader.headers)
+    if retry_after_us is None:
+        return CallResult(Outcome.UNREADABLE)
+    return CallResult(Outcome.REJECTED, retry_after_us=retry_after_us)
+
+
+def _batch_states(body: bytes, endpoint: int) -> dict[object, object]:
+    try:
+        return {entry["id"]: entry["state"] for entry in json.loads(body)}
+    except (ValueError, TypeError, KeyError) as error:
+        log.warning("target %d: bad batch answer: %r", endpoint, error)
+        return {}
--- /dev/null
+++ b/forwarder/endpoints/connection.py
@@ -0,0 +1,235 @@
+"""One connection to an endpoint, which carries one call at a time.
+
+Whether a call may have run is known by whether its last byte was handed to the socket. So every byte is written here,
+and no library below keeps bytes back or sends them again.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import select
+import socket
+from contextlib import suppress
+from typing import Protocol
+
+from forwarder.clients.listener import fileno, reset_on_close
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import EndpointCall
+from forwarder.protocol.http1 import MAX_BODY_BYTES, BadResponseError, ResponseReader
+from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
+
+GIVEN_UP_S = 0.1  # how long an answer that crosses the end of its call is waited for (PROTOCOL: an end is due in 0.3 s)
+UNREQUESTED_DATA = "bytes or an end that nothing asked for"
+log = logging.getLogger("forwarder.client")
+
+
+class CallObserver(Protocol):
+    """Is told what becomes of the call on a connection."""
+
+    def answer_progressed(self, call: EndpointCall) -> None:
+        """A part of the answer has come."""
+
+    def answer_ended(self, call: EndpointCall, reader: ResponseReader, broken: bool = False) -> None:
+        """The answer is complete, or `broken`: it will not be."""
+
+    def connection_broke(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
+        """The connection has ended before the answer was complete. `given_up`: why the forwarder ended it itself."""
+
+
+class ConnectionOwner(Protocol):
+    """Keeps connections that carry no call."""
+
+    reasons: ReasonCounts
+
+    @property
+    def in_flight(self) -> CallObserver:
+        """Who is told what becomes of calls."""
+
+    def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
+        """Keep a connection whose call is answered for the next one."""
+
+    def connection_ended(self, connection: EndpointConnection) -> None:
+        """A connection is closed and can be forgotten."""
+
+
+class EndpointConnection(asyncio.Protocol):
+    """A connection to an endpoint, with at most one call on it.
+
+    While a call is in flight, closing the connection resets it: what is still in the send buffer must not arrive once
+    the call has ended here.
+
+    Args:
+        owner: the pool that the connection belongs to.
+        call: the call that another process has written on it, if any.
+        received: what that process has read of the call's answer.
+    """
+
+    def __init__(self, owner: ConnectionOwner, call: EndpointCall | None = None, received: bytes = b"") -> None:
+        self.owner = owner
+        self.idle_since_us = 0
+        self.current_call = call
+        self.given_up: Outcome | None = None
+        self.received = bytearray(received)
+        """What has come of the answer that is being read."""
+        self.transport: asyncio.Transport | None = None
+        self.reader = ResponseReader()
+        self._answered = call is None
+        """Whether no call is in flight, so that its end says nothing about one."""
+        self._unread = select.poll()
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin to use the connection; called by the event loop."""
+        assert isinstance(transport, asyncio.Transport)
+        transport.set_write_buffer_limits(0)  # so that resume_writing says that the last byte was handed over
+        self.transport = transport
+        self._reset_on_close(True)
+        if transport.get_extra_info("socket") is not None:
+            self._unread.register(fileno(transport), select.POLLIN)
+        if self.current_call is not None:
+            self.current_call.connection = self
+            if self.received:
+                self._read(bytes(self.received))
+
+    def resume_writing(self) -> None:
+        """Note that the last byte of a call was handed to the socket; called by the event loop."""
+        if self.current_call is not None:
+            self.current_call.written = True
+
+    def data_received(self, data: bytes) -> None:
+        """Read a part of an answer; called by the event loop."""
+        self.received += data
+        self._read(data)
+
+    def eof_received(self) -> bool:
+        """Read the endpoint's end of the connection, which may complete an answer; called by the event loop."""
+        if self.current_call is not None:
+            self.reader.end()
+            if self.reader.complete:
+                self._answer_completed(self.current_call)
+        return False
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """End the call in flight, if there is one; called by the event loop."""
+        self.owner.connection_ended(self)
+        self.settle()
+        self.reader.release()
+
+    def is_closing(self) -> bool:
+        """Return whether the connection is closed, or about to be."""
+        return self.transport is None or self.transport.is_closing()
+
+    def send(self, call: EndpointCall, request: bytes) -> bool:
+        """Write the request of a call.
+
+        Returns:
+            False where the connection was dead already, or something has come on it that nothing asked for. Then no
+            byte of the request has left.
+        """
+        assert self.transport is not None
+        if self._has_unread():
+            self.close(UNREQUESTED_DATA)
+            return False
+        self.reader.renew()
+        self.received.clear()
+        self._answered = False
+        self.transport.write(request)
+        if self.transport.is_closing():
+            return False
+        self.current_call = call
+        call.connection = self
+        call.written = self.transport.get_write_buffer_size() == 0
+        return True
+
+    def give_up(self, outcome: Outcome) -> None:
+        """Stop waiting for the answer to the call in flight.
+
+        Its sending side is closed now, and the connection a little later. The call ends with the connection and not
+        before: an answer that crosses was written by the endpoint, so the Retry-After that it holds counts.
+        """
+        if self.given_up is not None or self.is_closing():  # a call that has broken has its end
+            return
+        self.given_up = outcome
+        call = self.current_call
+        reason = f"call given up: {outcome.value}"
+        if call is None or not call.written or self.transport is None or not self.transport.can_write_eof():
+            self.close(reason)
+            return
+        self.transport.write_eof()
+        call.timeout_timer = asyncio.get_running_loop().call_later(GIVEN_UP_S, self.close, reason)
+
+    def settle(self) -> None:
+        """End the call of a connection that is closed, or about to be; what has come counts, read or not."""
+        if self.current_call is not None and (data := read_pending(self.transport)):
+            self._read(data)
+        call = self.current_call
+        self.current_call = None
+        if call is not None:
+            call.connection = None
+            self.owner.in_flight.connection_broke(call, self.reader, self.given_up)
+
+    def close(self, reason: str = "on demand") -> None:
+        """Close the connection at once, by a reset if a call is in flight. `reason` is counted and logged."""
+        if self.transport is None:
+            return
+        peer = str(self.transport.get_extra_info("peername"))
+        self.owner.reasons.note(Subject.ENDPOINT_CLOSED, reason, peer)
+        if self._answered:
+            self._reset_on_close(False)
+        self.transport.abort()
+
+    def _read(self, data: bytes) -> None:
+        call = self.current_call
+        if call is None:
+            self.close(UNREQUESTED_DATA)
+            return
+        try:
+            self.reader.feed(data)
+        except BadResponseError as error:
+            log.warning("target %d: bad answer: %s", call.endpoint, error)
+            self.current_call = None
+            self.owner.in_flight.answer_ended(call, self.reader, broken=True)
+            self.close("bad answer")
+            return
+        if self.reader.complete:
+            self._answer_completed(call)
+        else:
+            self.owner.in_flight.answer_progressed(call)
+
+    def _answer_completed(self, call: EndpointCall) -> None:
+        self.current_call = None
+        call.connection = None
+        self._answered = True
+        self.owner.in_flight.answer_ended(call, self.reader)
+        if self.reader.keep_alive and self.given_up is None and not self.is_closing():
+            self.owner.keep_idle(self, call.endpoint)
+        else:
+            self.close("not kept alive by the endpoint")
+
+    def _has_unread(self) -> bool:
+        """Return whether bytes or an end may wait in the kernel.
+
+        Read after a call is written, they would be taken for its answer, or for the end of a call that never arrived.
+        """
+        return ready_now(self._unread) != []
+
+    def _reset_on_close(self, reset: bool) -> None:
+        sock = None if self.transport is None else self.transport.get_extra_info("socket")
+        if sock is not None:
+            with suppress(OSError):  # the socket is closed already
+                reset_on_close(sock, reset)
+
+
+def read_pending(transport: asyncio.Transport | None) -> bytes:
+    """Return what waits in the kernel on a connection; nothing where it cannot be read any more."""
+    sock = None if transport is None else transport.get_extra_info("socket")
+    if sock is None or sock.fileno() < 0:
+        return b""
+    borrowed = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
+    try:
+        return borrowed.recv(2 * MAX_BODY_BYTES)
+    except OSError:
+        return b""
+    finally:
+        borrowed.detach()
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has listed: by name as the wire has them, by number as the decisions do."""
+"""The endpoints that discovery has listed: by name as on the wire, by number as in the decisions."""
 
 from __future__ import annotations
 
@@ -7,49 +7,58 @@
 from forwarder.config.config import Address, EndpointList, ListedEndpoint
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import DestinationKind
+from forwarder.endpoints.call import ALL_ENDPOINTS, LimitScopeKey
 
-MAX_ENDPOINTS = 2000  # remembered at most, those that are gone among them
+MAX_ENDPOINTS = 2000  # numbers remembered at most, those of endpoints that are not listed any more among them
 
 
 class EndpointTable:
-    """What may be called, and where."""
+    """The listed endpoints, and the numbers by which the decisions know them.
+
+    Args:
+        kinds: the kinds of endpoints, by the settings.
+        numbers: the numbers of endpoints, by name, of the process which this one takes over from.
+        destinations: the destinations that that process has ever seen listed.
+    """
 
     def __init__(
         self, kinds: Iterable[DestinationKind], numbers: Mapping[str, int], destinations: Iterable[int]
     ) -> None:
-        """`numbers` and `destinations` are those of the process which this one takes over from."""
         self.apply_settings(kinds)
         self.endpoints: dict[str, ListedEndpoint] = {}
         """Those that are listed now, by name."""
         self.numbers = dict(numbers)
         self.names = {number: name for name, number in self.numbers.items()}
-        self._gone = dict.fromkeys(self.numbers)
-        """Those of them that are not listed, the one that is gone longest first."""
         self.destinations = set(destinations)
         """All that were ever listed."""
+        self._unlisted = dict.fromkeys(self.numbers)
+        """The names with a number that are not listed, the one that left the list first at the front."""
         self._newest_number = max(self.names, default=0)
 
     def apply_settings(self, kinds: Iterable[DestinationKind]) -> None:
-        """Take on the kinds of new settings."""
+        """Use the kinds of new settings from now on."""
         self.kinds = {kind.name: kind for kind in kinds}
 
-    def apply(self, told: EndpointList) -> None:
-        """Follow the list, whole or in part."""
-        if told.is_complete:
-            self._gone.update(dict.fromkeys(name for name in self.endpoints if name in self.numbers))
+    def apply(self, endpoint_list: EndpointList) -> None:
+        """Follow a list: all of it, or the changes since the version before."""
+        if endpoint_list.is_complete:
+            self._unlisted.update(dict.fromkeys(name for name in self.endpoints if name in self.numbers))
             self.endpoints = {}
-        for host in told.endpoints:
-            self.destinations.add(host.destination)
-            self._gone.pop(host.name, None)
-            if host.state != "removed":
-                self.endpoints[host.name] = host
+        for endpoint in endpoint_list.endpoints:
+            self.destinations.add(endpoint.destination)
+            self._unlisted.pop(endpoint.name, None)
+            if endpoint.state != "removed":
+                self.endpoints[endpoint.name] = endpoint
                 continue
-            self.endpoints.pop(host.name, None)
-            if host.name in self.numbers:
-                self._gone[host.name] = None
+            self.endpoints.pop(endpoint.name, None)
+            if endpoint.name in self.numbers:
+                self._unlisted[endpoint.name] = None
 
     def number(self, name: str, keep: Container[str] = ()) -> int:
-        """The number of an endpoint. Those long gone are forgotten, the oldest first, but none of `keep`."""
+        """Return the number of an endpoint; a new name gets a new number.
+
+        Where too many are known, the one that left the list first is forgotten, but none of `keep`.
+        """
         if name not in self.numbers:
             if len(self.numbers) >= MAX_ENDPOINTS:
                 self._forget_one(keep)
@@ -57,34 +66,36 @@
             self.numbers[name] = self._newest_number
             self.names[self._newest_number] = name
             if name not in self.endpoints:
-                self._gone[name] = None
+                self._unlisted[name] = None
         return self.numbers[name]
 
-    def _forget_one(self, keep: Container[str]) -> None:
-        old = next((name for name in self._gone if name not in keep), None)
-        if old is not None:
-            del self._gone[old]
-            del self.names[self.numbers.pop(old)]
-
-    def entries(self, hosts: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
-        """A list, as the decisions read it."""
-        return tuple(host.entry(self.number(host.name, keep)) for host in hosts)
+    def entries(self, endpoints: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
+        """Return endpoints in the form that the decisions read; `keep` as for `number`."""
+        return tuple(endpoint.entry(self.number(endpoint.name, keep)) for endpoint in endpoints)
 
-    def serving(self, banned: Container[str]) -> dict[int, Address]:
-        """Where those are that may get new calls."""
+    def serving(self, disabled: Container[str]) -> dict[int, Address]:
+        """Return the addresses of those that may get new calls, without those that operators have disabled."""
         return {
-            self.number(host.name, banned): host.address
-            for host in self.endpoints.values()
-            if host.state == "up" and host.name not in banned
+            self.number(endpoint.name, disabled): endpoint.address
+            for endpoint in self.endpoints.values()
+            if endpoint.state == "up" and endpoint.name not in disabled
         }
 
     def endpoint(self, number: int) -> ListedEndpoint | None:
-        """The endpoint of that number, if it is listed."""
+        """Return the endpoint of that number, if it is listed."""
         return self.endpoints.get(self.names.get(number, ""))
 
-    def kind(self, host: ListedEndpoint) -> DestinationKind:
-        return self.kinds.get(str(host.raw.get("class")), DestinationKind(""))
+    def kind(self, endpoint: ListedEndpoint) -> DestinationKind:
+        """Return the settings for an endpoint's kind; the defaults where they do not name it."""
+        return self.kinds.get(str(endpoint.raw.get("class")), DestinationKind(""))
+
+    def limit_scope(self, endpoint: ListedEndpoint) -> LimitScopeKey:
+        """Return what shares a Retry-After with an endpoint: all of its destination, or itself alone."""
+        has_own_scope = self.kind(endpoint).separate_routes
+        return LimitScopeKey(endpoint.destination, self.number(endpoint.name) if has_own_scope else ALL_ENDPOINTS)
 
-    def limit_scope(self, host: ListedEndpoint) -> tuple[int, int]:
-        """What shares a told wait with an endpoint: all of its destination, or itself alone."""
-        return host.destination, self.number(host.name) if self.kind(host).separate_routes else -1
+    def _forget_one(self, keep: Container[str]) -> None:
+        oldest = next((name for name in self._unlisted if name not in keep), None)
+        if oldest is not None:
+            del self._unlisted[oldest]
+            del self.names[self.numbers.pop(oldest)]
--- /dev/null
+++ b/forwarder/endpoints/in_flight_calls.py
@@ -0,0 +1,177 @@
+"""The calls in flight: their time-outs, and the end of each message's attempt."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+
+from forwarder.decisions.events import AttemptEnded, LoadReport
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import AttemptKey, CallItem, CallResult, EndpointCall
+from forwarder.endpoints.call_outcome import outcome_of_broken_answer, result_of_answer, results_of_batch
+from forwarder.endpoints.retry_after import RetryAfterTable
+from forwarder.protocol.http1 import ResponseReader, parse_load_report
+from forwarder.units import SECOND_US
+
+ANSWER_STALL_S = 0.25  # an answer that has begun and does not go on for so long is taken for broken
+DELIVERY_MARGIN_US = 40_000  # a delivery that is heard so shortly before its message's deadline may not count
+TIMER_MARGIN_S = 0.001  # an event loop's timers may be a little early
+
+AttemptSink = Callable[[AttemptEnded], None]
+
+
+class InFlightCalls:
+    """All calls that have not ended, by the attempts that they carry.
+
+    Each attempt ends exactly once, by an `AttemptEnded` event.
+
+    Args:
+        clock: the forwarder's clock, in microseconds.
+        sink: takes the end of each attempt.
+        retry_after: where the Retry-After of answers is recorded.
+    """
+
+    def __init__(self, clock: Callable[[], int], sink: AttemptSink, retry_after: RetryAfterTable) -> None:
+        self.clock = clock
+        self.sink = sink
+        self.retry_after = retry_after
+        self.report_fields: tuple[str, ...] = ()
+        self.count = 0
+        self.by_attempt: dict[AttemptKey, EndpointCall] = {}
+
+    def add(self, call: EndpointCall) -> None:
+        """Take over a call with all of its messages."""
+        self.count += 1
+        for item in call.items:
+            call.open_items[item.id] = item
+            self.by_attempt[item.attempt_key] = call
+
+    def calls(self) -> Iterable[EndpointCall]:
+        """Return each call once."""
+        return {id(call): call for call in self.by_attempt.values()}.values()
+
+    def start_timeout(self, call: EndpointCall) -> None:
+        """Start the time-out of a call anew, for those of its messages that are open.
+
+        A call is given up by closing its connection, for all its messages or for none: while it carries one that has
+        ended here, that one may not be sent again, nor the next of its key. So all wait for the last of them, but not
+        past the deadline of any.
+        """
+        if call.timeout_timer is not None:
+            call.timeout_timer.cancel()
+            call.timeout_timer = None
+        if call.open_items:
+            items = call.open_items.values()
+            last_timeout_us = max(item.timeout_at_us for item in items)
+            call.timeout_at_us = min(last_timeout_us, *(item.due_us for item in items))
+            delay_s = max(0, call.timeout_at_us - self.clock()) / SECOND_US
+            loop = asyncio.get_running_loop()
+            call.timeout_timer = loop.call_later(delay_s + TIMER_MARGIN_S, self.timed_out, call)
+
+    def timed_out(self, call: EndpointCall) -> None:
+        """Give up a call whose time is over."""
+        self._give_up(call, list(call.open_items.values()), Outcome.TIMED_OUT)
+
+    def cancel(self, message_id: str, attempt: int) -> None:
+        """Give up an attempt, if it has not ended."""
+        call = self.by_attempt.get(AttemptKey(message_id, attempt))
+        if call is not None and message_id in call.open_items:
+            self._give_up(call, [call.open_items[message_id]], Outcome.CANCELED)
+
+    def answer_progressed(self, call: EndpointCall) -> None:
+        """A part of an answer has come: the rest has to follow soon."""
+        if call.stall_timer is not None:
+            call.stall_timer.cancel()
+        call.stall_timer = asyncio.get_running_loop().call_later(ANSWER_STALL_S, self.answer_stalled, call)
+
+    def answer_stalled(self, call: EndpointCall) -> None:
+        """The rest of an answer does not come: take it for broken, so that its slot is free for other calls."""
+        if call.connection is not None:
+            call.connection.close("answer stands still")
+
+    def answer_ended(self, call: EndpointCall, reader: ResponseReader, broken: bool = False) -> None:
+        """An answer is complete, or `broken`: it will not be."""
+        call.cancel_timers()
+        report = parse_load_report(reader.headers, self.report_fields)
+        if broken:
+            self.finish(call, CallResult(outcome_of_broken_answer(call, reader)), report)
+        elif reader.status == 200 and call.batched:
+            for item, result in results_of_batch(reader, list(call.open_items.values()), call.endpoint):
+                self.end_item(call, item, result, report)
+        else:
+            self.finish(call, result_of_answer(reader), report)
+
+    def connection_broke(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
+        """The connection of a call has ended before its answer was complete, by itself or as the call was given up.
+
+        A call that has timed out while the rest of a delivery did not come is a delivery.
+        """
+        is_delivery = given_up is Outcome.TIMED_OUT and reader.says_ok() and not call.batched
+        if given_up is None or is_delivery:
+            self.answer_ended(call, reader, broken=True)
+        else:
+            self.finish(call, CallResult(given_up if call.written else Outcome.NO_CONNECTION))
+
+    def finish(self, call: EndpointCall, result: CallResult, report: LoadReport | None = None) -> None:
+        """End a call with the same result for all messages that are open."""
+        for item in list(call.open_items.values()):
+            self.end_item(call, item, result, report)
+        self._detach(call)
+
+    def end_item(
+        self, call: EndpointCall, item: CallItem, result: CallResult, report: LoadReport | None = None
+    ) -> None:
+        """End the attempt of one message."""
+        del call.open_items[item.id]
+        self.by_attempt.pop(item.attempt_key, None)
+        if result.retry_after_us:
+            self.retry_after.note(call.limit_scope, result.retry_after_us)
+        if not call.open_items:
+            self.count -= 1
+        self.sink(
+            AttemptEnded(
+                item.id,
+                item.attempt,
+                call.endpoint,
+                result.outcome,
+                self.clock() - call.sent_us,
+                self._is_final(item, result),
+                result.retry_after_us,
+                report,
+            )
+        )
+
+    def _is_final(self, item: CallItem, result: CallResult) -> bool:
+        """Return whether a message is surely over.
+
+        Its time began when its client sent it, a little before it was read here: a delivery that is heard at the end of
+        that time may have come too late to count, and its message still needs an end.
+        """
+        if result.outcome is Outcome.DELIVERED:
+            return self.clock() < item.due_us - DELIVERY_MARGIN_US
+        return result.is_final
+
+    def _give_up(self, call: EndpointCall, items: list[CallItem], outcome: Outcome) -> None:
+        """Stop waiting for some messages of a call.
+
+        With none left its connection is closed: a late answer must not be taken for the next call's.
+        """
+        if call.connection is not None and len(items) == len(call.open_items):
+            call.connection.give_up(outcome)
+            return
+        for item in items:
+            self.end_item(call, item, CallResult(outcome if call.written else Outcome.NO_CONNECTION))
+        if call.open_items:
+            self.start_timeout(call)
+        else:
+            self._detach(call)
+
+    @staticmethod
+    def _detach(call: EndpointCall) -> None:
+        """Stop the timers of a call that has ended, and close the connection that it was on."""
+        call.cancel_timers()
+        if call.connection is not None:
+            connection = call.connection
+            call.connection = None
+            connection.current_call = None
+            connection.close("call dropped")
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 answers as they arrive: httptools parses, this collects. One answer at a time on a connection."""
+"""HTTP/1.1 as a client: reading answers as they arrive, rendering requests, and the platform's own headers."""
 
 from __future__ import annotations
 
@@ -8,122 +8,159 @@
 import httptools
 
 from forwarder.decisions.events import LoadReport
-
-MOST_BODY = 64 * 1024
-MOST_FIRST = 256
-FIRST_OK = re.compile(rb"HTTP/1\.[01] 200( [^\r\n]*)?\r?\n")
-MOST_LIST = 8 * 1024 * 1024
-MOST_LEFT = 16.0
-"""Shares of an allowance above this are garbage: reports are noisy, but a share is one at most."""
-MOST_RATE = 1e9
-MOST_WAIT_US = 86_400_000_000
-"""No told wait is heeded for longer than a day."""
+from forwarder.errors import ForwarderError
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_ENDPOINT_LIST_BYTES = 8 * 1024 * 1024
+MAX_FIRST_LINE_BYTES = 256
+FIRST_LINE_OK = re.compile(rb"HTTP/1\.[01] 200( [^\r\n]*)?\r?\n")
+MAX_LIMIT_LEFT = 16.0
+"""A load report with a larger share of a limit is ignored: reports are noisy, but a share is one at most."""
+MAX_LIMIT_PER_S = 1e9
+MAX_RETRY_AFTER_US = 86_400_000_000
+"""One day: a longer Retry-After is shortened to it."""
+MAX_DESTINATION_DIGITS = 10
 Headers = dict[str, str]
+"""Headers by their names in lower case."""
 
 
-class BadResponseError(Exception):
-    """What came back is not the HTTP that was promised."""
+class BadResponseError(ForwarderError):
+    """An answer is not valid HTTP, is too large, or is not what was asked for."""
 
 
 class ResponseReader:
-    """Collects one answer after the other; `status` is known as soon as the headers are whole."""
+    """Reads one answer after the other from the bytes of a connection.
+
+    Args:
+        max_bytes: the greatest size of an answer's headers and body.
+
+    Attributes:
+        status: the status code; 0 until the headers are complete.
+        headers: the headers that have come so far.
+        begun: whether a byte of the answer has come.
+        complete: whether all of the answer has come.
+        keep_alive: whether the connection may carry another request; known when the answer is complete.
+    """
 
-    def __init__(self, most: int = MOST_BODY) -> None:
-        self.most = most
+    def __init__(self, max_bytes: int = MAX_BODY_BYTES) -> None:
+        self.max_bytes = max_bytes
         self.renew()
 
     def renew(self) -> None:
+        """Begin with the next answer."""
         self.parser = httptools.HttpResponseParser(self)
-        self.status, self.begun, self.complete, self.keep_alive = 0, False, False, False
+        self.status = 0
         self.headers: Headers = {}
-        self.first = b""  # the start of what came, for its first line
-        self.size = 0
-        self.parts: list[bytes] = []
+        self.begun = False
+        self.complete = False
+        self.keep_alive = False
+        self._first_bytes = b""
+        self._size = 0
+        self._body_parts: list[bytes] = []
 
     def release(self) -> None:
-        """The connection is gone: without its parser, which holds it, a reader is freed at once."""
+        """Drop the parser, which refers back to this reader, so that both are freed without the cyclic collector."""
         del self.parser
 
     @property
     def body(self) -> bytes:
-        return b"".join(self.parts)
+        """The body, as far as it has come."""
+        return b"".join(self._body_parts)
 
     def feed(self, data: bytes) -> None:
+        """Read the next bytes of the connection.
+
+        Raises:
+            BadResponseError: they are not HTTP, or the answer is too large.
+        """
         self.begun = True
-        if len(self.first) < MOST_FIRST:
-            self.first += data[:MOST_FIRST]
+        if len(self._first_bytes) < MAX_FIRST_LINE_BYTES:
+            self._first_bytes += data[:MAX_FIRST_LINE_BYTES]
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
                 raise BadResponseError(str(error)) from None
             self.keep_alive = False
-        if self.size > self.most:
+        if self._size > self.max_bytes:
             raise BadResponseError("the answer is too large")
 
     def end(self) -> None:
-        """The connection has ended in order: an answer that tells no length of its body is whole by that."""
+        """The peer has ended the connection in order, which completes an answer whose length is not stated."""
         if self.status and not {"content-length", "transfer-encoding"} & self.headers.keys():
-            self.complete, self.keep_alive = True, False
+            self.complete = True
+            self.keep_alive = False
 
     def says_ok(self) -> bool:
-        """Whether the first line is whole and says 200, whatever is wrong with the rest."""
-        return self.status == 200 or FIRST_OK.match(self.first) is not None
+        """Return whether the first line is complete and has status 200, whatever is wrong with the rest."""
+        return self.status == 200 or FIRST_LINE_OK.match(self._first_bytes) is not None
 
     # Called by the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.size += len(name) + len(value)
+        """Add a header; called by the parser."""
+        self._size += len(name) + len(value)
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
+        """Note the status; called by the parser."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        self.size += len(body)
-        if self.size <= self.most:
-            self.parts.append(body)
+        """Add a part of the body; called by the parser."""
+        self._size += len(body)
+        if self._size <= self.max_bytes:
+            self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
+        """Note that the answer is complete, unless it is an interim one; called by the parser."""
         if 100 <= self.status < 200:
-            self.status, self.headers = 0, {}
+            self.status = 0
+            self.headers = {}
             return
         self.keep_alive = self.parser.should_keep_alive() and not self.complete
         self.complete = True
 
 
 def parse_destination(addressing: str) -> int | None:
-    """The number that the `dest` of an X-Addressing header names, or None where it names none."""
-    extras = addressing.replace(",", ";").split(";")
-    dest = dict(part.strip().partition("=")[::2] for part in extras).get("dest", "")
-    return int(dest) if dest.isascii() and dest.isdigit() and len(dest) <= 10 else None
+    """Return the number that the `dest` of an X-Addressing header names, or None where it names none."""
+    parts = addressing.replace(",", ";").split(";")
+    dest = dict(part.strip().partition("=")[::2] for part in parts).get("dest", "")
+    is_number = dest.isascii() and dest.isdigit() and len(dest) <= MAX_DESTINATION_DIGITS
+    return int(dest) if is_number else None
 
 
 def parse_retry_after_us(headers: Headers) -> int | None:
-    """The wait that an answer tells, 0 without one; None where it cannot be read."""
+    """Return the Retry-After of an answer in microseconds, 0 without one, or None where it is malformed."""
     try:
-        wait = -int(-float(headers.get("x-ratelimit-wait-ms", "0")) * 1000 // 1)
+        retry_after_us = -int(-float(headers.get("x-ratelimit-wait-ms", "0")) * 1000 // 1)
     except (ValueError, OverflowError):
         return None
-    return min(wait, MOST_WAIT_US) if wait >= 0 else None
+    return min(retry_after_us, MAX_RETRY_AFTER_US) if retry_after_us >= 0 else None
 
 
 def parse_load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
-    """What a target told of its limit; garbage counts as nothing told."""
+    """Return the load report of an answer, or None where there is none or it is malformed.
+
+    Args:
+        headers: the headers of the answer.
+        fields: the names of the fields that reports hold, by the settings.
+    """
     text = headers.get("x-backend-load")
     if not text or "x0" not in fields or "x1" not in fields:
         return None
     try:
-        told = {k.strip(): float(v) for k, _, v in (part.partition("=") for part in text.split(","))}
-        report = LoadReport(told["x0"], told["x1"])
+        values = {name.strip(): float(value) for name, _, value in (part.partition("=") for part in text.split(","))}
+        report = LoadReport(values["x0"], values["x1"])
     except (ValueError, KeyError):
         return None
-    sound = 0.0 <= report.limit_left <= MOST_LEFT and 0.0 <= report.limit_per_s <= MOST_RATE
-    return report if sound else None
+    is_plausible = 0.0 <= report.limit_left <= MAX_LIMIT_LEFT and 0.0 <= report.limit_per_s <= MAX_LIMIT_PER_S
+    return report if is_plausible else None
 
 
 def render_request(method: str, path: str, host: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{k}: {v}" for k, v in headers)]
+    """Return the bytes of a request."""
+    lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in headers)]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -31,8 +31,10 @@
 )
 from forwarder.decisions.events import AttemptEnded, Event, MessageWithdrawn
 from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import CallItem, CallResult, EndpointCall
 from forwarder.endpoints.endpoint_table import EndpointTable
-from forwarder.endpoints.pool import CallItem, CallResult, ConnectionPool, EndpointCall, fits
+from forwarder.endpoints.pool import ConnectionPool
+from forwarder.endpoints.request_rendering import fits_in_batch
 from forwarder.runtime.invariants import Denial, Invariants
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
@@ -156,7 +158,11 @@
             a.send_before_us,
         )
         call = departures.forming.get(a.endpoint)
-        if call is None or len(call.items) >= self.targets.kind(target).max_batch or not fits(call.items, item):
+        if (
+            call is None
+            or len(call.items) >= self.targets.kind(target).max_batch
+            or not fits_in_batch(call.items, item)
+        ):
             call = departures.forming[a.endpoint] = EndpointCall(a.endpoint, self.targets.limit_scope(target), now, [])
             departures.steps.append(call)
         call.items.append(item)
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -13,7 +13,7 @@
 
 from forwarder.clients.listener import fileno
 from forwarder.decisions.outcomes import Outcome
-from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
+from forwarder.endpoints.call import CallItem, CallResult, EndpointCall, LimitScopeKey
 from forwarder.runtime.learned_state_format import learned_state_to_stored
 from forwarder.runtime.ownership import HandoverState
 
@@ -91,7 +91,7 @@
 async def adopt_calls(engine: Engine, handed: HandoverState) -> None:
     """Go on with the calls and connections to targets of the process before."""
     pool, numbers = handed.told["pool"], handed.told["connections"]
-    engine.pool.waits = {(destination, which): end for destination, which, end in pool["waits"]}
+    engine.pool.retry_after.restore(pool["waits"])
     for told in pool["calls"]:
         await _adopt_call(engine, handed, told, numbers)
     for told in pool["idle"]:
@@ -110,7 +110,9 @@
         return  # its connection is closed with all that is not taken out
     sock = handed.socket(numbers[told["connection"]]) if told["connection"] >= 0 else None
     destination, which = told["place"]
-    call = EndpointCall(told["target"], (destination, which), told["sent_us"], items, batched=told["batched"])
+    call = EndpointCall(
+        told["target"], LimitScopeKey(destination, which), told["sent_us"], items, batched=told["batched"]
+    )
     try:
         await engine.pool.adopt(call, sock, base64.b64decode(told["seen"]))
     except OSError as error:  # it was written: its outcome is not known any more
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -384,14 +384,14 @@
     def waits(self, target: int) -> bool:
         """Whether a wait was told meanwhile."""
         host = self.engine.targets.endpoints[self.engine.targets.names[target]]
-        return self.engine.clock() < self.engine.pool.waits.get(self.engine.targets.limit_scope(host), 0)
+        return self.engine.clock() < self.engine.pool.retry_after.until_us(self.engine.targets.limit_scope(host))
 
     def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None:
         """The Dispatcher learns from streams what it learns from calls."""
         wait = (parse_retry_after_us(headers) or 0) if outcome is Outcome.REJECTED else 0
         host = self.engine.targets.endpoints.get(self.engine.targets.names.get(target, ""))
         if wait and host is not None:
-            self.engine.pool.note_wait(self.engine.targets.limit_scope(host), wait)
+            self.engine.pool.retry_after.note(self.engine.targets.limit_scope(host), wait)
         self.engine.post(
             StreamAttemptEnded(number, outcome, wait, parse_load_report(headers, self.engine.pool.report_fields))
         )
--- a/lab/single.py
+++ b/lab/single.py
@@ -21,7 +21,8 @@
 from forwarder.config.config import Config, load_config, parse_endpoint_list
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
-from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
+from forwarder.endpoints.call import AttemptKey, CallItem, CallResult, EndpointCall
+from forwarder.endpoints.retry_after import RetryAfterTable
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.invariants import AttemptFacts, RouteFacts
 from forwarder.runtime.ownership import HandoverState
@@ -211,10 +212,13 @@
     engine: Engine
     oracle: Oracle
     calls_in_flight: int = 0
-    calls: dict[tuple[str, int], EndpointCall] = field(default_factory=dict)
-    waits: dict[tuple[int, int], int] = field(default_factory=dict)
+    calls: dict[AttemptKey, EndpointCall] = field(default_factory=dict)
     addresses: dict[int, Any] = field(default_factory=dict)
     connections: set[Any] = field(default_factory=set)
+    retry_after: RetryAfterTable = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.retry_after = RetryAfterTable(self.engine.clock)
 
     def update_addresses(self, addresses: dict[int, Any]) -> None:
         self.addresses = addresses
@@ -224,10 +228,10 @@
         others = {name for name, _ in self.calls}
         for item in call.items:
             call.open_items[item.id] = item
-            self.calls[(item.id, item.attempt)] = call
+            self.calls[item.attempt_key] = call
         for item in call.items:
             attempt = AttemptFacts(item.id, item.attempt, item.send_before_us, item.due_us)
-            route = RouteFacts(call.endpoint in self.addresses, self.waits.get(call.limit_scope, 0))
+            route = RouteFacts(call.endpoint in self.addresses, self.retry_after.until_us(call.limit_scope))
             if self.engine.rules.may_send(attempt, route, self.engine.clock(), others) is None:
                 self.oracle.sent(item.id)
             else:
@@ -239,7 +243,7 @@
 
     def tell(self, call: EndpointCall, item: CallItem, outcome: Outcome) -> None:
         del call.open_items[item.id]
-        del self.calls[(item.id, item.attempt)]
+        del self.calls[item.attempt_key]
         self.calls_in_flight -= not call.open_items
         took_us = self.engine.clock() - call.sent_us
         closed = outcome is Outcome.DELIVERED
@@ -310,7 +314,7 @@
         new = self._make(HandoverState(Any, json.loads(json.dumps(told)), []))  # type: ignore[arg-type]
         self.calls.calls_in_flight = calls.calls_in_flight
         self.calls.calls = calls.calls
-        self.calls.waits = calls.waits
+        self.calls.retry_after = calls.retry_after
         self._begin(new)
         return True
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,7 +29,10 @@
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived, MessageRecovered
 from forwarder.decisions.outcomes import Outcome
 from forwarder.discovery import watch as watch_module
-from forwarder.endpoints.pool import EDGE_US, CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
+from forwarder.endpoints.connection import EndpointConnection
+from forwarder.endpoints.in_flight_calls import DELIVERY_MARGIN_US
+from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
@@ -168,12 +171,18 @@
 
 def test_the_module_gives_up_at_once_what_was_heard_too_late() -> None:
     """A delivery that may not count is heard within the time in which the unsent drop ends a message."""
-    assert EDGE_US <= LOOK_US
+    assert DELIVERY_MARGIN_US <= LOOK_US
 
 
 @pytest.mark.parametrize(
     ("before_us", "over"),
-    [(2 * SECOND, True), (EDGE_US + 5_000, True), (EDGE_US - 5_000, False), (1_000, False), (-1_000, False)],
+    [
+        (2 * SECOND, True),
+        (DELIVERY_MARGIN_US + 5_000, True),
+        (DELIVERY_MARGIN_US - 5_000, False),
+        (1_000, False),
+        (-1_000, False),
+    ],
 )
 def test_a_delivery_heard_at_the_end_of_its_time_is_not_surely_one(before_us: int, over: bool) -> None:
     """Its time began when the client sent it, which was before it was read: the platform may have counted it out."""
@@ -190,7 +199,7 @@
         peer = await Peer(answer).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
-        pool.start(EndpointCall(1, (7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.is_final) for e in ends] == [(Outcome.DELIVERED, over)]
@@ -281,7 +290,7 @@
             late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND)
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
-            pool.start(EndpointCall(1, (7, -1), clock(), [late, *others]))
+            pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
             clock.until(clock() + SECOND)  # the dial has not begun yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
@@ -544,7 +553,7 @@
     async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
         """Start a call, which must come on a new connection, and return that."""
         far = pool.clock() + DUE_US
-        pool.start(EndpointCall(1, (7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         sock.setblocking(False)
         assert b"X-Correlation-Id: " + name.encode() in await self.request(sock)
@@ -625,7 +634,9 @@
         sock = await wire.carry(pool, "a")
         if answer:
             sock.send(answer)
-            while not ends and not any(c.connection and c.connection.received == answer for c in pool.calls.values()):
+            while not ends and not any(
+                c.connection and c.connection.received == answer for c in pool.in_flight.by_attempt.values()
+            ):
                 await asyncio.sleep(0.002)
         if broken == "reset":
             wire.reset(sock)
@@ -644,9 +655,9 @@
 WAIT_MS = 700
 TURNED_AWAY = b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\nContent-Length: 0\r\n\r\n" % WAIT_MS
 GIVE_UPS: dict[str, tuple[Callable[[ConnectionPool, EndpointCall], None], Outcome]] = {
-    "time-out": (ConnectionPool.timed_out, Outcome.TIMED_OUT),
+    "time-out": (lambda pool, call: pool.in_flight.timed_out(call), Outcome.TIMED_OUT),
     "cancel": (lambda pool, call: pool.cancel("a", 0), Outcome.CANCELED),
-    "quiet": (ConnectionPool.fell_quiet, Outcome.UNREADABLE),
+    "quiet": (lambda pool, call: pool.in_flight.answer_stalled(call), Outcome.UNREADABLE),
     "exit": (lambda pool, call: pool.close(), Outcome.RESET),
 }
 
@@ -673,7 +684,7 @@
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
-        (call,) = pool.calls.values()
+        (call,) = pool.in_flight.by_attempt.values()
         give_up, alone = GIVE_UPS[how]
         if crossing == "split" or how == "quiet":
             sock.send(answer[:9])
@@ -690,9 +701,9 @@
         assert [e.outcome for e in ends] == [alone if crossing == "never" else outcome]
         told = crossing != "never" and answer == TURNED_AWAY
         assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
-        assert bool(pool.waits) == told
+        assert bool(pool.retry_after.to_stored()) == told
         assert pool.calls_in_flight == 0
-        assert not pool.calls
+        assert not pool.in_flight.by_attempt
         assert not pool.connections
         pool.close()
 
@@ -708,7 +719,7 @@
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
-        pool.timed_out(*pool.calls.values())
+        pool.in_flight.timed_out(*pool.in_flight.by_attempt.values())
         if answered:
             sock.send(WHOLE)
         pool.settle()
@@ -909,7 +920,7 @@
         pool.update_addresses({1: Address("127.0.0.1", 9)})
         connection, far = EndpointConnection(pool), pool.clock() + DUE_US
         connection.connection_made(Paper(protocol=connection))
-        call = EndpointCall(1, (7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
+        call = EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
         pool.keep_idle(connection, 1)
         pool.start(call)
         marks = sorted({0, came, *(cut for cut in cuts if cut < came)})
@@ -922,9 +933,9 @@
             elif how == "reset":
                 connection.connection_lost(ConnectionResetError())
             elif how == "quiet":
-                pool.fell_quiet(call) if came else pool.timed_out(call)
+                pool.in_flight.answer_stalled(call) if came else pool.in_flight.timed_out(call)
             elif how == "time-out":
-                pool.timed_out(call)
+                pool.in_flight.timed_out(call)
             else:
                 pool.cancel("m", 0)
             if how in ("end", "reset"):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,8 +16,8 @@
 from forwarder.clients.listener import BIND_S
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
 from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
-from forwarder.endpoints.pool import GIVEN_UP_S
-from forwarder.protocol.http1 import MOST_BODY
+from forwarder.endpoints.connection import GIVEN_UP_S
+from forwarder.protocol.http1 import MAX_BODY_BYTES
 from forwarder.runtime.ownership import LOCK_PATIENCE_S
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.clock import Anchor, base_ns
@@ -304,7 +304,7 @@
     left = owed
     while left:
         body, told = post_body(left)
-        assert len(body) <= MOST_BODY
+        assert len(body) <= MAX_BODY_BYTES
         assert len(body.splitlines()) == len(told) > 0
         left = left[len(told) :]
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,8 +18,10 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import AttemptEnded, EndpointEntry, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
+from forwarder.endpoints.connection import EndpointConnection
 from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
-from forwarder.endpoints.pool import CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings
@@ -95,7 +97,9 @@
 
 
 def call(clock: Clock, name: str, left_us: int = 5_000_000) -> EndpointCall:
-    return EndpointCall(1, (7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us, clock() + left_us)])
+    return EndpointCall(
+        1, LimitScopeKey(7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us, clock() + left_us)]
+    )
 
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
@@ -146,7 +150,11 @@
         peer = await Peer(accept).start()
         p, now = pool(ends), Clock()()
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(EndpointCall(1, (7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
+        p.start(
+            EndpointCall(
+                1, LimitScopeKey(7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]
+            )
+        )
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.retry_after_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
@@ -316,7 +324,7 @@
         while p.connections:
             await asyncio.sleep(0.01)
         assert p.calls_in_flight == 0
-        assert not p.calls
+        assert not p.in_flight.by_attempt
         assert not p.idle
         p.start(call(Clock(), "n"))
         await peer.got(2)
@@ -359,7 +367,7 @@
                 await asyncio.sleep(0.01)
         assert [(e.outcome, e.is_final) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
         assert p.calls_in_flight == 0
-        assert not p.calls
+        assert not p.in_flight.by_attempt
         p.close()
 
     asyncio.run(scene())
@@ -382,7 +390,9 @@
         p, now = pool(ends), Clock()()
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
-            EndpointCall(1, (7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"])
+            EndpointCall(
+                1, LimitScopeKey(7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"]
+            )
         )
         async with asyncio.timeout(PATIENCE):
             while len(ends) < 2:
@@ -444,7 +454,7 @@
         p.start(
             EndpointCall(
                 1,
-                (7, -1),
+                LimitScopeKey(7, -1),
                 now,
                 [
                     CallItem("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
@@ -475,7 +485,7 @@
         p.start(
             EndpointCall(
                 1,
-                (7, -1),
+                LimitScopeKey(7, -1),
                 now,
                 [
                     CallItem("due", 0, None, b"x", now + 100_000, now + 200_000),
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -19,7 +19,8 @@
 from forwarder.decisions.events import AttemptEnded
 from forwarder.decisions.outcomes import Outcome
 from forwarder.discovery.watch import EndpointListWatch, Notifier
-from forwarder.endpoints.pool import CallItem, ConnectionPool, EndpointCall
+from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
+from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
@@ -99,7 +100,7 @@
         ends: list[AttemptEnded] = []
         pool = ConnectionPool(lambda: NOW_US, ends.append, (), 0, 0, 10)
         pool.update_addresses({1: endpoint.address})
-        pool.start(EndpointCall(1, (7, -1), NOW_US, [item]))
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), NOW_US, [item]))
         assert await endpoint.received(1) == [
             b"POST /hook HTTP/1.1\r\n"
             + endpoint.host()
@@ -130,7 +131,7 @@
             CallItem("c", 2, "key2", b"", NOW_US + 1_000_000, due, idempotency_key="once"),
             CallItem("d", 0, None, b"four", NOW_US + 1_000_000, due),
         ]
-        pool.start(EndpointCall(1, (7, -1), NOW_US, items))
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), NOW_US, items))
         body = (
             b'[{"id":"a","body":"AP8="},{"id":"b","key":"key","body":"dHdv"},'
             b'{"id":"c","key":"once","body":""},{"id":"d","body":"Zm91cg=="}]'
