--- /dev/null
+++ b/forwarder/endpoints/idle_connections.py
@@ -0,0 +1,86 @@
+"""Idle connections to endpoints, kept for further calls and closed before the endpoints would reset them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from forwarder.endpoints.connection import EndpointConnection
+from forwarder.runtime.supervisor import Repeating, Supervisor
+
+SWEEP_INTERVAL_S = 0.2
+MAX_IDLE_PER_ENDPOINT = 4  # some endpoints accept few connections, idle ones among them
+
+
+class IdleConnections:
+    """The connections that carry no call, by endpoint.
+
+    Args:
+        clock: the forwarder's clock, in microseconds.
+        supervisor: runs the sweep of those that have been idle for too long.
+
+    Attributes:
+        timeout_us: how long a connection is kept; 0 for not at all.
+    """
+
+    def __init__(self, clock: Callable[[], int], supervisor: Supervisor) -> None:
+        self.clock = clock
+        self.supervisor = supervisor
+        self.timeout_us = 0
+        self.by_endpoint: dict[int, list[EndpointConnection]] = {}
+        self.sweeping: Repeating | None = None
+
+    def add(self, connection: EndpointConnection, endpoint: int) -> None:
+        """Keep a connection, or close it where enough are kept."""
+        idle = self.by_endpoint.setdefault(endpoint, [])
+        if self.timeout_us <= 0 or len(idle) >= MAX_IDLE_PER_ENDPOINT:
+            connection.close("enough idle ones are kept")
+            return
+        connection.idle_since_us = self.clock()
+        idle.append(connection)
+        if self.sweeping is None:
+            self.sweeping = self.supervisor.repeat("sweep of idle connections", SWEEP_INTERVAL_S, self._sweep)
+
+    def pop(self, endpoint: int) -> EndpointConnection | None:
+        """Take out the connection to an endpoint that was used last; None where there is none."""
+        idle = self.by_endpoint.get(endpoint)
+        return idle.pop() if idle else None
+
+    def remove(self, connection: EndpointConnection) -> None:
+        """Forget a connection, if it is among them."""
+        for idle in self.by_endpoint.values():
+            if connection in idle:
+                idle.remove(connection)
+
+    def close_all_to(self, endpoint: int, reason: str) -> None:
+        """Close all connections to an endpoint."""
+        for connection in self.by_endpoint.pop(endpoint, []):
+            connection.close(reason)
+
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for longest; return whether there was one."""
+        idle = [
+            (connection.idle_since_us, index, endpoint)
+            for endpoint, connections in self.by_endpoint.items()
+            for index, connection in enumerate(connections)
+        ]
+        if not idle:
+            return False
+        _, index, endpoint = min(idle)
+        self.by_endpoint[endpoint].pop(index).close("too many connections")
+        return True
+
+    def _sweep(self) -> None:
+        """Close connections that have been idle for too long; stop when none is left."""
+        oldest_us = self.clock() - self.timeout_us
+        for endpoint, idle in list(self.by_endpoint.items()):
+            for connection in idle:
+                if connection.idle_since_us < oldest_us:
+                    connection.close("idle too long")
+            kept = [each for each in idle if each.idle_since_us >= oldest_us and not each.is_closing()]
+            if kept:
+                self.by_endpoint[endpoint] = kept
+            else:
+                del self.by_endpoint[endpoint]
+        if not self.by_endpoint and self.sweeping is not None:
+            self.sweeping.cancel()
+            self.sweeping = None
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -13,21 +13,20 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.endpoints.call import CallItem, CallResult, EndpointCall
 from forwarder.endpoints.connection import EndpointConnection
+from forwarder.endpoints.idle_connections import IdleConnections
 from forwarder.endpoints.in_flight_calls import AttemptSink, InFlightCalls
 from forwarder.endpoints.local_errors import LOCAL_ERRORS
 from forwarder.endpoints.request_rendering import render_call
 from forwarder.endpoints.retry_after import RetryAfterTable
 from forwarder.runtime.invariants import AttemptFacts, Denial, Invariants, RouteFacts, route_denial
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
-from forwarder.runtime.supervisor import Repeating, Supervisor
+from forwarder.runtime.supervisor import Supervisor
 from forwarder.units import SECOND_US
 
 IDLE_MARGIN_US = 700_000  # an idle connection is closed so long before its endpoint would reset it
 DEFAULT_IDLE_TIMEOUT_US = 60 * SECOND_US
 DEFAULT_CONNECT_TIMEOUT_US = SECOND_US
 MIN_CONNECT_TIMEOUT_S = 0.001
-SWEEP_INTERVAL_S = 0.2
-MAX_IDLE_PER_ENDPOINT = 4  # some endpoints accept few connections, idle ones among them
 
 
 class ConnectionPool:
@@ -67,8 +66,7 @@
         self.addresses: dict[int, Address] = {}
         """The endpoints that may be called, by number."""
         self.connections: set[EndpointConnection] = set()
-        self.idle: dict[int, list[EndpointConnection]] = {}
-        self.sweeping: Repeating | None = None
+        self.idle = IdleConnections(clock, self.supervisor)
         self._connecting: set[asyncio.Task[None]] = set()
         self.apply_settings(report_fields, idle_timeout_us, connect_timeout_us)
 
@@ -82,10 +80,15 @@
         """The names of the fields that load reports hold."""
         return self.in_flight.report_fields
 
+    @property
+    def idle_timeout_us(self) -> int:
+        """How long an idle connection is kept; 0 for not at all."""
+        return self.idle.timeout_us
+
     def apply_settings(self, report_fields: tuple[str, ...], idle_timeout_us: int, connect_timeout_us: int) -> None:
         """Use new settings from now on."""
         self.in_flight.report_fields = report_fields
-        self.idle_timeout_us = max(0, (idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US) - IDLE_MARGIN_US)
+        self.idle.timeout_us = max(0, (idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US) - IDLE_MARGIN_US)
         self.connect_timeout_us = connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US
 
     def update_addresses(self, addresses: dict[int, Address]) -> None:
@@ -108,7 +111,7 @@
         self._end_denied(call, address)
         if not call.open_items or self._send_on_idle(call):
             return
-        if len(self.connections) + len(self._connecting) >= self.max_connections and not self._close_longest_idle():
+        if len(self.connections) + len(self._connecting) >= self.max_connections and not self.idle.close_longest_idle():
             self.reasons.note(Subject.HELD_BACK, "call: too many connections to endpoints", call.items[0].id)
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE))
             return
@@ -125,9 +128,7 @@
         self.in_flight.finish(call, result)
 
     def _send_on_idle(self, call: EndpointCall) -> bool:
-        idle = self.idle.get(call.endpoint, [])
-        while idle:
-            connection = idle.pop()
+        while (connection := self.idle.pop(call.endpoint)) is not None:
             if not connection.is_closing() and connection.send(call, self._render(call)):
                 return True
         return False
@@ -191,61 +192,25 @@
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
         """Keep a connection for the next call to its endpoint, or close it where enough are kept."""
-        idle = self.idle.setdefault(endpoint, [])
-        if endpoint not in self.addresses or self.idle_timeout_us <= 0 or len(idle) >= MAX_IDLE_PER_ENDPOINT:
+        if endpoint in self.addresses:
+            self.idle.add(connection, endpoint)
+        else:
             connection.close("enough idle ones are kept")
-            return
-        connection.idle_since_us = self.clock()
-        idle.append(connection)
-        if self.sweeping is None:
-            self.sweeping = self.supervisor.repeat("sweep of idle connections", SWEEP_INTERVAL_S, self._sweep)
 
     def close_idle(self, endpoint: int, reason: str = "on demand") -> None:
         """Close all idle connections to an endpoint."""
-        for connection in self.idle.pop(endpoint, []):
-            connection.close(reason)
+        self.idle.close_all_to(endpoint, reason)
 
     def connection_ended(self, connection: EndpointConnection) -> None:
         """Forget a connection that is closed."""
         self.connections.discard(connection)
-        for idle in self.idle.values():
-            if connection in idle:
-                idle.remove(connection)
+        self.idle.remove(connection)
 
     def close(self) -> None:
         """Close all connections, as the process ends."""
         for connection in list(self.connections):
             connection.close("the process ends")
 
-    def _close_longest_idle(self) -> bool:
-        """Make room for a connection; return whether there was an idle one to close."""
-        idle = [
-            (connection.idle_since_us, index, endpoint)
-            for endpoint, connections in self.idle.items()
-            for index, connection in enumerate(connections)
-        ]
-        if not idle:
-            return False
-        _, index, endpoint = min(idle)
-        self.idle[endpoint].pop(index).close("too many connections")
-        return True
-
-    def _sweep(self) -> None:
-        """Close connections that have been idle for too long; stop when none is idle."""
-        oldest_us = self.clock() - self.idle_timeout_us
-        for endpoint, idle in list(self.idle.items()):
-            for connection in idle:
-                if connection.idle_since_us < oldest_us:
-                    connection.close("idle too long")
-            kept = [each for each in idle if each.idle_since_us >= oldest_us and not each.is_closing()]
-            if kept:
-                self.idle[endpoint] = kept
-            else:
-                del self.idle[endpoint]
-        if not self.idle and self.sweeping is not None:
-            self.sweeping.cancel()
-            self.sweeping = None
-
     # Hand-over to another process
 
     def settle(self) -> None:
@@ -264,9 +229,9 @@
         A call whose last byte is not written yet goes without its connection: it will never run.
         """
         connections: list[EndpointConnection] = []
-        calls = [self._describe_call(call, connections) for call in self.in_flight.calls()]
+        calls = [_describe_call(call, connections) for call in self.in_flight.calls()]
         idle = []
-        for endpoint, held in self.idle.items():
+        for endpoint, held in self.idle.by_endpoint.items():
             for connection in held:
                 if not connection.is_closing():
                     number = len(connections)
@@ -274,23 +239,6 @@
                     connections.append(connection)
         return {"calls": calls, "idle": idle, "waits": self.retry_after.to_stored()}, connections
 
-    @staticmethod
-    def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> dict[str, Any]:
-        number = -1
-        if call.connection is not None and call.written and not call.connection.is_closing():
-            number = len(connections)
-            connections.append(call.connection)
-        received = call.connection.received if call.connection else b""
-        return {
-            "connection": number,
-            "target": call.endpoint,
-            "place": call.limit_scope,
-            "sent_us": call.sent_us,
-            "batched": call.batched,
-            "items": [[item.id, item.attempt, item.timeout_at_us] for item in call.open_items.values()],
-            "seen": base64.b64encode(received).decode(),
-        }
-
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, received: bytes) -> None:
         """Go on waiting for the answer to a call of the process before.
 
@@ -327,3 +275,21 @@
         if not connection.is_closing():
             self.connections.add(connection)
         return connection
+
+
+def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> dict[str, Any]:
+    """Return what another process needs to wait for a call's answer; its connection is added to `connections`."""
+    number = -1
+    if call.connection is not None and call.written and not call.connection.is_closing():
+        number = len(connections)
+        connections.append(call.connection)
+    received = call.connection.received if call.connection else b""
+    return {
+        "connection": number,
+        "target": call.endpoint,
+        "place": call.limit_scope,
+        "sent_us": call.sent_us,
+        "batched": call.batched,
+        "items": [[item.id, item.attempt, item.timeout_at_us] for item in call.open_items.values()],
+        "seen": base64.b64encode(received).decode(),
+    }
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -941,7 +941,7 @@
             if how in ("end", "reset"):
                 break
         await asyncio.sleep(0)
-        pool.idle.clear()
+        pool.idle.by_endpoint.clear()
 
     asyncio.run(run())
     how = breaks[0] if came or breaks[0] != "quiet" else "time-out"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -225,8 +225,8 @@
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert [e.outcome for e in ends] == [Outcome.DELIVERED]
-        assert not p.idle
-        assert not p.sweeping
+        assert not p.idle.by_endpoint
+        assert not p.idle.sweeping
 
     asyncio.run(scene())
 
@@ -302,7 +302,7 @@
                 connection.resume_writing()
             connection.connection_lost(None)
         assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
-        p.idle.clear()
+        p.idle.by_endpoint.clear()
 
     asyncio.run(scene())
 
@@ -325,7 +325,7 @@
             await asyncio.sleep(0.01)
         assert p.calls_in_flight == 0
         assert not p.in_flight.by_attempt
-        assert not p.idle
+        assert not p.idle.by_endpoint
         p.start(call(Clock(), "n"))
         await peer.got(2)
         p.cancel("n", 0)
@@ -406,7 +406,7 @@
             ("c", Outcome.REJECTED),
         ]
         assert ends[2].retry_after_us == 700_000
-        assert not p.idle.get(1)
+        assert not p.idle.by_endpoint.get(1)
         p.close()
 
     asyncio.run(scene())
@@ -430,7 +430,7 @@
             while not ends:
                 await asyncio.sleep(0.01)
         assert (ends[0].outcome, ends[0].retry_after_us) == (Outcome.REJECTED, 700_000)
-        assert len(p.idle[1]) == 1
+        assert len(p.idle.by_endpoint[1]) == 1
         p.close()
 
     asyncio.run(scene())
