--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one real forwarder: python -m forwarder."""
+"""Starts one forwarder on sockets: `python -m forwarder`; with `state`, looks into a state folder."""
 
 from __future__ import annotations
 
@@ -16,83 +16,105 @@
 from forwarder.clients.arrival_time import event_loop
 from forwarder.clients.listener import bind
 from forwarder.config.config import Config, ConfigError, ConfigUnreadableError, load_config
-from forwarder.runtime.engine import Engine, ExtensionFactory
+from forwarder.runtime.engine import Engine
+from forwarder.runtime.extension import ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
 from forwarder.storage.identity import ForeignStateError
 from forwarder.storage.journal import NewerFormatError
 
-READ_PATIENCE_S = 20.0  # a start has to be ready within 30 s
-READ_AGAIN_S = 0.2
+START_PATIENCE_S = 20.0
+"""What fails for a moment is tried again for so long: a start has to be ready within 30 s."""
+START_RETRY_S = 0.2
 SIGNALS = frozenset({signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
-"""Those that are heeded while it runs, and no more once it ends."""
-Made = TypeVar("Made")
+"""The signals that are handled while the forwarder runs, and blocked once it ends."""
+EXIT_CANNOT_SERVE = 1
+EXIT_BAD_CONFIG = 2
+Result = TypeVar("Result")
 log = logging.getLogger("forwarder")
 
 
-def retried(make: Callable[[], Made], passing: Callable[[Exception], bool]) -> Made:
-    """Make it, again for a while where it fails for a passing reason: a start that ends for one is a crash."""
-    patience_s = time.monotonic() + READ_PATIENCE_S
+def retry_transient(make: Callable[[], Result], is_transient: Callable[[Exception], bool]) -> Result:
+    """Makes it, again for a while where it fails by a transient error: a start that ends for one is a crash.
+
+    Raises:
+        ConfigUnreadableError, OSError: the error is not transient, or patience is over.
+    """
+    give_up_s = time.monotonic() + START_PATIENCE_S
     while True:
         try:
             return make()
-        except Exception as error:
-            if not passing(error) or time.monotonic() > patience_s:
+        except (ConfigUnreadableError, OSError) as error:
+            if not is_transient(error) or time.monotonic() > give_up_s:
                 raise
             log.error("cannot start yet, trying again: %s", error)
-        time.sleep(READ_AGAIN_S)
+        time.sleep(START_RETRY_S)
 
 
-def passing_read(error: Exception) -> bool:
-    """Whether the configuration may be readable in a moment."""
+def is_transient_read_error(error: Exception) -> bool:
+    """Returns whether the configuration may be readable in a moment."""
     return isinstance(error, ConfigUnreadableError) and error.passing
 
 
-def passing_call(error: Exception) -> bool:
-    """Whether a call of the system has failed."""
+def is_system_error(error: Exception) -> bool:
+    """Returns whether a call of the system has failed."""
     return isinstance(error, OSError)
 
 
-async def patiently(make: Callable[[], Engine]) -> Engine:
-    """Make the engine, which reads the journal; again for a while where reading fails."""
-    patience = time.monotonic() + READ_PATIENCE_S
+async def retry_unreadable_journal(make: Callable[[], Engine]) -> Engine:
+    """Makes the engine, which reads the journal; again for a while where reading fails.
+
+    Raises:
+        OSError: patience is over.
+    """
+    give_up_s = time.monotonic() + START_PATIENCE_S
     while True:
         try:
             return make()
         except OSError as error:
-            if time.monotonic() > patience:
+            if time.monotonic() > give_up_s:
                 raise
             log.error("the journal cannot be read, trying again: %s", error)
-        await asyncio.sleep(READ_AGAIN_S)
+        await asyncio.sleep(START_RETRY_S)
 
 
-async def serve(config: Config, parts: Sequence[ExtensionFactory] = ()) -> None:
+async def serve(config: Config, extensions: Sequence[ExtensionFactory] = ()) -> None:
+    """Becomes the owner of the folder, alone or by a hand-over, and serves until a shutdown is over.
+
+    Raises:
+        OSError: the address, or the folder, cannot be had.
+        NewerFormatError: the journal is of a newer program.
+        ForeignStateError: the folder is another forwarder's.
+    """
     loop = asyncio.get_running_loop()
-    hups: list[int] = []  # those that came before there was anything to tell of them
-    loop.add_signal_handler(signal.SIGHUP, hups.append, signal.SIGHUP)
-    control, ownership = AdminServer(), Ownership(config.state)
+    early_hangups: list[int] = []
+    loop.add_signal_handler(signal.SIGHUP, early_hangups.append, signal.SIGHUP)
+    admin = AdminServer()
+    ownership = Ownership(config.state)
     if config.control is not None:
         try:
-            control.listen(await bind(config.control, patience_s=0))
+            admin.listen(await bind(config.control, patience_s=0))
         except OSError as error:  # the process before may have it, and hand it over
             log.info("control address not free yet: %s", error)
 
-    async def make(handover: HandoverState | None) -> Engine:
+    async def make_engine(handover: HandoverState | None) -> Engine:
         if handover is None:
             # The address before the journal: where another forwarder serves, nothing may be sent.
             clients = await bind(config.listen)
-            return await patiently(lambda: Engine(config, ownership, control, clients, parts=parts))
-        clients = handover.socket(handover.told["clients"])
+            return await retry_unreadable_journal(
+                lambda: Engine(config, ownership, admin, clients, extensions=extensions)
+            )
+        clients = handover.socket(handover.description.client_listener)
         if clients.getsockname()[:2] != astuple(config.listen):
             clients = await bind(config.listen)
-        return Engine(config, ownership, control, clients, handover, parts)
-
-    engine = await ownership.obtain(make)
-    loop.add_signal_handler(signal.SIGTERM, engine.stop)
-    loop.add_signal_handler(signal.SIGINT, engine.stop)
-    loop.add_signal_handler(signal.SIGHUP, engine.reload)
-    if hups:
-        loop.call_soon(engine.reload)
-    gc.freeze()  # what is made at the start stays: it need not be looked through again and again
+        return Engine(config, ownership, admin, clients, handover, extensions)
+
+    engine = await ownership.obtain(make_engine)
+    loop.add_signal_handler(signal.SIGTERM, engine.shutdown.start)
+    loop.add_signal_handler(signal.SIGINT, engine.shutdown.start)
+    loop.add_signal_handler(signal.SIGHUP, engine.reloader.reload)
+    if early_hangups:
+        loop.call_soon(engine.reloader.reload)
+    gc.freeze()  # what is made at the start stays: the collector need not visit it
     try:
         await engine.run()
     finally:
@@ -100,34 +122,40 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-def turned_on(arguments: Sequence[str], config: Config) -> list[ExtensionFactory]:
-    """The parts that the command line asks for. What is not asked for is not even imported."""
+def requested_extensions(arguments: Sequence[str], config: Config) -> list[ExtensionFactory]:
+    """Returns what makes the extensions that the command line asks for. The others are not even imported.
+
+    Raises:
+        ConfigError: the parts file cannot be read or cannot hold.
+    """
     if not arguments:
         return []
-    from forwarder.config.extensions_file import extensions_path, load_extensions
+    from forwarder.config.extensions_file import extensions_path
+    from forwarder.runtime.extension_loader import load_extensions
 
     path = extensions_path(arguments)
     return [] if path is None else load_extensions(path, config)
 
 
 def main() -> int:
+    """Runs the program. Returns its exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if sys.argv[1:2] == ["state"]:
-        from forwarder.storage.state_check import main as look
+        from forwarder.storage.state_check import main as check_state
 
-        return look(sys.argv[2:])
+        return check_state(sys.argv[2:])
     try:
-        config = retried(load_config, passing_read)
-        parts = turned_on(sys.argv[1:], config)
+        config = retry_transient(load_config, is_transient_read_error)
+        extensions = requested_extensions(sys.argv[1:], config)
     except ConfigError as error:
         print(f"forwarder: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIG
     try:
-        with asyncio.Runner(loop_factory=lambda: retried(event_loop, passing_call)) as runner:
-            runner.run(serve(config, parts))
+        with asyncio.Runner(loop_factory=lambda: retry_transient(event_loop, is_system_error)) as runner:
+            runner.run(serve(config, extensions))
     except (OSError, NewerFormatError, ForeignStateError) as error:
         print(f"forwarder: cannot serve: {error}", file=sys.stderr)
-        return 1
+        return EXIT_CANNOT_SERVE
     return 0
 
 
--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -1,31 +1,29 @@
-"""What operators may ask of a running forwarder, and what they are answered (docs/operating.md)."""
+"""The commands of the admin interface: what operators may ask of a running forwarder (docs/operating.md)."""
 
 from __future__ import annotations
 
 import json
 import logging
-from typing import TYPE_CHECKING
 
-from forwarder.admin.server import CommandRefusedError, CommandTable, without_arguments
+from forwarder.admin.server import Command, CommandRefusedError, CommandTable, without_arguments
 from forwarder.decisions.events import EndpointDisabled, EndpointEnabled
+from forwarder.decisions.hold_reason import HoldReason
+from forwarder.runtime.context import Runtime
 from forwarder.runtime.reason_counts import Subject
+from forwarder.units import SECOND_US
 
-if TYPE_CHECKING:
-    from forwarder.runtime.engine import Engine
-
-SECOND = 1_000_000
 log = logging.getLogger("forwarder.operators")
 
 
 class AdminCommands:
-    """The calls of one engine. Each returns what to tell, or raises Refused."""
+    """The commands of one forwarder. Each returns its answer, or raises CommandRefusedError."""
 
-    def __init__(self, engine: Engine) -> None:
-        self.engine = engine
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
 
-    def calls(self) -> CommandTable:
-        """By their words, those of the parts that are on among them."""
-        own: CommandTable = {
+    def table(self) -> CommandTable:
+        """Returns all commands by their words, those of the extensions among them."""
+        commands: dict[str, Command] = {
             "HEALTH": without_arguments(self.health),
             "LEAVE": without_arguments(self.leave),
             "JOIN": without_arguments(self.join),
@@ -36,119 +34,142 @@
             "JOURNAL": without_arguments(self.journal),
             "RULES": without_arguments(self.rules),
         }
-        return {**own, **{word: call for part in self.engine.parts for word, call in part.calls.items()}}
+        for extension in self.runtime.extensions:
+            commands.update(extension.calls)
+        return commands
 
     def health(self) -> str:
-        """Whether it serves."""
-        if self.engine.leaving_s:
-            raise CommandRefusedError("stopping")
+        """`HEALTH`: whether the forwarder serves."""
+        self._check_not_stopping()
         return "serving"
 
+    def _check_not_stopping(self) -> None:
+        if self.runtime.run_state.is_stopping:
+            raise CommandRefusedError("stopping")
+
     def offline(self, name: str) -> str:
-        """Leave an endpoint out from now on: when this returns, nothing more can leave for it."""
+        """`OFFLINE ID`: disables an endpoint. Once this returns, nothing more can leave for it."""
         self._check_listed(name)
-        if name not in self.engine.store.bans:
-            self.engine.store.ban(name, self.engine.clock())
-            self.engine.carry_out(EndpointDisabled(self.engine.number(name), self.engine.store.bans[name]))
+        store = self.runtime.store
+        if name not in store.bans:
+            store.ban(name, self.runtime.clock())
+            self.runtime.apply_command(EndpointDisabled(self.runtime.endpoint_number(name), store.bans[name]))
             log.info("maintenance: %s is left out", name)
         return f"{name} is left out"
 
     def online(self, name: str) -> str:
-        """Use an endpoint again that was left out."""
+        """`ONLINE ID`: enables an endpoint again that was disabled."""
         self._check_listed(name)
-        if name in self.engine.store.bans:
-            self.engine.store.ban(name, -1)
-            self.engine.carry_out(EndpointEnabled(self.engine.number(name)))
+        store = self.runtime.store
+        if name in store.bans:
+            store.ban(name, -1)
+            self.runtime.apply_command(EndpointEnabled(self.runtime.endpoint_number(name)))
             log.info("maintenance: %s is used again", name)
         return f"{name} is used"
 
     def _check_listed(self, name: str) -> None:
-        if name not in self.engine.store.names and name not in self.engine.store.bans:
+        if name not in self.runtime.store.names and name not in self.runtime.store.bans:
             raise CommandRefusedError("no endpoint of that id was ever listed")
 
     def journal(self) -> str:
-        """How the journal was found, and how it stands."""
-        kept, who = self.engine.store, self.engine.identity
-        return "; ".join(
-            text
-            for text in (
-                "sound" if not kept.found.damaged else kept.damage(),
-                f"{kept.found.torn} bytes of a torn tail cut",
-                f"start {who.starts} of {who.id}: {self.engine.start.value}" if who else "",
-                f"{kept.size} bytes",
-                f"{kept.aside} bytes of damaged files set aside",
-                "cannot be written" if kept.failed else "",
-            )
-            if text
+        """`JOURNAL`: how the journal was found, and how it stands."""
+        store = self.runtime.store
+        identity = self.runtime.identity
+        start = f"start {identity.starts} of {identity.id}: {self.runtime.start.value}" if identity else ""
+        facts = (
+            store.damage() if store.found.damaged else "sound",
+            f"{store.found.torn} bytes of a torn tail cut",
+            start,
+            f"{store.size} bytes",
+            f"{store.aside} bytes of damaged files set aside",
+            "cannot be written" if store.failed else "",
         )
+        return "; ".join(fact for fact in facts if fact)
 
     def rules(self) -> str:
-        """What was held back, what should never have been tried, and what has failed."""
+        """`RULES`: what was held back, which invariants were violated, and what has failed."""
+        runtime = self.runtime
+        journal = "cannot be written" if runtime.store.failed else "written"
         return (
-            f"violations: {self.engine.reasons.summary(Subject.VIOLATION)}; held back: "
-            f"{self.engine.reasons.summary(Subject.HELD_BACK)}; failures: {self.engine.supervisor.summary()}; "
-            f"journal: {'cannot be written' if self.engine.store.failed else 'written'}, "
-            f"{self.engine.store.write_failures} failures"
+            f"violations: {runtime.reasons.summary(Subject.VIOLATION)}; held back: "
+            f"{runtime.reasons.summary(Subject.HELD_BACK)}; failures: {runtime.supervisor.summary()}; "
+            f"journal: {journal}, {runtime.store.write_failures} failures"
         )
 
     def phase(self) -> str:
-        """How far the start has come."""
-        return self.engine.life.tell(self.engine.clock())
+        """`PHASE`: how far the start has come."""
+        return self.runtime.startup_progress.describe(self.runtime.clock())
+
+    def why(self, scope: str) -> str:
+        """`WHY [json | dest=N | id=X]`: what holds messages back, and for how long.
 
-    def why(self, rest: str) -> str:
-        """What holds messages back, and for how long: of all, of one destination, or one message."""
-        word, _, value = rest.partition("=")
+        Of all messages, of one destination, or of one message.
+        """
+        if scope == "json":
+            return self._hold_times_as_json()
         try:
-            if not rest:
-                rows = self.engine.dispatcher.hold_times.totals()
-            elif rest == "json":
-                return self.why_as_json()
-            elif word == "dest":
-                rows = self.engine.dispatcher.hold_times.totals(int(value))
-            elif word == "id":
-                rows = self.engine.dispatcher.hold_times_of(value)
-            else:
-                raise CommandRefusedError("WHY stands alone, or with json, dest=N or id=X")
+            hold_times = self._hold_times(scope)
         except ValueError:
             raise CommandRefusedError("a destination is a number") from None
         except KeyError:
             raise CommandRefusedError("no message of that id is held") from None
-        return "; ".join(f"{gate.value} {us / SECOND:.3f} s" for gate, us in rows) or "nothing was held"
+        times = [f"{reason.value} {held_us / SECOND_US:.3f} s" for reason, held_us in hold_times]
+        return "; ".join(times) or "nothing was held"
 
-    def why_as_json(self) -> str:
-        """`WHY json`: rows of destination, class, gate and microseconds held since the start, what is held now among
-        them; and of destination, class, gate and messages that were refused by it.
+    def _hold_times(self, scope: str) -> list[tuple[HoldReason, int]]:
+        """Returns the reasons of a scope with the microseconds held by each.
+
+        Raises:
+            ValueError: the destination is no number.
+            KeyError: the message is not held.
+        """
+        dispatcher = self.runtime.dispatcher
+        kind, _, value = scope.partition("=")
+        if not scope:
+            return dispatcher.hold_times.totals()
+        if kind == "dest":
+            return dispatcher.hold_times.totals(int(value))
+        if kind == "id":
+            return dispatcher.hold_times_of(value)
+        raise CommandRefusedError("WHY stands alone, or with json, dest=N or id=X")
+
+    def _hold_times_as_json(self) -> str:
+        """Returns two lists of rows, `held` and `refused`, each row with destination, class and hold reason.
+
+        The rows of `held` end with the microseconds since the start, what is held now among them; those of `refused`
+        with the number of messages that were rejected for it.
         """
-        held = {
-            (*whose, gate): us
-            for whose, book in self.engine.dispatcher.hold_times.sums_us.items()
-            for gate, us in book.items()
+        dispatcher = self.runtime.dispatcher
+        held_us = {
+            (destination, class_name, reason): sum_us
+            for (destination, class_name), sums_us in dispatcher.hold_times.sums_us.items()
+            for reason, sum_us in sums_us.items()
         }
-        now = self.engine.clock()
-        for m in self.engine.dispatcher.messages.values():
-            if m.hold_reason is not None:
-                key = (m.destination, m.message_class.name, m.hold_reason)
-                held[key] = held.get(key, 0) + now - m.held_since_us
-        return json.dumps(
-            {
-                "held": [[d, cls, gate.value, us] for (d, cls, gate), us in held.items()],
-                "refused": [[*key, n] for key, n in self.engine.effects.refused_by.items()],
-            },
-            separators=(",", ":"),
-        )
+        now_us = self.runtime.clock()
+        for message in dispatcher.messages.values():
+            if message.hold_reason is not None:
+                key = (message.destination, message.message_class.name, message.hold_reason)
+                held_us[key] = held_us.get(key, 0) + now_us - message.held_since_us
+        rows = {
+            "held": [
+                [destination, class_name, reason.value, sum_us]
+                for (destination, class_name, reason), sum_us in held_us.items()
+            ],
+            "refused": [[*key, count] for key, count in self.runtime.effects.rejected_by.items()],
+        }
+        return json.dumps(rows, separators=(",", ":"))
 
     def leave(self) -> str:
-        """Send clients away; messages that were taken on go on."""
+        """`LEAVE`: sends clients away; what was accepted goes on."""
         log.info("drain: clients are sent away")
-        self.engine.send_away()
+        self.runtime.start_draining()
         return "leaving"
 
     def join(self) -> str:
-        """Take clients again."""
-        if self.engine.leaving_s:
-            raise CommandRefusedError("stopping")
+        """`JOIN`: ends the drain."""
+        self._check_not_stopping()
         log.info("drain: back to work")
-        self.engine.drain.join()
-        for part in self.engine.parts:
-            part.join()
+        self.runtime.drain.join()
+        for extension in self.runtime.extensions:
+            extension.join()
         return "joined"
--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -1,7 +1,7 @@
-"""Where operators call: a connection carries one line, and is answered by a line with `ok` or `fail`.
+"""The admin interface's listener: a connection carries one line, and is answered by a line with `ok` or `fail`.
 
-It decides nothing: what a call does is the engine's. A line counts only with its end, since what comes
-before it may be the start of another id.
+It decides nothing: what a command does is for the runtime. A line counts only with its end, since what comes before it
+may be the start of another id.
 """
 
 from __future__ import annotations
@@ -10,142 +10,173 @@
 import logging
 import socket
 from collections.abc import Callable, Mapping
+from functools import partial
 
 from forwarder.clients.listener import Listener
 from forwarder.config.config import Address
-
-MOST_LINE = 256
-MOST_CALLERS = 32
-PATIENCE_S = 0.5  # a caller that has sent no whole line by then is told so
-LINGER_S = 1.0  # after an answer, for callers that are still sending
+from forwarder.errors import ForwarderError
+from forwarder.runtime.supervisor import attempt
+
+MAX_LINE_BYTES = 256
+MAX_CONNECTIONS = 32
+LINE_TIMEOUT_S = 0.5
+"""A connection that has sent no complete line by then is told so."""
+LINGER_S = 1.0
+"""After an answer, for callers that are still sending."""
 BACKLOG = 128
 log = logging.getLogger("forwarder.control")
 
 
-class CommandRefusedError(Exception):
-    """The call cannot be carried out; the text says why, in one line."""
+class CommandRefusedError(ForwarderError):
+    """The command cannot be carried out; the text says why, in one line."""
 
 
-CommandTable = Mapping[str, Callable[[str], str]]
-"""For each word what it does with the rest of its line: it returns what to tell, or raises Refused."""
+Command = Callable[[str], str]
+"""Takes the rest of its line. Returns its answer, or raises CommandRefusedError."""
+CommandTable = Mapping[str, Command]
+"""Commands by the word that their line starts with."""
 
 
-def without_arguments(call: Callable[[], str]) -> Callable[[str], str]:
-    """A call that stands alone on its line."""
+def without_arguments(command: Callable[[], str]) -> Command:
+    """Returns a command that has to stand alone on its line."""
 
-    def checked(rest: str) -> str:
-        if rest:
+    def checked(arguments: str) -> str:
+        if arguments:
             raise CommandRefusedError("this call stands alone")
-        return call()
+        return command()
 
     return checked
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, for one call."""
+    """One connection, for one command."""
 
-    def __init__(self, control: AdminServer, line: bytes = b"") -> None:
-        self.control, self.line = control, line
+    def __init__(self, server: AdminServer, line: bytes = b"") -> None:
+        """Goes on with what another process has read of the line."""
+        self.server = server
+        self.line = line
         self.transport: asyncio.Transport | None = None
-        self.answered = False
-        self.timer: asyncio.TimerHandle | None = None
+        self.is_answered = False
+        self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Waits for the line."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.timer = asyncio.get_running_loop().call_later(PATIENCE_S, self.answer, "fail no whole line came")
-        self.control.joined(self)
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(LINE_TIMEOUT_S, self.answer, "fail no whole line came")
+        self.server.add(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        """Carries out the line once it is complete."""
+        if self.is_answered:
             return
-        line, end, _ = (self.line + data[: MOST_LINE + 1]).partition(b"\n")
+        line, end, _ = (self.line + data[: MAX_LINE_BYTES + 1]).partition(b"\n")
         self.line = line
-        if len(line) > MOST_LINE:
+        if len(line) > MAX_LINE_BYTES:
             self.answer("fail the line is too long")
         elif end:
-            self.answer(self.control.call(line))
+            self.answer(self.server.run_command(line))
 
     def eof_received(self) -> bool:
-        if not self.answered:
+        """Refuses what has no line feed."""
+        if not self.is_answered:
             self.answer("fail the line has no end")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.control.callers.pop(self, None)
-        if self.timer is not None:
-            self.timer.cancel()
+        """Forgets the connection."""
+        self.server.connections.pop(self, None)
+        if self._timer is not None:
+            self._timer.cancel()
 
     def answer(self, text: str) -> None:
-        """Answer, and close once the caller has had time to read: a close over unread bytes is a reset."""
-        if self.answered or self.transport is None or self.transport.is_closing():
+        """Answers, and closes once the caller has had time to read: a close over unread bytes is a reset."""
+        if self.is_answered or self.transport is None or self.transport.is_closing():
             return
-        self.answered = True
+        self.is_answered = True
         self.transport.write(text.encode() + b"\n")
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(LINGER_S, self.transport.close)
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = asyncio.get_running_loop().call_later(LINGER_S, self.transport.close)
 
     def close(self) -> None:
+        """Closes the connection."""
         if self.transport is not None:
             self.transport.close()
 
 
 class AdminServer:
-    """Listens for operators. Before the process can serve, `calls` is None and every call fails."""
+    """Listens for operators."""
 
     def __init__(self) -> None:
-        self.calls: CommandTable | None = None
-        self.callers: dict[AdminConnection, None] = {}  # the oldest first
-        self.listeners: dict[Address, Listener] = {}  # our own, and for a time that of the process before
+        self.commands: CommandTable | None = None
+        """None before the process can serve: every command fails until then."""
+        self.connections: dict[AdminConnection, None] = {}
+        """The oldest first."""
+        self.listeners: dict[Address, Listener] = {}
+        """By address: its own, and for a time that of the process before."""
 
     def listen(self, sock: socket.socket) -> Listener:
-        listener = Listener(sock, BACKLOG, lambda waited_us: AdminConnection(self), self.room)
+        """Accepts connections on a socket that is bound."""
+        listener = Listener(sock, BACKLOG, lambda waited_us: AdminConnection(self), self.free_connections)
         self.listeners[listener.where()] = listener
         return listener
 
     async def adopt(self, sock: socket.socket, line: bytes) -> None:
-        """Go on with a caller of the process before."""
+        """Goes on with a connection of the process before.
+
+        Raises:
+            OSError: the connection has gone.
+        """
         sock.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(lambda: AdminConnection(self, line), sock)
 
-    def room(self) -> int:
-        """How many more may be accepted now: those that are closed hold a descriptor until the loop's next turn."""
-        coming = sum(len(listener.coming) for listener in self.listeners.values())
-        return 2 * MOST_CALLERS - len(self.callers) - coming
+    def free_connections(self) -> int:
+        """Returns how many may be accepted now: those that close hold a descriptor until the loop's next turn."""
+        accepted = sum(len(listener.coming) for listener in self.listeners.values())
+        return 2 * MAX_CONNECTIONS - len(self.connections) - accepted
 
-    def joined(self, caller: AdminConnection) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            oldest = min(self.callers, key=lambda c: not c.answered)
+    def add(self, connection: AdminConnection) -> None:
+        """Keeps the bound: a connection beyond it costs the oldest one, one that is answered first."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = min(self.connections, key=lambda candidate: not candidate.is_answered)
             oldest.answer("fail too many callers")
-            self.callers.pop(oldest)
+            self.connections.pop(oldest)
             oldest.close()
 
-    def call(self, line: bytes) -> str:
-        """Carry out one line. Returns the answer."""
+    def run_command(self, line: bytes) -> str:
+        """Carries out one line. Returns the answer."""
         try:
-            word, _, rest = line.decode("ascii").strip().partition(" ")
-            if self.calls is None:
-                raise CommandRefusedError("not serving yet")
-            if word not in self.calls:
-                raise CommandRefusedError("no such call")
-            return f"ok {self.calls[word](rest.strip())}".rstrip()
+            return f"ok {self._run(line)}".rstrip()
         except UnicodeDecodeError:
             text = "fail not a readable line"
         except CommandRefusedError as refused:
             text = f"fail {refused}"
-        except Exception:
-            log.exception("a call failed")
-            text = "fail internal fault"
-        if self.calls is not None:
+        if self.commands is not None:
             log.warning("called %r: %s", line, text)
         return text
 
+    def _run(self, line: bytes) -> str:
+        word, _, arguments = line.decode("ascii").strip().partition(" ")
+        if self.commands is None:
+            raise CommandRefusedError("not serving yet")
+        if word not in self.commands:
+            raise CommandRefusedError("no such call")
+        answer = attempt(partial(self.commands[word], arguments.strip()))
+        if isinstance(answer, CommandRefusedError):
+            raise answer
+        if isinstance(answer, Exception):
+            log.error("a call failed", exc_info=answer)
+            raise CommandRefusedError("internal fault")
+        return answer
+
     def close(self) -> None:
+        """Closes all listeners and connections."""
         for listener in self.listeners.values():
             listener.close()
-        for caller in list(self.callers):
-            caller.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import base64
 import logging
 import math
 import select
@@ -12,7 +11,6 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 from http import HTTPStatus
-from typing import Any
 
 import httptools
 
@@ -21,6 +19,7 @@
 from forwarder.decisions.settings import MessageClass, Settings
 from forwarder.protocol.http1 import MOST_BODY, parse_destination
 from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.handover_format import ClientRecord
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
 
@@ -127,8 +126,9 @@
     accepted, and its first request with it.
     """
 
-    def __init__(self, server: ClientServer, told: dict[str, Any] | None = None, waited_us: int = 0) -> None:
-        self.server, self.told = server, told
+    def __init__(self, server: ClientServer, handed: ClientRecord | None = None, waited_us: int = 0) -> None:
+        self.server = server
+        self.handed = handed
         self.raw = bytearray()  # what has been read of the request that is being read
         self.shared = False  # what was read last held the end of a request too
         self.transport: asyncio.Transport | None = None
@@ -150,14 +150,19 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.joined(self)
-        if self.told:
-            self.made_us, self.asked = self.told["made_us"], self.told["asked"]
-            if self.told["raw"]:
-                self.data_received(base64.b64decode(self.told["raw"]))
-            if self.reading is not None:
-                self.reading.came_us = self.told["came_us"]
-            self.used_us = self.told["used_us"]
-            self.unread_since_us = self.told.get("handed_us", self.attached_us)
+        if self.handed is not None:
+            self.resume(self.handed)
+
+    def resume(self, handed: ClientRecord) -> None:
+        """Goes on from where the process before has handed the connection over."""
+        self.made_us = handed.connected_at_us
+        self.asked = handed.has_sent_request
+        if handed.received:
+            self.data_received(handed.received)
+        if self.reading is not None:
+            self.reading.came_us = handed.request_began_us
+        self.used_us = handed.last_used_us
+        self.unread_since_us = self.attached_us if handed.handed_over_at_us is None else handed.handed_over_at_us
 
     def arrival(self) -> int:
         """When what is read now may have come, at the earliest."""
@@ -167,8 +172,8 @@
         self.unread_since_us = self.attached_us
         return at_us
 
-    def hand_over(self) -> dict[str, Any] | None:
-        """What another process needs to go on with this connection; None where it cannot."""
+    def hand_over(self) -> ClientRecord | None:
+        """Returns what another process needs to go on with this connection; None where it cannot."""
         assert self.transport is not None
         mixed = self.reading is not None and not self.raw
         if (
@@ -181,15 +186,14 @@
             or self.transport.get_write_buffer_size()
         ):
             return None
-        came_us = 0 if self.reading is None else self.reading.came_us
-        return {
-            "made_us": self.made_us,
-            "used_us": self.used_us,
-            "asked": self.asked,
-            "handed_us": self.server.clock(),
-            "came_us": came_us,
-            "raw": base64.b64encode(self.raw).decode(),
-        }
+        return ClientRecord(
+            connected_at_us=self.made_us,
+            last_used_us=self.used_us,
+            has_sent_request=self.asked,
+            handed_over_at_us=self.server.clock(),
+            request_began_us=0 if self.reading is None else self.reading.came_us,
+            received=bytes(self.raw),
+        )
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.doors.discard(self)
@@ -429,11 +433,11 @@
         )
         self.supervisor.repeat("sweep of clients", SWEEP_S, self.sweep)
 
-    async def adopt(self, sock: socket.socket, told: dict[str, Any]) -> None:
+    async def adopt(self, sock: socket.socket, handed: ClientRecord | None) -> None:
         """Go on with a client's connection of the process before."""
         patient = PatientSocket.of(sock)
         patient.setblocking(False)
-        await asyncio.get_running_loop().connect_accepted_socket(lambda: ClientConnection(self, told), patient)
+        await asyncio.get_running_loop().connect_accepted_socket(lambda: ClientConnection(self, handed), patient)
 
     def room(self) -> int:
         """How many connections may be accepted now. All that hold a descriptor count, those that are closing too: what
--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -1,105 +1,109 @@
-"""The parts of the forwarder that a site turns on, by a TOML file: `--parts FILE`, one table a part.
+"""The parts file, which turns extensions on: `--parts FILE`, a TOML file with one table for each extension.
 
-A part that has no table is not imported. What is unknown or cannot hold ends the start, and names its key.
+What is unknown or cannot hold ends the start, and names its key.
 """
 
 from __future__ import annotations
 
 import argparse
-import importlib
 import math
 import tomllib
-from collections.abc import Sequence
+from collections.abc import Container, Iterator, Sequence
 from pathlib import Path
 from typing import Any
 
-from forwarder.config.config import Address, Config, ConfigError, parse_address
-from forwarder.runtime.engine import ExtensionFactory
+from forwarder.config.config import Address, ConfigError, parse_address
 from forwarder.simulator.adapter import MalformedInputError
 
-MODULES = {
-    "streaming": "forwarder.streaming.extension",
-    "health": "forwarder.health.extension",
-    "members": "forwarder.membership.extension",
-    "journal": "forwarder.storage.durability",
-}
-"""Where each part lives: a module with `prepare(table, config)`, which returns what makes the part."""
-
 
 class ExtensionTable:
-    """One table of the file. Each key is taken once; `done` finds those that nobody took."""
+    """One table of the file. Each key is taken once; `check_all_taken` finds those that nobody took.
+
+    Each method that takes a key raises ConfigError, with the key's name, where its value is missing or cannot hold.
+    """
 
-    def __init__(self, name: str, told: dict[str, Any]) -> None:
-        self.name, self.left = name, dict(told)
+    def __init__(self, name: str, values: dict[str, object]) -> None:
+        self.name = name
+        self._untaken = dict(values)
 
-    def wrong(self, key: str, why: str) -> ConfigError:
-        return ConfigError(f"parts: {self.name}.{key} {why}")
+    def error(self, key: str, problem: str) -> ConfigError:
+        """Returns the error that names a key and its problem."""
+        return ConfigError(f"parts: {self.name}.{key} {problem}")
+
+    def __contains__(self, key: str) -> bool:
+        return key in self._untaken
 
     def take(self, key: str, default: Any) -> Any:
-        value = self.left.pop(key, default)
+        """Takes a value of any type. A default of None: the key has to be there."""
+        value = self._untaken.pop(key, default)
         if value is None:
-            raise self.wrong(key, "is missing")
+            raise self.error(key, "is missing")
         return value
 
     def number(self, key: str, default: float | None = None, least: float = 0.0, most: float = math.inf) -> float:
+        """Takes a number within bounds."""
         value = self.take(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise self.wrong(key, f"is no number: {value!r}")
-        if not least <= value <= most:  # also where it is no number at all
-            raise self.wrong(key, f"is {value!r}, not from {least:g} to {most:g}")
+            raise self.error(key, f"is no number: {value!r}")
+        if not least <= value <= most:  # NaN is refused too
+            raise self.error(key, f"is {value!r}, not from {least:g} to {most:g}")
         return float(value)
 
-    def whole(self, key: str, default: int | None = None, least: int = 0, most: float = math.inf) -> int:
+    def integer(self, key: str, default: int | None = None, least: int = 0, most: float = math.inf) -> int:
+        """Takes a whole number within bounds."""
         value = self.number(key, default, least, most)
         if not value.is_integer():
-            raise self.wrong(key, f"is no whole number: {value!r}")
+            raise self.error(key, f"is no whole number: {value!r}")
         return int(value)
 
-    def truth(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, default: bool) -> bool:
+        """Takes true or false."""
         value = self.take(key, default)
         if not isinstance(value, bool):
-            raise self.wrong(key, f"is neither true nor false: {value!r}")
+            raise self.error(key, f"is neither true nor false: {value!r}")
         return value
 
     def address(self, key: str) -> Address:
+        """Takes an address of the form HOST:PORT."""
         try:
             return parse_address(self.take(key, None))
         except MalformedInputError as error:
-            raise self.wrong(key, f"is {error}") from None
+            raise self.error(key, f"is {error}") from None
 
-    def part(self, key: str) -> ExtensionTable:
-        """A table within the table."""
-        told = self.take(key, None)
-        if not isinstance(told, dict):
-            raise self.wrong(key, f"is no table: {told!r}")
-        return ExtensionTable(f"{self.name}.{key}", told)
+    def table(self, key: str) -> ExtensionTable:
+        """Takes a table within the table."""
+        values = self.take(key, None)
+        if not isinstance(values, dict):
+            raise self.error(key, f"is no table: {values!r}")
+        return ExtensionTable(f"{self.name}.{key}", values)
 
-    def done(self) -> None:
-        for key in self.left:
-            raise self.wrong(key, "is unknown")
+    def check_all_taken(self) -> None:
+        """Raises ConfigError for a key that nobody took."""
+        for key in self._untaken:
+            raise self.error(key, "is unknown")
 
 
 def extensions_path(arguments: Sequence[str]) -> Path | None:
-    """The parts file that the command line names."""
+    """Returns the parts file that the command line names, if it does."""
     parser = argparse.ArgumentParser(prog="python -m forwarder")
     parser.add_argument("--parts", type=Path, metavar="FILE", help="a TOML file, one table for each part")
-    found: Path | None = parser.parse_args(arguments).parts
-    return found
+    path: Path | None = parser.parse_args(arguments).parts
+    return path
+
 
+def read_tables(path: Path, known_names: Container[str]) -> Iterator[ExtensionTable]:
+    """Yields the tables of a parts file.
 
-def load_extensions(path: Path, config: Config) -> list[ExtensionFactory]:
-    """What makes the parts that the file turns on."""
+    Raises:
+        ConfigError: the file cannot be read, or one of its entries is unknown or no table.
+    """
     try:
-        told = tomllib.loads(path.read_text())
+        entries = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise ConfigError(f"parts: cannot read {path}: {' '.join(str(error).split())}") from None
-    made: list[ExtensionFactory] = []
-    for name, rows in told.items():
-        if name not in MODULES:
+    for name, values in entries.items():
+        if name not in known_names:
             raise ConfigError(f"parts: {name} is unknown")
-        if not isinstance(rows, dict):
+        if not isinstance(values, dict):
             raise ConfigError(f"parts: {name} is no table")
-        table = ExtensionTable(name, rows)
-        made.append(importlib.import_module(MODULES[name]).prepare(table, config))
-        table.done()
-    return made
+        yield ExtensionTable(name, values)
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -16,7 +16,6 @@
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import Any
 
 from forwarder.clients.listener import fileno, reset_on_close
 from forwarder.config.config import Address
@@ -31,6 +30,13 @@
     render_request,
 )
 from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.handover_format import (
+    NO_CONNECTION,
+    AttemptRecord,
+    CallRecord,
+    IdleConnectionRecord,
+    PoolRecord,
+)
 from forwarder.runtime.invariants import AttemptFacts, Invariants, RouteFacts, route_denial
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Repeating, Supervisor
@@ -580,34 +586,36 @@
             connection.close("given up, and handed over")
             connection.settle()
 
-    def hand_over(self) -> tuple[dict[str, Any], list[EndpointConnection]]:
-        """What is out and what is idle, for the process that takes over, and the connections to go with it.
+    def hand_over(self) -> tuple[PoolRecord, list[EndpointConnection]]:
+        """Returns what is out and what is idle, for the process that takes over, and the connections to go with it.
+
         A call whose last byte is not written yet is not among the connections: it will never run.
         """
-        going: list[EndpointConnection] = []
-        calls, idle = [], []
+        connections: list[EndpointConnection] = []
+        calls: list[CallRecord] = []
+        idle: list[IdleConnectionRecord] = []
         for call in {id(call): call for call in self.calls.values()}.values():
-            number = -1
+            index = NO_CONNECTION
             if call.connection is not None and call.written and not call.connection.closing():
-                number = len(going)
-                going.append(call.connection)
+                index = len(connections)
+                connections.append(call.connection)
             calls.append(
-                {
-                    "connection": number,
-                    "target": call.target,
-                    "place": call.place,
-                    "sent_us": call.sent_us,
-                    "batched": call.batched,
-                    "items": [[x.id, x.attempt, x.until_us] for x in call.open.values()],
-                    "seen": base64.b64encode(call.connection.seen if call.connection else b"").decode(),
-                }
+                CallRecord(
+                    connection=index,
+                    endpoint=call.target,
+                    limit_scope=call.place,
+                    sent_us=call.sent_us,
+                    batched=call.batched,
+                    attempts=tuple(AttemptRecord(x.id, x.attempt, x.until_us) for x in call.open.values()),
+                    received=bytes(call.connection.seen) if call.connection else b"",
+                )
             )
         for target, held in self.idle.items():
             for connection in held:
                 if not connection.closing():
-                    idle.append({"connection": len(going), "target": target, "idle_us": connection.idle_us})
-                    going.append(connection)
-        return {"calls": calls, "idle": idle, "waits": [[*w, end] for w, end in self.waits.items()]}, going
+                    idle.append(IdleConnectionRecord(len(connections), target, connection.idle_us))
+                    connections.append(connection)
+        return PoolRecord(tuple(calls), tuple(idle), tuple(self.waits.items())), connections
 
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, seen: bytes) -> None:
         """Go on waiting for the answer to a call of the process before; without a connection it never ran."""
--- a/forwarder/health/extension.py
+++ b/forwarder/health/extension.py
@@ -9,27 +9,27 @@
 from forwarder.config.config import Config
 from forwarder.config.extensions_file import ExtensionTable
 from forwarder.decisions.outlier_detection import OutlierDetector, OutlierSettings
-from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.extension import BaseExtension, ExtensionHost
 
 SECOND = 1_000_000
 
 
 def parse_settings(table: ExtensionTable) -> OutlierSettings:
     """The table `[health.passive]`."""
-    passive = table.part("passive")
+    passive = table.table("passive")
     first = passive.number("eject_s", 5.0, 0.1, 3600.0)
     limits = OutlierSettings(
         half_life_us=int(passive.number("half_life_s", 10.0, 0.1, 3600.0) * SECOND),
         least_samples=passive.number("least_samples", 5.0, 1.0),
-        run_calls=passive.whole("run_calls", 5, 1),
+        run_calls=passive.integer("run_calls", 5, 1),
         least_share=passive.number("least_share", 0.2, 0.0, 1.0),
         most_ejected=passive.number("most_ejected", 0.5, 0.0, 1.0),
         eject_us=int(first * SECOND),
         eject_top_us=int(passive.number("eject_top_s", 60.0, first, 86400.0) * SECOND),
         again_us=int(passive.number("again_s", 1.0, 0.01, 3600.0) * SECOND),
-        trial_calls=passive.whole("trial_calls", 5, 1),
+        trial_calls=passive.integer("trial_calls", 5, 1),
     )
-    passive.done()
+    passive.check_all_taken()
     return limits
 
 
@@ -38,7 +38,7 @@
     limits: OutlierSettings
     descriptors: int = 0
 
-    def __call__(self, engine: Engine) -> HealthExtension:
+    def __call__(self, engine: ExtensionHost) -> HealthExtension:
         return HealthExtension(engine, self.limits)
 
 
@@ -49,7 +49,7 @@
 class HealthExtension(BaseExtension):
     name = "health"
 
-    def __init__(self, engine: Engine, limits: OutlierSettings) -> None:
+    def __init__(self, engine: ExtensionHost, limits: OutlierSettings) -> None:
         self.engine = engine
         self.health = OutlierDetector(engine.dispatcher, limits)
         engine.dispatcher.extensions.append(self.health)
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -25,7 +25,7 @@
 from forwarder.membership.gossip import GossipBridge
 from forwarder.membership.protocol import LEAST_LOG, MemberChanged, Protocol, Timing
 from forwarder.membership.view import LIFE, Member, Phase, State, Where
-from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.extension import BaseExtension, ExtensionHost
 from forwarder.runtime.startup_phase import StartupPhase
 from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.lease import Lease
@@ -69,20 +69,20 @@
     if not (config.told.get("settings") or {}).get("allowed", {}).get("may_tell"):
         raise ConfigError("parts: members: by settings.allowed.may_tell forwarders may not talk to each other")
     listen = table.address("listen")
-    advertise = table.address("advertise") if "advertise" in table.left else listen
+    advertise = table.address("advertise") if "advertise" in table else listen
     cluster = table.take("cluster", None)
     if not isinstance(cluster, str) or not 0 < len(cluster) <= 64:
-        raise table.wrong("cluster", f"is no name of 1 to 64 characters: {cluster!r}")
+        raise table.error("cluster", f"is no name of 1 to 64 characters: {cluster!r}")
     base = Timing()
     period = table.number("period_s", base.period / SECOND, 0.02, 60.0)
     timing = replace(
         base,
         period=int(period * SECOND),
         probe=int(table.number("probe_s", 0.5 * period, 0.005, period) * SECOND),
-        helpers=table.whole("helpers", base.helpers, 0, 20),
+        helpers=table.integer("helpers", base.helpers, 0, 20),
         suspicion=table.number("suspicion", base.suspicion, 0.1, 100.0),
         suspicion_top=table.number("suspicion_top", base.suspicion_top, 1.0, 100.0),
-        confirmations=table.whole("confirmations", base.confirmations, 0, 20),
+        confirmations=table.integer("confirmations", base.confirmations, 0, 20),
         retell=table.number("retell", base.retell, 1.0, 20.0),
         exchange=int(table.number("exchange_s", max(base.exchange / SECOND, period), period, 3600.0) * SECOND),
         stall=int(table.number("stall_s", max(base.stall / SECOND, 4 * period), period, 600.0) * SECOND),
@@ -90,15 +90,15 @@
     seeds = table.take("seeds", [])
     longest = timing.suspicion * timing.suspicion_top * max(LEAST_LOG, math.log10(config.settings.forwarders))
     detected = period * (2 + longest)
-    divide, news = (table.truth(key, False) for key in ("divide", "news"))
+    divide, news = (table.boolean(key, False) for key in ("divide", "news"))
     if news and not divide:
-        raise table.wrong("news", "needs divide = true: what others have seen is heeded by who is there")
+        raise table.error("news", "needs divide = true: what others have seen is heeded by who is there")
     spread = 2 * math.log2(config.settings.forwarders + 1)
     told = table.number("told_s", period * spread, period, 3600.0)
     # After a restart there is time to be noticed, to hear of all, and for all to hear, before a lease of before ends.
     settle = table.number("settle_s", 3 * detected + told, detected, 3600.0)
     if told > settle:
-        raise table.wrong("told_s", f"is {told}, more than settle_s, {settle}")
+        raise table.error("told_s", f"is {told}, more than settle_s, {settle}")
     believe = table.number("believe_s", 10 * settle, settle, 86400.0)
     made = Settings(
         listen,
@@ -122,11 +122,11 @@
 
 def addresses(table: ExtensionTable, told: Any) -> tuple[Address, ...]:
     if not isinstance(told, list):
-        raise table.wrong("seeds", f"is no list and no file: {told!r}")
+        raise table.error("seeds", f"is no list and no file: {told!r}")
     try:
         return tuple(parse_address(text) for text in told)
     except MalformedInputError as error:
-        raise table.wrong("seeds", f"has what is {error}") from None
+        raise table.error("seeds", f"has what is {error}") from None
 
 
 def seeds_of(settings: Settings) -> list[Where]:
@@ -158,7 +158,7 @@
     settings: Settings
     descriptors: int = 2
 
-    def __call__(self, engine: Engine) -> MembershipExtension:
+    def __call__(self, engine: ExtensionHost) -> MembershipExtension:
         return MembershipExtension(engine, self.settings)
 
 
@@ -188,7 +188,7 @@
 
     name = "members"
 
-    def __init__(self, engine: Engine, settings: Settings) -> None:
+    def __init__(self, engine: ExtensionHost, settings: Settings) -> None:
         self.engine, self.settings = engine, settings
         self.codec = Codec(settings.cluster, keys(settings.key_file))
         self.keeper = DatagramRateLimiter()
@@ -206,7 +206,7 @@
         if settings.divide:
             self.follow_view(engine)
 
-    def follow_view(self, engine: Engine) -> None:
+    def follow_view(self, engine: ExtensionHost) -> None:
         """The Dispatcher divides what all share by who is there."""
         s = self.settings
         self.lease = Lease(engine.config.state, engine.clock)
@@ -317,7 +317,7 @@
 
     def cut(self) -> None:
         """The process ends. After SIGTERM the others hear that it has left; a process that takes over goes on."""
-        if self.protocol is not None and self.engine.leaving_s and self.transport is not None:
+        if self.protocol is not None and self.engine.run_state.is_stopping and self.transport is not None:
             self.protocol.leave(self.now())
             self.flush()
         if self.timer is not None:
@@ -370,7 +370,7 @@
 
     def step(self) -> None:
         assert self.protocol is not None
-        if self.protocol.me.phase is Phase.RECOVERING and self.engine.life.phase is StartupPhase.SERVING:
+        if self.protocol.me.phase is Phase.RECOVERING and self.engine.startup_progress.phase is StartupPhase.SERVING:
             self.protocol.tell(self.now(), Phase.SERVING)
         self.protocol.tick(self.now())
         self.flush()
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -23,7 +23,7 @@
 from forwarder.decisions.fleet_quota import FleetQuota, GossipExtension, SlowStartSlots
 from forwarder.membership.gossip_store import AGES, GossipRecord, GossipStore, RecordKind, rendezvous
 from forwarder.membership.protocol import Protocol
-from forwarder.runtime.engine import Engine
+from forwarder.runtime.extension import ExtensionHost
 from forwarder.storage.identity import StartKind
 
 SECOND = 1_000_000
@@ -42,7 +42,7 @@
 class GossipBridge:
     """Joins one forwarder's board to its Dispatcher."""
 
-    def __init__(self, engine: Engine, shares: FleetQuota, told_us: int, ask_us: int) -> None:
+    def __init__(self, engine: ExtensionHost, shares: FleetQuota, told_us: int, ask_us: int) -> None:
         self.engine, self.ask_us = engine, ask_us
         s = engine.config.settings
         self.board = GossipStore(
@@ -193,7 +193,7 @@
             if fact.subject not in store.bans:
                 since = self.engine.clock() - (now - fact.born) - fact.value
                 store.ban(fact.subject, since)
-                self.engine.carry_out(EndpointDisabled(self.engine.number(fact.subject), since))
+                self.engine.apply_command(EndpointDisabled(self.engine.endpoint_number(fact.subject), since))
                 log.warning("maintenance: %s is left out again, as others remember", fact.subject)
                 found += 1
         return found
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -1,8 +1,8 @@
-"""Carries out what rounds decide: what precedes an effect is written first, and nothing leaves that is not on record.
+"""Applies what rounds decide: what precedes an effect is recorded first, and nothing leaves that is not on record.
 
 | effect | its record | while that cannot be written |
 | --- | --- | --- |
-| 202 to a client | the message | 503; the message is not taken on |
+| 202 to a client | the message | 503; the message is not accepted |
 | a call with a message that may be repeated, and keeps no order | the attempt | leaves |
 | a call with any other message | the attempt | is held back, and tried again |
 | a notice | the end | waits until it is written, or until the message's time is over |
@@ -30,37 +30,38 @@
     SendAttempt,
 )
 from forwarder.decisions.events import AttemptEnded, Event, MessageWithdrawn
-from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.outcomes import NEVER_RAN, Outcome
 from forwarder.endpoints.endpoint_table import EndpointTable
 from forwarder.endpoints.pool import CallItem, CallResult, ConnectionPool, EndpointCall, fits
 from forwarder.runtime.invariants import Denial, Invariants
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.units import SECOND_US
 
-SECOND = 1_000_000
-MOST_REFUSED_BY = 1000  # destinations, classes and gates of refusals that are counted apart
+MAX_REJECTION_COUNTS = 1000
+"""Destinations, classes and hold reasons that are counted apart."""
 log = logging.getLogger("forwarder.effects")
 
-Arriving = dict[str, tuple[Submission, ClientConnection]]
-"""Messages that were handed in since the last round, by their id."""
+PendingSubmissions = dict[str, tuple[Submission, ClientConnection]]
+"""Messages that were submitted since the last round, by their id."""
 Step = CloseIdleConnections | CancelAttempt | EndpointCall
+"""What leaves for endpoints."""
 
 
 @dataclass(slots=True)
 class Departures:
     """What a round lets leave, once its records are written."""
 
-    accepted: Arriving
+    accepted: PendingSubmissions
+    """Their clients are answered with 202."""
     steps: list[Step] = field(default_factory=list)
     forming: dict[int, EndpointCall] = field(default_factory=dict)
     """The newest call to each target, which more messages may join."""
 
 
 class Effects:
-    """Of one process. `turn_away` and `refuse` answer a client that a message was refused; `post` tells the
-    decisions what became of something.
-    """
+    """Records what rounds decide, and lets it leave."""
 
     def __init__(
         self,
@@ -71,38 +72,71 @@
         reasons: ReasonCounts,
         supervisor: Supervisor,
         post: Callable[[Event], None],
-        turn_away: Callable[[Submission, ClientConnection, RejectMessage | FailMessage], None],
-        refuse: Callable[[Submission, ClientConnection, str], None],
+        reject_submission: Callable[[Submission, ClientConnection, RejectMessage | FailMessage], None],
+        reject_unavailable: Callable[[Submission, ClientConnection, str], None],
     ) -> None:
-        self.store, self.pool, self.targets, self.rules = store, pool, targets, rules
-        self.reasons, self.supervisor, self.post = reasons, supervisor, post
-        self.turn_away, self.refuse = turn_away, refuse
-        self.refused_by: dict[tuple[int, str, str], int] = {}
-        self.refused, self.refused_us = 0, -SECOND
+        """Takes what answers a client whose submission is rejected, and what tells the decisions of an event."""
+        self.store = store
+        self.pool = pool
+        self.targets = targets
+        self.rules = rules
+        self.reasons = reasons
+        self.supervisor = supervisor
+        self.post = post
+        self.reject_submission = reject_submission
+        self.reject_unavailable = reject_unavailable
+        self.rejected_by: dict[tuple[int, str, str], int] = {}
+        """How many messages were rejected after they were accepted, by destination, class and hold reason."""
         self.calls_made = 0
+        """Calls since the start."""
+        self._unlogged_rejections = 0
+        self._rejection_logged_us = -SECOND_US
 
     # Deciding what leaves, and recording it
 
-    def prepare(self, now: int, actions: Iterable[Action], arriving: Arriving) -> Departures:
-        """Record what a round has decided. Nothing leaves yet, but refusals of what was never taken on."""
+    def record_outcome(self, event: AttemptEnded) -> None:
+        """Records the outcome of an attempt."""
+        message = self.store.messages.get(event.message_id)
+        if message is None:
+            return
+        if event.outcome is Outcome.DELIVERED and event.is_final:
+            self.store.over(message.id)
+        elif event.is_final:
+            # An endpoint says that it is over. Should that be wrong, it would be lost; a notice does no harm.
+            self.store.owe(message.id, "returned" if message.ran_at_us < 0 else "failed", 0)
+        elif event.outcome is Outcome.LOCAL_FAILURE:
+            self.store.held(message, event.attempt)
+        else:
+            self.reasons.note(Subject.RETRY, event.outcome.value, message.id)
+            self.store.outcome(message, event.attempt, event.outcome not in NEVER_RAN)
+
+    def prepare(self, now: int, actions: Iterable[Action], pending: PendingSubmissions) -> Departures:
+        """Records what a round has decided. Nothing leaves yet, but rejections of what was never accepted.
+
+        Args:
+            now: the time of the round, in microseconds.
+            actions: what the round has decided.
+            pending: what was submitted since the last round; those that are rejected are taken out.
+        """
         actions = list(actions)
         for action in actions:
-            if isinstance(action, RejectMessage | FailMessage) and action.message_id in arriving:
-                self.supervisor.guard("refusal", partial(self.turn_away, *arriving.pop(action.message_id), action))
-        for handed, _ in arriving.values():
+            if isinstance(action, RejectMessage | FailMessage) and action.message_id in pending:
+                reject = partial(self.reject_submission, *pending.pop(action.message_id), action)
+                self.supervisor.guard("refusal", reject)
+        for submission, _ in pending.values():
             self.store.take(
                 AcceptedMessage(
-                    handed.id,
-                    handed.cls,
-                    handed.destination,
-                    handed.due_us,
-                    handed.key,
-                    handed.tenant,
-                    handed.body,
-                    idempotency_key=handed.idempotency_key,
+                    submission.id,
+                    submission.cls,
+                    submission.destination,
+                    submission.due_us,
+                    submission.key,
+                    submission.tenant,
+                    submission.body,
+                    idempotency_key=submission.idempotency_key,
                 )
             )
-        departures = Departures(arriving)
+        departures = Departures(pending)
         for action in actions:
             if not self.supervisor.guard(type(action).__name__, partial(self._prepare, action, now, departures)):
                 self._undo(action)
@@ -113,7 +147,7 @@
             case SendAttempt():
                 self._prepare_send(action, now, departures)
             case RejectMessage() if action.message_id in self.store.messages:
-                self._log_refused(action, now)
+                self._log_rejection(action, now)
                 self.store.owe(action.message_id, "returned", -(-action.retry_after_us // 1000))
             case FailMessage() if action.message_id in self.store.messages:
                 self.store.owe(action.message_id, "failed", 0)
@@ -125,74 +159,79 @@
                 self.store.rest(action.key, action.until_us, now)
 
     def _undo(self, action: Action) -> None:
-        """A step has failed: a message whose call was not made is held again."""
+        """Tells the decisions that a step has failed: a message whose call was not made is held again."""
         if isinstance(action, SendAttempt):
-            m = self.store.messages.get(action.message_id)
-            number = 0 if m is None else max(m.out, default=m.attempts)
+            message = self.store.messages.get(action.message_id)
+            number = 0 if message is None else max(message.out, default=message.attempts)
             self.post(AttemptEnded(action.message_id, number, action.endpoint, Outcome.LOCAL_FAILURE, 0))
 
-    def _prepare_send(self, a: SendAttempt, now: int, departures: Departures) -> None:
-        """Record an attempt and put it into a call: those of one round to one target travel together."""
-        m = self.store.messages.get(a.message_id)
-        if m is None:  # only after a fault: the slot must come free again
-            self.post(AttemptEnded(a.message_id, 0, a.endpoint, Outcome.NOT_SENT, 0, is_final=True))
+    def _prepare_send(self, action: SendAttempt, now: int, departures: Departures) -> None:
+        """Records an attempt and puts it into a call: those of one round to one endpoint travel together."""
+        message = self.store.messages.get(action.message_id)
+        if message is None:  # only after a fault: the slot must come free again
+            self.post(AttemptEnded(action.message_id, 0, action.endpoint, Outcome.NOT_SENT, 0, is_final=True))
             return
-        number, target = m.attempts, self.targets.host(a.endpoint)
-        if target is None or target.destination != m.destination:
+        number = message.attempts
+        target = self.targets.host(action.endpoint)
+        if target is None or target.destination != message.destination:
             # A message that reaches an endpoint of another destination cannot be called back.
-            log.error("held back: %s is no target of destination %d", self.targets.names.get(a.endpoint), m.destination)
-            m.attempts += 1
-            self.post(AttemptEnded(m.id, number, a.endpoint, Outcome.NOT_SENT, 0))
+            name = self.targets.names.get(action.endpoint)
+            log.error("held back: %s is no target of destination %d", name, message.destination)
+            message.attempts += 1
+            self.post(AttemptEnded(message.id, number, action.endpoint, Outcome.NOT_SENT, 0))
             return
-        self.store.attempt(m, number, now, target.name)
+        self.store.attempt(message, number, now, target.name)
         item = CallItem(
-            m.id,
+            message.id,
             number,
-            m.key,
-            m.body,
-            min(now + a.timeout_us, m.due_us),
-            m.due_us,
-            m.idempotency_key,
-            a.send_before_us,
+            message.key,
+            message.body,
+            min(now + action.timeout_us, message.due_us),
+            message.due_us,
+            message.idempotency_key,
+            action.send_before_us,
         )
-        call = departures.forming.get(a.endpoint)
+        call = departures.forming.get(action.endpoint)
         if call is None or len(call.items) >= self.targets.kind(target).max_batch or not fits(call.items, item):
-            call = departures.forming[a.endpoint] = EndpointCall(a.endpoint, self.targets.place(target), now, [])
+            call = EndpointCall(action.endpoint, self.targets.place(target), now, [])
+            departures.forming[action.endpoint] = call
             departures.steps.append(call)
         call.items.append(item)
 
-    def _log_refused(self, a: RejectMessage, now: int) -> None:
-        """A line with the reason, one a second at most; it tells how many had none."""
-        self.refused += 1
-        m = self.store.messages[a.message_id]
-        key = (m.destination, m.cls.name, a.hold_reason.value if a.hold_reason else "nothing")
-        if key in self.refused_by or len(self.refused_by) < MOST_REFUSED_BY:
-            self.refused_by[key] = self.refused_by.get(key, 0) + 1
-        if now - self.refused_us >= SECOND:
+    def _log_rejection(self, action: RejectMessage, now: int) -> None:
+        """Logs a rejection with its reason, one a second at most; the line tells how many had none."""
+        self._unlogged_rejections += 1
+        message = self.store.messages[action.message_id]
+        reason = action.hold_reason.value if action.hold_reason else "nothing"
+        key = (message.destination, message.cls.name, reason)
+        if key in self.rejected_by or len(self.rejected_by) < MAX_REJECTION_COUNTS:
+            self.rejected_by[key] = self.rejected_by.get(key, 0) + 1
+        if now - self._rejection_logged_us >= SECOND_US:
             log.info(
                 "refused: %s for destination %d, held by: %s; %d refused since the last such line",
-                a.message_id,
-                m.destination,
-                key[2],
-                self.refused,
+                action.message_id,
+                message.destination,
+                reason,
+                self._unlogged_rejections,
             )
-            self.refused_us, self.refused = now, 0
+            self._rejection_logged_us = now
+            self._unlogged_rejections = 0
 
     # Letting it leave
 
-    def release(self, departures: Departures, written: bool) -> None:
-        """What the records precede leaves now, if they are written; what may not go without is held back."""
-        if not written:
+    def release(self, departures: Departures, is_recorded: bool) -> None:
+        """Lets leave what the records precede; where they could not be written, holds back what needs them."""
+        if not is_recorded:
             self._hold_back(departures)
-        for name, (handed, door) in departures.accepted.items():
-            self.supervisor.guard("202", partial(self._accept, name, handed, door))
+        for message_id, (_, client) in departures.accepted.items():
+            self.supervisor.guard("202", partial(self._accept, message_id, client))
         for step in departures.steps:
             if not self.supervisor.guard("call", partial(self._release, step)) and isinstance(step, EndpointCall):
                 self.supervisor.guard("call", partial(self.pool.finish, step, CallResult(Outcome.LOCAL_FAILURE)))
 
-    def _accept(self, name: str, handed: Submission, door: ClientConnection) -> None:
-        if self.rules.may_accept(name, written=True) is None:
-            door.answer(HTTPStatus.ACCEPTED)
+    def _accept(self, message_id: str, client: ClientConnection) -> None:
+        if self.rules.may_accept(message_id, written=True) is None:
+            client.answer(HTTPStatus.ACCEPTED)
 
     def _release(self, step: Step) -> None:
         match step:
@@ -205,19 +244,20 @@
                 self.pool.start(step)
 
     def _hold_back(self, departures: Departures) -> None:
-        """The journal cannot be written: new messages are refused, and of the calls only those leave that may."""
+        """Rejects new messages, for the journal cannot be written; of the calls only those leave that may."""
         for step in departures.steps:
             if isinstance(step, EndpointCall):
-                step.items[:] = [item for item in step.items if self._may_go(step, item, departures.accepted)]
+                step.items[:] = [item for item in step.items if self._may_leave(step, item, departures.accepted)]
         departures.steps = [step for step in departures.steps if not isinstance(step, EndpointCall) or step.items]
-        for name, (handed, door) in departures.accepted.items():
-            self.rules.may_accept(name, written=False)
-            self.store.forget(name)
-            self.post(MessageWithdrawn(name))
-            self.refuse(handed, door, "cannot be recorded")
+        for message_id, (submission, client) in departures.accepted.items():
+            self.rules.may_accept(message_id, written=False)
+            self.store.forget(message_id)
+            self.post(MessageWithdrawn(message_id))
+            self.reject_unavailable(submission, client, "cannot be recorded")
         departures.accepted = {}
 
-    def _may_go(self, call: EndpointCall, item: CallItem, accepted: Arriving) -> bool:
+    def _may_leave(self, call: EndpointCall, item: CallItem, accepted: PendingSubmissions) -> bool:
+        """Returns whether an attempt may leave unrecorded; the decisions hear of one that may not."""
         if item.id not in accepted and self.rules.may_go_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
--- /dev/null
+++ b/forwarder/runtime/endpoint_list.py
@@ -0,0 +1,63 @@
+"""Endpoint lists as discovery tells them: recorded, told to the decisions, and applied to what may be called."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from forwarder.config.config import EndpointList
+from forwarder.decisions.events import EndpointListKind, EndpointListReceived
+from forwarder.runtime.context import Runtime
+
+log = logging.getLogger("forwarder.engine")
+
+
+class EndpointListUpdates:
+    """Applies endpoint lists to one forwarder."""
+
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
+        self._started_s = time.monotonic()
+        self._has_first_list = False
+
+    def receive(self, endpoint_list: EndpointList | None) -> None:
+        """Applies a list at once: a drained endpoint must get nothing from now on. None: the watch has failed."""
+        runtime = self.runtime
+        if endpoint_list is None:
+            runtime.post(EndpointListReceived(EndpointListKind.FAILED))
+            return
+        runtime.startup_progress.list_received()
+        if not self._has_first_list:
+            self._has_first_list = True
+            self._log_first_list(endpoint_list)
+        if endpoint_list.hosts or endpoint_list.whole:
+            entries = runtime.targets.entries(endpoint_list.hosts, runtime.store.bans)
+            self.apply(endpoint_list)
+            listed = {endpoint.name: endpoint.raw for endpoint in runtime.targets.hosts.values()}
+            runtime.store.list(endpoint_list.seq, listed, runtime.clock())
+        else:
+            entries = ()
+        kind = EndpointListKind.WHOLE if endpoint_list.whole else EndpointListKind.CHANGES
+        runtime.loop.events.append(EndpointListReceived(kind, entries))
+        if not runtime.run_state.is_frozen:
+            runtime.loop.run_round()
+
+    def _log_first_list(self, endpoint_list: EndpointList) -> None:
+        log.info(
+            "list: version %d is the first that discovery told, %.3f s after the start; %d calls were made before",
+            endpoint_list.seq,
+            time.monotonic() - self._started_s,
+            self.runtime.effects.calls_made,
+        )
+
+    def apply(self, endpoint_list: EndpointList) -> None:
+        """Follows a list, whole or in part, without telling the decisions."""
+        self.runtime.targets.take(endpoint_list)
+        self.publish_serving()
+
+    def publish_serving(self) -> None:
+        """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
+        runtime = self.runtime
+        runtime.pool.serving(runtime.targets.serving(runtime.store.bans))
+        for extension in runtime.extensions:
+            extension.served(runtime.pool.where)
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -1,137 +1,196 @@
-"""What one process hands to the one that takes over from it, and how that one goes on with it.
+"""Handing the state of this process to the one that takes over from it, and going on with what was handed over.
 
-Messages, ends and the list are in the journal, which passes as it is. What is not is described here: calls that are out
-and their connections, clients and operators with what was read of their requests, and what the decisions have learned.
-Sockets go as descriptors; the description names each by its place among them.
+Messages, pending notices and the endpoint list are in the journal, which passes as it is. What is not is described
+here: calls in progress and their connections, clients and operators with what was read of their requests, and learned
+state.
 """
 
 from __future__ import annotations
 
 import asyncio
-import base64
-from typing import TYPE_CHECKING, Any
+import logging
+import os
+import socket
 
 from forwarder.clients.listener import fileno
 from forwarder.decisions.outcomes import Outcome
 from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
-from forwarder.runtime.learned_state_format import learned_state_to_stored
+from forwarder.runtime.context import Runtime
+from forwarder.runtime.handover_format import (
+    CallRecord,
+    HandedAdminConnection,
+    HandedClient,
+    HandoverDescription,
+)
 from forwarder.runtime.ownership import HandoverState
 
-if TYPE_CHECKING:
-    from forwarder.runtime.engine import Engine
-
-SPARE_SOCKETS = 40  # descriptors of two processes that are no connections
-OLD_CONTROL_S = 10.0  # calls of operators are answered at the old control address for so long
-
-
-class Descriptors:
-    """Those that go along, each known by its place."""
+SPARE_SOCKETS = 40
+"""Descriptors of two processes that are no connections."""
+OLD_ADMIN_ADDRESS_S = 10.0
+"""Commands are answered at the admin address of the process before for so long."""
+
+
+log = logging.getLogger("forwarder.engine")
+
+
+class HandoverSender:
+    """Hands all that this process has to another one."""
+
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
+
+    def hand_over(self, link: socket.socket) -> None:
+        """Hands over on a connection to the other process, and ends this one; it goes on where that fails.
+
+        The event loop stands still here, so all that arrives waits for its owner.
+
+        Raises:
+            OSError: the other process has gone, or is silent.
+        """
+        runtime = self.runtime
+        if runtime.run_state.is_stopping or runtime.run_state.is_closed:
+            return
+        self.settle()
+        if not runtime.loop.sync_barrier():
+            return  # calls and responses wait for the sync: they cannot be handed over
+        runtime.store.retry()
+        if runtime.rules.may_hand_over() is not None:
+            return  # the other process goes by the journal, which has to have all that is here; it asks again
+        description, descriptors = describe(runtime)
+        if not runtime.ownership.give(link, description, descriptors):
+            log.warning("the process that was to take over did not; going on")
+            return
+        for extension in runtime.extensions:
+            extension.cut()
+        log.info("handed over: %d messages, %d calls out", len(runtime.store.messages), runtime.pool.out)
+        os._exit(0)  # not one callback more: it would read what is meant for the other process
+
+    def settle(self) -> None:
+        """Decides on all that has come until now, so that nothing is under way between two rounds."""
+        runtime = self.runtime
+        runtime.pool.settle()
+        runtime.loop.run_round()
+        for client in runtime.server.doors:
+            client.answer_waiting()
+        if runtime.loop.has_work():
+            runtime.loop.run_round()  # what the first one brought about
+
+
+class DescriptorTable:
+    """The descriptors that are handed over, each known by its index."""
 
     def __init__(self) -> None:
-        self.all: list[int] = []
+        self.descriptors: list[int] = []
 
-    def put(self, descriptor: int) -> int:
-        self.all.append(descriptor)
-        return len(self.all) - 1
+    def add(self, descriptor: int) -> int:
+        """Adds a descriptor. Returns its index."""
+        self.descriptors.append(descriptor)
+        return len(self.descriptors) - 1
 
 
-def describe(engine: Engine) -> tuple[dict[str, Any], list[int]]:
-    """All that a process has beside its journal, and the descriptors to go with it."""
-    descriptors = Descriptors()
-    pool, connections = engine.pool.hand_over()
-    listener = engine.server.listener
+def describe(runtime: Runtime) -> tuple[HandoverDescription, list[int]]:
+    """Returns all that a process has beside its journal, and the descriptors to go with it."""
+    table = DescriptorTable()
+    pool, connections = runtime.pool.hand_over()
+    listener = runtime.server.listener
     assert listener is not None
-    told = {
-        "clock": engine.clock.base,
-        "numbers": engine.targets.numbers,
-        "destinations": [*engine.targets.destinations],
-        "memory": learned_state_to_stored(engine.dispatcher.learned_state()),
-        "leaving": engine.drain.on,
-        "clients": descriptors.put(listener.sock.fileno()),
-        "connections": [descriptors.put(fileno(connection.transport)) for connection in connections],
-        "pool": pool,
-        **_operators(engine, descriptors),
-        "doors": _clients(engine, descriptors),
-    }
-    return told, descriptors.all
-
-
-def _operators(engine: Engine, descriptors: Descriptors) -> dict[str, Any]:
-    """Their listening address, and those that have called and have no answer."""
-    listeners = [found for where, found in engine.control.listeners.items() if where == engine.config.control]
-    callers = engine.control.callers
-    known = {fileno(caller.transport) for caller in callers}
-    new = [conn.fileno() for found in listeners for conn in found.coming if conn.fileno() not in known]
-    asking = [
-        {"fd": descriptors.put(fileno(caller.transport)), "line": base64.b64encode(caller.line).decode()}
-        for caller in callers
-        if not caller.answered
+    client_listener = table.add(listener.sock.fileno())
+    endpoint_connections = [table.add(fileno(connection.transport)) for connection in connections]
+    admin_listeners, admin_connections = _describe_admin(runtime, table)
+    description = HandoverDescription(
+        clock_base_ns=runtime.clock.base,
+        endpoint_numbers=runtime.targets.numbers,
+        destinations=[*runtime.targets.destinations],
+        learned_state=runtime.dispatcher.learned_state(),
+        is_draining=runtime.drain.on,
+        client_listener=client_listener,
+        endpoint_connections=endpoint_connections,
+        pool=pool,
+        admin_listeners=admin_listeners,
+        admin_connections=admin_connections,
+        clients=_describe_clients(runtime, table),
+    )
+    return description, table.descriptors
+
+
+def _describe_admin(runtime: Runtime, table: DescriptorTable) -> tuple[list[int], list[HandedAdminConnection]]:
+    """Returns the admin interface's own listeners, and the connections that have no answer yet."""
+    listeners = [found for where, found in runtime.control.listeners.items() if where == runtime.config.control]
+    connections = runtime.control.connections
+    known = {fileno(connection.transport) for connection in connections}
+    accepted = [conn.fileno() for found in listeners for conn in found.coming if conn.fileno() not in known]
+    waiting = [
+        HandedAdminConnection(table.add(fileno(connection.transport)), connection.line)
+        for connection in connections
+        if not connection.is_answered
     ]
-    return {
-        "controls": [descriptors.put(found.sock.fileno()) for found in listeners],
-        "callers": asking + [{"fd": descriptors.put(number), "line": ""} for number in new],
-    }
+    handed_listeners = [table.add(found.sock.fileno()) for found in listeners]
+    return handed_listeners, waiting + [HandedAdminConnection(table.add(number), b"") for number in accepted]
 
 
-def _clients(engine: Engine, descriptors: Descriptors) -> list[dict[str, Any]]:
-    """Their connections, those in the middle of a request first. While both processes have them they count twice: what
-    is idle and too many ends with this one.
+def _describe_clients(runtime: Runtime, table: DescriptorTable) -> list[HandedClient]:
+    """Returns the client connections, those in the middle of a request first.
+
+    While both processes have them they count twice: what is idle and too many ends with this one.
     """
-    server = engine.server
+    server = runtime.server
     assert server.listener is not None
-    doors = [(door, told) for door in server.doors if (told := door.hand_over()) is not None]
-    doors.sort(key=lambda each: (not each[0].idle(), each[0].used_us), reverse=True)
-    room = max(0, engine.config.sockets - len(server.doors) - len(engine.pool.all) - SPARE_SOCKETS)
-    known = {fileno(door.transport) for door in server.doors}
-    new = [conn.fileno() for conn in server.listener.coming if conn.fileno() not in known]
-    going = [told | {"fd": descriptors.put(fileno(door.transport))} for door, told in doors[:room]]
-    return going + [{"fd": descriptors.put(number)} for number in new]
-
-
-async def adopt_calls(engine: Engine, handed: HandoverState) -> None:
-    """Go on with the calls and connections to targets of the process before."""
-    pool, numbers = handed.told["pool"], handed.told["connections"]
-    engine.pool.waits = {(destination, which): end for destination, which, end in pool["waits"]}
-    for told in pool["calls"]:
-        await _adopt_call(engine, handed, told, numbers)
-    for told in pool["idle"]:
-        sock = handed.socket(numbers[told["connection"]])
-        adopting = engine.pool.adopt_idle(told["target"], sock, told["idle_us"])
-        await engine.supervisor.guarded("hand-over of a connection", adopting)
-
-
-async def _adopt_call(engine: Engine, handed: HandoverState, told: dict[str, Any], numbers: list[int]) -> None:
+    records = [(client, record) for client in server.doors if (record := client.hand_over()) is not None]
+    records.sort(key=lambda each: (not each[0].idle(), each[0].used_us), reverse=True)
+    free_sockets = runtime.config.sockets - len(server.doors) - len(runtime.pool.all) - SPARE_SOCKETS
+    known = {fileno(client.transport) for client in server.doors}
+    accepted = [conn.fileno() for conn in server.listener.coming if conn.fileno() not in known]
+    handed = [
+        HandedClient(table.add(fileno(client.transport)), record) for client, record in records[: max(0, free_sockets)]
+    ]
+    return handed + [HandedClient(table.add(number), None) for number in accepted]
+
+
+async def adopt_calls(runtime: Runtime, handover: HandoverState) -> None:
+    """Goes on with the calls and endpoint connections of the process before."""
+    description = handover.description
+    runtime.pool.waits = dict(description.pool.retry_after_until_us)
+    for call in description.pool.calls:
+        await _adopt_call(runtime, handover, call)
+    for idle in description.pool.idle:
+        sock = handover.socket(description.endpoint_connections[idle.connection])
+        adopting = runtime.pool.adopt_idle(idle.endpoint, sock, idle.idle_since_us)
+        await runtime.supervisor.guarded("hand-over of a connection", adopting)
+
+
+async def _adopt_call(runtime: Runtime, handover: HandoverState, record: CallRecord) -> None:
     items = [
-        CallItem(name, number, m.key, m.body, until_us, m.due_us)
-        for name, number, until_us in told["items"]
-        if (m := engine.store.messages.get(name)) is not None
+        CallItem(attempt.message_id, attempt.number, message.key, message.body, attempt.timeout_at_us, message.due_us)
+        for attempt in record.attempts
+        if (message := runtime.store.messages.get(attempt.message_id)) is not None
     ]
     if not items:
         return  # its connection is closed with all that is not taken out
-    sock = handed.socket(numbers[told["connection"]]) if told["connection"] >= 0 else None
-    destination, which = told["place"]
-    call = EndpointCall(told["target"], (destination, which), told["sent_us"], items, batched=told["batched"])
+    sock = None
+    if record.connection >= 0:
+        sock = handover.socket(handover.description.endpoint_connections[record.connection])
+    call = EndpointCall(record.endpoint, record.limit_scope, record.sent_us, items, batched=record.batched)
     try:
-        await engine.pool.adopt(call, sock, base64.b64decode(told["seen"]))
+        await runtime.pool.adopt(call, sock, record.received)
     except OSError as error:  # it was written: its outcome is not known any more
-        engine.supervisor.failed("hand-over of a call", error)
-        engine.pool.finish(call, CallResult(Outcome.RESET))
-
-
-async def adopt_clients(engine: Engine, handed: HandoverState) -> None:
-    """Go on with the clients and operators of the process before."""
-    told = handed.told
-    if told["leaving"]:
-        engine.send_away()
-    for door in told["doors"]:
-        sock = handed.socket(door.pop("fd"))
-        await engine.supervisor.guarded("hand-over of a client", engine.server.adopt(sock, door))
-    for number in told["controls"]:
-        listener = engine.control.listen(handed.socket(number))
-        if listener.where() != engine.config.control:
-            asyncio.get_running_loop().call_later(OLD_CONTROL_S, listener.close)
-    for caller in told["callers"]:
-        sock = handed.socket(caller["fd"])
-        adopting = engine.control.adopt(sock, base64.b64decode(caller["line"]))
-        await engine.supervisor.guarded("hand-over of an operator", adopting)
-    handed.close()
+        runtime.supervisor.failed("hand-over of a call", error)
+        runtime.pool.finish(call, CallResult(Outcome.RESET))
+
+
+async def adopt_clients(runtime: Runtime, handover: HandoverState) -> None:
+    """Goes on with the clients and operators of the process before, and closes what is left of the hand-over."""
+    description = handover.description
+    if description.is_draining:
+        runtime.start_draining()
+    for client in description.clients:
+        sock = handover.socket(client.descriptor)
+        await runtime.supervisor.guarded("hand-over of a client", runtime.server.adopt(sock, client.state))
+    for number in description.admin_listeners:
+        listener = runtime.control.listen(handover.socket(number))
+        if listener.where() != runtime.config.control:
+            asyncio.get_running_loop().call_later(OLD_ADMIN_ADDRESS_S, listener.close)
+    for connection in description.admin_connections:
+        sock = handover.socket(connection.descriptor)
+        adopting = runtime.control.adopt(sock, connection.line)
+        await runtime.supervisor.guarded("hand-over of an operator", adopting)
+    handover.close()
--- /dev/null
+++ b/forwarder/runtime/handover_format.py
@@ -0,0 +1,248 @@
+"""The form in which a process describes its state to the one that takes over from it.
+
+The description is JSON. Its keys are those of the first version and never change: a process may be followed by one of
+another version. They are mapped to the names of the code here, and in `learned_state_format`, alone.
+
+Sockets travel beside the description as file descriptors. A record names its descriptor by its index among them.
+"""
+
+from __future__ import annotations
+
+import base64
+import json
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from forwarder.decisions.learned_state import LearnedState
+from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
+
+NO_CONNECTION = -1
+"""In place of an index: the call was never written to a connection."""
+
+StoredRecord = Mapping[str, Any]
+"""A JSON object of the description, under its stored keys."""
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptRecord:
+    """One attempt of a call that is in progress."""
+
+    message_id: str
+    number: int
+    timeout_at_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class CallRecord:
+    """A call that is in progress."""
+
+    connection: int
+    """Index among the endpoint connections, or `NO_CONNECTION`."""
+    endpoint: int
+    limit_scope: tuple[int, int]
+    """Destination and route that share a Retry-After."""
+    sent_us: int
+    batched: bool
+    attempts: tuple[AttemptRecord, ...]
+    received: bytes
+    """What has been read of the response."""
+
+
+@dataclass(frozen=True, slots=True)
+class IdleConnectionRecord:
+    """A connection to an endpoint with no call on it."""
+
+    connection: int
+    """Index among the endpoint connections."""
+    endpoint: int
+    idle_since_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class PoolRecord:
+    """The pool of connections to endpoints."""
+
+    calls: tuple[CallRecord, ...] = ()
+    idle: tuple[IdleConnectionRecord, ...] = ()
+    retry_after_until_us: tuple[tuple[tuple[int, int], int], ...] = ()
+    """Until when each limit scope is left alone."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClientRecord:
+    """A client connection that was read from."""
+
+    connected_at_us: int
+    last_used_us: int
+    has_sent_request: bool
+    handed_over_at_us: int | None
+    """None where the older process did not say."""
+    request_began_us: int
+    """When the request that is being read began; 0 between requests."""
+    received: bytes
+    """What has been read of that request."""
+
+
+@dataclass(frozen=True, slots=True)
+class HandedClient:
+    """A client connection that is handed over."""
+
+    descriptor: int
+    state: ClientRecord | None
+    """None for one that was accepted and not read from."""
+
+
+@dataclass(frozen=True, slots=True)
+class HandedAdminConnection:
+    """An operator's connection that has no answer yet."""
+
+    descriptor: int
+    line: bytes
+    """What has been read of its command."""
+
+
+@dataclass(frozen=True, slots=True)
+class HandoverDescription:
+    """All that a process has beside its journal."""
+
+    clock_base_ns: int | None = None
+    """What the clock adds to the monotonic time; None where the older process did not say."""
+    endpoint_numbers: Mapping[str, int] | None = None
+    destinations: Sequence[int] = ()
+    learned_state: LearnedState | None = None
+    is_draining: bool = False
+    client_listener: int = 0
+    endpoint_connections: Sequence[int] = ()
+    """The descriptor of each connection that the pool's records name."""
+    pool: PoolRecord = PoolRecord()
+    admin_listeners: Sequence[int] = ()
+    admin_connections: Sequence[HandedAdminConnection] = ()
+    clients: Sequence[HandedClient] = ()
+
+
+def encode_description(description: HandoverDescription) -> bytes:
+    """Returns the description as JSON, under its stored keys."""
+    learned_state = description.learned_state
+    stored = {
+        "clock": description.clock_base_ns,
+        "numbers": description.endpoint_numbers,
+        "destinations": [*description.destinations],
+        "memory": None if learned_state is None else learned_state_to_stored(learned_state),
+        "leaving": description.is_draining,
+        "clients": description.client_listener,
+        "connections": [*description.endpoint_connections],
+        "pool": _pool_to_stored(description.pool),
+        "controls": [*description.admin_listeners],
+        "callers": [
+            {"fd": caller.descriptor, "line": _to_base64(caller.line)} for caller in description.admin_connections
+        ],
+        "doors": [_client_to_stored(client) for client in description.clients],
+    }
+    return json.dumps(stored, separators=(",", ":")).encode()
+
+
+def decode_description(data: bytes) -> HandoverDescription:
+    """Returns the description that another process has encoded.
+
+    Raises:
+        ValueError: the data is not JSON.
+        KeyError, TypeError: the JSON is not a description.
+    """
+    stored = json.loads(data)
+    learned_state = stored.get("memory")
+    return HandoverDescription(
+        clock_base_ns=stored.get("clock"),
+        endpoint_numbers=stored.get("numbers"),
+        destinations=stored.get("destinations", ()),
+        learned_state=None if learned_state is None else learned_state_from_stored(learned_state),
+        is_draining=stored["leaving"],
+        client_listener=stored["clients"],
+        endpoint_connections=stored["connections"],
+        pool=_pool_from_stored(stored["pool"]),
+        admin_listeners=stored["controls"],
+        admin_connections=[
+            HandedAdminConnection(caller["fd"], base64.b64decode(caller["line"])) for caller in stored["callers"]
+        ],
+        clients=[_client_from_stored(client) for client in stored["doors"]],
+    )
+
+
+def _pool_to_stored(pool: PoolRecord) -> StoredRecord:
+    return {
+        "calls": [
+            {
+                "connection": call.connection,
+                "target": call.endpoint,
+                "place": call.limit_scope,
+                "sent_us": call.sent_us,
+                "batched": call.batched,
+                "items": [[item.message_id, item.number, item.timeout_at_us] for item in call.attempts],
+                "seen": _to_base64(call.received),
+            }
+            for call in pool.calls
+        ],
+        "idle": [
+            {"connection": idle.connection, "target": idle.endpoint, "idle_us": idle.idle_since_us}
+            for idle in pool.idle
+        ],
+        "waits": [[*limit_scope, until_us] for limit_scope, until_us in pool.retry_after_until_us],
+    }
+
+
+def _pool_from_stored(stored: StoredRecord) -> PoolRecord:
+    return PoolRecord(
+        calls=tuple(_call_from_stored(call) for call in stored["calls"]),
+        idle=tuple(
+            IdleConnectionRecord(idle["connection"], idle["target"], idle["idle_us"]) for idle in stored["idle"]
+        ),
+        retry_after_until_us=tuple(
+            ((destination, route), until_us) for destination, route, until_us in stored["waits"]
+        ),
+    )
+
+
+def _call_from_stored(stored: StoredRecord) -> CallRecord:
+    destination, route = stored["place"]
+    return CallRecord(
+        connection=stored["connection"],
+        endpoint=stored["target"],
+        limit_scope=(destination, route),
+        sent_us=stored["sent_us"],
+        batched=stored["batched"],
+        attempts=tuple(AttemptRecord(*attempt) for attempt in stored["items"]),
+        received=base64.b64decode(stored["seen"]),
+    )
+
+
+def _client_to_stored(client: HandedClient) -> StoredRecord:
+    state = client.state
+    if state is None:
+        return {"fd": client.descriptor}
+    return {
+        "made_us": state.connected_at_us,
+        "used_us": state.last_used_us,
+        "asked": state.has_sent_request,
+        "handed_us": state.handed_over_at_us,
+        "came_us": state.request_began_us,
+        "raw": _to_base64(state.received),
+        "fd": client.descriptor,
+    }
+
+
+def _client_from_stored(stored: StoredRecord) -> HandedClient:
+    if "made_us" not in stored:
+        return HandedClient(stored["fd"], None)
+    state = ClientRecord(
+        connected_at_us=stored["made_us"],
+        last_used_us=stored["used_us"],
+        has_sent_request=stored["asked"],
+        handed_over_at_us=stored.get("handed_us"),
+        request_began_us=stored["came_us"],
+        received=base64.b64decode(stored["raw"]),
+    )
+    return HandedClient(stored["fd"], state)
+
+
+def _to_base64(data: bytes) -> str:
+    return base64.b64encode(data).decode()
--- /dev/null
+++ b/forwarder/runtime/intake.py
@@ -0,0 +1,132 @@
+"""Submissions from clients: what is accepted for the next round, and how the rest is answered."""
+
+from __future__ import annotations
+
+import logging
+import random
+from collections.abc import Callable
+from http import HTTPStatus
+
+from forwarder.clients.server import ClientConnection, Submission, disconnected
+from forwarder.decisions.actions import FailMessage, RejectMessage
+from forwarder.decisions.events import Event, MessageArrived, MessageWithdrawn, NoticeAcknowledged
+from forwarder.decisions.settings import Settings
+from forwarder.endpoints.endpoint_table import EndpointTable
+from forwarder.runtime.effects import PendingSubmissions
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.run_state import RunState
+from forwarder.storage.clock import AnchoredClock
+from forwarder.storage.store import MessageStore
+from forwarder.units import SECOND_US
+
+RETRY_AFTER_S = (0.5, 1.5)
+"""Clients are told to come again after a time from this range: not all at one moment."""
+FULL_LOG_INTERVAL_US = 10 * SECOND_US
+log = logging.getLogger("forwarder.engine")
+
+
+def retry_after_jittered() -> str:
+    """Returns a value for the Retry-After of a submission that is not accepted, in seconds."""
+    return f"{random.uniform(*RETRY_AFTER_S):.3f}"
+
+
+class SubmissionIntake:
+    """Collects submissions until the next round decides on them."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: AnchoredClock,
+        store: MessageStore,
+        targets: EndpointTable,
+        reasons: ReasonCounts,
+        run_state: RunState,
+        post: Callable[[Event], None],
+    ) -> None:
+        self.settings = settings
+        self.clock = clock
+        self.store = store
+        self.targets = targets
+        self.reasons = reasons
+        self.run_state = run_state
+        self.post = post
+        self.pending: PendingSubmissions = {}
+        """What came since the last round, by message id."""
+        self._full_logged_us = -FULL_LOG_INTERVAL_US
+
+    def submit(self, submission: Submission, client: ClientConnection) -> None:
+        """Takes a submission into the next round; what the decisions never see is answered at once."""
+        if self.store.knows(submission.id):
+            client.answer(HTTPStatus.ACCEPTED)  # it was accepted before, or has had its end
+            return
+        if submission.id in self.pending:
+            self.reject_unavailable(submission, client, "handed in twice at once")
+            return
+        if not self._has_room(submission):
+            self.reject_unavailable(submission, client, "full")
+            return
+        if submission.destination not in self.targets.destinations:
+            self.reject_unavailable(submission, client, "no such destination")
+            return
+        self.pending[submission.id] = (submission, client)
+        client.left = lambda: self.withdraw(submission.id)
+        self.post(
+            MessageArrived(
+                submission.id,
+                submission.destination,
+                submission.cls.name,
+                submission.due_us,
+                submission.key,
+                submission.tenant,
+                submission.resent,
+            )
+        )
+
+    def _has_room(self, submission: Submission) -> bool:
+        held = len(self.store.messages) + len(self.pending)
+        size = len(submission.body) + sum(len(pending.body) for pending, _ in self.pending.values())
+        # Without the clock's anchor a restart would not know the messages' time.
+        can_record = self.store.has_room(size) and self.clock.kept
+        if not self.run_state.is_frozen and held < self.settings.max_open_messages and can_record:
+            return True
+        if self.clock() - self._full_logged_us > FULL_LOG_INTERVAL_US and not self.run_state.is_frozen:
+            self._full_logged_us = self.clock()
+            log.warning("full: %d messages held; new ones are turned away", held)
+        return False
+
+    def withdraw_disconnected(self) -> None:
+        """Withdraws the submissions whose clients are gone: they cannot hear that their message is accepted."""
+        for message_id in disconnected({message_id: client for message_id, (_, client) in self.pending.items()}):
+            self.withdraw(message_id)
+
+    def take_pending(self) -> PendingSubmissions:
+        """Returns what came since the last round, and starts anew."""
+        pending = self.pending
+        self.pending = {}
+        return pending
+
+    def withdraw(self, message_id: str) -> None:
+        """The client has gone before its answer: it may submit the message elsewhere, so it is not ours."""
+        if self.pending.pop(message_id, None) is not None:
+            self.post(MessageWithdrawn(message_id))
+
+    def reject_unavailable(self, submission: Submission, client: ClientConnection, reason: str) -> None:
+        """Answers 503: the message was not accepted, and may be submitted again, here or elsewhere."""
+        self.reasons.note(Subject.REFUSAL, reason, submission.id)
+        client.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, Retry_After=retry_after_jittered())
+
+    def reject_submission(
+        self, submission: Submission, client: ClientConnection, action: RejectMessage | FailMessage
+    ) -> None:
+        """Answers a message that was given up in the round in which it came: it was never accepted."""
+        reason = action.hold_reason.value if isinstance(action, RejectMessage) and action.hold_reason else "at once"
+        self.reasons.note(Subject.REFUSAL, reason, submission.id)
+        if isinstance(action, FailMessage):
+            client.answer(HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered")
+        elif action.retry_after_us > 0:
+            retry_after = f"{action.retry_after_us / SECOND_US:.3f}"
+            client.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused", Retry_After=retry_after)
+        else:
+            client.answer(HTTPStatus.TOO_MANY_REQUESTS, "refused")
+        if submission.key is not None:
+            self.post(NoticeAcknowledged(submission.id, submission.key))
--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -17,16 +17,16 @@
 import asyncio
 import errno
 import fcntl
-import json
 import logging
 import os
 import socket
 import struct
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
+from forwarder.runtime.handover_format import HandoverDescription, decode_description, encode_description
 from forwarder.storage.journal_files import close
 
 ASK, TAKEN, YOURS = b"take over 1\n", b"taken\n", b"yours\n"
@@ -43,8 +43,10 @@
 class HandoverState:
     """What the process before handed over. Descriptors belong to whoever takes them out."""
 
-    def __init__(self, link: socket.socket, told: dict[str, Any], fds: list[int]) -> None:
-        self.link, self.told, self.fds = link, told, dict(enumerate(fds))
+    def __init__(self, link: socket.socket, description: HandoverDescription, descriptors: Sequence[int]) -> None:
+        self.link = link
+        self.description = description
+        self.fds = dict(enumerate(descriptors))
 
     def socket(self, number: int) -> socket.socket:
         return socket.socket(fileno=self.fds.pop(number))
@@ -162,20 +164,20 @@
             link.connect(self.path)
             link.sendall(ASK)
             size, count = HEAD.unpack(receive(link, HEAD.size))
-            told = json.loads(receive(link, size))
+            data = receive(link, size)
             while len(fds) < count:
                 said, more, *_ = socket.recv_fds(link, 1, FDS_A_TIME)
                 fds += more
                 if not said:
                     raise ConnectionResetError("the process before has gone")
-            return HandoverState(link, told, fds)
+            return HandoverState(link, decode_description(data), fds)
         except (OSError, ValueError, struct.error) as error:
             why = str(error) or type(error).__name__
             if why != self.why:  # asked again and again, it may well say the same for seconds
                 log.warning("the process before does not hand over: %s", why)
             self.why = why
             if link is not None:
-                HandoverState(link, {}, fds).close()
+                HandoverState(link, HandoverDescription(), fds).close()
             return None
 
     def listen(self, hand_over: Callable[[socket.socket], None]) -> None:
@@ -222,9 +224,9 @@
             except OSError as error:
                 log.warning("not handed over: %s", error or type(error).__name__)
 
-    def give(self, link: socket.socket, told: dict[str, Any], fds: list[int]) -> bool:
+    def give(self, link: socket.socket, description: HandoverDescription, fds: list[int]) -> bool:
         """Hand over. True once the other process owns all; then nothing may be written or sent here."""
-        data = json.dumps(told, separators=(",", ":")).encode()
+        data = encode_description(description)
         link.sendall(HEAD.pack(len(data), len(fds)) + data)
         for first in range(0, len(fds), FDS_A_TIME):
             socket.send_fds(link, [b"f"], fds[first : first + FDS_A_TIME])
--- /dev/null
+++ b/forwarder/runtime/pending_notices.py
@@ -0,0 +1,36 @@
+"""The notices that the platform has not acknowledged yet, as the notifier sees them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from forwarder.decisions.events import Event, NoticeAcknowledged
+from forwarder.runtime.invariants import Invariants
+from forwarder.storage.clock import AnchoredClock
+from forwarder.storage.store import MessageStore, PendingNotice
+
+
+class PendingNotices:
+    """Stands between the store and the notifier: only what may be told now is told."""
+
+    def __init__(
+        self, store: MessageStore, rules: Invariants, clock: AnchoredClock, post: Callable[[Event], None]
+    ) -> None:
+        self.store = store
+        self.rules = rules
+        self.clock = clock
+        self.post = post
+
+    def owed_ends(self) -> dict[str, PendingNotice]:
+        """Returns the notices that may be sent now, by message id."""
+        now_us = self.clock()
+        return {name: end for name, end in self.store.owed.items() if self.rules.may_notify(name, now_us) is None}
+
+    def acknowledged(self, names: list[str]) -> None:
+        """Records that the platform has acknowledged the notices of these messages."""
+        for name in names:
+            end = self.store.owed.get(name)
+            if end is not None and end.key is not None:
+                self.post(NoticeAcknowledged(name, end.key))
+            self.store.told(name)
+        self.store.flush()
--- /dev/null
+++ b/forwarder/runtime/periodic_checks.py
@@ -0,0 +1,82 @@
+"""What the runtime looks at several times a second, whatever else goes on."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from forwarder.decisions.events import MessageWithdrawn, PendingNoticeRecovered
+from forwarder.runtime.context import Runtime
+from forwarder.runtime.startup_phase import StartupPhase
+from forwarder.runtime.state_log import log_state
+from forwarder.runtime.supervisor import Repeating
+
+INTERVAL_S = 0.1
+LAG_S = 0.1
+"""A delay of the event loop that is worth a line in the log."""
+LAG_LOG_INTERVAL_S = 10.0
+REASONS_LOG_INTERVAL_S = 1.0
+STATE_LOG_INTERVAL_S = 5.0
+OVERDUE_US = 120_000
+"""A message without an end is ended here so long after its time."""
+log = logging.getLogger("forwarder.engine")
+
+
+class PeriodicChecks:
+    """Retries what could not be written, logs the state, and ends messages that were left without an end."""
+
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
+        self._next_check_s = 0.0
+        self._lag_logged_s = -LAG_LOG_INTERVAL_S
+        self._state_logged_s = time.monotonic()
+        self._reasons_logged_s = self._state_logged_s
+
+    def start(self) -> Repeating:
+        """Makes the checks from now on, until what is returned is cancelled."""
+        self._next_check_s = time.monotonic() + INTERVAL_S
+        return self.runtime.supervisor.repeat("tick", INTERVAL_S, self._check)
+
+    def _check(self) -> None:
+        runtime = self.runtime
+        now_s = time.monotonic()
+        lag_s = now_s - self._next_check_s
+        self._next_check_s = now_s + INTERVAL_S
+        if lag_s > LAG_S and now_s - self._lag_logged_s > LAG_LOG_INTERVAL_S:
+            self._lag_logged_s = now_s
+            log.warning("the loop stood still for %d ms", lag_s * 1000)
+        if now_s - self._state_logged_s > STATE_LOG_INTERVAL_S:
+            self._state_logged_s = now_s
+            log_state(runtime)
+        runtime.store.retry()
+        runtime.store.step()
+        runtime.clock.keep()
+        if runtime.store.owed:
+            runtime.notices.kick()
+        if now_s - self._reasons_logged_s > REASONS_LOG_INTERVAL_S:
+            self._reasons_logged_s = now_s
+            runtime.reasons.report()
+        self._follow_startup()
+        if lag_s <= LAG_S:  # after a standstill the decisions come first: their timers are due as well
+            self.end_overdue_messages()
+
+    def _follow_startup(self) -> None:
+        progress = self.runtime.startup_progress
+        if progress.phase is StartupPhase.SERVING:
+            return
+        if progress.step(self.runtime.clock(), self.runtime.store.messages):
+            log.info("phase: %s", progress.describe(self.runtime.clock()))
+
+    def end_overdue_messages(self) -> None:
+        """Ends what the decisions have left without an end past its time: that would break a promise."""
+        runtime = self.runtime
+        if runtime.run_state.is_frozen:
+            return
+        limit_us = runtime.clock() - OVERDUE_US
+        overdue = [message for message in runtime.store.messages.values() if message.due_us < limit_us]
+        for message in overdue:
+            log.error("message %s was left without an end", message.id)
+            runtime.store.owe(message.id, "failed", 0)
+            if message.key is not None:  # the next of its key waits until the platform has heard of it
+                runtime.post(PendingNoticeRecovered(message.id, message.key))
+            runtime.post(MessageWithdrawn(message.id))
--- /dev/null
+++ b/forwarder/runtime/reload.py
@@ -0,0 +1,83 @@
+"""Reload (SIGHUP): takes on what can change under a running forwarder: discovery's address, and the settings."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import astuple, replace
+
+from forwarder.config.config import Config, ConfigError, ConfigUnreadableError, load_config
+from forwarder.decisions.events import EndpointListKind, EndpointListReceived, SettingsChanged
+from forwarder.decisions.settings import Settings
+from forwarder.runtime.context import Runtime
+
+RETRY_S = 0.2
+"""A configuration that cannot be read is tried again after this."""
+log = logging.getLogger("forwarder.engine")
+
+
+def socket_settings(settings: Settings) -> Settings:
+    """Returns the settings for a forwarder on sockets, whatever they say of the simulator's discovery.
+
+    On sockets an end is known when its notice is answered, and the endpoint list always has to be asked for.
+    """
+    return replace(settings, notices_acknowledged=True, poll_endpoint_list=True)
+
+
+class ConfigReloader:
+    """Reads the configuration again. A file that is not complete or cannot hold changes nothing."""
+
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
+        self._retry: asyncio.TimerHandle | None = None
+
+    def reload(self) -> None:
+        """Reads the file; again a little later where it cannot be read, for discovery may have moved."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
+        try:
+            loaded = load_config(before=self.runtime.config)
+        except ConfigUnreadableError as error:
+            log.error("the configuration is read again soon: %s", error)
+            self._retry = asyncio.get_running_loop().call_later(RETRY_S, self.reload)
+            return
+        except ConfigError as error:
+            log.error("the configuration is left as it was: %s", error)
+            return
+        self._take_on(loaded)
+
+    def _take_on(self, loaded: Config) -> None:
+        runtime = self.runtime
+        before = runtime.config
+        runtime.config = replace(
+            before,
+            discovery=loaded.discovery,
+            settings=loaded.settings,
+            report_fields=loaded.report_fields,
+            told=loaded.told,
+        )
+        runtime.intake.settings = loaded.settings
+        for extension in runtime.extensions:
+            runtime.supervisor.guard(extension.name, extension.reload)
+        log.info(
+            "the configuration was read again: discovery at %s:%d, classes %s, %d attempts",
+            *astuple(loaded.discovery),
+            ", ".join(message_class.name for message_class in loaded.settings.classes),
+            loaded.settings.max_attempts,
+        )
+        if loaded.discovery != before.discovery:
+            runtime.watch.move(loaded.discovery)
+            runtime.notices.move(loaded.discovery)
+        if loaded.settings != before.settings and not runtime.run_state.is_frozen:
+            runtime.loop.run_round()  # what came under the old settings is accepted under them
+            self._apply_settings(socket_settings(loaded.settings))
+
+    def _apply_settings(self, settings: Settings) -> None:
+        runtime = self.runtime
+        runtime.server.settings = settings
+        runtime.targets.tune(settings.kinds)
+        runtime.pool.tune(runtime.config.report_fields, settings.idle_timeout_us, settings.connect_timeout_us)
+        entries = runtime.targets.entries(runtime.targets.hosts.values(), runtime.store.bans)
+        runtime.loop.events += [SettingsChanged(settings), EndpointListReceived(EndpointListKind.WHOLE, entries)]
+        runtime.loop.run_round()
--- /dev/null
+++ b/forwarder/runtime/shutdown.py
@@ -0,0 +1,70 @@
+"""Graceful shutdown (SIGTERM): goes on as before while clients still come, then waits for what is in progress."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import time
+
+from forwarder.clients.drain import LATE_S
+from forwarder.runtime.context import Runtime
+
+FREEZE_S = 2.8
+"""So long after SIGTERM nothing new is sent, and what is in progress is waited for."""
+EXIT_S = 3.3
+"""So long after SIGTERM the process ends: SIGKILL may come at 3.7 s."""
+CHECK_INTERVAL_S = 0.05
+log = logging.getLogger("forwarder.engine")
+
+
+class GracefulShutdown:
+    """Ends the process once nothing is left to wait for. `done` is set then."""
+
+    def __init__(self, runtime: Runtime) -> None:
+        self.runtime = runtime
+        self.done = asyncio.Event()
+
+    def start(self) -> None:
+        """Begins the shutdown; a second call does nothing."""
+        runtime = self.runtime
+        if runtime.run_state.is_stopping:
+            return
+        runtime.run_state.stopping_since_s = time.monotonic()
+        log.info("stopping: %d messages held, %d calls out", len(runtime.store.messages), runtime.pool.out)
+        runtime.start_draining()
+        runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(LATE_S)
+
+    def _check(self) -> None:
+        """Freezes the process when that is due, and looks whether it may end."""
+        runtime = self.runtime
+        stopping_since_s = runtime.run_state.stopping_since_s
+        assert stopping_since_s is not None
+        passed_s = time.monotonic() - stopping_since_s
+        if passed_s >= FREEZE_S and not runtime.run_state.is_frozen:
+            self._freeze()
+        if passed_s >= EXIT_S or self._has_nothing_left():
+            log.info(
+                "stopped: %d messages and %d owed ends stay in the journal",
+                len(runtime.store.messages),
+                len(runtime.store.owed),
+            )
+            self.done.set()
+
+    def _freeze(self) -> None:
+        runtime = self.runtime
+        if runtime.loop.has_work():
+            runtime.loop.run_round()
+        runtime.loop.sync_barrier()
+        runtime.run_state.is_frozen = True
+        for extension in runtime.extensions:
+            runtime.supervisor.guard(extension.name, extension.cut)
+
+    def _has_nothing_left(self) -> bool:
+        """Returns whether all is over, or, once the process is frozen, all that could still end."""
+        runtime = self.runtime
+        if runtime.store.owed:
+            return False
+        if runtime.run_state.is_frozen and not runtime.pool.out:
+            return True
+        is_busy = any(extension.busy() for extension in runtime.extensions)
+        return not (runtime.store.messages or runtime.intake.pending or is_busy)
--- /dev/null
+++ b/forwarder/runtime/startup.py
@@ -0,0 +1,103 @@
+"""Startup: what the journal and the process before tell, as events for the first round."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Container, Iterator
+
+from forwarder.config.config import EndpointList, parse_endpoint
+from forwarder.decisions.events import (
+    EjectionRecovered,
+    EndpointDisabled,
+    EndpointListAwaited,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    HandoverReceived,
+    KeyBackoffRecovered,
+    MessageRecovered,
+    PendingNoticeRecovered,
+)
+from forwarder.discovery.watch import FIRST_LIST_US
+from forwarder.runtime.context import Runtime
+from forwarder.runtime.handover_format import HandoverDescription
+from forwarder.storage.journal import may_resend
+from forwarder.storage.store import MessageStore
+
+NO_LIST_VERSION = -1
+log = logging.getLogger("forwarder.engine")
+
+
+def recover_state(runtime: Runtime) -> int:
+    """Posts what is known from before the start for the first round.
+
+    Returns:
+        The version of the newest endpoint list, or `NO_LIST_VERSION` where there is none.
+    """
+    store = runtime.store
+    events = runtime.loop.events
+    description = HandoverDescription() if runtime.handover is None else runtime.handover.description
+    saved_list = _newest_list(runtime)
+    store.note_names(endpoint.name for endpoint in saved_list.hosts)
+    runtime.apply_endpoint_list(saved_list)
+    events += [EndpointDisabled(runtime.endpoint_number(name), since_us) for name, since_us in store.bans.items()]
+    entries = runtime.targets.entries(saved_list.hosts, store.bans)
+    events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
+    if runtime.handover is None:
+        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
+    for name, (ejected_at_us, recovering_since_us) in store.outages.items():
+        if name in runtime.targets.numbers:
+            events.append(EjectionRecovered(runtime.targets.numbers[name], ejected_at_us, recovering_since_us))
+    fail_doubtful_messages(store)
+    in_progress = {(item.message_id, item.number) for call in description.pool.calls for item in call.attempts}
+    events += _recovered_messages(runtime, in_progress)
+    events += [PendingNoticeRecovered(name, end.key) for name, end in store.owed.items() if end.key is not None]
+    now_us = runtime.clock()
+    events += [KeyBackoffRecovered(key, until_us) for key, until_us in store.rests.items() if until_us > now_us]
+    if store.messages or store.owed:
+        log.info("took up %d messages and %d owed ends again", len(store.messages), len(store.owed))
+    if description.learned_state is not None:
+        events.append(HandoverReceived(description.learned_state))
+    return saved_list.seq if saved_list.hosts else NO_LIST_VERSION
+
+
+def _newest_list(runtime: Runtime) -> EndpointList:
+    """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
+    configured = runtime.config.known
+    store = runtime.store
+    if store.seq < configured.seq:
+        return configured
+    return EndpointList(store.seq, True, tuple(parse_endpoint(raw) for raw in store.hosts.values()))
+
+
+def fail_doubtful_messages(store: MessageStore) -> None:
+    """Ends by a notice, after damage, what may be over already and may not be sent again.
+
+    A message of which only the id is known is among them.
+    """
+    doubtful = [message for message in store.messages.values() if message.doubtful and not may_resend(message.cls)]
+    for message in doubtful:
+        store.owe(message.id, "failed", 0)
+    for message_id in store.touched:
+        store.owe_stranger(message_id)
+
+
+def _recovered_messages(runtime: Runtime, in_progress: Container[tuple[str, int]]) -> Iterator[Event]:
+    """Yields each message that is held, and records that the outcome of its lost attempts is not known."""
+    for message in runtime.store.messages.values():
+        lost = [number for number in message.out if (message.id, number) not in in_progress]
+        for number in lost:
+            runtime.store.outcome(message, number, True)  # it may have run
+        yield MessageRecovered(
+            message.id,
+            message.destination,
+            message.cls,
+            message.due_us,
+            message.key,
+            message.tenant,
+            message.attempts,
+            message.ran_at_us,
+            runtime.endpoint_number(message.ran_on) if message.ran_on else -1,
+            bool(lost),
+            message.held_back,
+        )
--- a/forwarder/runtime/startup_phase.py
+++ b/forwarder/runtime/startup_phase.py
@@ -53,7 +53,7 @@
         """Clients may come."""
         self._enter(StartupPhase.RECOVERING, now)
 
-    def told(self) -> None:
+    def list_received(self) -> None:
         """Discovery has told the list, or that it has not changed."""
         self.listed = True
 
@@ -61,7 +61,7 @@
         self.took[self.phase] = now - self.began
         self.phase, self.began = phase, now
 
-    def tell(self, now: int) -> str:
+    def describe(self, now: int) -> str:
         """For operators: the phase, since when, and what it waits for."""
         left = {
             StartupPhase.RECOVERING: "waits for the list",
--- /dev/null
+++ b/forwarder/runtime/state_log.py
@@ -0,0 +1,65 @@
+"""The lines that tell, every few seconds, how the forwarder stands; counts are since the start."""
+
+from __future__ import annotations
+
+import logging
+import os
+import time
+
+from forwarder.runtime.context import Runtime
+from forwarder.runtime.reason_counts import Subject
+from forwarder.units import SECOND_US
+
+MOST_HOLD_REASONS = 3
+"""The largest hold reasons that a line names."""
+log = logging.getLogger("forwarder.engine")
+
+
+def open_descriptors() -> int:
+    """Returns how many descriptors this process holds; -1 where that cannot be read."""
+    try:
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that looks
+    except OSError:
+        return -1
+
+
+def log_state(runtime: Runtime) -> None:
+    """Logs the state of a running forwarder."""
+    _log_counts(runtime)
+    reasons = runtime.reasons
+    log.info(
+        "state: closed for clients: %s; violations: %d (%s)",
+        reasons.summary(Subject.CLIENT_CLOSED),
+        reasons.total(Subject.VIOLATION),
+        reasons.summary(Subject.VIOLATION),
+    )
+    largest = runtime.dispatcher.hold_times.totals()[:MOST_HOLD_REASONS]
+    held_by = [f"{reason.value} {held_us / SECOND_US:.1f} s" for reason, held_us in largest]
+    log.info("state: %s; held by: %s", runtime.startup_progress.phase.value, "; ".join(held_by) or "nothing")
+    for extension in runtime.extensions:
+        log.info("state: %s: %s", extension.name, extension.state())
+
+
+def _log_counts(runtime: Runtime) -> None:
+    store = runtime.store
+    key_queues = runtime.dispatcher.key_queues.values()
+    log.info(
+        "state: %d held, %d of them in turn by %d keys; %d calls out, %d ends owed, %d left out; "
+        "%d clients, %d connections, %d descriptors; %d rounds, %.1f s of CPU; "
+        "journal %d KB, %d KB live, %d compactions%s",
+        len(store.messages),
+        sum(len(queue.messages) for queue in key_queues),
+        len(key_queues),
+        runtime.pool.out,
+        len(store.owed),
+        len(store.bans),
+        len(runtime.server.doors),
+        len(runtime.pool.all),
+        open_descriptors(),
+        runtime.loop.rounds,
+        time.process_time(),
+        store.size // 1000,
+        store.live // 1000,
+        store.compactions,
+        "" if not store.found.damaged else f"; as found: {store.damage()}",
+    )
--- a/forwarder/runtime/supervisor.py
+++ b/forwarder/runtime/supervisor.py
@@ -10,12 +10,22 @@
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable
+from typing import TypeVar
 
 FIRST_PAUSE_S = 0.05
 MOST_PAUSE_S = 1.0
+Result = TypeVar("Result")
 log = logging.getLogger("forwarder.supervise")
 
 
+def attempt(step: Callable[[], Result]) -> Result | Exception:
+    """Calls it. Returns what it returns, or the exception that it raised, for the caller to deal with."""
+    try:
+        return step()
+    except Exception as error:
+        return error
+
+
 class Repeating:
     """Calls a function again and again, each time so long after the last call ended."""
 
@@ -55,10 +65,9 @@
 
     def guard(self, name: str, step: Callable[[], object]) -> bool:
         """Call it; a failure is logged and counted, and goes no further. Whether it succeeded."""
-        try:
-            step()
-        except Exception as error:
-            self.failed(name, error)
+        outcome = attempt(step)
+        if isinstance(outcome, Exception):
+            self.failed(name, outcome)
             return False
         return True
 
--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -26,7 +26,7 @@
 from forwarder.admin.server import CommandTable
 from forwarder.config.config import Config
 from forwarder.config.extensions_file import ExtensionTable
-from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.extension import BaseExtension, ExtensionHost
 from forwarder.storage.store import MessageStore
 
 LEVELS = ("none", "interval", "data")
@@ -43,7 +43,7 @@
     interval_s: float
     descriptors: int = 0
 
-    def __call__(self, engine: Engine) -> DurabilityExtension:
+    def __call__(self, engine: ExtensionHost) -> DurabilityExtension:
         return DurabilityExtension(engine, self)
 
 
@@ -51,7 +51,7 @@
     """Raises ConfigError, naming the key."""
     level = table.take("durability", None)
     if level not in LEVELS:
-        raise table.wrong("durability", f"is {level!r}, not one of {', '.join(LEVELS)}")
+        raise table.error("durability", f"is {level!r}, not one of {', '.join(LEVELS)}")
     return DurabilityExtensionFactory(level, table.number("interval_s", 1.0, 0.01, 3600.0))
 
 
@@ -175,7 +175,7 @@
 
     name = "journal"
 
-    def __init__(self, engine: Engine, told: DurabilityExtensionFactory) -> None:
+    def __init__(self, engine: ExtensionHost, told: DurabilityExtensionFactory) -> None:
         self.engine, self.told = engine, told
         self.syncer: Syncer | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -188,7 +188,7 @@
         self.syncer = Syncer(self.engine.store)
         self.syncer.barrier()  # what the start has written
         if self.told.durability == "data":
-            self.engine.syncer = self.syncer
+            self.engine.use_syncer(self.syncer)
         else:
             self.tick()
 
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -28,7 +28,7 @@
     StreamRouter,
 )
 from forwarder.protocol.http1 import Headers, parse_destination, parse_load_report, parse_retry_after_us
-from forwarder.runtime.engine import Engine
+from forwarder.runtime.extension import ExtensionHost
 from forwarder.streaming.exchange import (
     ClientFailedError,
     EndpointFailedError,
@@ -85,7 +85,7 @@
     def descriptors(self) -> int:
         return self.limits.descriptors
 
-    def __call__(self, engine: Engine) -> StreamingExtension:
+    def __call__(self, engine: ExtensionHost) -> StreamingExtension:
         return StreamingExtension(engine, self.limits)
 
 
@@ -96,7 +96,7 @@
 class StreamingExtension:
     name = "streaming"
 
-    def __init__(self, engine: Engine, limits: StreamSettings) -> None:
+    def __init__(self, engine: ExtensionHost, limits: StreamSettings) -> None:
         self.engine, self.limits = engine, limits
         engine.dispatcher.extensions.append(StreamRouter(engine.dispatcher, limits.slots_share))
         self.ledger = Ledger()
@@ -272,7 +272,7 @@
     async def carry(self, link: Link, exchange: Exchange) -> bool:
         """Carry a stream out, and answer its client where no endpoint did. Whether its connection goes on."""
         method = exchange.head.method
-        if self.leaving or self.engine.frozen:
+        if self.leaving or self.engine.run_state.is_frozen:
             exchange.drop()
             self.count("turned away")
             return await self.answer(link, HTTPStatus.SERVICE_UNAVAILABLE, "leaving", method, retry_s=1)
--- a/forwarder/streaming/settings.py
+++ b/forwarder/streaming/settings.py
@@ -58,22 +58,22 @@
     taken = {"listen": config.listen, "discovery": config.discovery, "control": config.control}
     for name, where in taken.items():
         if where == listen:
-            raise table.wrong("listen", f"is the address of {name}")
+            raise table.error("listen", f"is the address of {name}")
     spare = config.memory_mb * 1_000_000 - PROGRAM_BYTES
-    memory = table.whole("memory_bytes")
+    memory = table.integer("memory_bytes")
     if memory > spare:
-        raise table.wrong("memory_bytes", f"is {memory}: of {config.memory_mb} MB the program leaves {spare}")
-    buffer = table.whole("buffer_bytes", 65_536, LEAST_BUFFER)
+        raise table.error("memory_bytes", f"is {memory}: of {config.memory_mb} MB the program leaves {spare}")
+    buffer = table.integer("buffer_bytes", 65_536, LEAST_BUFFER)
     by_memory = memory // stream_bytes(buffer)
     if by_memory < 1:
-        raise table.wrong("memory_bytes", f"is {memory}: one stream may hold {stream_bytes(buffer)}")
+        raise table.error("memory_bytes", f"is {memory}: one stream may hold {stream_bytes(buffer)}")
     by_sockets = (config.sockets // SOCKETS_PART - SPARE_SOCKETS) // 2
     if by_sockets < 1:
-        raise table.wrong("listen", f"cannot be served: {config.sockets} descriptors leave none for streams")
+        raise table.error("listen", f"cannot be served: {config.sockets} descriptors leave none for streams")
     share = table.number("slots_share", 0.5, 0.0, 1.0)
     slots = config.settings.slots
     if not 0 < most_streams(slots, share) < slots:
-        raise table.wrong("slots_share", f"is {share:g}: of {slots} slots, streams and messages need some each")
+        raise table.error("slots_share", f"is {share:g}: of {slots} slots, streams and messages need some each")
     return StreamSettings(
         listen,
         memory,
@@ -82,7 +82,7 @@
         head_s=table.number("head_s", 2.5, 0.1, 60.0),
         idle_s=table.number("idle_s", 30.0, 0.1, 3600.0),
         silent_s=table.number("silent_s", 300.0, 0.1, 86400.0),
-        least_bytes_per_s=table.whole("least_bytes_per_s", 256),
-        tries=table.whole("tries", 2, 1, 10),
+        least_bytes_per_s=table.integer("least_bytes_per_s", 256),
+        tries=table.integer("tries", 2, 1, 10),
         connections=min(by_memory, by_sockets),
     )
--- a/lab/single.py
+++ b/lab/single.py
@@ -11,7 +11,7 @@
 import os
 import socket
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from http import HTTPStatus
 from pathlib import Path
 from typing import Any
@@ -23,6 +23,15 @@
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
 from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
 from forwarder.runtime.engine import Engine
+from forwarder.runtime.handover_format import (
+    NO_CONNECTION,
+    AttemptRecord,
+    CallRecord,
+    HandoverDescription,
+    PoolRecord,
+    decode_description,
+    encode_description,
+)
 from forwarder.runtime.invariants import AttemptFacts, RouteFacts
 from forwarder.runtime.ownership import HandoverState
 
@@ -296,18 +305,20 @@
     def hand_over(self) -> bool:
         """Another process takes over; False where this one has to go on. The calls that are out go with it."""
         old, calls = self.engine, self.calls
-        old.settle()
+        old.handover_sender.settle()
         old.store.retry()
         if old.rules.may_hand_over() is not None:
             return False
-        told = {
-            "numbers": old.targets.numbers,
-            "destinations": [*old.targets.destinations],
-            "memory": asdict(old.dispatcher.learned_state()),
-            "pool": {"calls": [{"items": [[*attempt, 0] for attempt in calls.calls]}]},
-        }
+        attempts = tuple(AttemptRecord(name, number, 0) for name, number in calls.calls)
+        description = HandoverDescription(
+            endpoint_numbers=old.targets.numbers,
+            destinations=[*old.targets.destinations],
+            learned_state=old.dispatcher.learned_state(),
+            pool=PoolRecord(calls=(CallRecord(NO_CONNECTION, 0, (0, -1), 0, False, attempts, b""),)),
+        )
         self.let_go()
-        new = self._make(HandoverState(Any, json.loads(json.dumps(told)), []))  # type: ignore[arg-type]
+        received = decode_description(encode_description(description))
+        new = self._make(HandoverState(Any, received, []))  # type: ignore[arg-type]
         self.calls.out, self.calls.calls, self.calls.waits = calls.out, calls.calls, calls.waits
         self._begin(new)
         return True
@@ -315,18 +326,18 @@
     def _begin(self, engine: Engine) -> None:
         self.engine = engine
         engine.store.own()
-        engine.round()
-        engine.events.append(EndpointListReceived(EndpointListKind.CHANGES))
+        engine.loop.run_round()
+        engine.loop.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make(self, handed: HandoverState | None = None) -> Engine:
         engine = Engine(self.config, Any, AdminServer(), Any, handed, clock=self)  # type: ignore[arg-type]
         engine.store.monotonic_s = lambda: self.now_us / SECOND
-        engine.schedule = lambda: None  # type: ignore[method-assign]
-        engine.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
+        engine.loop.schedule = lambda: None  # type: ignore[method-assign]
+        engine.loop.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
         self.calls = Calls(engine, self.oracle)
         engine.pool = engine.effects.pool = self.calls  # type: ignore[assignment]
-        engine.watch = engine.notices = Quiet()  # type: ignore[assignment]
-        engine.serving()
+        engine.watch = engine.loop.watch = engine.notices = engine.loop.notices = Quiet()  # type: ignore[assignment]
+        engine.publish_serving_endpoints()
         return engine
 
     kept = True
@@ -350,7 +361,7 @@
         destination = 1 + len(name + key) % 2
         handed = Submission(name, known, destination, self.now_us + left_us, key, None, False, name.encode())
         self.doors[name] = Door(answered, self.transport)
-        self.engine.hand_in(handed, self.doors[name])  # type: ignore[arg-type]
+        self.engine.intake.submit(handed, self.doors[name])  # type: ignore[arg-type]
 
     def give_up(self, name: str) -> None:
         """A client that has no answer yet closes its connection."""
@@ -362,11 +373,11 @@
 
     def stop(self) -> None:
         """SIGTERM, and the process ends by itself: nothing is sent from the freeze on, and calls may end till then."""
-        self.engine.round()
-        self.engine.frozen = True
+        self.engine.loop.run_round()
+        self.engine.run_state.is_frozen = True
         for name, _ in list(self.calls.calls)[:1]:
             self.calls.end(name, Outcome.DELIVERED)
-        self.engine.closed = True
+        self.engine.run_state.is_closed = True
         self.engine.store.close()
         self.kill()
 
@@ -377,14 +388,14 @@
             self.calls.end(name, Outcome.TIMED_OUT)
         self.engine.store.retry()
         self.engine.store.step()
-        self.engine.round()
-        self.engine.end_overdue()
+        self.engine.loop.run_round()
+        self.engine.checks.end_overdue_messages()
 
     def change_list(self, number: int, health: str) -> None:
         """Discovery tells that an endpoint is up, draining or removed."""
         self.list_version += 1
         told = {"seq": self.list_version, "whole": False, "hosts": [host(number, health)]}
-        self.engine.listed(parse_endpoint_list(told))
+        self.engine.endpoint_lists.receive(parse_endpoint_list(told))
 
     def left_without_end(self) -> list[str]:
         """Messages that were taken on, are past their time, and have no end that is told or waits to be."""
@@ -394,11 +405,11 @@
 
     def notify(self, heard: bool) -> None:
         """The platform is told what is owed; whether its answer comes back is the caller's to say."""
-        owed = self.engine.owed_ends()
+        owed = self.engine.pending_notices.owed_ends()
         for name, notice in owed.items():
             self.oracle.notified(name, notice.state)
         if heard:
-            self.engine.acknowledged([*owed])
+            self.engine.pending_notices.acknowledged([*owed])
 
     def close(self) -> None:
         self.transport.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -78,7 +78,7 @@
         config = load_config({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
         self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
         self.engine.store.own()
-        self.engine.round()
+        self.engine.loop.run_round()
         self.engine.server.listen(self.engine.clients)
         return self
 
@@ -91,10 +91,10 @@
         """Hand a message in, on a connection of its own that nobody reads."""
         classes = {c.name: c for c in self.engine.config.settings.classes}
         due = self.clock() + DUE_US if due_us is None else due_us
-        self.engine.hand_in(Submission(name, classes[cls], 7, due, key, "acme", False, b"x"), Silent(self.engine))
+        self.engine.intake.submit(Submission(name, classes[cls], 7, due, key, "acme", False, b"x"), Silent(self.engine))
 
     def end(self) -> None:
-        self.engine.frozen = self.engine.closed = True
+        self.engine.run_state.is_frozen = self.engine.run_state.is_closed = True
         self.engine.pool.close()
         self.engine.server.close()
         self.engine.notices.client.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from forwarder.__main__ import passing_read, retried
+from forwarder.__main__ import is_transient_read_error, retry_transient
 from forwarder.clients.listener import BIND_S
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
 from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
@@ -251,7 +251,7 @@
     monkeypatch.setattr(Path, "read_bytes", read_bytes)
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     with pytest.raises(ConfigError):
-        retried(load_config, passing_read)
+        retry_transient(load_config, is_transient_read_error)
     assert len(made) == tries
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -258,8 +258,8 @@
         (
             (
                 "runtime/effects.py",
-                "        self.store.attempt(m, number, now, target.name)\n",
-                "        m.out[number] = (now, target.name); m.attempts = number + 1\n",
+                "        self.store.attempt(message, number, now, target.name)\n",
+                "        message.out[number] = (now, target.name); message.attempts = number + 1\n",
             ),
         ),
         "duplicate",
--- a/tests/test_members_socket.py
+++ b/tests/test_members_socket.py
@@ -54,7 +54,7 @@
     engine: Any = SimpleNamespace(
         config=SimpleNamespace(name="me"),
         identity=None,
-        life=SimpleNamespace(phase=StartupPhase.SERVING),
+        startup_progress=SimpleNamespace(phase=StartupPhase.SERVING),
         supervisor=Supervisor(),
     )
     part, transport = MembershipExtension(engine, told), Transport()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -568,7 +568,7 @@
         accepted.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(lambda: door, accepted)
         due = engine.clock() + 10**7
-        engine.hand_in(Submission("m", ORDER, 7, due, "k", "acme", False, b"x"), door)
+        engine.intake.submit(Submission("m", ORDER, 7, due, "k", "acme", False, b"x"), door)
         if gone == "closed here":
             door.close()
         elif "more" in gone:
@@ -577,7 +577,7 @@
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if "unread" in gone:
             client.close()
-        engine.round()
+        engine.loop.run_round()
         assert list(engine.store.messages) == ([] if gone else ["m"])
         engine.pool.close()
         engine.clients.close()
--- a/tests/test_order_model.py
+++ b/tests/test_order_model.py
@@ -131,7 +131,7 @@
     def breaks_no_rule(self) -> None:
         assert self.single.left_without_end() == []
         assert self.single.oracle.broken == []
-        assert "violations: none" in self.single.engine.operators.rules()
+        assert "violations: none" in self.single.engine.commands.rules()
 
 
 KeyOrder.TestCase.settings = profile(derandomize=True, max_examples=80, stateful_step_count=50, deadline=None)
@@ -170,7 +170,7 @@
     for _ in range(20):
         single.pass_time(20 * MS)
     assert [name for name, _ in single.calls.calls] == ["m1"]
-    assert "violations: none" in single.engine.operators.rules()
+    assert "violations: none" in single.engine.commands.rules()
     assert single.oracle.broken == []
     single.calls.end("m1", Outcome.DELIVERED)
     for _ in range(20):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from forwarder.config import extensions_file
 from forwarder.config.config import Address, Config, ConfigError, EndpointList
+from forwarder.runtime.extension_loader import MODULES, load_extensions
 from forwarder.streaming.extension import StreamingExtensionFactory
 from tests.scripts import settings
 from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
@@ -39,7 +39,7 @@
 def refused(text: str, folder: Path, config: Config = CONFIG) -> str:
     (folder / "parts.toml").write_text(text)
     with pytest.raises(ConfigError) as caught:
-        extensions_file.load_extensions(folder / "parts.toml", config)
+        load_extensions(folder / "parts.toml", config)
     assert "\n" not in str(caught.value)
     return str(caught.value)
 
@@ -90,7 +90,7 @@
 def test_streams_at_once_follow_from_memory_and_descriptors(tmp_path: Path) -> None:
     def connections(text: str, config: Config) -> int:
         (tmp_path / "parts.toml").write_text(text)
-        maker = extensions_file.load_extensions(tmp_path / "parts.toml", config)[0]
+        maker = load_extensions(tmp_path / "parts.toml", config)[0]
         assert isinstance(maker, StreamingExtensionFactory)
         return maker.limits.connections
 
@@ -106,7 +106,7 @@
     (tmp_path / "members.key").write_text("00" * 32)
     example = (ROOT / "deploy/parts.toml").read_text().replace("members.key", str(tmp_path / "members.key"))
     (tmp_path / "parts.toml").write_text(example)
-    assert len(extensions_file.load_extensions(tmp_path / "parts.toml", MAY_TELL)) == len(extensions_file.MODULES)
+    assert len(load_extensions(tmp_path / "parts.toml", MAY_TELL)) == len(MODULES)
 
 
 @pytest.mark.parametrize(
@@ -185,6 +185,7 @@
 )
 PARTS = (
     "forwarder.config.extensions_file",
+    "forwarder.runtime.extension_loader",
     "forwarder.decisions.stream_routing",
     "forwarder.streaming",
     "forwarder.decisions.outlier_detection",
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from forwarder.runtime import engine
+from forwarder.runtime.intake import retry_after_jittered
 from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, StartupPhase, StartupProgress
 from forwarder.storage.store import MessageStore
 from tests.sockets import OK, ROOT, Node, Peer, Platform, always, hang
@@ -29,7 +29,7 @@
     for tenth in range(600):
         now = tenth * S // 10
         if listed_s is not None and now >= listed_s * S:
-            life.told()
+            life.list_received()
         if life.step(now, {"a"} if over_s is None or now < over_s * S else {}):
             seen[life.phase] = now
     assert seen.get(StartupPhase.CATCHING_UP, recovering_s * S) == recovering_s * S
@@ -86,7 +86,7 @@
 
 
 def test_refusals_at_the_door_name_times_of_their_own() -> None:
-    told = {float(engine.retry_after_jittered()) for _ in range(50)}
+    told = {float(retry_after_jittered()) for _ in range(50)}
     assert len(told) > 40
     assert min(told) >= 0.5
     assert max(told) <= 1.5
