--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 import asyncio
-import base64
 import errno
 import socket
 from collections.abc import Callable
-from typing import Any
 
 from forwarder.config.config import Address
 from forwarder.decisions.outcomes import Outcome
@@ -18,6 +16,13 @@
 from forwarder.endpoints.local_errors import LOCAL_ERRORS
 from forwarder.endpoints.request_rendering import render_call
 from forwarder.endpoints.retry_after import RetryAfterTable
+from forwarder.runtime.handover_format import (
+    NO_CONNECTION,
+    AttemptRecord,
+    CallRecord,
+    IdleConnectionRecord,
+    PoolRecord,
+)
 from forwarder.runtime.invariants import AttemptFacts, Denial, Invariants, RouteFacts, route_denial
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
@@ -223,21 +228,20 @@
             connection.close("given up, and handed over")
             connection.settle()
 
-    def hand_over(self) -> tuple[dict[str, Any], list[EndpointConnection]]:
+    def hand_over(self) -> tuple[PoolRecord, list[EndpointConnection]]:
         """Return what is in flight and what is idle, and the connections that go along.
 
         A call whose last byte is not written yet goes without its connection: it will never run.
         """
         connections: list[EndpointConnection] = []
         calls = [_describe_call(call, connections) for call in self.in_flight.calls()]
-        idle = []
+        idle: list[IdleConnectionRecord] = []
         for endpoint, held in self.idle.by_endpoint.items():
             for connection in held:
                 if not connection.is_closing():
-                    number = len(connections)
-                    idle.append({"connection": number, "target": endpoint, "idle_us": connection.idle_since_us})
+                    idle.append(IdleConnectionRecord(len(connections), endpoint, connection.idle_since_us))
                     connections.append(connection)
-        return {"calls": calls, "idle": idle, "waits": self.retry_after.to_stored()}, connections
+        return PoolRecord(tuple(calls), tuple(idle), self.retry_after.entries()), connections
 
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, received: bytes) -> None:
         """Go on waiting for the answer to a call of the process before.
@@ -277,19 +281,18 @@
         return connection
 
 
-def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> dict[str, Any]:
+def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> CallRecord:
     """Return what another process needs to wait for a call's answer; its connection is added to `connections`."""
-    number = -1
+    index = NO_CONNECTION
     if call.connection is not None and call.written and not call.connection.is_closing():
-        number = len(connections)
+        index = len(connections)
         connections.append(call.connection)
-    received = call.connection.received if call.connection else b""
-    return {
-        "connection": number,
-        "target": call.endpoint,
-        "place": call.limit_scope,
-        "sent_us": call.sent_us,
-        "batched": call.batched,
-        "items": [[item.id, item.attempt, item.timeout_at_us] for item in call.open_items.values()],
-        "seen": base64.b64encode(received).decode(),
-    }
+    return CallRecord(
+        connection=index,
+        endpoint=call.endpoint,
+        limit_scope=call.limit_scope,
+        sent_us=call.sent_us,
+        batched=call.batched,
+        attempts=tuple(AttemptRecord(item.id, item.attempt, item.timeout_at_us) for item in call.open_items.values()),
+        received=bytes(call.connection.received) if call.connection else b"",
+    )
--- a/forwarder/endpoints/retry_after.py
+++ b/forwarder/endpoints/retry_after.py
@@ -34,10 +34,10 @@
         """Return until when a scope is to be left alone; 0 where it never asked for that."""
         return self._until_us.get(scope, 0)
 
-    def to_stored(self) -> list[list[int]]:
-        """Return the entries in the form in which they are handed over to another process."""
-        return [[scope.destination, scope.endpoint, end_us] for scope, end_us in self._until_us.items()]
+    def entries(self) -> tuple[tuple[LimitScopeKey, int], ...]:
+        """Return each scope with the time until which it is to be left alone."""
+        return tuple(self._until_us.items())
 
-    def restore(self, stored: Iterable[Iterable[int]]) -> None:
-        """Replace all entries by those of the process before, as `to_stored` returned them."""
-        self._until_us = {LimitScopeKey(destination, endpoint): end for destination, endpoint, end in stored}
+    def restore(self, entries: Iterable[tuple[tuple[int, int], int]]) -> None:
+        """Replace all entries by those of the process before, as `entries` returned them."""
+        self._until_us = {LimitScopeKey(*scope): until_us for scope, until_us in entries}
--- a/forwarder/membership/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -1,11 +1,8 @@
-"""The protocol of one forwarder. Pure: `receive` and `tick` take the time; what is to be sent gathers in `out`.
+"""Membership of one forwarder, after SWIM and Lifeguard. Pure: `receive` and `tick` take the time.
 
-One member is probed in each period, in a shuffled round over all (SWIM 4.3). No answer in the probe's time: some others
-are asked to probe it (SWIM 3.1). None by the end of the period: it is suspected (SWIM 4.2), and failed when the
-suspicion has run out. A suspicion runs shorter with each other member that has it too (Lifeguard IV-B); who is
-suspected is told so first, with the next ping (IV-C); and who finds itself slow, since probes fail, helpers do not even
-say no, or it is suspected wrongly, gives others more time (IV-A). News rides on probes and their answers, the least
-told first (SWIM 4.1).
+What is to be sent gathers in the outbox, what has become of members in the list of changes. The parts are modules of
+their own: the failure detector, suspicions, dissemination, exchanges of the whole view, the own member, and queries for
+gossip records.
 
 Beyond the papers: a full exchange at the join and now and then, also with members that failed, so that the parts of a
 split meet again; in it failed members arrive as suspected ones, so that one that lives can say so; a stop of the own
@@ -14,636 +11,304 @@
 
 from __future__ import annotations
 
-import math
-import random
 from collections.abc import Sequence
-from dataclasses import dataclass, field, replace
-
-from forwarder.membership.codec import MOST_BYTES, MOST_ROWS, TAG, Body, FormerLife, Row, row
-from forwarder.membership.gossip_store import GossipStore, RecordKind
-from forwarder.membership.view import LIFE, Known, Member, MemberRecord, MembershipView, Phase, State, Where
-
-SECOND = 1_000_000
-ROOM = MOST_BYTES - TAG - 220
-"""Bytes for news in a datagram, beside the rest of it."""
-MOST_QUEUE = 2000
-MOST_PENDING = 64
-MOST_AWARE = 8
-"""The Local Health Multiplier's most (Lifeguard IV-A)."""
-LEAST_LOG = 2.0
-MEETING = 10
-"""Periods after the start in which all is asked for again and again: many that start at once learn of many."""
-FACTS_ROOM = 300
-"""Of those bytes, for facts as long as there are some: where many start at once, news of who is there fills all."""
-MOST_ANSWERS = 8
-"""Datagrams in which one that asks is told all facts, at most."""
-ASK_US = 250_000
-"""Who asks what others have heard asks some more after this."""
-FORMER_US = SECOND
-"""A member that comes with a former life is told so at most this often."""
-
-
-@dataclass(frozen=True, slots=True)
-class Timing:
-    """Times in microseconds. The defaults are for 200 members: a death is known to the first within 2 s and to the
-    last within 5 (docs/measurements.md); what depends on the size follows from the view.
+from dataclasses import replace
+
+from forwarder.membership.codec import Datagram, FormerIncarnationError, MemberRow, member_row
+from forwarder.membership.dissemination import MAX_QUEUE, Dissemination
+from forwarder.membership.failure_detector import FailureDetector
+from forwarder.membership.gossip_query import GossipQuery
+from forwarder.membership.gossip_store import RecordKind
+from forwarder.membership.node_state import MemberChanged, NodeState
+from forwarder.membership.own_member import OwnMember
+from forwarder.membership.suspicion import SuspicionTable
+from forwarder.membership.synchronization import ViewSynchronization
+from forwarder.membership.timing import Timing
+from forwarder.membership.view import MemberPhase, MemberRecord, MembershipView, MemberState, SocketAddress, Source
+from forwarder.units import SECOND_US
+
+FORMER_REPLY_INTERVAL_US = SECOND_US
+"""A member that comes with a former incarnation is told so at most this often."""
+MIN_STEP_US = 1000
+"""Least time between two steps."""
+
+
+class MembershipProtocol:
+    """Membership of one forwarder: who is present, who has failed, and what to send.
+
+    Args:
+        name: the forwarder's name.
+        address: where others reach it.
+        start_number: how often it was started.
+        process_id: drawn at each start; tells two processes of one name apart.
+        timing: times and factors.
+        seed: for all random choices.
+        now_us: the time, by any clock that goes on evenly.
+        seeds: addresses that are asked first; without any, this forwarder is alone and alive at once.
+        version: of the program, for operators.
     """
 
-    period: int = 300_000
-    probe: int = 150_000
-    """How long a direct probe may take."""
-    helpers: int = 4
-    suspicion: float = 1.8
-    """Times log10 of the size (2 at least: with few members and bad links a refutation is slow too), times the period:
-    the least time that a suspicion runs (Lifeguard: alpha)."""
-    suspicion_top: float = 6.0
-    """Times the least: the most (Lifeguard: beta)."""
-    confirmations: int = 3
-    """So many other members that suspect it too make it the least (Lifeguard: K)."""
-    retell: float = 3.0
-    """Times log2 of the size: how often one piece of news is sent on (SWIM: lambda)."""
-    exchange: int = 10 * SECOND
-    stall: int = 2 * SECOND
-    """The process stood still if its clock went on by so much between two looks."""
-
-
-@dataclass(slots=True)
-class Probe:
-    target: str
-    sent: int
-    until: int
-    """When it counts as failed."""
-    helped_at: int
-    helpers: int = 0
-    nacks: int = 0
-
-
-@dataclass(slots=True)
-class Suspicion:
-    began: int
-    by: set[str] = field(default_factory=set)
-
-
-@dataclass(frozen=True, slots=True)
-class MemberChanged:
-    """What has become of a member, for whoever follows the view."""
-
-    member: Member
-    before: State | None
-
-
-class Protocol:
-    """Membership of one forwarder. `life` counts its starts; `id` is drawn at each."""
-
     def __init__(
         self,
         name: str,
-        where: Where,
-        life: int,
-        ident: str,
+        address: SocketAddress,
+        start_number: int,
+        process_id: str,
         timing: Timing,
         seed: int,
-        now: int,
-        seeds: Sequence[Where] = (),
+        now_us: int,
+        seeds: Sequence[SocketAddress] = (),
         version: str = "",
     ) -> None:
-        self.timing, self.seeds, self.random = timing, list(seeds), random.Random(seed)
-        self.id, self.now = ident, now
-        self.view = MembershipView(name)
-        self.view.members[name] = Member(
-            MemberRecord(name, where, life * LIFE, State.JOINING, ident, Phase.SERVING, version), now, Known.OWN
-        )
-        self.out: list[tuple[Where, Body]] = []
-        self.told: list[MemberChanged] = []
-        self.queue: dict[str, int] = {}
-        """News to be sent on, and how often each was."""
-        self.round: list[str] = []
-        self.probes: dict[int, Probe] = {}
-        self.helping: dict[int, tuple[Where, int, int]] = {}
-        """Probes for others: whom to answer, the number it knows it by, when to say no."""
-        self.suspicions: dict[str, Suspicion] = {}
-        self.aware = 0
-        self.seq = self.random.randrange(1 << 32)
-        self.period_at = now + self.random.randrange(timing.period)
-        self.exchange_at = now
-        self.looked = now
-        self.meeting_until = now + MEETING * timing.period
-        self.stale = True
-        """Nobody has answered since the start, or since the process stood still."""
-        self.former = -1
-        """The life that others remembered, where this forwarder knew only of an earlier one."""
-        self.rival = ""
-        """Another process that has this name; this one has given way if `yielded`."""
-        self.yielded = False
-        self.former_told: dict[str, int] = {}
-        self.counts: dict[str, int] = {}
-        self.board: GossipStore | None = None
-        """Facts that ride along, where a part wants them to."""
-        self.asking_until = -1
-        self.ask_at = 0
-        self.answers: set[str] = set()
-        """Who has told what it has heard; one that asks itself does not."""
+        self.state = NodeState(name, address, start_number, process_id, timing, seed, now_us, version)
+        self.suspicions = SuspicionTable(self.state)
+        self.dissemination = Dissemination(self.state, self.suspicions)
+        self.failure_detector = FailureDetector(self.state, self.dissemination, self._suspect)
+        self.synchronization = ViewSynchronization(self.state, self.dissemination, seeds)
+        self.own_member = OwnMember(self.state, self.dissemination)
+        self.query = GossipQuery(self.state, self.dissemination)
+        self._last_step_us = now_us
+        self._former_reply_at_us: dict[str, int] = {}
+        self._handlers = {
+            "ping": self._on_ping,
+            "ack": self.failure_detector.on_ack,
+            "nack": self.failure_detector.on_nack,
+            "probe": self.failure_detector.on_probe_request,
+            "join": self.synchronization.on_join,
+            "full": self.synchronization.on_full,
+            "former": self._on_former,
+            "ask": self.query.on_query,
+            "facts": self.query.on_records,
+        }
         if not seeds:
-            self._alive()
-
-    # The outside
-
-    @property
-    def me(self) -> MemberRecord:
-        return self.view.members[self.view.me].news
+            self.own_member.become_alive()
 
     @property
-    def life(self) -> int:
-        return self.me.incarnation // LIFE
+    def view(self) -> MembershipView:
+        """All members that are known."""
+        return self.state.view
+
+    def take_outbox(self) -> list[tuple[SocketAddress, Datagram]]:
+        """Returns the datagrams to be sent, and forgets them."""
+        outbox = self.state.outbox
+        self.state.outbox = []
+        return outbox
+
+    def take_changes(self) -> list[MemberChanged]:
+        """Returns what has become of members since the last call."""
+        changes = self.state.changes
+        self.state.changes = []
+        return changes
 
-    def size(self) -> int:
-        return max(1, len(self.view.there()))
+    # Time
 
-    def next_at(self) -> int:
+    def next_step_us(self) -> int:
         """When `tick` is wanted next."""
-        times = [
-            self.period_at,
-            self.exchange_at,
-            *([self.ask_at] if self.asking else []),
-            *(p.until for p in self.probes.values()),
-            *(p.helped_at for p in self.probes.values() if not p.helpers),
-            *(until for _, _, until in self.helping.values()),
-            *(self._runs_out(name) for name in self.suspicions),
+        times_us = [
+            self.synchronization.next_sync_us,
+            *self.failure_detector.step_times_us(),
+            *(self.suspicions.ends_at_us(name) for name in self.suspicions.suspicions),
         ]
-        return max(min(times), self.looked + 1000)
-
-    def tick(self, now: int) -> None:
-        """Do what is due."""
-        self._look(now)
-        if self.yielded:
-            self.period_at = self.exchange_at = now + self.timing.exchange
+        if self.query.is_running:
+            times_us.append(self.query.next_query_us)
+        return max(min(times_us), self._last_step_us + MIN_STEP_US)
+
+    def tick(self, now_us: int) -> None:
+        """Does what is due."""
+        self._advance(now_us)
+        if self.own_member.has_yielded:
+            next_us = now_us + self.state.timing.sync_interval_us
+            self.failure_detector.next_period_us = next_us
+            self.synchronization.next_sync_us = next_us
             return
-        self._check_probes()
-        self._check_helping()
+        self.failure_detector.check_probes()
+        self.failure_detector.check_relayed_probes()
         self._check_suspicions()
-        if self.asking and now >= self.ask_at:
-            self._ask()
-        if now >= self.exchange_at:
-            self._exchange()
-        if now >= self.period_at:
-            self.period_at = now + self.timing.period
-            self._probe_next()
-
-    def receive(self, now: int, source: Where, body: Body) -> None:
-        """Take in one datagram that the codec has let through."""
-        self._look(now)
-        if self.yielded:
-            return
-        if body.sender == self.view.me:
-            if body.id != self.id:
-                self._rival(body.life, body.id)
-            return
-        self.stale = False
-        if self.me.state is State.JOINING and body.kind in ("ack", "full", "ping"):
-            self._alive()
-        sender = self.view.members.get(body.sender)
-        if sender is not None:
-            sender.heard = now
-        for told in body.news:
-            self._take(
-                told,
-                Known.ITSELF if told.name == body.sender else (Known.MERGED if body.kind == "full" else Known.TOLD),
-                body.sender,
-            )
-        if self.board is not None and body.facts:
-            self.board.life = self.life
-            self.board.take(now, body.facts)
-        play = {
-            "ping": self._ping,
-            "ack": self._ack,
-            "nack": self._nack,
-            "probe": self._help,
-            "join": self._join,
-            "full": self._full,
-            "former": self._former,
-            "ask": self._asked,
-            "facts": self._answered,
-        }.get(body.kind)
-        if play is not None:  # kinds of later versions are passed over
-            play(source, body)
-
-    def dropped(self, now: int, source: Where, why: FormerLife) -> None:
-        """A datagram of a former life came: its forwarder may have lost its folder, and is told."""
-        self._look(now)
-        known = self.view.members.get(why.sender)
-        if known is None or now - self.former_told.get(why.sender, -FORMER_US) < FORMER_US:
+        self.query.send_if_due()
+        if now_us >= self.synchronization.next_sync_us:
+            self.synchronization.sync()
+        self.failure_detector.probe_next_if_due()
+
+    def _advance(self, now_us: int) -> None:
+        """The clock goes on. After a stop nothing that was due meanwhile is held against others."""
+        passed_us = now_us - self._last_step_us
+        self.state.now_us = now_us
+        self._last_step_us = now_us
+        if passed_us <= self.state.timing.stall_us:
             return
-        if len(self.former_told) > MOST_QUEUE:
-            self.former_told.clear()
-        self.former_told[why.sender] = now
-        self._send(source, "former", why.seq, target=row(known.news))
-
-    def tell(self, now: int, phase: Phase) -> None:
-        """This forwarder's phase has changed: all hear of it."""
-        self._look(now)
-        if self.me.phase is not phase:
-            self._refresh(phase=phase)
-
-    def leave(self, now: int) -> None:
-        """This forwarder goes for good: some hear it at once, and pass it on."""
-        self._look(now)
-        if self.me.state is State.LEFT or self.yielded:
-            return
-        self._refresh(state=State.LEFT)
-        there = self.view.others(State.ALIVE, State.SUSPECT)
-        for name in self.random.sample(there, min(len(there), 2 * self.timing.helpers + 2)):
-            self._send(self.view.members[name].news.where, "ping", self._number(), gossip=True)
-
-    def reseed(self, seeds: Sequence[Where]) -> None:
-        self.seeds = list(seeds)
-        self.exchange_at = self.now
-
-    # Time
-
-    def _look(self, now: int) -> None:
-        """The clock goes on. After a stop nothing that was due meanwhile is held against others (Lifeguard's
-        concern, by the process's own clock).
-        """
-        passed = now - self.looked
-        self.now, self.looked = now, now
-        if passed <= self.timing.stall:
+        self.state.counts["stalls"] += 1
+        self.state.is_stale = True
+        self.failure_detector.reset_after_stall()
+        self.suspicions.postpone(passed_us)
+        self.synchronization.next_sync_us = now_us
+
+    # Datagrams
+
+    def receive(self, now_us: int, source: SocketAddress, datagram: Datagram) -> None:
+        """Takes in one datagram that the codec has let through."""
+        self._advance(now_us)
+        if self.own_member.has_yielded:
             return
-        self.counts["stalls"] = self.counts.get("stalls", 0) + 1
-        self.aware = MOST_AWARE
-        self.stale = True
-        self.probes.clear()
-        self.helping.clear()
-        for suspicion in self.suspicions.values():
-            suspicion.began += passed
-        self.period_at, self.exchange_at = now + self.timing.period, now
-
-    def _patience(self, base: int) -> int:
-        return base * (1 + self.aware)
-
-    def _feel(self, change: int) -> None:
-        self.aware = max(0, min(MOST_AWARE, self.aware + change))
-
-    # Sending
-
-    def _number(self) -> int:
-        self.seq += 1
-        return self.seq
-
-    def _send(
-        self,
-        to: Where,
-        kind: str,
-        seq: int = 0,
-        target: Row | None = None,
-        gossip: bool = False,
-        first: str = "",
-        rows: list[Row] | None = None,
-    ) -> None:
-        body = Body(
-            kind,
-            self.view.me,
-            self.life,
-            self.id,
-            0,
-            seq,
-            target,
-            rows or [],
-            self.view.digest()[:8] if kind == "full" else "",
-        )
-        if gossip:
-            body.news = self._gossip(first)
-            if self.board is not None:
-                room = ROOM - sum(_bytes(told) for told in body.news) - (0 if target is None else _bytes(target))
-                body.facts = self.board.gossip(self.now, room, self.size())
-        self.out.append((to, body))
-
-    def _gossip(self, first: str = "") -> list[Row]:
-        """What has been sent on least goes first; who is suspected hears that before all (Lifeguard IV-C)."""
-        room, rows = ROOM, []
-        if self.board is not None and self.board.queue:
-            room -= FACTS_ROOM
-        if first in self.suspicions:
-            rows.append(row(self.view.members[first].news))
-            room -= _bytes(rows[0])
-        most = math.ceil(self.timing.retell * math.log2(self.size() + 1))
-        for name in sorted(self.queue, key=lambda n: self.queue[n]):
-            if name == first and rows:
-                continue
-            told = row(self.view.members[name].news)
-            if _bytes(told) > room or len(rows) >= MOST_ROWS:
-                break
-            room -= _bytes(told)
-            rows.append(told)
-            self.queue[name] += 1
-            if self.queue[name] >= most:
-                del self.queue[name]
-        return rows
-
-    def _spread(self, name: str) -> None:
-        if len(self.queue) >= MOST_QUEUE and name not in self.queue:
-            del self.queue[max(self.queue, key=lambda n: self.queue[n])]
-        self.queue[name] = 0
-
-    # News
-
-    def _alive(self) -> None:
-        self._refresh(state=State.ALIVE)
-
-    def _refresh(self, **changes: object) -> None:
-        """News of this forwarder itself, which all must take: the next incarnation."""
-        before = self.me.state
-        self.view.set_self(self.now, incarnation=self.me.incarnation + 1, **changes)
-        self.told.append(MemberChanged(self.view.members[self.view.me], before))
-        self._spread(self.view.me)
-
-    def _take(self, told: Row, known: Known, sender: str) -> None:
-        news = told.news()
-        if news.name == self.view.me:
-            self._of_me(news)
+        if datagram.sender == self.view.name:
+            if datagram.process_id != self.state.process_id:
+                self._on_rival(datagram)
             return
-        if known is Known.MERGED and news.state is State.FAILED:
-            old = self.view.members.get(news.name)
-            if old is not None and old.news.state < State.FAILED:
-                news = replace(news, state=State.SUSPECT, by=sender)  # one that lives can say so
-        if news.state is State.SUSPECT:
-            self._suspect(news, news.by or sender)
+        self.state.is_stale = False
+        if self.state.own_record.state is MemberState.JOINING and datagram.kind in ("ack", "full", "ping"):
+            self.own_member.become_alive()
+        sender = self.view.members.get(datagram.sender)
+        if sender is not None:
+            sender.last_heard_us = now_us
+        for row in datagram.members:
+            self._apply_row(row, datagram)
+        store = self.state.gossip_store
+        if store is not None and datagram.records:
+            store.start_number = self.state.start_number
+            store.merge(now_us, datagram.records)
+        handler = self._handlers.get(datagram.kind)
+        if handler is not None:  # kinds of later versions are passed over
+            handler(source, datagram)
+
+    def reject_former(self, now_us: int, source: SocketAddress, error: FormerIncarnationError) -> None:
+        """A datagram of a former incarnation came: its forwarder may have lost its folder, and is told."""
+        self._advance(now_us)
+        member = self.view.members.get(error.sender)
+        last_us = self._former_reply_at_us.get(error.sender, -FORMER_REPLY_INTERVAL_US)
+        if member is None or now_us - last_us < FORMER_REPLY_INTERVAL_US:
             return
-        self._settle(news, known)
-
-    def _settle(self, news: MemberRecord, known: Known) -> None:
-        old = self.view.members.get(news.name)
-        before = None if old is None else old.news.state
-        if not self.view.take(news, known, self.now):
+        if len(self._former_reply_at_us) > MAX_QUEUE:
+            self._former_reply_at_us.clear()
+        self._former_reply_at_us[error.sender] = now_us
+        self.dissemination.send(source, "former", error.request_number, target=member_row(member.record))
+
+    def _on_ping(self, source: SocketAddress, datagram: Datagram) -> None:
+        if datagram.sender not in self.view.members:
+            self.synchronization.request(source)
+        self.dissemination.send_with_gossip(source, "ack", datagram.request_number, recipient=datagram.sender)
+
+    def _on_former(self, source: SocketAddress, datagram: Datagram) -> None:
+        if datagram.target is not None and datagram.target.name == self.view.name:
+            self._apply_own_record(datagram.target.record())
+
+    def _on_rival(self, datagram: Datagram) -> None:
+        self.own_member.on_rival(datagram.start_number, datagram.process_id)
+        self._stop_if_yielded()
+
+    # Records of members
+
+    def _apply_row(self, row: MemberRow, datagram: Datagram) -> None:
+        record = row.record()
+        if record.name == self.view.name:
+            self._apply_own_record(record)
             return
-        if news.state is not State.SUSPECT:
-            self.suspicions.pop(news.name, None)
-        self._spread(news.name)
-        self.told.append(MemberChanged(self.view.members[news.name], before))
-
-    def _of_me(self, news: MemberRecord) -> None:
-        """What others say of this forwarder. That it is suspected or gone is refuted (SWIM 4.2)."""
-        life = news.incarnation // LIFE
-        if life > self.life or (life == self.life and news.id not in ("", self.id)):
-            if self.former >= 0 and life > self.former and news.id != self.id:
-                self._rival(life, news.id)  # one that is dead could not have gone on
-            else:
-                self._later_life(life)
-        elif (
-            news.state >= State.SUSPECT
-            and news.incarnation >= self.me.incarnation
-            and (self.me.state is not State.LEFT)
-        ):
-            self.view.set_self(self.now, incarnation=news.incarnation)
-            self._refresh(state=State.ALIVE)
-            self._feel(1)
-            self.counts["refuted"] = self.counts.get("refuted", 0) + 1
-
-    def _later_life(self, life: int) -> None:
-        """Others remember a life of this name that is later than this forwarder knows of, or another process of the
-        same: its folder was lost, or set back. It goes on with a later one still.
-        """
-        self.former = life
-        self.view.set_self(self.now, incarnation=(life + 1) * LIFE)
-        self._refresh()
-
-    def _rival(self, life: int, ident: str) -> None:
-        """Another living process has this name: it has answered to our later life with one of its own, or spoken to
-        us. The one with the greater id stays, the other gives way for good.
-        """
-        self.counts["rivals"] = self.counts.get("rivals", 0) + 1
-        self.rival = ident
-        if ident > self.id:
-            self.yielded = True
-            self.probes.clear()
-            self.suspicions.clear()
-            self.queue.clear()
+        source = Source.TOLD
+        if record.name == datagram.sender:
+            source = Source.ITSELF
+        elif datagram.kind == "full":
+            source = Source.MERGED
+        known = self.view.members.get(record.name)
+        lives_here = known is not None and known.record.state < MemberState.FAILED
+        if source is Source.MERGED and record.state is MemberState.FAILED and lives_here:
+            # As a suspected one: a member that lives can say so.
+            record = replace(record, state=MemberState.SUSPECT, suspected_by=datagram.sender)
+        if record.state is MemberState.SUSPECT:
+            self._suspect(record, record.suspected_by or datagram.sender)
         else:
-            self.view.set_self(self.now, incarnation=max(self.me.incarnation, (life + 1) * LIFE))
-            self._refresh()
-
-    # Probes
-
-    def _probe_next(self) -> None:
-        """The next of a shuffled round over all (SWIM 4.3): each is probed within two rounds."""
-        while self.round and self.view.members.get(self.round[-1], self.view.members[self.view.me]).news.state >= (
-            State.FAILED
-        ):
-            self.round.pop()
-        if not self.round:
-            self.round = self.view.others(State.JOINING, State.ALIVE, State.SUSPECT)
-            self.random.shuffle(self.round)
-        if not self.round or len(self.probes) >= MOST_PENDING:
+            self._apply_record(record, source)
+
+    def _apply_own_record(self, record: MemberRecord) -> None:
+        if self.own_member.on_record(record):
+            self.failure_detector.adjust_health(1)
+        self._stop_if_yielded()
+
+    def _stop_if_yielded(self) -> None:
+        if self.own_member.has_yielded:
+            self.failure_detector.probes.clear()
+            self.suspicions.suspicions.clear()
+            self.dissemination.queue.clear()
+
+    def _apply_record(self, record: MemberRecord, source: Source) -> None:
+        known = self.view.members.get(record.name)
+        previous_state = None if known is None else known.record.state
+        if not self.view.apply(record, source, self.state.now_us):
             return
-        target, seq = self.round.pop(), self._number()
-        if target not in self.view.members:
-            return  # forgotten meanwhile
-        self.probes[seq] = Probe(
-            target,
-            self.now,
-            self.now + self._patience(self.timing.period),
-            self.now + self._patience(self.timing.probe),
-        )
-        self._send(self.view.members[target].news.where, "ping", seq, gossip=True, first=target)
-
-    def _check_probes(self) -> None:
-        for seq, probe in list(self.probes.items()):
-            known = self.view.members.get(probe.target)
-            if known is None or known.news.state >= State.FAILED:
-                del self.probes[seq]
-            elif self.now >= probe.until:
-                del self.probes[seq]
-                self._missed(probe, known.news)
-            elif self.now >= probe.helped_at and not probe.helpers:
-                self._ask_help(seq, probe, known.news)
-
-    def _ask_help(self, seq: int, probe: Probe, news: MemberRecord) -> None:
-        there = [name for name in self.view.others(State.ALIVE) if name != probe.target]
-        helpers = self.random.sample(there, min(len(there), self.timing.helpers))
-        probe.helpers = len(helpers) or -1
-        for name in helpers:
-            self._send(self.view.members[name].news.where, "probe", seq, target=row(news), gossip=True)
-
-    def _missed(self, probe: Probe, news: MemberRecord) -> None:
-        """It has not answered. Helpers that have not even said no are a sign that we are slow (Lifeguard IV-A)."""
-        silent = max(0, probe.helpers - probe.nacks)
-        self._feel(silent if probe.helpers > 0 else 1)
-        if not self.stale:
-            self._suspect(replace(news, state=State.SUSPECT, by=self.view.me), self.view.me)
-
-    def _suspect(self, news: MemberRecord, by: str) -> None:
-        """Begin a suspicion, or confirm one that runs."""
-        running = self.suspicions.get(news.name)
-        known = self.view.members.get(news.name)
-        if running is not None and known is not None and news.incarnation == known.news.incarnation:
-            if by not in running.by and len(running.by) <= self.timing.confirmations:
-                running.by.add(by)
-                known.news = replace(known.news, by=by)
-                self._spread(news.name)
+        if record.state is not MemberState.SUSPECT:
+            self.suspicions.clear(record.name)
+        self.dissemination.enqueue(record.name)
+        self.state.changes.append(MemberChanged(self.view.members[record.name], previous_state))
+
+    def _suspect(self, record: MemberRecord, suspected_by: str) -> None:
+        """Begins a suspicion, or confirms one that runs."""
+        known = self.view.members.get(record.name)
+        runs = record.name in self.suspicions
+        if runs and known is not None and record.incarnation == known.record.incarnation:
+            if self.suspicions.confirm(record.name, suspected_by):
+                known.record = replace(known.record, suspected_by=suspected_by)
+                self.dissemination.enqueue(record.name)
             return
-        self._settle(news, Known.OWN if by == self.view.me else Known.TOLD)
-        taken = self.view.members.get(news.name)
-        if taken is not None and taken.news.state is State.SUSPECT:
-            self.suspicions[news.name] = Suspicion(self.now, {by})
-
-    def _runs_out(self, name: str) -> int:
-        """When a suspicion turns into a failure (Lifeguard IV-B)."""
-        s, t = self.suspicions[name], self.timing
-        least = t.suspicion * max(LEAST_LOG, math.log10(self.size())) * t.period
-        confirmed = max(0, len(s.by) - 1)
-        wanted = min(t.confirmations, max(0, self.size() - 2))
-        shrunk = math.log(confirmed + 1) / math.log(wanted + 1) if wanted else 1.0
-        return s.began + int(max(least, t.suspicion_top * least - (t.suspicion_top - 1) * least * shrunk))
+        self._apply_record(record, Source.OWN if suspected_by == self.view.name else Source.TOLD)
+        member = self.view.members.get(record.name)
+        if member is not None and member.record.state is MemberState.SUSPECT:
+            self.suspicions.begin(record.name, suspected_by)
 
     def _check_suspicions(self) -> None:
-        for name in [name for name in self.suspicions if self._runs_out(name) <= self.now]:
-            news = self.view.members[name].news
-            if self.stale:  # nobody has answered us either: it may well be us
-                self.suspicions[name].began = self.now
+        for name in self.suspicions.expired():
+            if self.state.is_stale:  # nobody has answered this forwarder either: it may be the one that is cut off
+                self.suspicions.suspicions[name].began_at_us = self.state.now_us
                 continue
-            del self.suspicions[name]
-            self.counts["failed"] = self.counts.get("failed", 0) + 1
-            self._settle(replace(news, state=State.FAILED, by=self.view.me), Known.OWN)
-
-    # Answers
-
-    def _ping(self, source: Where, body: Body) -> None:
-        if body.sender not in self.view.members:
-            self._send(source, "join", self._number(), rows=[row(self.me)])
-        self._send(source, "ack", body.seq, gossip=True, first=body.sender)
-
-    def _ack(self, source: Where, body: Body) -> None:
-        probe = self.probes.pop(body.seq, None)
-        if probe is not None and probe.target == body.sender:
-            self._feel(-1)
-        elif probe is not None:
-            self.probes[body.seq] = probe
-            if body.target is not None and body.target.name == probe.target:  # by a helper
-                del self.probes[body.seq]
-        helped = self.helping.pop(body.seq, None)
-        if helped is not None:
-            known = self.view.members.get(body.sender)
-            self._send(helped[0], "ack", helped[1], target=None if known is None else row(known.news))
-
-    def _nack(self, source: Where, body: Body) -> None:
-        if body.seq in self.probes:
-            self.probes[body.seq].nacks += 1
-
-    def _help(self, source: Where, body: Body) -> None:
-        """Probe for another; it hears no before its period ends if nothing comes (Lifeguard IV-A)."""
-        if body.target is None or len(self.helping) >= MOST_PENDING:
-            return
-        seq = self._number()
-        self.helping[seq] = (source, body.seq, self.now + self.timing.probe)
-        self._send((body.target.host, body.target.port), "ping", seq, gossip=True, first=body.target.name)
-
-    def _check_helping(self) -> None:
-        for seq, (whom, number, until) in list(self.helping.items()):
-            if self.now >= until:
-                del self.helping[seq]
-                self._send(whom, "nack", number)
-
-    # Meeting
-
-    def _exchange(self) -> None:
-        """Now and then all is told to one other, at times to one that failed, or a seed: parts meet again."""
-        self.view.forget(self.now)
-        there = self.view.others(State.JOINING, State.ALIVE, State.SUSPECT)
-        gone = self.view.others(State.FAILED)
-        self.exchange_at = self.now + self.timing.exchange // 2 + self.random.randrange(self.timing.exchange)
-        if self.stale or not there or self.now < self.meeting_until:
-            self.exchange_at = self.now + self.timing.period + self.random.randrange(self.timing.period)
-        whom = [
-            self.view.members[name].news.where
-            for name in (
-                self.random.sample(there, min(len(there), 2 if self.stale else 1)),
-                self.random.sample(gone, min(len(gone), 1)),
-            )[0 if there and self.random.random() < 0.5 else 1]
-            or there[:1]
-        ]
-        if self.stale or not there or self.random.random() < 0.2:
-            whom += [seed for seed in self.seeds if seed != self.me.where][:8]
-        for where in dict.fromkeys(whom):
-            self._send(where, "join", self._number(), rows=[row(self.me)])
-
-    def _join(self, source: Where, body: Body) -> None:
-        """Somebody wants to know all; what it told of itself was taken already."""
-        self._send_all(source, body.seq)
-
-    def _full(self, source: Where, body: Body) -> None:
-        """A part of another's view; who agrees needs no answer, who does not gets ours."""
-        if body.seq == 0 or body.digest == self.view.digest()[:8]:
-            return
-        self._send_all(source, 0)
-
-    def _send_all(self, to: Where, seq: int) -> None:
-        """The whole view, in as many datagrams as it takes; the last asks for theirs if they differ."""
-        rows: list[Row] = []
-        parts = [rows]
-        room = ROOM
-        for name in sorted(self.view.members, key=lambda _: self.random.random()):
-            told = row(self.view.members[name].news)
-            if _bytes(told) > room or len(rows) >= MOST_ROWS:
-                rows, room = [], ROOM
-                parts.append(rows)
-            rows.append(told)
-            room -= _bytes(told)
-        for n, part in enumerate(parts):
-            self._send(to, "full", seq if n == len(parts) - 1 else 0, rows=part)
-
-    def _former(self, source: Where, body: Body) -> None:
-        if body.target is not None and body.target.name == self.view.me:
-            self._of_me(body.target.news())
-
-    # Facts, where there is a board
+            self.suspicions.clear(name)
+            self.state.counts["failed"] += 1
+            record = self.view.members[name].record
+            failed = replace(record, state=MemberState.FAILED, suspected_by=self.view.name)
+            self._apply_record(failed, Source.OWN)
 
-    @property
-    def asking(self) -> bool:
-        """Whether this forwarder still waits for what others have heard."""
-        return self.now < self.asking_until and not self._enough()
-
-    def _enough(self) -> bool:
-        """Some have answered, or all that there are."""
-        others = self.view.others(State.JOINING, State.ALIVE, State.SUSPECT)
-        return bool(self.answers) and len(self.answers) >= min(3, len(others)) and not self.stale
-
-    def ask(self, now: int, for_us: int) -> None:
-        """Ask some what they have heard, again and again until some have answered or the time is up."""
-        self._look(now)
-        self.asking_until, self.ask_at = now + for_us, now
-
-    def say(
-        self, now: int, kind: RecordKind, subject: str, value: int = 0, lasted: int = 0, urgent: bool = False
+    # What this forwarder tells
+
+    def set_phase(self, now_us: int, phase: MemberPhase) -> None:
+        """This forwarder's phase has changed: all hear of it."""
+        self._advance(now_us)
+        if self.state.own_record.phase is not phase:
+            self.own_member.update(phase=phase)
+
+    def leave(self, now_us: int) -> None:
+        """This forwarder goes for good: some hear it at once, and pass it on."""
+        self._advance(now_us)
+        if self.state.own_record.state is MemberState.LEFT or self.own_member.has_yielded:
+            return
+        self.own_member.update(state=MemberState.LEFT)
+        others = self.view.others_in(MemberState.ALIVE, MemberState.SUSPECT)
+        count = min(len(others), 2 * self.state.timing.indirect_probes + 2)
+        for name in self.state.random.sample(others, count):
+            self.dissemination.send_with_gossip(self.state.address_of(name), "ping", self.state.next_request_number())
+
+    def set_seeds(self, seeds: Sequence[SocketAddress]) -> None:
+        """New seeds hold from now on."""
+        self.synchronization.set_seeds(seeds)
+
+    def start_query(self, now_us: int, duration_us: int) -> None:
+        """Asks some what they have heard, until some have answered or so much time has passed."""
+        self._advance(now_us)
+        self.query.start(duration_us)
+
+    def announce(
+        self,
+        now_us: int,
+        kind: RecordKind,
+        subject: str,
+        value_us: int = 0,
+        lasted_us: int = 0,
+        *,
+        urgent: bool = False,
     ) -> None:
-        """This forwarder has seen it; what is urgent leaves at once, and does not wait for the next probe."""
-        self._look(now)
-        if self.board is None or self.yielded:
+        """This forwarder has seen something; what is urgent leaves at once, and does not wait for the next probe."""
+        self._advance(now_us)
+        store = self.state.gossip_store
+        if store is None or self.own_member.has_yielded:
+            return
+        store.start_number = self.state.start_number
+        store.add_own(now_us, kind, subject, value_us, lasted_us)
+        if not urgent:
             return
-        self.board.life = self.life
-        self.board.say(now, kind, subject, value, lasted)
-        if urgent:
-            there = self.view.others(State.ALIVE)
-            for name in self.random.sample(there, min(len(there), self.timing.helpers)):
-                self._send(self.view.members[name].news.where, "facts", 0, gossip=True)
-
-    def _ask(self) -> None:
-        self.ask_at = self.now + ASK_US
-        there = [n for n in self.view.others(State.JOINING, State.ALIVE, State.SUSPECT) if n not in self.answers]
-        for name in self.random.sample(there, min(len(there), 3)):
-            self._send(self.view.members[name].news.where, "ask", self._number())
-
-    def _asked(self, source: Where, body: Body) -> None:
-        if self.board is None or self.asking or self.stale:
-            return  # it has heard nothing itself
-        parts = self.board.all(self.now, body.sender, ROOM, MOST_ANSWERS)
-        for n, part in enumerate(parts):
-            self._send(source, "facts", body.seq if n == len(parts) - 1 else 0)
-            self.out[-1][1].facts = part
-
-    def _answered(self, source: Where, body: Body) -> None:
-        if body.seq:
-            self.answers.add(body.sender)
-
-
-def _bytes(told: Row) -> int:
-    """What a row takes in a datagram, rounded up."""
-    return 36 + len(told.name.encode()) + len(told.host) + len(told.id) + len(told.version) + len(told.by.encode())
+        others = self.view.others_in(MemberState.ALIVE)
+        for name in self.state.random.sample(others, min(len(others), self.state.timing.indirect_probes)):
+            self.dissemination.send_with_gossip(self.state.address_of(name), "facts")
--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -1,4 +1,4 @@
-"""What one forwarder knows of all, and which of two news of a member goes before the other. Pure."""
+"""What one forwarder knows of all members, and which of two records of a member replaces the other. Pure."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum, IntEnum
 
-LIFE = 1 << 20
-"""An incarnation is a member's life (how often it was started) times this, plus how often it has refuted in it."""
-MOST_MEMBERS = 5000
-FORGET_US = 3_600_000_000
-"""So long it is remembered that a member failed or left: old news of it must not bring it back."""
+INCARNATIONS_PER_START = 1 << 20
+"""An incarnation is how often a member was started times this, plus how often it has changed its record since."""
+MAX_MEMBERS = 5000
+FORGET_AFTER_US = 3_600_000_000
+"""So long it is remembered that a member failed or left: old records of it must not bring it back."""
 
 
-class State(IntEnum):
-    """What a member is. Of two news of one incarnation the greater goes first (SWIM, section 4.2)."""
+class MemberState(IntEnum):
+    """What a member is. Of two records of one incarnation the greater state wins (SWIM, section 4.2)."""
 
     JOINING = 0
     ALIVE = 1
@@ -23,7 +23,11 @@
     LEFT = 4
 
 
-class Phase(IntEnum):
+PRESENT = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
+"""States of members that are not known to be gone."""
+
+
+class MemberPhase(IntEnum):
     """What a member tells of itself."""
 
     SERVING = 0
@@ -31,8 +35,8 @@
     RECOVERING = 2
 
 
-class Known(Enum):
-    """How news came."""
+class Source(Enum):
+    """How a record came; the values are read by operators."""
 
     ITSELF = "from itself"
     TOLD = "by gossip"
@@ -40,7 +44,8 @@
     OWN = "found here"
 
 
-Where = tuple[str, int]
+SocketAddress = tuple[str, int]
+"""Host and port, as the socket functions take them."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,34 +53,44 @@
     """One member's state, as it travels."""
 
     name: str
-    where: Where
+    address: SocketAddress
     incarnation: int
-    state: State
-    id: str = ""
-    """Drawn at each start of the process: tells two that claim one name."""
-    phase: Phase = Phase.SERVING
+    state: MemberState
+    process_id: str = ""
+    """Drawn at each start of the process: tells two processes apart that claim one name."""
+    phase: MemberPhase = MemberPhase.SERVING
     version: str = ""
-    by: str = ""
-    """Who suspects it."""
+    suspected_by: str = ""
+
+    @property
+    def start_number(self) -> int:
+        """How often the member was started."""
+        return self.incarnation // INCARNATIONS_PER_START
+
+    def supersedes(self, known: MemberRecord) -> bool:
+        """Whether this record replaces the one that is known (SWIM, section 4.2).
 
-    def over(self, old: MemberRecord) -> bool:
-        """Whether this replaces what was known (SWIM, section 4.2): a later incarnation does, but what failed or
-        left comes back only by one; of the same the stronger state does.
+        A later incarnation does, but what failed or left comes back only by one; of the same incarnation the stronger
+        state does.
         """
-        if self.incarnation != old.incarnation:
-            later = self.incarnation > old.incarnation
-            ends = self.state >= State.FAILED and old.state < State.FAILED
-            return later or (ends and self.state is State.LEFT and self.incarnation // LIFE == old.incarnation // LIFE)
-        return self.state > old.state or (self.state == old.state <= State.ALIVE and self.phase != old.phase)
+        if self.incarnation == known.incarnation:
+            phase_changed = self.state == known.state <= MemberState.ALIVE and self.phase != known.phase
+            return self.state > known.state or phase_changed
+        if self.incarnation > known.incarnation:
+            return True
+        left_since_start = self.state is MemberState.LEFT and self.start_number == known.start_number
+        return left_since_start and known.state < MemberState.FAILED
 
 
 @dataclass(slots=True)
 class Member:
-    news: MemberRecord
-    since: int
-    """When it took on this state here, in microseconds."""
-    known: Known
-    heard: int = 0
+    """A member, as this forwarder knows it."""
+
+    record: MemberRecord
+    since_us: int
+    """When it took on this state here."""
+    source: Source
+    last_heard_us: int = 0
     """When a datagram of its own last came."""
 
 
@@ -83,66 +98,77 @@
 class MembershipView:
     """All members, this one among them."""
 
-    me: str
+    name: str
+    """This forwarder's own name."""
     members: dict[str, Member] = field(default_factory=dict)
-    number: int = 0
+    version: int = 0
     """Grows with each change."""
-    changed: int = 0
+    changed_at_us: int = 0
     """When it last did."""
-    _lists: dict[tuple[State, ...], list[str]] = field(default_factory=dict)
-    _listed: int = -1
-    """The number of the view that the lists are of: each is made once a change, not once a datagram."""
-
-    def take(self, news: MemberRecord, known: Known, now: int) -> bool:
-        """Take news on, if it goes before what is known. Whether it did."""
-        old = self.members.get(news.name)
-        if old is None:
-            if len(self.members) >= MOST_MEMBERS:
+    _names_by_states: dict[tuple[MemberState, ...], list[str]] = field(default_factory=dict)
+    _names_version: int = -1
+    """Version of the view that the lists are of: each is made once a change, not once a datagram."""
+
+    def apply(self, record: MemberRecord, source: Source, now_us: int) -> bool:
+        """Takes a record on, if it supersedes what is known. Returns whether it did."""
+        known = self.members.get(record.name)
+        if known is None:
+            if len(self.members) >= MAX_MEMBERS:
                 return False
-            self.members[news.name] = Member(news, now, known)
-        elif not news.over(old.news):
+            self.members[record.name] = Member(record, now_us, source)
+        elif not record.supersedes(known.record):
             return False
         else:
-            since = old.since if old.news.state == news.state else now
-            self.members[news.name] = Member(news, since, known, old.heard)
-        self.number, self.changed = self.number + 1, now
+            since_us = known.since_us if known.record.state == record.state else now_us
+            self.members[record.name] = Member(record, since_us, source, known.last_heard_us)
+        self._mark_changed(now_us)
         return True
 
-    def _of(self, *states: State) -> list[str]:
-        if self._listed != self.number:
-            self._lists, self._listed = {}, self.number
-        if states not in self._lists:
-            self._lists[states] = sorted(name for name, m in self.members.items() if m.news.state in states)
-        return self._lists[states]
+    def _mark_changed(self, now_us: int) -> None:
+        self.version += 1
+        self.changed_at_us = now_us
+
+    def _names_in(self, *states: MemberState) -> list[str]:
+        if self._names_version != self.version:
+            self._names_by_states = {}
+            self._names_version = self.version
+        if states not in self._names_by_states:
+            names = [name for name, member in self.members.items() if member.record.state in states]
+            self._names_by_states[states] = sorted(names)
+        return self._names_by_states[states]
 
-    def there(self) -> list[str]:
-        """Those that are not known to be gone, in the order of their names. Not to be changed."""
-        return self._of(State.JOINING, State.ALIVE, State.SUSPECT)
+    def present(self) -> list[str]:
+        """Names of those that are not known to be gone, sorted. The list must not be changed."""
+        return self._names_in(*PRESENT)
 
-    def others(self, *states: State) -> list[str]:
-        return [name for name in self._of(*states) if name != self.me]
+    def others_in(self, *states: MemberState) -> list[str]:
+        """Names of the other members in these states, sorted."""
+        return [name for name in self._names_in(*states) if name != self.name]
 
     def digest(self) -> str:
-        """By this two forwarders tell whether they agree on who is there, whatever each calls a suspect."""
-        text = "\n".join(f"{name} {self.members[name].news.incarnation // LIFE}" for name in self.there())
+        """Tells whether two forwarders agree on who is present, whichever of them each suspects."""
+        text = "\n".join(f"{name} {self.members[name].record.start_number}" for name in self.present())
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
-    def forget(self, now: int) -> None:
-        """Drop those long gone."""
-        old = [
+    def forget_expired(self, now_us: int) -> None:
+        """Drops members that are long gone."""
+        expired = [
             name
-            for name, m in self.members.items()
-            if m.news.state >= State.FAILED and now - m.since > FORGET_US and name != self.me
+            for name, member in self.members.items()
+            if member.record.state >= MemberState.FAILED
+            and now_us - member.since_us > FORGET_AFTER_US
+            and name != self.name
         ]
-        for name in old:
+        for name in expired:
             del self.members[name]
-        if old:
-            self.number, self.changed = self.number + 1, now
-
-    def set_self(self, now: int, **changes: object) -> MemberRecord:
-        """Change what this forwarder tells of itself."""
-        old = self.members[self.me]
-        news = replace(old.news, **changes)  # type: ignore[arg-type]
-        self.members[self.me] = Member(news, now if news.state != old.news.state else old.since, Known.OWN)
-        self.number, self.changed = self.number + 1, now
-        return news
+        if expired:
+            self._mark_changed(now_us)
+
+    def update_self(self, now_us: int, **changes: object) -> MemberRecord:
+        """Changes fields of this forwarder's own record, and returns it."""
+        known = self.members[self.name]
+        record = replace(known.record, **changes)  # type: ignore[arg-type]
+        since_us = now_us if record.state != known.record.state else known.since_us
+        self.members[self.name] = Member(record, since_us, Source.OWN)
+        self._mark_changed(now_us)
+        return record
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -81,7 +81,7 @@
         config = load_config({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
         self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
         self.engine.store.own()
-        self.engine.round()
+        self.engine.loop.run_round()
         self.engine.server.listen(self.engine.clients)
         return self
 
@@ -94,10 +94,10 @@
         """Hand a message in, on a connection of its own that nobody reads."""
         classes = {c.name: c for c in self.engine.config.settings.classes}
         due = self.clock() + DUE_US if due_us is None else due_us
-        self.engine.hand_in(Submission(name, classes[cls], 7, due, key, "acme", False, b"x"), Silent(self.engine))
+        self.engine.intake.submit(Submission(name, classes[cls], 7, due, key, "acme", False, b"x"), Silent(self.engine))
 
     def end(self) -> None:
-        self.engine.frozen = self.engine.closed = True
+        self.engine.run_state.is_frozen = self.engine.run_state.is_closed = True
         self.engine.pool.close()
         self.engine.server.close()
         self.engine.notices.client.close()
@@ -701,7 +701,7 @@
         assert [e.outcome for e in ends] == [alone if crossing == "never" else outcome]
         told = crossing != "never" and answer == TURNED_AWAY
         assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
-        assert bool(pool.retry_after.to_stored()) == told
+        assert bool(pool.retry_after.entries()) == told
         assert pool.calls_in_flight == 0
         assert not pool.in_flight.by_attempt
         assert not pool.connections
@@ -724,7 +724,7 @@
             sock.send(WHOLE)
         pool.settle()
         told, going = pool.hand_over()
-        assert told["calls"] == []
+        assert told.calls == ()
         assert going == []
         assert [e.outcome for e in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -21,7 +21,7 @@
 from forwarder.discovery.watch import EndpointListWatch, Notifier
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
-from forwarder.runtime import engine as engine_module
+from forwarder.runtime import intake as intake_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings
@@ -240,7 +240,7 @@
 
 
 def test_the_engine_answers_what_it_refuses_byte_for_byte(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(engine_module, "retry_after_jittered", lambda: "0.812")
+    monkeypatch.setattr(intake_module, "retry_after_jittered", lambda: "0.812")
 
     class Recording:
         def __init__(self) -> None:
@@ -257,10 +257,10 @@
         engine = Engine(config, Ownership(tmp_path), AdminServer(), await bind(Address("127.0.0.1", 0)))
         submission = Submission("m", config.settings.classes[0], 7, NOW_US, None, "acme", False, b"")
         client = Recording()
-        engine.turn_away(submission, client, RejectMessage("m", 1_234_567))  # type: ignore[arg-type]
-        engine.turn_away(submission, client, RejectMessage("m", 0))  # type: ignore[arg-type]
-        engine.turn_away(submission, client, FailMessage("m"))  # type: ignore[arg-type]
-        engine.turn_off(submission, client, "full")  # type: ignore[arg-type]
+        engine.intake.reject_submission(submission, client, RejectMessage("m", 1_234_567))  # type: ignore[arg-type]
+        engine.intake.reject_submission(submission, client, RejectMessage("m", 0))  # type: ignore[arg-type]
+        engine.intake.reject_submission(submission, client, FailMessage("m"))  # type: ignore[arg-type]
+        engine.intake.reject_unavailable(submission, client, "full")  # type: ignore[arg-type]
         assert client.answers == [
             (HTTPStatus.TOO_MANY_REQUESTS, "refused", {"Retry_After": "1.235"}),
             (HTTPStatus.TOO_MANY_REQUESTS, "refused", {}),
