--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -92,7 +92,7 @@
     ownership = Ownership(config.state)
     if config.control is not None:
         try:
-            admin.listen(await bind(config.control, patience_s=0))
+            admin.listen(await bind(config.control, timeout_s=0))
         except OSError as error:  # the process before may have it, and hand it over
             log.info("control address not free yet: %s", error)
 
--- /dev/null
+++ b/forwarder/clients/client_connection.py
@@ -0,0 +1,349 @@
+"""One client's connection: reads its requests, and answers them one at a time in the order in which they came."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+from collections import deque
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+from typing import Protocol
+
+from forwarder.clients.arrival_time import waited_us
+from forwarder.clients.listener import fileno
+from forwarder.clients.request_parser import RequestParser
+from forwarder.clients.submission import ClientRequest
+from forwarder.runtime.descriptor_watch import ready_now
+from forwarder.runtime.handover_format import ClientRecord
+from forwarder.runtime.reason_counts import ReasonCounts, Subject
+
+MAX_PIPELINED_REQUESTS = 8  # requests that wait on one connection before no more is read from it
+CLIENT_TIMEOUT_US = 400_000  # a client that has no answer by then closes its connection (PROTOCOL)
+LINGER_S = 1.0  # a connection that sent what cannot be read is closed so long after its answer
+
+
+class ConnectionOwner(Protocol):
+    """The server, as its connections see it."""
+
+    reasons: ReasonCounts
+    clock: Callable[[], int]
+    read_buffer: memoryview
+    draining: bool
+    closed: bool
+
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """A connection begins."""
+
+    def connection_closing(self, connection: ClientConnection) -> None:
+        """A connection is closed here, and its descriptor is not free yet."""
+
+    def connection_ended(self, connection: ClientConnection) -> None:
+        """A connection's descriptor is free."""
+
+    def handle(self, connection: ClientConnection, request: ClientRequest) -> None:
+        """Answer a request, now or later."""
+
+
+class ClientConnection(asyncio.BufferedProtocol):
+    """A client's connection.
+
+    Args:
+        server: the server that it belongs to.
+        handed_over: what the process before described of it by `hand_over`; None for a new one.
+        accept_delay_us: how long it may have waited to be accepted, and its first request with it.
+    """
+
+    def __init__(
+        self, server: ConnectionOwner, handed_over: ClientRecord | None = None, accept_delay_us: int = 0
+    ) -> None:
+        self.server = server
+        self.transport: asyncio.Transport | None = None
+        self.parser = RequestParser(self._continue)
+        self.waiting: deque[ClientRequest] = deque()
+        """Complete requests that are not being answered yet."""
+        self.current_request: ClientRequest | None = None
+        self.on_withdrawn: Callable[[], None] | None = None
+        """Is called if the client gives up the current request."""
+        now_us = server.clock()
+        self.opened_us = now_us
+        self.last_used_us = now_us
+        self.has_sent_request = False
+        self.writing_paused = False
+        """Whether the client does not read its answers."""
+        self._handed_over = handed_over
+        self._peer_ended = False
+        self._watched_since_us = now_us
+        """Since when the event loop watches it."""
+        self._unread_since_us = now_us - min(accept_delay_us, CLIENT_TIMEOUT_US)
+        """Since when something may lie unread that the loop has not reported. No client waits for longer than its
+        time-out, so what is open now is no older than that."""
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin to serve the client; called by the event loop."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        self.server.connection_opened(self)
+        if self._handed_over is not None:
+            self._restore(self._handed_over)
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Withdraw the current request; called by the event loop."""
+        self.server.connection_ended(self)
+        self.waiting.clear()
+        self._withdraw()
+        self.parser.release()
+
+    def eof_received(self) -> bool:
+        """Withdraw the current request: a client that ends its side does not wait; called by the event loop.
+
+        What it may still read is a rejection.
+        """
+        self._peer_ended = True
+        if self.current_request is None:
+            return False
+        self._withdraw()
+        self.answer(HTTPStatus.SERVICE_UNAVAILABLE, "withdrawn")
+        return False
+
+    def get_buffer(self, sizehint: int) -> memoryview:
+        """Return where to put what is read; called by the event loop."""
+        return self.server.read_buffer
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Read from the buffer; called by the event loop."""
+        self.data_received(bytes(self.server.read_buffer[:nbytes]))
+
+    def data_received(self, data: bytes) -> None:
+        """Read requests, and begin to answer them."""
+        self.last_used_us = self.server.clock()
+        arrived_us = self._earliest_arrival_us()
+        if self.parser.is_broken:
+            return
+        requests = self.parser.feed(data, arrived_us)
+        self.waiting.extend(requests)
+        if any(request.method for request in requests):  # one that cannot be read has none
+            self.has_sent_request = True
+        self._answer_next()
+
+    def pause_writing(self) -> None:
+        """Stop reading from a client that does not read its answers, so that they do not pile up."""
+        self.writing_paused = True
+
+    def resume_writing(self) -> None:
+        """Go on with a client that has read its answers; called by the event loop."""
+        self.writing_paused = False
+        self.last_used_us = self.server.clock()
+        self._answer_next()
+
+    # State
+
+    def is_idle(self) -> bool:
+        """Return whether it is between requests."""
+        return self.current_request is None and self.parser.partial is None and not self.waiting
+
+    def is_closed(self) -> bool:
+        """Return whether it is closed, or about to be."""
+        return self.transport is None or self.transport.is_closing()
+
+    def has_unsent_answers(self) -> bool:
+        """Return whether the client has not taken all of its answers yet."""
+        return self.transport is not None and self.transport.get_write_buffer_size() > 0
+
+    # Answering
+
+    def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
+        """Answer the current request, and go on with the next in the event loop's next turn.
+
+        Args:
+            status: the status.
+            text: the body, one line.
+            headers: further headers; an underscore in a name stands for a hyphen.
+        """
+        request = self.current_request
+        self.current_request = None
+        self.on_withdrawn = None
+        if request is None or self.transport is None or self.transport.is_closing():
+            return
+        keep_alive = request.keep_alive and not self.server.draining and not self._peer_ended
+        self.transport.write(_render_answer(request, status, text, headers, keep_alive))
+        self.last_used_us = self.server.clock()
+        loop = asyncio.get_running_loop()
+        if self.parser.is_broken and not self.waiting:
+            # The client may still be sending: closed now, it would be reset before it has read its answer.
+            if self.transport.can_write_eof():
+                self.transport.write_eof()
+            loop.call_later(LINGER_S, self.close, "an unreadable request was answered")
+        elif not keep_alive and not self.waiting:
+            self.close("answered, and not kept alive")
+        elif not self._peer_ended:
+            loop.call_soon(self._answer_next)
+
+    def answer_waiting(self) -> None:
+        """Go on with what was read already, without waiting for the event loop's next turn."""
+        while self.current_request is None and self.waiting and not self.writing_paused:
+            self._answer_next()
+
+    def answer_unread(self, status: HTTPStatus, text: str, arrived_us: int) -> None:
+        """Answer a request that is partly read; nothing more is read from the connection."""
+        self.parser.abandon()
+        self.current_request = ClientRequest(arrived_us, keep_alive=False)
+        self.answer(status, text)
+
+    # Closing
+
+    def close(self, reason: str = "on demand") -> None:
+        """Close it once its answers have been sent. `reason` is counted and logged."""
+        if self.is_closed():
+            return
+        if self.current_request is not None and not self.server.closed:
+            message_id = self.current_request.headers.get("x-correlation-id", "")
+            self.server.reasons.note(Subject.VIOLATION, f"closed with a request unanswered: {reason}", message_id)
+        self._note_closing(reason)
+        assert self.transport is not None
+        self.transport.close()
+
+    def abort(self, reason: str = "on demand") -> None:
+        """Close it at once; answers that are not sent yet are lost."""
+        if self.transport is not None:
+            self._note_closing(reason)
+            self.transport.abort()
+
+    def evict(self, reason: str) -> None:
+        """Close it to make room; a request that is partly read is rejected."""
+        if self.parser.partial is not None:
+            self.answer_unread(HTTPStatus.SERVICE_UNAVAILABLE, reason, self.last_used_us)
+        self.close(reason)
+
+    def is_silent_since(self, since_us: int) -> bool:
+        """Return whether it was opened before a time, and has sent no complete request yet."""
+        return not self.has_sent_request and self.opened_us < since_us
+
+    def close_if_stalled(self, since_us: int) -> None:
+        """Close it if the client has not gone on since a time with what it has begun."""
+        if (self.writing_paused or self.is_closed()) and self.last_used_us < since_us:
+            self.abort("its answers stay unread")  # an orderly close would wait for ever for them to be read
+        elif self.current_request is not None or self.parser.is_broken:
+            return
+        elif self.parser.partial is not None and self.parser.partial.arrived_us < since_us:
+            self.answer_unread(HTTPStatus.REQUEST_TIMEOUT, "the request did not come to its end", since_us)
+        elif self.is_idle() and self.is_silent_since(since_us):
+            self.close("no request came")
+
+    # Hand-over to another process
+
+    def hand_over(self) -> ClientRecord | None:
+        """Return what another process needs to go on with this connection; None where it cannot."""
+        assert self.transport is not None
+        partial = self.parser.partial
+        if (
+            self.current_request is not None
+            or self.waiting
+            or self.parser.is_broken
+            or self._peer_ended
+            or (partial is not None and not self.parser.partial_bytes)
+            or self.transport.is_closing()
+            or self.transport.get_write_buffer_size()
+        ):
+            return None
+        return ClientRecord(
+            connected_at_us=self.opened_us,
+            last_used_us=self.last_used_us,
+            has_sent_request=self.has_sent_request,
+            handed_over_at_us=self.server.clock(),
+            request_began_us=0 if partial is None else partial.arrived_us,
+            received=bytes(self.parser.partial_bytes),
+        )
+
+    def _restore(self, handed_over: ClientRecord) -> None:
+        self.opened_us = handed_over.connected_at_us
+        self.has_sent_request = handed_over.has_sent_request
+        if handed_over.received:
+            self.data_received(handed_over.received)
+        if self.parser.partial is not None:
+            self.parser.partial.arrived_us = handed_over.request_began_us
+        self.last_used_us = handed_over.last_used_us
+        if handed_over.handed_over_at_us is None:
+            self._unread_since_us = self._watched_since_us
+        else:
+            self._unread_since_us = handed_over.handed_over_at_us
+
+    # Internal steps
+
+    def _earliest_arrival_us(self) -> int:
+        """Return when what is read now may have arrived, at the earliest."""
+        arrived_us = self.last_used_us - waited_us()
+        if arrived_us <= self._watched_since_us or self._unread_since_us > self._watched_since_us:
+            arrived_us = min(arrived_us, self._unread_since_us)
+        self._unread_since_us = self._watched_since_us
+        return arrived_us
+
+    def _answer_next(self) -> None:
+        while self.current_request is None and self.waiting and self.transport is not None and not self.writing_paused:
+            self.current_request = self.waiting.popleft()
+            self.server.handle(self, self.current_request)
+        if self.transport is not None and not self.transport.is_closing():
+            self._limit_reading(self.transport)
+
+    def _limit_reading(self, transport: asyncio.Transport) -> None:
+        """Read no further while too many requests wait, or their answers are not read."""
+        if self.writing_paused or len(self.waiting) >= MAX_PIPELINED_REQUESTS:
+            if transport.is_reading():
+                self._unread_since_us = self.server.clock()
+            transport.pause_reading()
+        elif not transport.is_reading():
+            transport.resume_reading()
+
+    def _continue(self) -> None:
+        if self.transport is not None and self.current_request is None:
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def _withdraw(self) -> None:
+        on_withdrawn = self.on_withdrawn
+        self.on_withdrawn = None
+        if on_withdrawn is not None:
+            on_withdrawn()
+
+    def _note_closing(self, reason: str) -> None:
+        assert self.transport is not None
+        self.server.connection_closing(self)
+        self.server.reasons.note(Subject.CLIENT_CLOSED, reason, str(self.transport.get_extra_info("peername")))
+
+
+def _render_answer(
+    request: ClientRequest, status: HTTPStatus, text: str, headers: Mapping[str, str], keep_alive: bool
+) -> bytes:
+    body = f"{text}\n".encode() if text else b""
+    lines = [
+        f"HTTP/1.1 {status.value} {status.phrase}",
+        f"Content-Length: {len(body)}",
+        *(f"{name.replace('_', '-')}: {value}" for name, value in headers.items()),
+    ]
+    if body:
+        lines.append("Content-Type: text/plain; charset=utf-8")
+    if not keep_alive:
+        lines.append("Connection: close")
+    head = "\r\n".join(lines).encode() + b"\r\n\r\n"
+    return head if request.method == "HEAD" else head + body
+
+
+def disconnected(waiting: Mapping[str, ClientConnection]) -> list[str]:
+    """Return the ids of those messages that wait for an answer whose client has ended its side or the connection.
+
+    The end may lie in the kernel unread: after an event loop that stood still, a request and its client's end are both
+    there. One system call for all; where it fails, a message is accepted that its client may have given up, which does
+    no harm.
+
+    Args:
+        waiting: the connections of the messages, by id.
+    """
+    ends = select.poll()
+    ids = {}
+    for message_id, connection in waiting.items():
+        if not connection.is_closed():
+            descriptor = fileno(connection.transport)
+            ids[descriptor] = message_id
+            ends.register(descriptor, select.POLLRDHUP)
+    unread = [ids[descriptor] for descriptor, _ in ready_now(ends) or ()] if ids else []
+    return [message_id for message_id, connection in waiting.items() if connection.is_closed()] + unread
--- a/forwarder/clients/drain.py
+++ b/forwarder/clients/drain.py
@@ -1,35 +1,42 @@
-"""Sends clients away without refusing one: for an operator's drain, and before the process ends."""
+"""Sends clients away without rejecting one: for an operator's drain, and before the process ends."""
 
 from __future__ import annotations
 
 from forwarder.clients.server import ClientServer
 from forwarder.runtime.supervisor import Repeating, Supervisor
 
-LATE_S = 1.0  # new connections come for a while, until the front has asked and heeded the no
-STEP_S = 0.05
+DRAIN_DELAY_S = 1.0  # new connections go on to come until the load balancer in front has seen the failed health check
+CLOSE_INTERVAL_S = 0.05
 
 
 class ClientDrain:
+    """Drains the clients of a server.
+
+    Args:
+        server: the server.
+        supervisor: runs the step that closes idle connections.
+    """
+
     def __init__(self, server: ClientServer, supervisor: Supervisor) -> None:
-        self.server, self.supervisor = server, supervisor
-        self.timer: Repeating | None = None
+        self.server = server
+        self.supervisor = supervisor
+        self._closing: Repeating | None = None
 
     @property
     def is_draining(self) -> bool:
+        """Whether clients are sent away."""
         return self.server.draining
 
     def start(self) -> None:
-        """`/up` says no and every answer closes its connection from now on; idle ones are closed after a
-        while.
-        """
-        if self.timer is None:
+        """Fail the health check and close each connection after its next answer; idle ones after a delay."""
+        if self._closing is None:
             self.server.draining = True
-            self.timer = self.supervisor.repeat("drain", STEP_S, self.server.close_idle_connections)
-            self.timer.arm(LATE_S)
+            self._closing = self.supervisor.repeat("drain", CLOSE_INTERVAL_S, self.server.close_idle_connections)
+            self._closing.arm(DRAIN_DELAY_S)
 
     def stop(self) -> None:
-        """Back to work, in one step."""
+        """Serve clients again."""
         self.server.draining = False
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        if self._closing is not None:
+            self._closing.cancel()
+            self._closing = None
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets that can change hands: every connection taken out of the queue is known at any moment."""
+"""Listening sockets that can be handed over: every connection taken out of their queue is known at any moment."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 import struct
 import time
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Protocol
 
 from forwarder.clients.arrival_time import PatientSocket, waited_us
 from forwarder.config.config import Address
 from forwarder.runtime.descriptor_watch import ready_now
-
-BIND_S = 5.0
-BURST = 64  # connections taken at once
-PAUSE_S = 0.1  # accepting rests for so long after a failure
-FULL_PAUSE_S = 0.002  # and for so long while there is no room: what was closed for it is gone in the loop's next turn
-OF_ONE_CONNECTION = frozenset(
+from forwarder.units import SECOND_US
+
+BIND_TIMEOUT_S = 5.0
+BIND_RETRY_INTERVAL_S = 0.05
+MAX_ACCEPTS = 64  # connections accepted in one turn of the event loop
+FAILURE_PAUSE_S = 0.1  # how long nothing is accepted after a failure
+FULL_PAUSE_S = 0.002  # and while no connection is free: a closed one is gone in the event loop's next turn
+ERRORS_OF_ONE_CONNECTION = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -37,145 +39,179 @@
         errno.EINTR,
     }
 )
-"""Errors of accept that tell of the connection that was waiting, and not of this process (accept(2))."""
-RESET, NO_RESET = struct.pack("ii", 1, 0), struct.pack("ii", 0, 0)
+"""Errors of accept(2) that are about the connection that was waiting, and not about this process."""
+LINGER_RESET = struct.pack("ii", 1, 0)
+LINGER_DEFAULT = struct.pack("ii", 0, 0)
 log = logging.getLogger("forwarder.listen")
 
 
-async def bind(where: Address, patience_s: float = BIND_S) -> socket.socket:
-    """A socket at an address, not listening yet."""
-    family = socket.AF_INET6 if ":" in where.host else socket.AF_INET
-    patience = time.monotonic() + patience_s
+class SocketOptions(Protocol):
+    """A socket, or what asyncio gives in the place of one."""
+
+    def setsockopt(self, level: int, option: int, value: bytes, /) -> object:
+        """Set an option of the socket."""
+
+
+async def bind(address: Address, timeout_s: float = BIND_TIMEOUT_S) -> socket.socket:
+    """Return a socket that is bound to an address, and does not listen yet.
+
+    Failures are retried for some time: the process before may still have the address, or no socket may be had.
+
+    Raises:
+        OSError: the address cannot be had in time.
+    """
+    family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
+    timeout_at_s = time.monotonic() + timeout_s
     while True:
         sock = None
         try:
             sock = socket.socket(family, socket.SOCK_STREAM)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind((where.host.strip("[]"), where.port))
+            sock.bind((address.host.strip("[]"), address.port))
             return sock
-        except OSError:  # the process before may still be going, or no socket is to be had for a moment
+        except OSError:
             if sock is not None:
                 sock.close()
-            if time.monotonic() > patience:
+            if time.monotonic() > timeout_at_s:
                 raise
-        await asyncio.sleep(0.05)
+        await asyncio.sleep(BIND_RETRY_INTERVAL_S)
 
 
 def fileno(transport: asyncio.BaseTransport | None) -> int:
-    """The descriptor of a connection that is handed over."""
+    """Return the descriptor of a connection that is open."""
     assert transport is not None
     return int(transport.get_extra_info("socket").fileno())
 
 
 def descriptor(transport: asyncio.BaseTransport | None) -> int:
-    """The descriptor of a connection; -1 where it has none, or none any more."""
+    """Return the descriptor of a connection; -1 where it has none, or none any more."""
     sock = None if transport is None else transport.get_extra_info("socket")
     return -1 if sock is None else int(sock.fileno())
 
 
-def reset_on_close(sock: Any, on: bool) -> None:
-    """Whether the connection ends by a reset, also as this process dies: what it was given and has not sent yet is
-    dropped then. Else the kernel goes on sending that after the close.
+def reset_on_close(sock: SocketOptions, reset: bool) -> None:
+    """Choose whether closing a connection resets it, also as this process dies.
+
+    A reset drops what is in the send buffer. Without it the kernel goes on to send that after the close.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET if on else NO_RESET)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET if reset else LINGER_DEFAULT)
 
 
 def unread(transports: Iterable[asyncio.BaseTransport | None]) -> set[int]:
-    """The descriptors of those connections on which bytes or an end wait in the kernel; of all, where it cannot tell.
-    One system call for all.
+    """Return the descriptors of those connections on which bytes or an end wait in the kernel.
+
+    One system call for all; where the kernel cannot tell, all count as such.
     """
-    waiting = select.poll()
-    numbers = {number for number in map(descriptor, transports) if number >= 0}
-    for number in numbers:
-        waiting.register(number, select.POLLIN)
-    ready = ready_now(waiting)
-    return numbers if ready is None else {number for number, _ in ready}
+    poll = select.poll()
+    descriptors = {number for number in map(descriptor, transports) if number >= 0}
+    for number in descriptors:
+        poll.register(number, select.POLLIN)
+    ready = ready_now(poll)
+    return descriptors if ready is None else {number for number, _ in ready}
 
 
-def no_limit() -> int:
-    return BURST
+def unlimited_slots() -> int:
+    """Return as many free slots as one turn of the event loop can use."""
+    return MAX_ACCEPTS
 
 
 class Listener:
-    """Accepts connections. `protocol` makes what serves one, and is told how long it may have waited before it was
-    accepted, in microseconds. `room` says how many more there may be now; `short` hears that descriptors or memory for
-    another are not to be had, so that its owner can give some back.
+    """Accepts connections.
+
+    Args:
+        sock: a bound socket.
+        backlog: how many connections may wait to be accepted.
+        make_protocol: makes what serves a connection, from how long it may have waited to be accepted, in microseconds.
+        free_slots: returns how many more connections there may be now.
+        on_shortage: is called where no descriptor or memory for a connection is to be had, so that some can be freed.
+
+    Attributes:
+        attaching: the connections that are accepted and have no protocol yet.
     """
 
     def __init__(
         self,
         sock: socket.socket,
         backlog: int,
-        protocol: Callable[[int], asyncio.BaseProtocol],
-        room: Callable[[], int] = no_limit,
-        short: Callable[[OSError], None] | None = None,
+        make_protocol: Callable[[int], asyncio.BaseProtocol],
+        free_slots: Callable[[], int] = unlimited_slots,
+        on_shortage: Callable[[OSError], None] | None = None,
     ) -> None:
-        self.sock, self.protocol, self.room, self.short = sock, protocol, room, short
-        self.attaching: dict[PatientSocket, asyncio.Task[None]] = {}  # taken, with no protocol yet
-        self.paused_s: float | None = None  # since when accepting rests
+        self.sock = sock
+        self.make_protocol = make_protocol
+        self.free_slots = free_slots
+        self.on_shortage = on_shortage
+        self.attaching: dict[PatientSocket, asyncio.Task[None]] = {}
+        self._paused_since_s: float | None = None
         self.sock.setblocking(False)
         self.sock.listen(backlog)
-        self.resume()
+        self._resume()
+
+    def address(self) -> Address:
+        """Return the address on which it listens."""
+        return Address(*self.sock.getsockname()[:2])
+
+    def close(self) -> None:
+        """Stop listening."""
+        if self.sock.fileno() >= 0:
+            asyncio.get_running_loop().remove_reader(self.sock)
+            self.sock.close()
 
-    def resume(self) -> None:
+    async def attach(self, sock: PatientSocket, accept_delay_us: int) -> None:
+        """Serve a connection that was accepted."""
+        loop = asyncio.get_running_loop()
+        try:
+            await loop.connect_accepted_socket(lambda: self.make_protocol(accept_delay_us), sock)
+        except OSError as error:
+            log.info("a connection was lost as it was taken on: %s", error)
+            sock.close()
+        finally:
+            del self.attaching[sock]
+
+    def _resume(self) -> None:
         if self.sock.fileno() >= 0:
-            asyncio.get_running_loop().add_reader(self.sock, self.accept)
+            asyncio.get_running_loop().add_reader(self.sock, self._accept)
 
-    def pause(self, pause_s: float) -> None:
-        """Connections wait in the kernel meanwhile."""
+    def _pause(self, pause_s: float) -> None:
+        """Accept nothing for some time; connections wait in the kernel."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.sock)
-        if self.paused_s is None:
-            self.paused_s = loop.time()
-        loop.call_later(pause_s, self.resume)
-
-    def waited_us(self) -> int:
-        """How long the connections that are accepted now may have waited."""
-        resting_s = 0.0 if self.paused_s is None else asyncio.get_running_loop().time() - self.paused_s
-        return max(waited_us(), int(resting_s * 1_000_000))
-
-    def accept(self) -> None:
-        room = self.room()
-        if room <= 0:
-            self.pause(FULL_PAUSE_S)
+        if self._paused_since_s is None:
+            self._paused_since_s = loop.time()
+        loop.call_later(pause_s, self._resume)
+
+    def _accept(self) -> None:
+        free_slots = self.free_slots()
+        if free_slots <= 0:
+            self._pause(FULL_PAUSE_S)
             return
-        for _ in range(min(BURST, room)):
+        for _ in range(min(MAX_ACCEPTS, free_slots)):
             try:
                 accepted, _ = self.sock.accept()
             except BlockingIOError:
-                self.paused_s = None
+                self._paused_since_s = None
                 return
             except OSError as error:
-                if error.errno in OF_ONE_CONNECTION:
+                if error.errno in ERRORS_OF_ONE_CONNECTION:
                     continue
-                self.failed(error)
+                self._accept_failed(error)
                 return
-            conn = PatientSocket.of(accepted)
-            conn.setblocking(False)
-            self.attaching[conn] = asyncio.get_running_loop().create_task(self.attach(conn, self.waited_us()))
+            sock = PatientSocket.of(accepted)
+            sock.setblocking(False)
+            attaching = self.attach(sock, self._accept_delay_us())
+            self.attaching[sock] = asyncio.get_running_loop().create_task(attaching)
 
-    def failed(self, error: OSError) -> None:
+    def _accept_failed(self, error: OSError) -> None:
         """No connection can be accepted, most likely for want of descriptors."""
-        if self.short is not None:
-            self.short(error)
+        if self.on_shortage is not None:
+            self.on_shortage(error)
         else:
             log.error("cannot accept: %s", error)
-        self.pause(PAUSE_S)
-
-    async def attach(self, conn: PatientSocket, waited_us: int) -> None:
-        """Serve a connection that has been accepted."""
-        try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: self.protocol(waited_us), conn)
-        except OSError as error:  # it has gone already
-            log.info("a connection was lost as it was taken on: %s", error)
-            conn.close()
-        finally:
-            del self.attaching[conn]
-
-    def address(self) -> Address:
-        return Address(*self.sock.getsockname()[:2])
-
-    def close(self) -> None:
-        if self.sock.fileno() >= 0:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.close()
+        self._pause(FAILURE_PAUSE_S)
+
+    def _accept_delay_us(self) -> int:
+        """Return how long the connections that are accepted now may have waited."""
+        paused_s = 0.0
+        if self._paused_since_s is not None:
+            paused_s = asyncio.get_running_loop().time() - self._paused_since_s
+        return max(waited_us(), int(paused_s * SECOND_US))
--- /dev/null
+++ b/forwarder/clients/request_parser.py
@@ -0,0 +1,142 @@
+"""Reads the requests of one client's connection from its bytes; does no input or output itself."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+import httptools
+
+from forwarder.clients.submission import BadRequestError, ClientRequest
+from forwarder.protocol.http1 import MAX_BODY_BYTES
+
+MAX_HEADER_BYTES = 16 * 1024
+UNREPEATABLE_HEADERS = frozenset(
+    {"x-correlation-id", "x-time-left", "x-addressing", "x-session-key", "idempotency-key"}
+)
+
+
+class RequestParser:
+    """Reads one request after the other.
+
+    Args:
+        on_expect_continue: is called where a client waits for leave to send a request's body.
+
+    Attributes:
+        partial: the request whose end has not come yet, or None.
+        partial_bytes: the bytes of that request, if no other request shared a read with it; else empty.
+        is_broken: whether something came that cannot be read, so that nothing that follows can be trusted to begin
+            where it seems to.
+    """
+
+    def __init__(self, on_expect_continue: Callable[[], None]) -> None:
+        self.partial: ClientRequest | None = None
+        self.partial_bytes = bytearray()
+        self.is_broken = False
+        self._on_expect_continue = on_expect_continue
+        self._parser = httptools.HttpRequestParser(self)
+        self._header_bytes = 0
+        self._arrived_us = 0
+        self._complete: list[ClientRequest] = []
+
+    def release(self) -> None:
+        """Drop what refers back to this parser and its owner, so that they are freed without the cyclic collector."""
+        del self._parser
+        del self._on_expect_continue
+
+    def feed(self, data: bytes, arrived_us: int) -> list[ClientRequest]:
+        """Read the next bytes of the connection.
+
+        Args:
+            data: the bytes.
+            arrived_us: when they may have arrived, at the earliest.
+
+        Returns:
+            The requests that are complete now. One that cannot be read is the last, and holds its error.
+        """
+        was_between_requests = self.partial is None
+        self._arrived_us = arrived_us
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            pass
+        except (httptools.HttpParserError, BadRequestError) as error:
+            self.abandon()
+            bad_request = _unreadable(error).with_traceback(None)  # the frames would refer back to this parser
+            self._complete.append(ClientRequest(arrived_us, keep_alive=False, error=bad_request))
+        complete = self._complete
+        self._complete = []
+        if self.partial is None or complete:
+            self.partial_bytes.clear()
+        elif was_between_requests or self.partial_bytes:
+            self.partial_bytes += data
+        return complete
+
+    def abandon(self) -> None:
+        """Read no more from this connection: the request that is partly read will not be completed."""
+        self.is_broken = True
+        self.partial = None
+
+    # Called by httptools
+
+    def on_message_begin(self) -> None:
+        """Begin a request; called by the parser."""
+        self.partial = ClientRequest(self._arrived_us)
+        self._header_bytes = 0
+
+    def on_url(self, url: bytes) -> None:
+        """Add a part of the path; called by the parser."""
+        self._count_header_bytes(len(url))
+        if self.partial is not None:
+            self.partial.path += url.decode("latin-1")
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header; called by the parser."""
+        self._count_header_bytes(len(name) + len(value))
+        if self.partial is None:
+            return
+        headers = self.partial.headers
+        lower_name = name.decode("latin-1").lower()
+        if lower_name in headers and lower_name in UNREPEATABLE_HEADERS:
+            self.partial.error = BadRequestError(HTTPStatus.BAD_REQUEST, f"{lower_name} stands twice")
+        headers[lower_name] = value.decode("latin-1").strip()
+
+    def on_headers_complete(self) -> None:
+        """Check the stated length of the body; called by the parser."""
+        if self.partial is None:
+            return
+        length = self.partial.headers.get("content-length", "0")
+        if length.isdigit() and int(length) > MAX_BODY_BYTES:
+            raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+        if self.partial.headers.get("expect", "").lower() == "100-continue":
+            self._on_expect_continue()
+
+    def on_body(self, body: bytes) -> None:
+        """Add a part of the body; called by the parser."""
+        if self.partial is None:
+            return
+        if len(self.partial.body) + len(body) > MAX_BODY_BYTES:
+            raise BadRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
+        self.partial.body += body
+
+    def on_message_complete(self) -> None:
+        """Complete a request; called by the parser."""
+        if self.partial is None:
+            return
+        self.partial.method = self._parser.get_method().decode("latin-1")
+        self.partial.keep_alive = self._parser.should_keep_alive()
+        self._complete.append(self.partial)
+        self.partial = None
+
+    def _count_header_bytes(self, size: int) -> None:
+        self._header_bytes += size
+        if self._header_bytes > MAX_HEADER_BYTES:
+            raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
+
+
+def _unreadable(error: httptools.HttpParserError | BadRequestError) -> BadRequestError:
+    """Return what the client is told; an error of a callback comes as the context of the parser's own."""
+    cause = error.__context__ if isinstance(error.__context__, BadRequestError) else error
+    if isinstance(cause, BadRequestError):
+        return cause
+    return BadRequestError(HTTPStatus.BAD_REQUEST, "not a readable request")
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -18,7 +18,8 @@
 from functools import partial
 from http import HTTPStatus
 
-from forwarder.clients.server import ClientConnection, Submission
+from forwarder.clients.client_connection import ClientConnection
+from forwarder.clients.submission import Submission
 from forwarder.decisions.actions import (
     Action,
     CancelAttempt,
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -17,7 +17,7 @@
 from forwarder.admin.server import AdminServer, CommandRefusedError
 from forwarder.clients.drain import ClientDrain
 from forwarder.clients.listener import bind
-from forwarder.clients.server import OVERSHOOT, ClientServer
+from forwarder.clients.server import MAX_OVERSHOOT, ClientServer
 from forwarder.config.config import Config, EndpointList
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import Event
@@ -147,7 +147,7 @@
         The rest is for files, discovery and the listener.
         """
         descriptors = min(self.config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        client_connections = descriptors // 2 - OVERSHOOT - extension_descriptors
+        client_connections = descriptors // 2 - MAX_OVERSHOOT - extension_descriptors
         self.server = ClientServer(
             settings,
             self.clock,
--- a/forwarder/runtime/shutdown.py
+++ b/forwarder/runtime/shutdown.py
@@ -6,7 +6,7 @@
 import logging
 import time
 
-from forwarder.clients.drain import LATE_S
+from forwarder.clients.drain import DRAIN_DELAY_S
 from forwarder.runtime.context import Runtime
 
 FREEZE_S = 2.8
@@ -32,7 +32,7 @@
         runtime.run_state.stopping_since_s = time.monotonic()
         log.info("stopping: %d messages held, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
         runtime.start_draining()
-        runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(LATE_S)
+        runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(DRAIN_DELAY_S)
 
     def _check(self) -> None:
         """Freezes the process when that is due, and looks whether it may end."""
--- a/lab/single.py
+++ b/lab/single.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from forwarder.admin.server import AdminServer
-from forwarder.clients.server import Submission
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Config, load_config, parse_endpoint_list
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, Outcome
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,8 +21,10 @@
 from hypothesis import strategies as st
 
 from forwarder.admin.server import AdminServer
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, ClientServer, Submission
+from forwarder.clients.server import READ_BUFFER_BYTES, STALL_TIMEOUT_US, ClientServer
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Address, EndpointList, load_config
 from forwarder.decisions.actions import FailMessage, RequestEndpointList
 from forwarder.decisions.dispatcher import ASK_AGAIN_US, LOOK_US, NEVER, Dispatcher
@@ -380,7 +382,7 @@
         await asyncio.gather(*(loop.connect_accepted_socket(lambda: ClientConnection(server), sock) for sock in doors))
         while "/up" not in handled:
             await asyncio.sleep(0)
-        assert handled.index("/up") <= 2 * floods * (MOST_READ // ONE_OF_FLOOD + 1)
+        assert handled.index("/up") <= 2 * floods * (READ_BUFFER_BYTES // ONE_OF_FLOOD + 1)
         for sock in clients:
             sock.close()
         server.close()
@@ -395,7 +397,7 @@
         clock = Skewed()
         server = ClientServer(settings_of(SETTINGS), clock, 10, refuse)
         sock, _, sending = await flooded(server)
-        clock.until(clock() + STALLED_US + 1)
+        clock.until(clock() + STALL_TIMEOUT_US + 1)
         while server.connections:
             await asyncio.sleep(0.005)
         with pytest.raises(ConnectionError):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,7 +13,7 @@
 import pytest
 
 from forwarder.__main__ import is_transient_read_error, retry_transient
-from forwarder.clients.listener import BIND_S
+from forwarder.clients.listener import BIND_TIMEOUT_S
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
 from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
 from forwarder.endpoints.connection import GIVEN_UP_S
@@ -347,7 +347,9 @@
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize(("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_PATIENCE_S + BIND_S + 1.0)])
+@pytest.mark.parametrize(
+    ("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_PATIENCE_S + BIND_TIMEOUT_S + 1.0)]
+)
 def test_an_upgrade_outlasts_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
     """Found by the soak: the process that had taken over ended as it closed its own lock, and all went with it; one
     that could not open the lock for longer took the address for free, and ended as it was not.
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -11,8 +11,9 @@
 
 import pytest
 
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, ClientServer
+from forwarder.clients.server import ClientServer
 from forwarder.config.config import Address
 from forwarder.discovery.watch import DiscoveryChannel, DiscoveryClient
 from forwarder.protocol.http1 import ResponseReader
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,8 +12,10 @@
 import pytest
 
 from forwarder.admin.server import AdminServer
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, ClientServer, Submission
+from forwarder.clients.server import ClientServer
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Address, EndpointList, load_config, parse_endpoint_list
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import AttemptEnded, EndpointEntry, EndpointListKind, EndpointListReceived
@@ -611,7 +613,7 @@
         await client[0].readuntil(b"up\n")
         peer = await asyncio.open_connection("127.0.0.1", port)
         peer[1].write(sent)
-        while len(server.connections) < 2 or (sent and all(d.reading is None for d in server.connections)):
+        while len(server.connections) < 2 or (sent and all(d.parser.partial is None for d in server.connections)):
             await asyncio.sleep(0.01)
         clock.skew = 2_100_000
         async with asyncio.timeout(20):
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -12,8 +12,10 @@
 import pytest
 
 from forwarder.admin.server import AdminServer
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, ClientServer, Submission
+from forwarder.clients.server import ClientServer
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Address, EndpointList, load_config
 from forwarder.decisions.actions import FailMessage, RejectMessage
 from forwarder.decisions.events import AttemptEnded
@@ -279,7 +281,7 @@
         assert server.listener is not None
         reader, writer = await asyncio.open_connection("127.0.0.1", server.listener.address().port)
         writer.write(message("half")[:-3])
-        while not server.connections or next(iter(server.connections)).reading is None:
+        while not server.connections or next(iter(server.connections)).parser.partial is None:
             await asyncio.sleep(0.002)
         next(iter(server.connections)).evict("too many clients")
         assert await reader.read() == plain(b"503 Service Unavailable", b"too many clients", close=True)
