--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -1,8 +1,8 @@
 """When what is read now may have arrived.
 
-A request's time counts from its last byte, which lies in the kernel until it is read: while the loop is busy, while the
-process stands still, while accepting rests. The earliest moment at which it may have come is known: the loop's poll
-before did not report it. Times are nanoseconds of the monotonic clock.
+The time of a request counts from its last byte, which lies in the kernel until it is read: while the event loop is
+busy, the process stands still, or nothing is accepted. The earliest moment at which it may have come is known: the
+loop's poll before did not report it. Times are nanoseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,88 +12,120 @@
 import selectors
 import socket
 import time
-from typing import Any
+from typing import TYPE_CHECKING
 
 from forwarder.runtime.descriptor_watch import PatientEpoll
 
+if TYPE_CHECKING:
+    from _typeshed import ReadableBuffer, WriteableBuffer
+
 BLOCKED_NS = 200_000
 """A poll that took longer had nothing to report as it began: what it reports came as it returned."""
-PASSING = frozenset({errno.ENOBUFS, errno.ENOMEM})
-"""Errors of send and recv that say nothing of the connection."""
 OVERSLEPT_NS = 20_000_000
 """A poll that returns so long after its time-out did not wait for that: the process stood still in it."""
+TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})
+"""Errors of send(2) and recv(2) that say nothing about the connection."""
 
 
 class TimedSelector(selectors.EpollSelector):
-    """An epoll that knows since when what it has just reported may have been there."""
+    """An epoll that knows since when what it has just reported may have been there.
+
+    Attributes:
+        returned_ns: when the last poll returned.
+        earliest_ns: the earliest time at which what it reported may have come.
+    """
 
     _selector_cls = PatientEpoll
     _selector: PatientEpoll
 
     def __init__(self) -> None:
         super().__init__()
-        self.returned_ns = self.earliest_ns = time.monotonic_ns()
+        self.returned_ns = time.monotonic_ns()
+        self.earliest_ns = self.returned_ns
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """As the base class."""
-        began_ns, before_ns = time.monotonic_ns(), self.returned_ns
+        """Return what is ready, as the base class does."""
+        previous_ns = self.returned_ns
         blind_since_ns = self._selector.blind_since_ns
+        began_ns = time.monotonic_ns()
         ready = super().select(timeout)
         self.returned_ns = time.monotonic_ns()
-        self.earliest_ns = earliest_ns(began_ns, before_ns, self.returned_ns, timeout)
+        self.earliest_ns = earliest_ns(began_ns, previous_ns, self.returned_ns, timeout)
         if blind_since_ns is not None:
             self.earliest_ns = min(self.earliest_ns, blind_since_ns)
         return ready
 
 
-def earliest_ns(began_ns: int, before_ns: int, returned_ns: int, timeout_s: float | None) -> int:
-    """The earliest arrival of what a poll reports, by when it began and returned, and when the one before returned."""
+def earliest_ns(began_ns: int, previous_ns: int, returned_ns: int, timeout_s: float | None) -> int:
+    """Return the earliest arrival of what a poll reports.
+
+    Args:
+        began_ns: when the poll began.
+        previous_ns: when the poll before returned.
+        returned_ns: when the poll returned.
+        timeout_s: the poll's time-out; None for none.
+    """
     waited_ns = returned_ns - began_ns
     if waited_ns < BLOCKED_NS:
-        return before_ns
+        return previous_ns
     if timeout_s is not None and waited_ns > max(0.0, timeout_s) * 1e9 + OVERSLEPT_NS:
         return began_ns
     return returned_ns
 
 
 def event_loop() -> asyncio.SelectorEventLoop:
-    """The loop that a forwarder runs on."""
+    """Return the event loop that a forwarder runs on."""
     return asyncio.SelectorEventLoop(TimedSelector())
 
 
 def waited_us() -> int:
-    """How long what is read now may have waited in the kernel; 0 on a loop that does not tell."""
-    selector = getattr(asyncio.get_running_loop(), "_selector", None)
+    """Return how long what is read now may have waited in the kernel, in microseconds.
+
+    It is 0 on an event loop that cannot tell.
+    """
+    selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public way to it
     if not isinstance(selector, TimedSelector):
         return 0
     return max(0, time.monotonic_ns() - selector.earliest_ns) // 1000
 
 
-def patient(error: OSError) -> OSError:
-    """A passing shortage, as the loop knows it: to be tried again."""
-    return BlockingIOError(errno.EAGAIN, str(error)) if error.errno in PASSING else error
-
-
 class PatientSocket(socket.socket):
-    """A connection on which a call that fails for want of memory or buffers is made again when the loop next finds it
-    ready (send(2) and recv(2): ENOBUFS, ENOMEM): to end the connection would leave its request unanswered.
+    """A socket that tries again where memory or buffers were not to be had.
+
+    The event loop makes the call again when it next finds the socket ready. To end the connection instead would leave
+    its request unanswered.
     """
 
     @classmethod
     def of(cls, sock: socket.socket) -> PatientSocket:
-        """In the place of a plain one, which has no descriptor any more then."""
+        """Take the place of a plain socket, which has no descriptor any more then."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
-    def recv_into(self, *arguments: Any) -> int:
-        """As the base class."""
+    def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
+        """Read into a buffer, as the base class does.
+
+        Raises:
+            BlockingIOError: nothing can be read now.
+            OSError: the connection has failed.
+        """
         try:
-            return super().recv_into(*arguments)
+            return super().recv_into(buffer, nbytes, flags)
         except OSError as error:
-            raise patient(error) from None
+            raise _to_be_retried(error) from None
 
-    def send(self, *arguments: Any) -> int:
-        """As the base class."""
+    def send(self, data: ReadableBuffer, flags: int = 0) -> int:
+        """Send from a buffer, as the base class does.
+
+        Raises:
+            BlockingIOError: nothing can be sent now.
+            OSError: the connection has failed.
+        """
         try:
-            return super().send(*arguments)
+            return super().send(data, flags)
         except OSError as error:
-            raise patient(error) from None
+            raise _to_be_retried(error) from None
+
+
+def _to_be_retried(error: OSError) -> OSError:
+    """Return a transient error in the form by which the event loop knows it."""
+    return BlockingIOError(errno.EAGAIN, str(error)) if error.errno in TRANSIENT_ERRORS else error
--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -216,21 +216,6 @@
             self.answer_unread(HTTPStatus.SERVICE_UNAVAILABLE, reason, self.last_used_us)
         self.close(reason)
 
-    def is_silent_since(self, since_us: int) -> bool:
-        """Return whether it was opened before a time, and has sent no complete request yet."""
-        return not self.has_sent_request and self.opened_us < since_us
-
-    def close_if_stalled(self, since_us: int) -> None:
-        """Close it if the client has not gone on since a time with what it has begun."""
-        if (self.writing_paused or self.is_closed()) and self.last_used_us < since_us:
-            self.abort("its answers stay unread")  # an orderly close would wait for ever for them to be read
-        elif self.current_request is not None or self.parser.is_broken:
-            return
-        elif self.parser.partial is not None and self.parser.partial.arrived_us < since_us:
-            self.answer_unread(HTTPStatus.REQUEST_TIMEOUT, "the request did not come to its end", since_us)
-        elif self.is_idle() and self.is_silent_since(since_us):
-            self.close("no request came")
-
     # Hand-over to another process
 
     def hand_over(self) -> ClientRecord | None:
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -177,14 +177,8 @@
         none with a request that lies unread in the kernel.
         """
         new_since_us = self.clock() - NEW_CONNECTION_US
-
-        def rank(connection: ClientConnection) -> tuple[int, int]:
-            if connection.has_sent_request:
-                return 1, connection.last_used_us
-            return (0 if connection.opened_us < new_since_us else 2), connection.last_used_us
-
         candidates = [each for each in self.connections - self.closing if each is not new and _is_evictable(each)]
-        candidates.sort(key=rank)
+        candidates.sort(key=lambda each: _eviction_rank(each, new_since_us))
         return next((each for each in candidates if not self._unread([each])), None)
 
     @staticmethod
@@ -198,11 +192,11 @@
     def sweep(self) -> None:
         """Close connections of peers that send nothing, or a part of a request, or do not read their answers."""
         stalled_before_us = self.clock() - STALL_TIMEOUT_US
-        silent = [each for each in self.connections if each.is_silent_since(stalled_before_us)]
+        silent = [each for each in self.connections if _is_silent(each, stalled_before_us)]
         unread_connections = self._unread(silent)
         swept = [each for each in self.connections if each not in unread_connections or each.writing_paused]
         for connection in swept:
-            connection.close_if_stalled(stalled_before_us)
+            _close_if_stalled(connection, stalled_before_us)
 
     def close_idle_connections(self) -> None:
         """Close connections between requests; one that is new may have its first request on the way."""
@@ -244,3 +238,28 @@
         and not connection.is_closed()
         and not connection.has_unsent_answers()
     )
+
+
+def _eviction_rank(connection: ClientConnection, new_since_us: int) -> tuple[int, int]:
+    """Return a key that sorts connections by how soon they are closed to make room, the first at the front."""
+    if connection.has_sent_request:
+        return 1, connection.last_used_us
+    return (0 if connection.opened_us < new_since_us else 2), connection.last_used_us
+
+
+def _is_silent(connection: ClientConnection, since_us: int) -> bool:
+    """Return whether it was opened before a time, and has sent no complete request yet."""
+    return not connection.has_sent_request and connection.opened_us < since_us
+
+
+def _close_if_stalled(connection: ClientConnection, since_us: int) -> None:
+    """Close a connection whose client has not gone on since a time with what it has begun."""
+    partial = connection.parser.partial
+    if (connection.writing_paused or connection.is_closed()) and connection.last_used_us < since_us:
+        connection.abort("its answers stay unread")  # an orderly close would wait for ever for them to be read
+    elif connection.current_request is not None or connection.parser.is_broken:
+        return
+    elif partial is not None and partial.arrived_us < since_us:
+        connection.answer_unread(HTTPStatus.REQUEST_TIMEOUT, "the request did not come to its end", since_us)
+    elif connection.is_idle() and _is_silent(connection, since_us):
+        connection.close("no request came")
