--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -713,7 +713,7 @@
             sock.send(WHOLE)
         pool.settle()
         told, going = pool.hand_over()
-        assert told["calls"] == []
+        assert told.calls == ()
         assert going == []
         assert [e.outcome for e in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
