--- a/lab/single.py
+++ b/lab/single.py
@@ -11,7 +11,7 @@
 import os
 import socket
 from collections.abc import Callable
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from http import HTTPStatus
 from pathlib import Path
 from typing import Any
@@ -24,6 +24,7 @@
 from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.invariants import AttemptFacts, RouteFacts
+from forwarder.runtime.learned_state_format import learned_state_to_stored
 from forwarder.runtime.ownership import HandoverState
 
 KEY_REST_US = 700_000
@@ -303,7 +304,7 @@
         told = {
             "numbers": old.targets.numbers,
             "destinations": [*old.targets.destinations],
-            "memory": asdict(old.dispatcher.learned_state()),
+            "memory": learned_state_to_stored(old.dispatcher.learned_state()),
             "pool": {"calls": [{"items": [[*attempt, 0] for attempt in calls.calls]}]},
         }
         self.let_go()
