--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -24,7 +24,7 @@
 from dataclasses import dataclass, field
 
 from forwarder.decisions.actions import EjectionChanged
-from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
+from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import ExtensionEvent
 from forwarder.decisions.fleet_messages import (
     AnnounceEjection,
@@ -38,6 +38,7 @@
 )
 from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
 from forwarder.decisions.records import Endpoint
+from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, UNSAFE_RETRY_ERROR_RATE
 
 SECOND = 1_000_000
 MIN_OBSERVERS = 2  # others whose word puts a target in an outage here; of one it is a doubt
@@ -207,7 +208,7 @@
             for whose, until in event.retry_afters:  # costs one interval of our own pace at most
                 if (place := d.limit_scopes.get(whose)) is not None:
                     place.next_call_at_us = max(
-                        place.next_call_at_us, min(until, d.now_us + int(d.call_interval_us(place)))
+                        place.next_call_at_us, min(until, d.now_us + int(d.pacing.call_interval_us(place)))
                     )
             self.apply_gossip()
 
@@ -224,7 +225,7 @@
         for t, words in [(d.endpoints[n], words) for n, words in self.gossip.observations.items() if n in d.endpoints]:
             seers = [w for w in words if w.ejected_at_us >= 0]  # the rest have only been served by it
             since, back = min((w.ejected_at_us for w in seers), default=-1), max(w.recovering_since_us for w in words)
-            if d.is_slow_starting(t):
+            if d.slow_start.is_active(t):
                 if t.recovering_since_us < 0 and back > t.last_call_at_us:
                     self.apply_observation(t, t.ejected_at_us, back)
             elif self.last_success_at_us.get(t.id, -1) < since and (
@@ -235,7 +236,7 @@
                     self.apply_observation(t, since, back)
                 elif t.destination in whose or len(whose) < most:
                     whose.add(t.destination)
-                    t.error_rate = max(t.error_rate, FAIL_MARK)
+                    t.error_rate = max(t.error_rate, EJECTION_ERROR_RATE)
         for t in [d.endpoints[n] for n in self.ejected_by_gossip - self.gossip.observations.keys() if n in d.endpoints]:
             self.ejected_by_gossip.discard(t.id)
             if t.recovering_since_us < 0:  # too old now, and nothing of it was seen here
@@ -244,10 +245,12 @@
     def apply_observation(self, t: Endpoint, since: int, back: int) -> None:
         """By the word of others a target is in an outage, or back from it; or (-1) it never was."""
         d = self.dispatcher
-        t.error_rate = max(t.error_rate, SURE_MARK) if since >= 0 > back else min(t.error_rate, FAIL_MARK)
+        t.error_rate = (
+            max(t.error_rate, UNSAFE_RETRY_ERROR_RATE) if since >= 0 > back else min(t.error_rate, EJECTION_ERROR_RATE)
+        )
         if since >= 0:
             self.ejected_by_gossip.add(t.id)
-            t.last_call_at_us, t.slow_start_jitter = max(t.last_call_at_us, d.now_us), d.residual_jitter()
+            t.last_call_at_us, t.slow_start_jitter = max(t.last_call_at_us, d.now_us), d.slow_start.residual_jitter()
         t.ejected_at_us, t.recovering_since_us = since, back
         d.actions.append(EjectionChanged(t.id, since, back))
         d.due_destinations.add(t.destination)
@@ -255,7 +258,7 @@
     def before_release(self) -> None:
         super().before_release()
         d, now, most = self.dispatcher, self.dispatcher.now_us, self.quota.max_members
-        cold = [t for t in d.endpoints.values() if d.is_slow_starting(t)]
+        cold = [t for t in d.endpoints.values() if d.slow_start.is_active(t)]
         self.held_at_us.update({t.id: now for t in cold if t.in_flight or t.destination in d.held.by_destination})
         before = self.slow_start_slots.holding_since_us.keys()
         self.slow_start_slots.update(
@@ -276,7 +279,7 @@
         """What this forwarder has seen itself is told."""
         d = self.dispatcher
         for t in [d.endpoints[number] for number in self.touched if number in d.endpoints]:
-            if d.is_slow_starting(t) and t.id not in self.ejected_by_gossip:
+            if d.slow_start.is_active(t) and t.id not in self.ejected_by_gossip:
                 d.actions.append(AnnounceEjection(t.id, t.ejected_at_us, t.recovering_since_us))
             elif self.last_success_at_us.get(t.id) == d.now_us and any(
                 w.recovering_since_us < 0 for w in self.gossip.observations.get(t.id, ())
--- /dev/null
+++ b/forwarder/decisions/held_messages.py
@@ -0,0 +1,26 @@
+"""The messages that wait for an attempt, by destination."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from forwarder.decisions.records import Message
+
+
+@dataclass(slots=True)
+class HeldMessages:
+    """Messages without an attempt in flight, by destination and by the number under which they were accepted."""
+
+    by_destination: dict[int, dict[int, Message]] = field(default_factory=dict)
+    """Only destinations for which a message is held."""
+
+    def add(self, message: Message) -> None:
+        """Holds a message."""
+        self.by_destination.setdefault(message.destination, {})[message.sequence_number] = message
+
+    def remove(self, message: Message) -> None:
+        """Holds a message no longer; does nothing if it was not held."""
+        messages = self.by_destination.get(message.destination, {})
+        messages.pop(message.sequence_number, None)
+        if not messages:
+            self.by_destination.pop(message.destination, None)
--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -22,15 +22,16 @@
 from enum import Enum
 
 from forwarder.decisions.actions import LogLine
-from forwarder.decisions.dispatcher import SECOND, Dispatcher
+from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import ExtensionEvent
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.records import Endpoint
+from forwarder.units import SECOND_US
 
 BAD = frozenset({Outcome.FAILED, Outcome.UNREADABLE, Outcome.TIMED_OUT, Outcome.NO_CONNECTION, Outcome.RESET})
 SURE = 2.0  # standard errors by which a share of failures must stand out
-BEAT_US = SECOND  # a round comes at least so often
-STALL_US = SECOND // 2  # and where it comes so late, our own process stood still
+BEAT_US = SECOND_US  # a round comes at least so often
+STALL_US = SECOND_US // 2  # and where it comes so late, our own process stood still
 THE_BEAT = -2  # stands among the destinations' appointments for it
 
 
@@ -171,8 +172,8 @@
         for t in here:
             if t in bad and not t.excluded:
                 self.eject(t)
-            elif t not in bad and d.is_slow_starting(t) and t.recovering_since_us < 0 and len(here) > 1:
-                d.readmit_endpoint(t)  # an outage by a failure or two: there is more to be seen first
+            elif t not in bad and d.slow_start.is_active(t) and t.recovering_since_us < 0 and len(here) > 1:
+                d.slow_start.readmit(t)  # an outage by a failure or two: there is more to be seen first
             elif not t.excluded and d.now_us - t.last_call_at_us > self.limits.again_us:
                 t.error_rate = 0.0
 
@@ -200,9 +201,11 @@
         r.until = d.now_us + int(length * d.random.uniform(1.0, 1.5))
         r.times, r.trial, r.since = r.times + 1, 0, d.now_us
         self.ejections += 1
-        d.exclude_endpoint(t)
+        d.slow_start.exclude(t)
         d.timers.add(r.until, t.destination)
-        d.actions.append(LogLine(f"health: target {t.id} ejected for {(r.until - d.now_us) / SECOND:.1f} s: {r.why}"))
+        d.actions.append(
+            LogLine(f"health: target {t.id} ejected for {(r.until - d.now_us) / SECOND_US:.1f} s: {r.why}")
+        )
 
     def give_back(self, number: int, r: CallRecord) -> None:
         """An ejection is over, or cannot be upheld: back in use, on trial."""
@@ -211,7 +214,7 @@
         r.good, r.bad, r.run = 0.0, 0.0, 0
         t = d.endpoints.get(number)
         if t is not None and t.excluded:
-            d.readmit_endpoint(t)
+            d.slow_start.readmit(t)
             d.actions.append(LogLine(f"health: target {number} is on trial"))
 
     def verdict(self, t: Endpoint) -> tuple[Verdict, str]:
@@ -219,10 +222,10 @@
         r, d = self.weighed(t.id), self.dispatcher
         told = f"failed {r.bad:.1f} of {r.good + r.bad:.1f}"
         if t.excluded:
-            return Verdict.EJECTED, f"{r.why}; for {max(0, r.until - d.now_us) / SECOND:.1f} s more"
+            return Verdict.EJECTED, f"{r.why}; for {max(0, r.until - d.now_us) / SECOND_US:.1f} s more"
         if r.trial > 0:
             return Verdict.ON_TRIAL, f"{told}; {r.trial} calls to go"
-        if d.is_slow_starting(t):
+        if d.slow_start.is_active(t):
             return (Verdict.SUSPECT if t.recovering_since_us < 0 else Verdict.ON_TRIAL), f"{told}; cold after an outage"
         here = [o for o in d.endpoints.values() if o.destination == t.destination and o.serving]
         return (Verdict.SUSPECT if self.stands_out(t, here) else Verdict.HEALTHY), told
--- a/forwarder/decisions/records.py
+++ b/forwarder/decisions/records.py
@@ -1,16 +1,15 @@
-"""Plain records of what one dispatcher has observed. Nothing here chooses or tunes."""
+"""Records of the messages, endpoints, limit scopes and calls that one dispatcher knows. They decide nothing."""
 
 from __future__ import annotations
 
-from collections import deque
 from dataclasses import dataclass, field
-from heapq import heappop, heappush
-from typing import Any
 
 from forwarder.decisions.hold_reason import HoldReason
-from forwarder.decisions.learned_state import LearnedFields
 from forwarder.decisions.settings import MessageClass
 
+SHARED_SCOPE = -1
+"""Stands in place of an endpoint in the key of a limit scope that all endpoints of a destination share."""
+
 LIMIT_SCOPE_LEARNED = (
     "concurrency_window",
     "expected_call_us",
@@ -39,210 +38,137 @@
 """Fields of an endpoint that the process which takes over goes on with."""
 
 
-def learned_fields(record: Any, names: tuple[str, ...]) -> LearnedFields:
-    """The named fields of a record, for the process that takes over."""
-    return {name: getattr(record, name) for name in names}
-
-
-def restore_fields(record: Any, names: tuple[str, ...], row: LearnedFields) -> None:
-    for name in names:
-        if name in row:
-            setattr(record, name, row[name])
-
-
 @dataclass(slots=True)
 class Message:
+    """A message that was accepted and is not over."""
+
     id: str
     destination: int
     message_class: MessageClass
     due_us: int
+    """Its deadline."""
     arrived_us: int
     sequence_number: int
+    """Its place in the order of acceptance."""
     key: str | None
+    """Its ordering key; None where its class has no order."""
     over_quota: bool
+    """It was accepted beyond its tenant's quota."""
     attempts: int = 0
     local_failures: int = 0
-    """Attempts that this machine could not make: they do not count as tries."""
+    """Attempts that this machine could not make; they do not count against the allowed number."""
     in_flight: int = 0
+    """Attempts in flight."""
     maybe_ran_at_us: int = -1
     """When the first attempt that may have run was sent; -1 while none may have."""
     maybe_ran_on: int = -1
-    """Its target."""
+    """The endpoint of that attempt; -1 while there is none."""
     avoid_endpoint: int = -1
-    """The target that last failed it."""
+    """The endpoint of the last attempt that failed; -1 while there is none."""
     hold_reason: HoldReason | None = None
-    """What holds it now; None while it is out."""
+    """What holds it now; None while an attempt is in flight."""
     held_since_us: int = 0
-    """Since when."""
+    """Since when the hold reason is the present one."""
     hold_times_us: dict[HoldReason, int] = field(default_factory=dict)
-    """How long each gate has held it, in microseconds."""
+    """How long it was held for each reason, without the present one."""
 
 
 @dataclass(slots=True)
 class Endpoint:
+    """A server of a destination."""
+
     id: int
     destination: int
     zone: str
     weight: float
+    """Its capacity in calls a second, where weights are reported."""
     limit_scope: LimitScope
     max_batch: int = 1
     """Messages in one call at most."""
     separate_route: bool = False
-    """A route of its own."""
+    """It has a limit scope of its own."""
     serving: bool = True
+    """The list has it, and it does not drain."""
     excluded: bool = False
-    """Left out because it was found sick."""
+    """An extension has ejected it as an outlier."""
     in_flight: int = 0
+    """Calls in flight."""
     error_rate: float = 0.0
-    """Decayed share of its calls that failed."""
+    """Moving average of the share of its calls that failed."""
     last_call_at_us: int = -(1 << 40)
+    """When the newest call to it was sent; long ago before the first."""
     idle_since_us: int = -1
-    """When a call to it last ended and left a connection; -1 where none is kept."""
+    """When a call to it last ended and left an idle connection; -1 before the first."""
     ejected_at_us: int = -1
-    """When the signs of an outage were seen; -1 while there are none."""
+    """When it was ejected; -1 where it was not."""
     recovering_since_us: int = -1
-    """When the first call succeeded after the outage; -1 while it lasts."""
+    """When its recovery ramp began; -1 while it is ejected, and where it was not."""
     connect_failures: int = 0
     """Calls running, up to the newest, that got no connection."""
     slow_start_jitter: float = 1.0
-    """How many turns after the last call the next may go while it is cold."""
+    """The interval until its next call in slow start, as a factor of the mean interval."""
     slow_start_divisor: float = 0.0
-    """By how many its cold budget is divided, where a part knows better; 0: by the size of the fleet."""
+    """By how many its slow-start budget is divided, where an extension knows; 0: by the size of the fleet."""
 
 
 @dataclass(slots=True)
 class LimitScope:
-    """What shares a limit, a wait and a pace: a destination, or one route where routes are apart."""
+    """What shares a rate limit, a Retry-After and a window: a destination, or one of its separate routes."""
 
     destination: int
     concurrency_window: float
+    """Calls that may be in flight."""
     expected_call_us: float = 0.0
-    """Expected call, in microseconds."""
+    """Moving average of the duration of calls."""
     initial_call_us: float = 0.0
+    """What the average began with."""
     learned_at_us: int = -1
-    """When it was last learned; -1 before anything was seen."""
+    """When a call was last observed; -1 before the first."""
     in_flight: int = 0
+    """Calls in flight, with streams."""
     streams_in_flight: int = 0
-    """Those of them that are streams."""
+    """Streams among them."""
     retry_after_until_us: int = 0
-    """End of the wait it told."""
+    """End of the Retry-After."""
     backoff_until_us: int = 0
-    """End of the rest we chose."""
+    """End of the backoff."""
     backoff_us: int = 0
+    """Length of the backoff before jitter; 0 after a success."""
     window_cut_at_us: int = -1
+    """When the window was last halved: calls that were sent before do not halve it again."""
     limit_per_s: float = 0.0
+    """Calls a second that the limit allows to all forwarders; 0 where no limit is reported."""
     limit_left: float = 1.0
+    """Share of the limit that is left, by the newest load report."""
     quota_share: float = 1.0
-    """Our part of the limit, as far as we know what the others use."""
+    """Our share of the limit."""
     reported_at_us: int = 0
-    """When it last told what is left."""
+    """When the newest load report came."""
     next_call_at_us: int = 0
-    """When our share of its limit has room for the next call."""
+    """When our share of the limit allows the next call."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One call out: messages released in one round to one target."""
+    """One call in flight: messages that were released in one round to one endpoint, or a stream."""
 
     endpoint: Endpoint
     sent_at_us: int
     connection_idle_us: int = 0
-    """How long the connection that it may have taken had been without use."""
+    """How long the connection that it may use had been idle."""
     since_previous_us: int = 0
-    """How long after the call before to the same target."""
+    """Time since the call before it to the same endpoint."""
     open_messages: int = 0
-    """Those whose outcome is still owed."""
+    """Messages without an outcome."""
     batch_size: int = 0
+    """Messages that it carries."""
     counted: bool = False
+    """Its outcome was learned from."""
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One message's part of a call."""
+
     message: Message
     call: Call
-
-
-@dataclass(slots=True)
-class KeyQueue:
-    """The messages of one key, in the order they were taken, and what still blocks the key."""
-
-    messages: deque[Message] = field(default_factory=deque)
-    in_flight: int = 0
-    backoff_until_us: int = 0
-    unacknowledged_ends: dict[str, int] = field(default_factory=dict)
-    """The numbers of those that were given an end that is not confirmed yet."""
-
-    def is_in_use(self) -> bool:
-        return bool(self.messages or self.in_flight or self.unacknowledged_ends)
-
-
-@dataclass(slots=True)
-class HeldMessages:
-    """The messages held, by destination and the number under which they were taken."""
-
-    by_destination: dict[int, dict[int, Message]] = field(default_factory=dict)
-
-    def add(self, m: Message) -> None:
-        self.by_destination.setdefault(m.destination, {})[m.sequence_number] = m
-
-    def remove(self, m: Message) -> None:
-        pile = self.by_destination.get(m.destination, {})
-        pile.pop(m.sequence_number, None)
-        if not pile:
-            self.by_destination.pop(m.destination, None)
-
-
-@dataclass(slots=True)
-class TimerQueue:
-    """When to look at which destination again, earliest first."""
-
-    entries: list[tuple[int, int]] = field(default_factory=list)
-    earliest: dict[int, int] = field(default_factory=dict)
-
-    def add(self, at: int, destination: int) -> None:
-        """Look at a destination at a given time, if not sooner."""
-        if destination not in self.earliest or at < self.earliest[destination]:
-            self.earliest[destination] = at
-            heappush(self.entries, (at, destination))
-
-    def pop_due(self, now: int) -> set[int]:
-        """Take off and return the destinations whose time has come."""
-        found: set[int] = set()
-        while self.entries and self.entries[0][0] <= now:
-            _, destination = heappop(self.entries)
-            self.earliest.pop(destination, None)
-            found.add(destination)
-        return found
-
-
-MAX_HOLD_TIME_ROWS = 256
-"""Destinations and classes with a book of their own; what others were held for is booked under OTHERS."""
-OTHER_DESTINATIONS = -1
-
-
-@dataclass(slots=True)
-class HoldTimes:
-    """How long messages were held by which gate, by destination and class, in microseconds since the start."""
-
-    sums_us: dict[tuple[int, str], dict[HoldReason, int]] = field(default_factory=dict)
-
-    def set_reason(self, m: Message, gate: HoldReason | None, now: int) -> None:
-        """From now on this gate holds the message (None: none does); the time until now is the one's before."""
-        if m.hold_reason is gate:
-            return
-        if m.hold_reason is not None and now > m.held_since_us:
-            whose, passed = (m.destination, m.message_class.name), now - m.held_since_us
-            if whose not in self.sums_us and len(self.sums_us) >= MAX_HOLD_TIME_ROWS:
-                whose = (OTHER_DESTINATIONS, "")
-            book = self.sums_us.setdefault(whose, {})
-            book[m.hold_reason] = book.get(m.hold_reason, 0) + passed
-            m.hold_times_us[m.hold_reason] = m.hold_times_us.get(m.hold_reason, 0) + passed
-        m.hold_reason, m.held_since_us = gate, now
-
-    def totals(self, destination: int | None = None) -> list[tuple[HoldReason, int]]:
-        """The sums of one destination or of all, the largest first."""
-        found: dict[HoldReason, int] = {}
-        for (whose, _), book in self.sums_us.items():
-            for gate, us in book.items() if destination in (None, whose) else ():
-                found[gate] = found.get(gate, 0) + us
-        return sorted(found.items(), key=lambda row: -row[1])
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -12,12 +12,15 @@
 from dataclasses import dataclass
 
 from forwarder.decisions.actions import ExtensionAction
-from forwarder.decisions.dispatcher import FORGET_US, HEALTHY_CAP, LEAST_AWAY_US, NEVER, SECOND, Dispatcher
+from forwarder.decisions.concurrency_window import MAX_DESTINATION_SLOT_SHARE
+from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import ExtensionEvent, LoadReport
+from forwarder.decisions.load_shedding import MIN_RETRY_AFTER_US
 from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
 from forwarder.decisions.records import Call, Endpoint
+from forwarder.units import NEVER_US, SECOND_US
 
-LONGEST_PACE_US = SECOND  # by one stream, the next at our share of a limit is put off no longer
+LONGEST_PACE_US = SECOND_US  # by one stream, the next at our share of a limit is put off no longer
 
 
 # Events
@@ -68,7 +71,7 @@
 
 def most_streams(slots: int, share: float) -> int:
     """How many streams hold slots at once; 0 where the slots do not suffice for messages and streams."""
-    return int(share * slots) if int(HEALTHY_CAP * slots) > 1 else 0
+    return int(share * slots) if int(MAX_DESTINATION_SLOT_SHARE * slots) > 1 else 0
 
 
 class StreamRouter:
@@ -103,17 +106,17 @@
         if call is not None:
             self.used_at[call.endpoint.destination] = self.dispatcher.now_us
             call.endpoint.limit_scope.streams_in_flight -= 1
-            self.dispatcher.end_call(call)
+            self.dispatcher.calls.end(call)
 
     def learn(self, call: Call, told: StreamAttemptEnded) -> None:
         """As of a call of messages, but for the expected call, of which a stream's length tells nothing."""
         d, place = self.dispatcher, call.endpoint.limit_scope
         if told.report is not None:
-            d.apply_load_report(place, told.report)
-        d.notify_extensions(call.endpoint, told.outcome)
+            d.pacing.apply_load_report(place, told.report)
+        d.outcomes.notify_extensions(call.endpoint, told.outcome)
         if told.outcome not in TELLS_NOTHING:
-            d.learn_from_call(call, told.outcome, told.wait_us)
-        d.apply_retry_after(place, told.wait_us)
+            d.learning.learn_from_call(call, told.outcome, told.wait_us)
+        d.backoff.apply_retry_after(place, told.wait_us)
 
     def after_release(self) -> None:
         asked, self.asked = self.asked, {}
@@ -129,18 +132,18 @@
             self.used_at = {d: at for d, at in self.used_at.items() if d in self.dispatcher.endpoints_by_destination}
 
     def opens_at(self, t: Endpoint) -> int:
-        """When one more stream may go to the target; NEVER while only an event can let it."""
+        """When one more stream may go to the target; NEVER_US while only an event can let it."""
         d, place = self.dispatcher, t.limit_scope
         here = sum(other.in_flight for other in d.endpoints_by_destination[t.destination])
         if (
             len(self.out) >= most_streams(d.settings.slots, self.share)
             or t.destination in d.held.by_destination
-            or here >= int(HEALTHY_CAP * d.settings.slots) - 1
-            or place.in_flight >= int(min(place.concurrency_window, d.window_cap(place) - 1))
-            or d.capacity_hold_reason(t) is not None
+            or here >= int(MAX_DESTINATION_SLOT_SHARE * d.settings.slots) - 1
+            or place.in_flight >= int(min(place.concurrency_window, d.limits.cap(place) - 1))
+            or d.limits.hold_reason(t) is not None
         ):
-            return NEVER
-        return d.pacing_opening(t)[0]
+            return NEVER_US
+        return d.availability.pacing_opening(t)[0]
 
     def preference(self, a: StreamRequested, t: Endpoint) -> tuple[float, ...]:
         """Which of the open targets: a sound one, another than before, a cheap one, a quiet one."""
@@ -157,12 +160,9 @@
 
     def begin(self, a: StreamRequested, t: Endpoint) -> None:
         d, place = self.dispatcher, t.limit_scope
-        if (
-            d.now_us - max(place.learned_at_us, self.used_at.get(t.destination, -1)) > FORGET_US
-            and not place.streams_in_flight
-        ):
-            place.concurrency_window = 1.0
-        self.out[a.stream] = d.start_call(t, LONGEST_PACE_US)
+        if not place.streams_in_flight:
+            d.limits.reset_if_unused(place, max(place.learned_at_us, self.used_at.get(t.destination, -1)))
+        self.out[a.stream] = d.calls.start(t, LONGEST_PACE_US)
         self.used_at[t.destination] = d.now_us
         place.streams_in_flight += 1
         d.actions.append(RouteStream(a.stream, t.id))
@@ -172,6 +172,6 @@
         turned away at once.
         """
         d = self.dispatcher
-        soonest = min((at for at in opens.values() if at < NEVER), default=d.now_us) - d.now_us
-        wait = max(LEAST_AWAY_US, soonest) * d.random.uniform(1.0, 1.5)
+        soonest = min((at for at in opens.values() if at < NEVER_US), default=d.now_us) - d.now_us
+        wait = max(MIN_RETRY_AFTER_US, soonest) * d.random.uniform(1.0, 1.5)
         return int(min(wait, d.settings.max_retry_after_us or wait))
--- /dev/null
+++ b/forwarder/decisions/tenant_quotas.py
@@ -0,0 +1,45 @@
+"""Quotas of tenants: a token bucket for each tenant, filled at this forwarder's part of the tenant's rate."""
+
+from __future__ import annotations
+
+from forwarder.decisions.context import RoundContext
+from forwarder.decisions.settings import Settings, Tenant
+from forwarder.decisions.token_bucket import take_token
+from forwarder.units import NEVER_US, SECOND_US
+
+MAX_TENANT_BURST_US = 2 * SECOND_US
+"""Time in which a tenant's unused quota adds up."""
+
+MIN_TENANT_BURST_MESSAGES = 4.0
+"""Messages that a bucket holds at least: this forwarder's part of a rate may be far under one a second."""
+
+
+class TenantQuotas:
+    """Decides whether a message is within its tenant's quota."""
+
+    def __init__(self, context: RoundContext) -> None:
+        self.context = context
+        self.tenants: dict[str, Tenant] = {}
+        self.buckets: dict[str, int] = {}
+        """By tenant, when the messages accepted so far are within its quota, in microseconds."""
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Uses the tenants of new settings."""
+        self.tenants = {tenant.name: tenant for tenant in settings.tenants}
+
+    def is_over_quota(self, tenant_name: str | None) -> bool:
+        """Takes a token for a message, and returns whether its tenant had none.
+
+        Only tenants with a quota have a bucket, and only where messages over the quota count for less.
+        """
+        context = self.context
+        tenant = self.tenants.get(tenant_name or "")
+        if tenant is None or not tenant.quota_per_s or context.settings.over_quota_weight >= 1:
+            return False
+        interval_us = SECOND_US * context.fleet_size / tenant.quota_per_s
+        spent_until_us = self.buckets.get(tenant.name, -NEVER_US)
+        if spent_until_us > context.now_us:
+            return True
+        burst_us = max(MAX_TENANT_BURST_US, MIN_TENANT_BURST_MESSAGES * interval_us)
+        self.buckets[tenant.name] = take_token(context.now_us, spent_until_us, interval_us, burst_us)
+        return False
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -468,7 +468,7 @@
 
     def log_state(self) -> None:
         """What a bad stretch is compared by with a good one; counts are since the start."""
-        lines, store = self.dispatcher.key_queues.values(), self.store
+        lines, store = self.dispatcher.key_queues.by_key.values(), self.store
         log.info(
             "state: %d held, %d of them in turn by %d keys; %d calls out, %d ends owed, %d left out; "
             "%d clients, %d connections, %d descriptors; %d rounds, %.1f s of CPU; "
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -371,6 +371,6 @@
     assert told[0].recovering_since_us == -1
     d = started(ONE)
     d.handle(S, [EjectionRecovered(1, 0)])
-    assert d.is_slow_starting(d.endpoints[1])
+    assert d.slow_start.is_active(d.endpoints[1])
     count = len(sends(d.handle(S, [ask(f"n{n}") for n in range(5)])))
     assert count + sum(isinstance(a, SendAttempt) for _, a in sweep(d, S + 20 * MS, S + 400 * MS)) <= 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,9 +25,11 @@
 from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, ClientServer, Submission
 from forwarder.config.config import Address, EndpointList, load_config
 from forwarder.decisions.actions import FailMessage, RequestEndpointList
-from forwarder.decisions.dispatcher import ASK_AGAIN_US, LOOK_US, NEVER, Dispatcher
+from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.endpoint_list_poll import MIN_POLL_BACKOFF_US
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived, MessageRecovered
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.timer_queue import MIN_RECHECK_US
 from forwarder.discovery import watch as watch_module
 from forwarder.endpoints.pool import EDGE_US, CallItem, ConnectionPool, EndpointCall, EndpointConnection
 from forwarder.runtime import engine as engine_module
@@ -35,6 +37,7 @@
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
+from forwarder.units import NEVER_US
 from tests import test_node as real
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
@@ -168,7 +171,7 @@
 
 def test_the_module_gives_up_at_once_what_was_heard_too_late() -> None:
     """A delivery that may not count is heard within the time in which the unsent drop ends a message."""
-    assert EDGE_US <= LOOK_US
+    assert EDGE_US <= MIN_RECHECK_US
 
 
 @pytest.mark.parametrize(
@@ -250,12 +253,12 @@
 def test_a_repeat_tells_by_when_it_has_to_leave(cls: str, outcome: Outcome, window: int | None) -> None:
     d = Dispatcher(settings(), 1, 0)
     (first,) = sends(d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
-    assert first.send_before_us == NEVER
+    assert first.send_before_us == NEVER_US
     again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
     while not again:
         now += 10 * MS
         again = sends(d.handle(now, []))
-    assert again[0].send_before_us == (NEVER if window is None else window)
+    assert again[0].send_before_us == (NEVER_US if window is None else window)
     assert now < 2 * S
 
 
@@ -405,7 +408,7 @@
 
 def test_a_silent_watch_is_asked_anew_before_what_it_missed_counts_as_told() -> None:
     """Up to 0.2 s too late, before: the grace for drains, which settings may make shorter, hid it."""
-    assert watch_module.LATE_S + 2 * ASK_AGAIN_US / SECOND < TOLD_AFTER_S - 0.1
+    assert watch_module.LATE_S + 2 * MIN_POLL_BACKOFF_US / SECOND < TOLD_AFTER_S - 0.1
 
 
 TOLD_ANYWAY_S = 6.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -282,8 +282,8 @@
         )
         d.set_fleet_size(size)
         t = d.endpoints[1]
-        t.ejected_at_us, t.last_call_at_us, t.recovering_since_us, d.now_us = S, 100 * S, 100 * S, 101 * S
-        turns.append(d.slow_start_interval_us(t))
+        t.ejected_at_us, t.last_call_at_us, t.recovering_since_us, d.context.now_us = S, 100 * S, 100 * S, 101 * S
+        turns.append(d.slow_start.interval_us(t))
     assert turns[1] == pytest.approx(2 * turns[0])
 
 
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -26,8 +26,9 @@
     TimerFired,
 )
 from forwarder.decisions.hold_reason import HoldReason
+from forwarder.decisions.hold_times import MAX_HOLD_TIME_ROWS, OTHER_DESTINATIONS
 from forwarder.decisions.outcomes import Outcome
-from forwarder.decisions.records import MAX_HOLD_TIME_ROWS, OTHER_DESTINATIONS, Message
+from forwarder.decisions.records import Message
 from forwarder.decisions.settings import Settings
 from tests.scripts import ENTRIES, MS, S, Script, ask, end, sends, settings, started
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -100,7 +100,7 @@
     assert set(fleet.verdicts()[:1] + fleet.verdicts()[2:]) == {Verdict.HEALTHY}
     assert fleet.most_out == 1
     assert fleet.calls[2] <= 12
-    assert fleet.d.is_slow_starting(fleet.d.endpoints[2])  # what the Dispatcher knows of it is the same
+    assert fleet.d.slow_start.is_active(fleet.d.endpoints[2])  # what the Dispatcher knows of it is the same
 
 
 def test_a_share_of_failures_is_enough_where_the_others_have_none() -> None:
@@ -178,7 +178,7 @@
         fleet.run(0.1, failing(2))
     t = fleet.d.endpoints[2]
     assert t.recovering_since_us >= 0
-    assert fleet.d.is_slow_starting(t)
+    assert fleet.d.slow_start.is_active(t)
     before = fleet.calls[2]
     fleet.run(1, failing())
     assert fleet.calls[2] - before < 5  # of 20 messages
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -268,9 +268,9 @@
     "the line of a key": (
         (
             (
-                "decisions/dispatcher.py",
-                "            line.messages[0] is not m\n            or line.in_flight\n",
-                "            line.in_flight\n",
+                "decisions/key_queues.py",
+                "            queue.messages[0] is not message\n            or queue.in_flight\n",
+                "            queue.in_flight\n",
             ),
         ),
         "order",
@@ -279,8 +279,8 @@
     "told waits": (
         (  # decided by, and asked for again as a call leaves
             (
-                "decisions/dispatcher.py",
-                "        place.retry_after_until_us = max(place.retry_after_until_us, self.now_us + wait_us)\n",
+                "decisions/backoff.py",
+                "        scope.retry_after_until_us = max(scope.retry_after_until_us, ends_at_us)\n",
                 "",
             ),
             ("runtime/invariants.py", "    if now_us < route.wait_until_us:\n        return Denial.WAIT_TOLD\n", ""),
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from forwarder.decisions import call_learning, expected_call, release
 from forwarder.decisions.actions import (
     Action,
     CloseIdleConnections,
@@ -10,6 +11,7 @@
     SendAttempt,
     SetTimer,
 )
+from forwarder.decisions.availability import EndpointAvailability
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import (
     AttemptEnded,
@@ -22,6 +24,7 @@
     MessageWithdrawn,
     TimerFired,
 )
+from forwarder.decisions.expected_call import CallEstimates
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.records import Message
 from tests.scripts import MS, S, ask, end, finals, sends, settings
@@ -295,13 +298,13 @@
     d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     d.handle(0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)])
     looked: list[int] = []
-    plain = Dispatcher.give_up_at_us
+    plain = CallEstimates.give_up_at_us
 
-    def counted(self: Dispatcher, m: Message) -> int:
+    def counted(self: CallEstimates, m: Message) -> int:
         looked.append(m.destination)
         return plain(self, m)
 
-    monkeypatch.setattr(Dispatcher, "drop_at", counted)
+    monkeypatch.setattr(CallEstimates, "give_up_at_us", counted)
     d.handle(MS, [ask("new", 7, due=60 * S)])
     assert set(looked) == {7}
     assert len(looked) < 10
@@ -315,23 +318,24 @@
     out = sends(d.handle(0, [ask(f"m{n}", n % 13, due=60 * S) for n in range(700)]))
     looked: list[str] = []
 
-    def counted(name: str) -> None:
-        plain = getattr(Dispatcher, name)
+    def counted(owner: object, name: str) -> None:
+        plain = getattr(owner, name)
 
-        def count(self: Dispatcher, *args: object) -> object:
+        def count(*args: object) -> object:
             looked.append(name)
-            return plain(self, *args)
+            return plain(*args)
 
-        monkeypatch.setattr(Dispatcher, name, count)
+        monkeypatch.setattr(owner, name, count)
 
-    counted("expected")
-    counted("gate")
+    for user in (expected_call, call_learning, release):
+        counted(user, "expected_call_us")
+    counted(EndpointAvailability, "hold_reason")
     while len(out) < 9:
         out += sends(d.handle(MS, [end(out.pop(0), OK)]))
     looked.clear()
     assert sends(d.handle(2 * MS, [end(out[0], OK)]))
-    assert looked.count("expected") < 60
-    assert looked.count("gate") < 60
+    assert looked.count("expected_call_us") < 60
+    assert looked.count("hold_reason") < 60
 
 
 @pytest.mark.parametrize("limit", [0.0, 1e-9, 1e12])
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -11,7 +11,7 @@
 import pytest
 
 from forwarder.decisions.actions import Action, EjectionChanged
-from forwarder.decisions.dispatcher import FAIL_MARK, SURE_MARK, Dispatcher
+from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import EjectionRecovered, EndpointEntry, EndpointListKind, EndpointListReceived
 from forwarder.decisions.fleet_messages import (
     AnnounceEjection,
@@ -32,6 +32,7 @@
 )
 from forwarder.decisions.hold_reason import HoldReason
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, UNSAFE_RETRY_ERROR_RATE
 from forwarder.membership.gossip_store import rendezvous
 from tests.scripts import MS, S, ask, end, sends, settings
 
@@ -180,11 +181,11 @@
 def test_two_that_saw_an_outage_put_the_target_in_turns_and_one_makes_it_doubtful() -> None:
     d, policy = fleet_of()
     actions = d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1), (4, "a", 5 * S, -1))])
-    assert d.is_slow_starting(d.endpoints[2])
+    assert d.slow_start.is_active(d.endpoints[2])
     assert EjectionChanged(2, 5 * S, -1) in actions
     assert policy.ejected_by_gossip == {2}
-    assert not d.is_slow_starting(d.endpoints[4])
-    assert d.endpoints[4].error_rate == FAIL_MARK
+    assert not d.slow_start.is_active(d.endpoints[4])
+    assert d.endpoints[4].error_rate == EJECTION_ERROR_RATE
     assert 2 in {t.id for t in d.endpoints_by_destination[1]}, "it stays in use"
     assert not [a for a in actions if isinstance(a, AnnounceEjection)], "only who saw it says so"
     actions = d.handle(7 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
@@ -195,7 +196,7 @@
 def test_a_broken_forwarder_that_says_all_are_down_takes_none_and_doubts_few() -> None:
     d, policy = fleet_of()
     d.handle(6 * S, [said(*((n, "broken", 5 * S, -1) for n in range(2, 10)))])
-    assert not any(d.is_slow_starting(t) for t in d.endpoints.values())
+    assert not any(d.slow_start.is_active(t) for t in d.endpoints.values())
     assert not policy.ejected_by_gossip
     doubted = {t.destination for t in d.endpoints.values() if t.error_rate}
     assert len(doubted) == max(1, int(MAX_SUSPECTED_SHARE * 4))
@@ -206,10 +207,10 @@
     send = sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))[0]
     d.handle(6100 * MS, [end(send, Outcome.DELIVERED)])
     d.handle(7 * S, [said(*((n, seer, 6 * S, -1) for n in (2, 3) for seer in ("a", "b")))])
-    assert not d.is_slow_starting(d.endpoints[send.endpoint])
-    assert d.is_slow_starting(d.endpoints[5 - send.endpoint])
+    assert not d.slow_start.is_active(d.endpoints[send.endpoint])
+    assert d.slow_start.is_active(d.endpoints[5 - send.endpoint])
     d.handle(8 * S, [said((send.endpoint, "a", 7 * S, -1), (send.endpoint, "b", 7 * S, -1))])
-    assert d.is_slow_starting(d.endpoints[send.endpoint])
+    assert d.slow_start.is_active(d.endpoints[send.endpoint])
 
 
 def test_a_target_out_here_is_back_by_the_word_of_one_and_only_if_that_is_newer() -> None:
@@ -221,10 +222,10 @@
     d.handle(8 * S, [said((2, "a", 4 * S, 7500 * MS))])
     assert t.recovering_since_us == 7500 * MS
     assert t.ejected_at_us == 5 * S
-    assert t.error_rate <= FAIL_MARK
+    assert t.error_rate <= EJECTION_ERROR_RATE
     assert policy.ejected_by_gossip == {2}
     d.endpoints[3].serving = False
-    d.index_endpoints()
+    d.endpoint_table.rebuild_index()
     tried, now = 0, 8 * S
     while not tried:
         now += 100 * MS
@@ -241,7 +242,7 @@
     actions = d.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
     assert [a for a in actions if isinstance(a, AnnounceEjection)] == [AnnounceEjection(send.endpoint, -1, 7100 * MS)]
     d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)])
-    assert not d.is_slow_starting(d.endpoints[5]), "who was served by it did not see it fail"
+    assert not d.slow_start.is_active(d.endpoints[5]), "who was served by it did not see it fail"
     d.handle(9 * S, [said((4, "b", -1, 8500 * MS))])
     assert d.endpoints[4].recovering_since_us == 8500 * MS
 
@@ -250,18 +251,18 @@
     d, policy = fleet_of()
     d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)])
     actions = d.handle(19 * S, [GossipReceived()])
-    assert not d.is_slow_starting(d.endpoints[2])
+    assert not d.slow_start.is_active(d.endpoints[2])
     assert EjectionChanged(2, -1, -1) in actions
     assert not policy.ejected_by_gossip
-    assert d.is_slow_starting(d.endpoints[4])
-    assert d.endpoints[4].error_rate == SURE_MARK
+    assert d.slow_start.is_active(d.endpoints[4])
+    assert d.endpoints[4].error_rate == UNSAFE_RETRY_ERROR_RATE
 
 
 def test_a_told_wait_of_others_costs_one_interval_of_the_pace_at_most() -> None:
     d, _ = fleet_of()
     place = d.endpoints[2].limit_scope
     place.limit_per_s, place.limit_left = 20.0, 0.4
-    interval = int(d.call_interval_us(place))
+    interval = int(d.pacing.call_interval_us(place))
     d.handle(6 * S, [GossipReceived(retry_afters=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
     assert place.next_call_at_us == 6 * S + interval < 9 * S
     assert place.retry_after_until_us == 0
@@ -272,7 +273,7 @@
 def test_what_this_forwarder_sees_is_told_and_what_it_holds() -> None:
     d, _ = fleet_of()
     d.endpoints[3].serving = False
-    d.index_endpoints()
+    d.endpoint_table.rebuild_index()
     told: list[Action] = []
     now = 6 * S
     for n in range(4):
@@ -314,7 +315,7 @@
     assert plain.peers_queried_until_us == 0
     d, _ = fleet_of()
     d.endpoints[3].serving = False
-    d.index_endpoints()
+    d.endpoint_table.rebuild_index()
     lengths, wide = [], FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(10))))
     d.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
     for now in (6 * S, 7 * S, 9 * S):
