--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -209,24 +209,24 @@
     first, last, missing = [], [], 0
     with tempfile.TemporaryDirectory() as folder:
         (Path(folder) / "nodes").mkdir()
-        lab = run.Lab(plan.make(told), Path(folder), ROOT, (ROOT / "lab/parts/members.toml").read_text())
+        play = run.Run(plan.make(told), Path(folder), ROOT, (ROOT / "lab/parts/members.toml").read_text())
         try:
-            await lab.open()
+            await play.open()
             await asyncio.sleep(8.0)
             for n in range(deaths):
                 died = datetime.now()
-                await lab.nodes[f"n{size - 1 - n}"].end(hard=True)
+                await play.testbed.forwarders[f"n{size - 1 - n}"].kill_and_wait()
                 await asyncio.sleep(10.0)
                 knew = [
                     (at - died).total_seconds()
                     for k in range(size - deaths)
-                    if (at := _said(lab.nodes[f"n{k}"].root / "log", f"n{size - 1 - n}")) is not None
+                    if (at := _said(play.testbed.forwarders[f"n{k}"].log_path, f"n{size - 1 - n}")) is not None
                 ]
                 first.append(min(knew))
                 last.append(max(knew))
                 missing += size - deaths - len(knew)
         finally:
-            await lab.close()
+            await play.close()
     return first, last, missing
 
 
--- /dev/null
+++ b/lab/client_connection.py
@@ -0,0 +1,113 @@
+"""The clients' end of a connection to a forwarder."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+import httptools
+
+from lab.network import LinkConnection, Network
+
+PARTY = "front"
+RESET_WAIT_S = 0.05
+"""Within this the reset has come that follows the end of a connection whose forwarder never read the request."""
+
+
+class ClientConnection(LinkConnection):
+    """One connection of the clients to a forwarder, with one request at a time."""
+
+    def __init__(self, network: Network, node: str) -> None:
+        super().__init__(network, (node, PARTY))
+        self.parser = httptools.HttpResponseParser(self)
+        self.answer: asyncio.Future[int] | None = None
+        self.status = 0
+        self.retry_after_s = 0.0
+        self.keeps_alive = True
+        self.on_request_sent: Callable[[], None] | None = None
+        self.request_count = 0
+        self.was_reset = False
+
+    def request(self, data: bytes, on_sent: Callable[[], None] | None = None) -> asyncio.Future[int]:
+        """Send a request.
+
+        Args:
+            data: The whole request.
+            on_sent: Called once its last byte was written.
+
+        Returns:
+            The answer's status; ConnectionResetError where the connection ends without one.
+        """
+        self.answer = asyncio.get_running_loop().create_future()
+        self.on_request_sent = on_sent
+        self.request_count += 1
+        self.retry_after_s = 0.0
+        self.send(data)
+        return self.answer
+
+    def on_sent(self, data: bytes) -> None:
+        """Tell whoever sent the request that its bytes have left."""
+        if self.on_request_sent is not None:
+            self.on_request_sent()
+
+    def receive(self, data: bytes) -> None:
+        """Parse bytes of the forwarder."""
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            self.abort()
+
+    # Called by the parser
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header of the answer."""
+        if name.lower() == b"retry-after":
+            self.retry_after_s = float(value)
+
+    def on_headers_complete(self) -> None:
+        """Take the answer's status."""
+        self.status = self.parser.get_status_code()
+
+    def on_message_complete(self) -> None:
+        """Give the answer to whoever waits for it."""
+        self.keeps_alive = self.parser.should_keep_alive()
+        if (waiter := self._waiter()) is not None:
+            waiter.set_result(self.status)
+
+    # Called by the event loop
+
+    def eof_received(self) -> bool:
+        """Note that the forwarder has ended its side.
+
+        Where a request is unanswered, what follows tells whether it was read: if it was not, its bytes met a closed
+        socket, and a reset comes.
+
+        Returns:
+            Whether the connection stays open for that.
+        """
+        if self._waiter() is None:
+            return False
+        asyncio.get_running_loop().call_later(RESET_WAIT_S, self._look_for_reset)
+        return True
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Note how the connection ended."""
+        self.was_reset = self.was_reset or error is not None
+        super().connection_lost(error)
+
+    def on_closed(self) -> None:
+        """Fail the request that has no answer."""
+        if (waiter := self._waiter()) is not None:
+            waiter.set_exception(ConnectionResetError("the connection ended"))
+
+    def _waiter(self) -> asyncio.Future[int] | None:
+        """Return the request's future while somebody waits for it."""
+        return None if self.answer is None or self.answer.done() else self.answer
+
+    def _look_for_reset(self) -> None:
+        if self.transport is None:
+            return
+        sock = self.transport.get_extra_info("socket")
+        self.was_reset = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
+        self.transport.abort()
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,469 +1,320 @@
-"""Clients and the front: messages are handed in by an open loop, and again after a refusal or a death."""
+"""Clients: messages are submitted by an open loop, and again after a refusal or the death of a forwarder."""
 
 from __future__ import annotations
 
 import asyncio
 import random
-import socket
 from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
 from functools import partial
+from http import HTTPStatus
 
-import httptools
+from lab.client_connection import ClientConnection
+from lab.discovery import Notice
+from lab.event_log import EventKind, EventLog
+from lab.front import ForwarderStatus, Front
+from lab.plan import DEADLINE_S, LATENCY_OBJECTIVE_S, REFUND_CLASS, Arrival, Plan
 
-from lab.net import Guarded, Net, Where
-from lab.plan import AIM_S, DEADLINE_S, ONCE, Arrival, Plan
-from lab.record import Record
-
-PARTY = "front"
-PATIENCE_S = 0.4
+ANSWER_TIMEOUT_S = 0.4
 """A client waits so long for its answer (PROTOCOL)."""
-LEAST_LEFT_S = 0.2
-"""With less of its time left a message is not handed in again."""
-LEAVING_S = (0.2, 0.4)
-"""New connections come for so long after the first no (PROTOCOL)."""
-CROSSED_S = 0.05
-"""Within this the reset has come that follows the end of a connection whose forwarder never read the request."""
-UP = b"GET /up HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
-SOURCE = "127.9.0.1"
-
-
-class Visit(Guarded):
-    """One connection of the clients to a forwarder. Its `out` is what the forwarder sends."""
-
-    def __init__(self, net: Net, node: str) -> None:
-        super().__init__(net, (node, PARTY))
-        self.parser = httptools.HttpResponseParser(self)
-        self.answer: asyncio.Future[int] | None = None
-        self.status, self.after_s, self.kept = 0, 0.0, True
-        self.on_sent: Callable[[], None] | None = None
-        self.used = 0
-        self.reset = False
-
-    def ask(self, data: bytes, on_sent: Callable[[], None] | None = None) -> asyncio.Future[int]:
-        """Send a request; the answer's status, or ConnectionError."""
-        self.answer = asyncio.get_running_loop().create_future()
-        self.on_sent, self.used, self.after_s = on_sent, self.used + 1, 0.0
-        self.send(data)
-        return self.answer
-
-    def sent(self, data: bytes) -> None:
-        if self.on_sent is not None:
-            self.on_sent()
-
-    def got(self, data: bytes) -> None:
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.abort()
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if name.lower() == b"retry-after":
-            self.after_s = float(value)
-
-    def on_headers_complete(self) -> None:
-        self.status = self.parser.get_status_code()
-
-    def on_message_complete(self) -> None:
-        self.kept = self.parser.should_keep_alive()
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result(self.status)
-
-    def eof_received(self) -> bool:
-        """The forwarder has ended its side. Where a request is unanswered, what follows tells whether it was read: if
-        it was not, its bytes met a closed socket, and a reset comes.
-        """
-        if self.answer is None or self.answer.done():
-            return False
-        asyncio.get_running_loop().call_later(CROSSED_S, self._ended)
-        return True
-
-    def _ended(self) -> None:
-        if self.transport is None:
-            return
-        sock = self.transport.get_extra_info("socket")
-        self.reset = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
-        self.transport.abort()
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.reset = self.reset or error is not None
-        super().connection_lost(error)
-
-    def gone(self) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(ConnectionResetError("the connection ended"))
-
-    def usable(self) -> bool:
-        return self.transport is not None and not self.transport.is_closing()
+MIN_TIME_LEFT_S = 0.2
+"""With less of its time left a message is not submitted again."""
+END_GRACE_S = 1.0
+"""So long after its deadline a message may still get its end."""
+REPEAT_RETRIES = 2
+"""Attempts that a message has beyond its retries, where a forwarder did not answer."""
+ACCEPTED = (HTTPStatus.OK, HTTPStatus.ACCEPTED)
+REFUSED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 @dataclass(slots=True, eq=False)
-class Seen:
-    """What the front knows of one forwarder."""
+class Submission:
+    """One submission of a message, under an id of its own."""
 
-    name: str
-    where: Where
-    weight: float = 1.0
-    up: bool = False
-    leaving: bool = False
-    ever: bool = False
-    idle: deque[Visit] = field(default_factory=deque)
-    held: dict[str, Trip] = field(default_factory=dict)
-    """Messages that it has taken on and that have no end yet."""
+    id: str
+    arrival: Arrival
+    attempt: int
+    deadline_s: float
+    is_repeat: bool
+    """The forwarder that it was submitted to before died or did not answer."""
+    forwarder: ForwarderStatus | None = None
+    has_run: bool = False
+    """A call with it was accepted by an endpoint."""
+    is_over: bool = False
 
+    @property
+    def may_not_run_again(self) -> bool:
+        """Whether it has run, and takes effect once only."""
+        return self.has_run and self.arrival.message_class == REFUND_CLASS
 
-@dataclass(slots=True, eq=False)
-class Trip:
-    """One handing-in of a message, under an id of its own."""
 
-    id: str
-    arrival: Arrival
-    tries: int
-    due_s: float
-    again: bool
-    node: Seen | None = None
-    taken: bool = False
-    ran: bool = False
-    over: bool = False
-
-
-class Front:
-    """Chooses a forwarder for each message; asks `/up`; notices a death late."""
-
-    def __init__(self, plan: Plan, net: Net, record: Record, where: dict[str, Where]) -> None:
-        self.plan, self.net, self.record = plan, net, record
-        self.settings = plan.scenario.front
-        self.chance = random.Random(f"{plan.scenario.seed}/front")
-        uneven = random.Random(f"{plan.scenario.seed}/uneven")
-        self.seen = {name: Seen(name, where[name], uneven.uniform(0.5, 1.5)) for name in plan.nodes}
-        first, *others = self.seen.values()
-        if self.settings.first_share is not None and others:
-            first.weight = sum(o.weight for o in others) * self.settings.first_share / (1 - self.settings.first_share)
-        self.of_key: dict[str, Seen] = {}
-        self.live: list[Seen] = []
-        self.weights: list[float] = []
-        self.tasks: list[asyncio.Task[None]] = []
-
-    def open(self) -> None:
-        for n, seen in enumerate(self.seen.values()):
-            self.tasks.append(
-                asyncio.get_running_loop().create_task(self.poll(seen, n * self.settings.poll_s / len(self.seen)))
-            )
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """What came of a request. The status is None where no answer came."""
 
-    def close(self) -> None:
-        for task in self.tasks:
-            task.cancel()
-        for connections in self.net.open.values():
-            for connection in list(connections):
-                connection.abort()
+    status: int | None = None
+    retry_after_s: float = 0.0
 
-    def staying(self) -> list[Seen]:
-        """Forwarders that are ending, and to which connections are still open."""
-        return [seen for seen in self.seen.values() if seen.leaving and any(visit.usable() for visit in seen.idle)]
 
-    def choose(self, key: str | None) -> Seen | None:
-        """A key stays with its forwarder while that one is up. Some clients go on with the connections that they have,
-        whatever becomes of the forwarder.
-        """
-        if self.settings.stay and self.chance.random() < self.settings.stay and (staying := self.staying()):
-            return self.chance.choice(staying)
-        if not self.live:
-            return None
-        if key is not None and key in self.of_key and self.of_key[key].up:
-            return self.of_key[key]
-        chosen = self.chance.choices(self.live, self.weights)[0]
-        if key is not None:
-            self.of_key[key] = chosen
-        return chosen
-
-    def changed(self) -> None:
-        self.live = [seen for seen in self.seen.values() if seen.up and not seen.leaving]
-        self.weights = [seen.weight for seen in self.live]
-
-    async def poll(self, seen: Seen, first_s: float) -> None:
-        """Ask `/up` for ever. A death counts as noticed some time after the first failure."""
-        await asyncio.sleep(first_s)
-        failed_s: float | None = None
-        patience = 0.0
-        while True:
-            status = await self.status(seen)
-            now = self.record.clock()
-            if status == 200:
-                missed, failed_s = failed_s is not None, None
-                if missed or not seen.up or seen.leaving:
-                    self.record.note("up", node=seen.name)
-                    seen.up, seen.leaving, seen.ever = True, False, True
-                    self.changed()
-            elif status is not None:
-                if seen.up and not seen.leaving:
-                    asyncio.get_running_loop().call_later(self.chance.uniform(*LEAVING_S), self.leave, seen)
-            elif seen.up:
-                if failed_s is None:
-                    failed_s, patience = now, self.chance.uniform(*self.settings.notice_s)
-                elif now - failed_s >= patience:
-                    seen.up = False
-                    self.record.note("noticed", node=seen.name)
-                    self.changed()
-            await asyncio.sleep(self.settings.poll_s)
-
-    def leave(self, seen: Seen) -> None:
-        seen.leaving = True
-        self.changed()
-
-    async def status(self, seen: Seen) -> int | None:
-        visit = None
-        try:
-            async with asyncio.timeout(1.0):
-                visit = await self.connect(seen, fresh=True)
-                return await visit.ask(UP)
-        except (OSError, TimeoutError):
-            return None
-        finally:
-            if visit is not None:
-                visit.abort()
-
-    async def connect(self, seen: Seen, fresh: bool = False) -> Visit:
-        """A connection to a forwarder, kept or new. Raises OSError."""
-        while seen.idle and not fresh:
-            visit = seen.idle.pop()
-            if visit.usable():
-                return visit
-        if seen.leaving and not fresh:
-            raise ConnectionRefusedError  # it gets no new connections any more
-        effect = self.net.effect((seen.name, PARTY))
-        if effect.refuse:
-            raise ConnectionRefusedError
-        if effect.silent_in or effect.silent_out:
-            await asyncio.sleep(3600)  # the caller's patience ends first
-        _, visit = await asyncio.get_running_loop().create_connection(
-            lambda: Visit(self.net, seen.name), *seen.where, local_addr=(SOURCE, 0)
-        )
-        return visit
+class SentMarker:
+    """Remembers whether the request's last byte was written."""
 
-    def keep(self, seen: Seen, visit: Visit) -> None:
-        if visit.usable() and visit.kept and len(seen.idle) < self.settings.connections:
-            seen.idle.append(visit)
-        else:
-            visit.abort()
+    def __init__(self) -> None:
+        self.is_set = False
 
 
 class Clients:
-    """Hands messages in, and again where that is a client's habit. Knows what every message has come to."""
-
-    def __init__(self, plan: Plan, front: Front, record: Record, on_handed: Callable[[str, int], None]) -> None:
-        self.plan, self.front, self.record, self.on_handed = plan, front, record, on_handed
-        self.chance = random.Random(f"{plan.scenario.seed}/clients")
-        self.trips: dict[str, Trip] = {}
-        self.lines: dict[str, deque[Trip]] = {}
-        self.done: set[int] = set()
+    """Submits messages, and again where that is a client's habit. Knows what every message has come to."""
+
+    def __init__(self, plan: Plan, front: Front, event_log: EventLog, on_submitted: Callable[[str, int], None]) -> None:
+        """Make the clients of a run.
+
+        Args:
+            plan: The run's plan.
+            front: Hands out forwarders and connections.
+            event_log: Where what is seen goes.
+            on_submitted: Called with a forwarder's name and a destination.
+        """
+        self.plan = plan
+        self.front = front
+        self.event_log = event_log
+        self.on_submitted = on_submitted
+        self.rng = random.Random(f"{plan.scenario.seed}/clients")
+        self.submissions: dict[str, Submission] = {}
+        self.accepted: dict[str, dict[str, Submission]] = {name: {} for name in plan.nodes}
+        """By forwarder and id: what it has accepted and what has no end yet."""
+        self.key_queues: dict[str, deque[Submission]] = {}
+        self.delivered_arrivals: set[int] = set()
         self.running: set[asyncio.Task[None]] = set()
-        self.waiting = 0
+        self.retries_waiting = 0
         self.count = 0
 
-    async def drive(self) -> None:
-        """Every arrival at its moment, however long others take."""
+    async def submit_arrivals(self) -> None:
+        """Submit every arrival at its moment, however long others take."""
         for arrival in self.plan.arrivals:
-            wait = arrival.at_s - self.record.clock()
-            if wait > 0:
-                await asyncio.sleep(wait)
-            self.record.note(
-                "asked",
+            wait_s = arrival.at_s - self.event_log.clock()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
+            deadline_s = arrival.at_s + DEADLINE_S[arrival.message_class]
+            self.event_log.note(
+                EventKind.MESSAGE_ARRIVED,
                 number=arrival.number,
-                state=arrival.cls,
+                state=arrival.message_class,
                 destination=arrival.destination,
                 key=arrival.key,
-                due_s=arrival.at_s + DEADLINE_S[arrival.cls],
-                share=AIM_S[arrival.cls],
+                due_s=deadline_s,
+                share=LATENCY_OBJECTIVE_S[arrival.message_class],
             )
-            self.begin(arrival, 0, arrival.at_s + DEADLINE_S[arrival.cls])
+            self._begin(arrival, 0, deadline_s)
 
-    def busy(self) -> bool:
+    def are_busy(self) -> bool:
         """Whether anything may still become of a message."""
-        now = self.record.clock()
-        return bool(self.running or self.waiting) or any(
-            not trip.over and trip.due_s + 1.0 > now for trip in self.trips.values()
-        )
-
-    def known(self, ident: str, node: str, destination: int) -> bool:
-        trip = self.trips.get(ident)
-        return (
-            trip is not None
-            and trip.node is not None
-            and trip.node.name == node
-            and trip.arrival.destination == destination
-        )
+        if self.running or self.retries_waiting:
+            return True
+        now_s = self.event_log.clock()
+        return any(not each.is_over and each.deadline_s + END_GRACE_S > now_s for each in self.submissions.values())
+
+    def is_submitted(self, message_id: str, node: str, destination: int) -> bool:
+        """Whether a message was submitted to that forwarder, for that destination."""
+        submission = self.submissions.get(message_id)
+        if submission is None or submission.forwarder is None:
+            return False
+        return submission.forwarder.name == node and submission.arrival.destination == destination
 
-    # Handing in
+    # Submitting
 
-    def begin(self, arrival: Arrival, tries: int, due_s: float, again: bool = False) -> None:
+    def _begin(self, arrival: Arrival, attempt: int, deadline_s: float, is_repeat: bool = False) -> None:
         self.count += 1
-        trip = Trip(f"{arrival.number:06x}-{self.count:x}", arrival, tries, due_s, again)
-        self.trips[trip.id] = trip
+        message_id = f"{arrival.number:06x}-{self.count:x}"
+        submission = Submission(message_id, arrival, attempt, deadline_s, is_repeat)
+        self.submissions[message_id] = submission
         if arrival.key is None:
-            self._run(self.hand_in(trip))
+            self._run(self._submit(submission))
             return
-        line = self.lines.setdefault(arrival.key, deque())
-        line.append(trip)
-        if len(line) == 1:
-            self._run(self.work_off(arrival.key, line))
+        queue = self.key_queues.setdefault(arrival.key, deque())
+        queue.append(submission)
+        if len(queue) == 1:
+            self._run(self._work_off(arrival.key, queue))
 
-    def _run(self, work: object) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
+    def _run(self, work: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(work)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
-    async def work_off(self, key: str, line: deque[Trip]) -> None:
-        """One key's messages, each once the one before it has its answer."""
-        while line:
-            await self.hand_in(line[0])
-            line.popleft()
-        del self.lines[key]
-
-    async def hand_in(self, trip: Trip) -> None:
-        left = trip.due_s - self.record.clock()
-        if left < LEAST_LEFT_S or trip.arrival.number in self.done:
-            trip.over = True
+    async def _work_off(self, key: str, queue: deque[Submission]) -> None:
+        """Submit one key's messages, each once the one before it has its answer."""
+        while queue:
+            await self._submit(queue[0])
+            queue.popleft()
+        del self.key_queues[key]
+
+    async def _submit(self, submission: Submission) -> None:
+        time_left_s = submission.deadline_s - self.event_log.clock()
+        if time_left_s < MIN_TIME_LEFT_S or submission.arrival.number in self.delivered_arrivals:
+            submission.is_over = True
             return
-        seen = self.front.choose(trip.arrival.key)
-        if seen is None:
-            self.refused(trip, 0.0)
+        forwarder = self.front.choose(submission.arrival.key)
+        if forwarder is None:
+            self._retry_refused(submission, 0.0)
             return
-        trip.node = seen
-        data = request(trip, left)
-        status, after_s = await self.exchange(seen, trip, data)
-        if status in (200, 202):
-            trip.taken = True
-            if not trip.over:
-                seen.held[trip.id] = trip
-        elif status in (429, 503):
-            self.refused(trip, after_s)
-        elif status is None:
-            self.unheard(trip)
+        submission.forwarder = forwarder
+        answer = await self._exchange(forwarder, submission, encode_request(submission, time_left_s))
+        if answer.status in ACCEPTED:
+            if not submission.is_over:
+                self.accepted[forwarder.name][submission.id] = submission
+        elif answer.status in REFUSED:
+            self._retry_refused(submission, answer.retry_after_s)
+        elif answer.status is None:
+            self._retry_unanswered(submission)
         else:
-            trip.over = True
+            submission.is_over = True
 
-    async def exchange(self, seen: Seen, trip: Trip, data: bytes) -> tuple[int | None, float]:
-        """One request and its answer; once more on a new connection where the close of a kept one crossed it."""
+    async def _exchange(self, forwarder: ForwarderStatus, submission: Submission, request: bytes) -> Answer:
+        """Send one request; once more on a new connection, where the close of an idle one crossed it."""
         for fresh in (False, True):
-            handed: list[bool] = []
-            visit = None
+            sent = SentMarker()
+            connection = None
             try:
-                async with asyncio.timeout(PATIENCE_S):
-                    visit = await self.front.connect(seen, fresh)
-                    status = await visit.ask(data, partial(self.handed, trip, seen, handed))
-                self.record.note(
-                    "answer",
-                    id=trip.id,
-                    node=seen.name,
-                    status=status,
-                    wait_s=visit.after_s,
-                    number=trip.arrival.number,
-                )
-                self.front.keep(seen, visit)
-                return status, visit.after_s
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                    connection = await self.front.connect(forwarder, fresh)
+                    status = await connection.request(request, partial(self._on_sent, submission, forwarder, sent))
             except TimeoutError:
-                self.record.note("given_up", id=trip.id, node=seen.name, number=trip.arrival.number)
-                if visit is not None:
-                    visit.abort()
-                return None, 0.0
+                self._note(EventKind.SUBMIT_TIMED_OUT, submission, forwarder)
+                if connection is not None:
+                    connection.abort()
+                return Answer()
             except OSError:
-                if handed and visit is not None and visit.used > 1 and visit.reset and not fresh:
+                if sent.is_set and not fresh and _close_crossed_request(connection):
                     continue
-                self.record.note(
-                    "unanswered" if handed else "unreached", id=trip.id, node=seen.name, number=trip.arrival.number
-                )
-                return None, 0.0
-        return None, 0.0
-
-    def handed(self, trip: Trip, seen: Seen, handed: list[bool]) -> None:
-        handed.append(True)
-        a = trip.arrival
-        self.record.note(
-            "handed",
-            id=trip.id,
-            node=seen.name,
-            number=a.number,
-            key=a.key,
-            destination=a.destination,
-            due_s=trip.due_s,
-            state=a.cls,
+                kind = EventKind.SUBMIT_UNANSWERED if sent.is_set else EventKind.FORWARDER_UNREACHABLE
+                self._note(kind, submission, forwarder)
+                return Answer()
+            self._note(EventKind.SUBMIT_ANSWERED, submission, forwarder, status, connection.retry_after_s)
+            self.front.release(forwarder, connection)
+            return Answer(status, connection.retry_after_s)
+        return Answer()
+
+    def _note(
+        self,
+        kind: EventKind,
+        submission: Submission,
+        forwarder: ForwarderStatus,
+        status: int = 0,
+        retry_after_s: float = 0.0,
+    ) -> None:
+        self.event_log.note(
+            kind,
+            id=submission.id,
+            node=forwarder.name,
+            status=status,
+            wait_s=retry_after_s,
+            number=submission.arrival.number,
         )
-        self.on_handed(seen.name, a.destination)
 
-    # What becomes of them
+    def _on_sent(self, submission: Submission, forwarder: ForwarderStatus, sent: SentMarker) -> None:
+        sent.is_set = True
+        arrival = submission.arrival
+        self.event_log.note(
+            EventKind.SUBMITTED,
+            id=submission.id,
+            node=forwarder.name,
+            number=arrival.number,
+            key=arrival.key,
+            destination=arrival.destination,
+            due_s=submission.deadline_s,
+            state=arrival.message_class,
+        )
+        self.on_submitted(forwarder.name, arrival.destination)
 
-    def refused(self, trip: Trip, after_s: float) -> None:
-        """Again after a wait: the told one, if this client heeds it, or a backoff that doubles."""
-        trip.over = True
+    # Retries
+
+    def _retry_refused(self, submission: Submission, retry_after_s: float) -> None:
+        """Submit again after the Retry-After, if this client honours it, or after a backoff that doubles."""
+        submission.is_over = True
         load = self.plan.scenario.load
-        if trip.tries < load.retries:
-            wait = self.chance.uniform(*load.backoff_s) * 2**trip.tries
-            if after_s and trip.arrival.honours:
-                wait = after_s
-            self.later(wait, trip, trip.tries + 1)
-
-    def unheard(self, trip: Trip) -> None:
-        """No answer: it may be held there or not, and comes again unless it may have run and must not twice."""
-        trip.over = True
-        if not (trip.ran and trip.arrival.cls == ONCE):
-            self.later(self.chance.uniform(*self.plan.scenario.load.backoff_s), trip, trip.tries + 1, again=True)
-
-    def later(self, wait_s: float, trip: Trip, tries: int, again: bool = False) -> None:
-        self.waiting += 1
-        asyncio.get_running_loop().call_later(wait_s, self._again, trip, tries, again)
-
-    def _again(self, trip: Trip, tries: int, again: bool) -> None:
-        self.waiting -= 1
-        unsafe = again and trip.ran and trip.arrival.cls == ONCE
-        if trip.arrival.number not in self.done and not unsafe and tries <= self.plan.scenario.load.retries + 2:
-            self.begin(trip.arrival, tries, trip.due_s, again)
-
-    def ran(self, ident: str) -> None:
-        if ident in self.trips:
-            self.trips[ident].ran = True
-
-    def delivered(self, ident: str) -> None:
-        if ident in self.trips:
-            self.done.add(self.trips[ident].arrival.number)
-            self._over(self.trips[ident])
-
-    def _over(self, trip: Trip) -> None:
-        trip.over = True
-        if trip.node is not None:
-            trip.node.held.pop(trip.id, None)
-
-    def ended(self, ident: str, state: str, after_s: float) -> None:
-        """A notice: one that was returned comes again."""
-        trip = self.trips.get(ident)
-        if trip is None or trip.over:
+        if submission.attempt >= load.retries:
+            return
+        wait_s = self.rng.uniform(*load.backoff_s) * 2**submission.attempt
+        if retry_after_s and submission.arrival.honours_retry_after:
+            wait_s = retry_after_s
+        self._retry_later(wait_s, submission, submission.attempt + 1)
+
+    def _retry_unanswered(self, submission: Submission) -> None:
+        """Submit again what a forwarder may have or not, unless it has run and may not run twice."""
+        submission.is_over = True
+        if not submission.may_not_run_again:
+            wait_s = self.rng.uniform(*self.plan.scenario.load.backoff_s)
+            self._retry_later(wait_s, submission, submission.attempt + 1, is_repeat=True)
+
+    def _retry_later(self, wait_s: float, submission: Submission, attempt: int, is_repeat: bool = False) -> None:
+        self.retries_waiting += 1
+        asyncio.get_running_loop().call_later(wait_s, self._retry, submission, attempt, is_repeat)
+
+    def _retry(self, submission: Submission, attempt: int, is_repeat: bool) -> None:
+        self.retries_waiting -= 1
+        if submission.arrival.number in self.delivered_arrivals or (is_repeat and submission.may_not_run_again):
+            return
+        if attempt <= self.plan.scenario.load.retries + REPEAT_RETRIES:
+            self._begin(submission.arrival, attempt, submission.deadline_s, is_repeat)
+
+    # What becomes of messages
+
+    def note_started(self, message_id: str) -> None:
+        """Note that an endpoint has accepted a call with the message."""
+        if message_id in self.submissions:
+            self.submissions[message_id].has_run = True
+
+    def note_delivered(self, message_id: str) -> None:
+        """Note that a message was delivered."""
+        submission = self.submissions.get(message_id)
+        if submission is not None:
+            self.delivered_arrivals.add(submission.arrival.number)
+            self._end(submission)
+
+    def note_notice(self, notice: Notice) -> None:
+        """End a message by its notice. One that was returned is submitted again."""
+        submission = self.submissions.get(notice.message_id)
+        if submission is None or submission.is_over:
             return
-        self._over(trip)
-        if state == "returned":
-            self.refused(trip, after_s)
-
-    def machine_lost(self, node: str) -> None:
-        """What it held is given to others, but for what may have run and may not be repeated."""
-        seen = self.front.seen[node]
-        held, seen.held = list(seen.held.values()), {}
-        for trip in held:
-            trip.over = True
-            self.later(self.chance.uniform(*self.plan.scenario.front.again_s), trip, trip.tries, again=True)
-
-
-def request(trip: Trip, left_s: float) -> bytes:
-    """A message as the protocol page has it handed in."""
-    a, body = trip.arrival, f"refund {trip.arrival.number}".encode() * 8
+        self._end(submission)
+        if notice.state == "returned":
+            self._retry_refused(submission, notice.retry_after_s)
+
+    def note_folder_lost(self, node: str) -> None:
+        """Submit to others what a forwarder held, but for what may have run and may not be repeated."""
+        held = list(self.accepted[node].values())
+        self.accepted[node] = {}
+        for submission in held:
+            submission.is_over = True
+            wait_s = self.rng.uniform(*self.plan.scenario.front.again_s)
+            self._retry_later(wait_s, submission, submission.attempt, is_repeat=True)
+
+    def _end(self, submission: Submission) -> None:
+        submission.is_over = True
+        if submission.forwarder is not None:
+            self.accepted[submission.forwarder.name].pop(submission.id, None)
+
+
+def _close_crossed_request(connection: ClientConnection | None) -> bool:
+    """Whether the forwarder closed an idle connection before it read the request."""
+    return connection is not None and connection.request_count > 1 and connection.was_reset
+
+
+def encode_request(submission: Submission, time_left_s: float) -> bytes:
+    """Return the request that submits a message, as the protocol page has it ("Clients to forwarders")."""
+    arrival = submission.arrival
+    body = f"refund {arrival.number}".encode() * 8
     lines = [
-        f"POST /{a.cls} HTTP/1.1",
+        f"POST /{arrival.message_class} HTTP/1.1",
         "Host: origin.svc",
-        f"X-Correlation-Id: {trip.id}",
-        f"X-Time-Left: {left_s:.3f}",
+        f"X-Correlation-Id: {submission.id}",
+        f"X-Time-Left: {time_left_s:.3f}",
         f"Content-Length: {len(body)}",
-        f"X-Addressing: dest={a.destination}",
+        f"X-Addressing: dest={arrival.destination}",
     ]
-    if a.key is not None:
-        lines.append(f"X-Session-Key: {a.key}")
-    if trip.again:
+    if arrival.key is not None:
+        lines.append(f"X-Session-Key: {arrival.key}")
+    if submission.is_repeat:
         lines.append("X-Repeat: again")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -1,171 +1,269 @@
-"""Discovery with limited room, and the platform that takes notices; one listener for each forwarder."""
+"""Fake discovery with limited capacity, and the platform that takes notices; one listener for each forwarder."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from functools import partial
-from typing import Any
+from http import HTTPStatus
 from urllib.parse import parse_qs, urlsplit
 
 import httptools
+import msgspec
 
-from lab.model import Limit
-from lab.net import Guarded, Link, Listener, Net, Where
+from lab.endpoint_model import TokenBucket
+from lab.event_log import EventKind, EventLog
+from lab.listener import Listener
+from lab.network import Address, Link, LinkConnection, Network
 from lab.plan import Endpoint
-from lab.record import Record
-from lab.scenario import Discovery as Room
+from lab.scenario import Discovery as DiscoverySettings
 
 PARTY = "discovery"
+LIST_PATH = "/discovery/hosts"
+NOTICES_PATH = "/v1/notices"
+ZONE = "oslo-1"
+REMOVED = "removed"
+WHOLE_LIST = -1
+"""The version that a call names which asks for the whole list."""
 
 
-class Discovery:
-    """The list of endpoints and its changes. What each forwarder dials differs; the names do not."""
+class ListEntry(msgspec.Struct, frozen=True, rename={"zone": "site", "kind": "class", "destination": "block"}):
+    """An endpoint, as the protocol page lists it ("Discovery")."""
+
+    host: str
+    dial: str
+    zone: str
+    kind: str
+    destination: int
+    health: str
+    share: float
+    born_ms: int = 0
+
+
+class EndpointList(msgspec.Struct, frozen=True, rename={"version": "seq", "is_whole": "whole", "entries": "hosts"}):
+    """The list of endpoints or what has changed in it, as the protocol page has it ("Discovery")."""
+
+    version: int
+    is_whole: bool
+    entries: list[ListEntry]
+
+
+@dataclass(frozen=True, slots=True)
+class Notice:
+    """The end of a message, as a forwarder tells it to the platform."""
+
+    message_id: str
+    state: str
+    retry_after_s: float
+
+
+def _ignore(notice: Notice) -> None:
+    """Do nothing about a notice."""
+
+
+class DiscoveryServer:
+    """The list of endpoints and its changes. The addresses differ from forwarder to forwarder; the names do not."""
 
     def __init__(
-        self, net: Net, record: Record, room: Room, nodes: int, seed: object, where: dict[tuple[str, str], Where]
+        self,
+        network: Network,
+        event_log: EventLog,
+        settings: DiscoverySettings,
+        nodes: int,
+        seed: object,
+        addresses: dict[Link, Address],
     ) -> None:
-        self.net, self.record, self.room, self.where = net, record, room, where
-        self.chance = random.Random(f"{seed}/discovery")
-        self.limit = Limit(room.per_node_s * nodes)
-        self.down = False
-        self.seq = 1
-        self.hosts: dict[str, Endpoint] = {}
+        """Make a discovery without endpoints.
+
+        Args:
+            network: The links to the forwarders.
+            event_log: Where what is seen goes.
+            settings: The scenario's table.
+            nodes: Size of the fleet, by which the capacity grows.
+            seed: Of the random draws.
+            addresses: Where each forwarder dials each endpoint; may grow later.
+        """
+        self.network = network
+        self.event_log = event_log
+        self.settings = settings
+        self.addresses = addresses
+        self.rng = random.Random(f"{seed}/discovery")
+        self.capacity = TokenBucket(settings.per_node_s * nodes)
+        self.is_down = False
+        self.version = 1
+        self.endpoints: dict[str, Endpoint] = {}
         self.health: dict[str, str] = {}
         self.changes: list[tuple[int, str]] = []
-        self.waiting: set[Asker] = set()
-        self.on_notice: Callable[[str, str, float], None] = lambda ident, state, after_s: None
+        """Version and endpoint's name, in order."""
+        self.watches: set[DiscoveryConnection] = set()
+        self.on_notice: Callable[[Notice], None] = _ignore
 
-    def listen(self, node: str, where: Where) -> Listener:
+    def make_listener(self, node: str, address: Address) -> Listener:
+        """Make the listener that one forwarder dials."""
         link = (node, PARTY)
-        return Listener(self.net, link, where, partial(Asker, self, link))
+        return Listener(self.network, link, address, partial(DiscoveryConnection, self, link))
 
-    def host(self, e: Endpoint, health: str = "up") -> None:
+    def update_endpoint(self, endpoint: Endpoint, health: str = "up") -> None:
         """List an endpoint, or change its health; `removed` takes it off."""
-        self.seq += 1
-        self.hosts[e.name], self.health[e.name] = e, health
-        self.changes.append((self.seq, e.name))
-        for asker in list(self.waiting):
-            asyncio.get_running_loop().call_later(self.chance.uniform(*self.room.late_s), asker.wake)
-
-    def row(self, node: str, name: str) -> dict[str, Any]:
-        host, port = self.where[(node, name)]
-        e = self.hosts[name]
-        return {
-            "host": name,
-            "dial": f"{host}:{port}",
-            "site": "oslo-1",
-            "class": e.kind,
-            "block": e.destination,
-            "health": self.health[name],
-            "share": round(e.rate, 3),
-            "born_ms": 0,
-        }
-
-    def listing(self, node: str) -> dict[str, Any]:
-        return {
-            "seq": self.seq,
-            "whole": True,
-            "hosts": [self.row(node, name) for name in self.hosts if self.health[name] != "removed"],
-        }
-
-    def since(self, node: str, seq: int) -> dict[str, Any]:
-        names = dict.fromkeys(name for number, name in self.changes if number > seq)
-        return {"seq": self.seq, "whole": False, "hosts": [self.row(node, name) for name in names]}
-
-
-class Asker(Guarded):
+        self.version += 1
+        self.endpoints[endpoint.name] = endpoint
+        self.health[endpoint.name] = health
+        self.changes.append((self.version, endpoint.name))
+        for watch in list(self.watches):
+            asyncio.get_running_loop().call_later(self.rng.uniform(*self.settings.late_s), watch.wake)
+
+    def whole_list(self, node: str) -> EndpointList:
+        """Return the whole list, for one forwarder."""
+        listed = [name for name in self.endpoints if self.health[name] != REMOVED]
+        return EndpointList(self.version, True, self._entries(node, listed))
+
+    def changes_since(self, node: str, version: int) -> EndpointList:
+        """Return what has changed after a version, for one forwarder."""
+        names = dict.fromkeys(name for changed_in, name in self.changes if changed_in > version)
+        return EndpointList(self.version, False, self._entries(node, names))
+
+    def _entries(self, node: str, names: Iterable[str]) -> list[ListEntry]:
+        return [self._entry(node, name) for name in names]
+
+    def _entry(self, node: str, name: str) -> ListEntry:
+        host, port = self.addresses[(node, name)]
+        endpoint = self.endpoints[name]
+        return ListEntry(
+            host=name,
+            dial=f"{host}:{port}",
+            zone=ZONE,
+            kind=endpoint.kind,
+            destination=endpoint.destination,
+            health=self.health[name],
+            share=round(endpoint.capacity_per_s, 3),
+        )
+
+
+class DiscoveryConnection(LinkConnection):
     """One connection from a forwarder to discovery and the platform."""
 
-    def __init__(self, discovery: Discovery, link: Link) -> None:
-        super().__init__(discovery.net, link)
-        self.discovery = discovery
+    def __init__(self, server: DiscoveryServer, link: Link) -> None:
+        super().__init__(server.network, link)
+        self.server = server
         self.parser = httptools.HttpRequestParser(self)
-        self.url, self.body = "", bytearray()
-        self.watching = -1
-        self.timer: asyncio.TimerHandle | None = None
+        self.url = ""
+        self.body = bytearray()
+        self.watched_version: int | None = None
+        """The version that an open watch has; None where there is none."""
+        self.watch_timer: asyncio.TimerHandle | None = None
 
-    def gone(self) -> None:
-        self.end_watch()
+    @property
+    def node(self) -> str:
+        """The forwarder's name."""
+        return self.link[0]
 
-    def end_watch(self) -> None:
-        self.discovery.waiting.discard(self)
-        self.watching = -1
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def on_closed(self) -> None:
+        """End the watch."""
+        self._end_watch()
 
-    def got(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
+        """Parse bytes of the forwarder."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
+    # Called by the parser
+
     def on_message_begin(self) -> None:
-        self.url, self.body = "", bytearray()
+        """Begin a request."""
+        self.url = ""
+        self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
+        """Add to the request's URL."""
         self.url += url.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Add to the request's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Answer the request, or begin a watch."""
         parts = urlsplit(self.url)
-        if parts.path == "/v1/notices":  # taken at once, even while discovery is down
-            self.notices()
-        elif parts.path != "/discovery/hosts":
-            self.answer(404)
+        if parts.path == NOTICES_PATH:  # taken at once, even while discovery is down
+            self._take_notices()
+        elif parts.path != LIST_PATH:
+            self._answer(HTTPStatus.NOT_FOUND)
         else:
             query = parse_qs(parts.query)
-            self.asked(int(query.get("from", ["-1"])[0]), float(query.get("hold_ms", ["0"])[0]) / 1000)
+            version = int(query.get("from", [str(WHOLE_LIST)])[0])
+            hold_s = float(query.get("hold_ms", ["0"])[0]) / 1000
+            self._take_list_request(version, hold_s)
+
+    # Requests
 
-    def notices(self) -> None:
-        d = self.discovery
+    def _take_notices(self) -> None:
         try:
-            told = [
-                (str(row["id"]), str(row["state"]), float(row.get("after_ms", 0)) / 1000)
+            notices = [
+                Notice(str(row["id"]), str(row["state"]), float(row.get("after_ms", 0)) / 1000)
                 for row in map(json.loads, self.body.splitlines())
             ]
         except (ValueError, KeyError, TypeError):
-            self.answer(400)
+            self._answer(HTTPStatus.BAD_REQUEST)
             return
-        for ident, state, after_s in told:
-            d.record.note("notice", id=ident, node=self.link[0], state=state, wait_s=after_s)
-            d.on_notice(ident, state, after_s)
-        self.answer(204)
-
-    def asked(self, seq: int, hold_s: float) -> None:
-        d = self.discovery
-        if d.down:
-            d.record.note("listed", node=self.link[0], status=0)
+        for notice in notices:
+            self.server.event_log.note(
+                EventKind.NOTICE,
+                id=notice.message_id,
+                node=self.node,
+                state=notice.state,
+                wait_s=notice.retry_after_s,
+            )
+            self.server.on_notice(notice)
+        self._answer(HTTPStatus.NO_CONTENT)
+
+    def _take_list_request(self, version: int, hold_s: float) -> None:
+        server = self.server
+        if server.is_down:
+            server.event_log.note(EventKind.LIST_REQUESTED, node=self.node, status=0)
             return  # silent while it is down
-        if not d.limit.take(d.record.clock()):
-            d.record.note("listed", node=self.link[0], status=503)
-            self.answer(503)
+        if not server.capacity.take(server.event_log.clock()):
+            server.event_log.note(EventKind.LIST_REQUESTED, node=self.node, status=HTTPStatus.SERVICE_UNAVAILABLE)
+            self._answer(HTTPStatus.SERVICE_UNAVAILABLE)
             return
-        d.record.note("listed", node=self.link[0], status=200)
-        if seq < 0 or seq > d.seq:
-            self.tell(d.listing(self.link[0]))
-        elif seq < d.seq:
-            self.tell(d.since(self.link[0], seq))
+        server.event_log.note(EventKind.LIST_REQUESTED, node=self.node, status=HTTPStatus.OK)
+        if version < 0 or version > server.version:
+            self._send_list(server.whole_list(self.node))
+        elif version < server.version:
+            self._send_list(server.changes_since(self.node, version))
         else:
-            self.watching = seq
-            d.waiting.add(self)
-            self.timer = asyncio.get_running_loop().call_later(hold_s, self.wake, True)
-
-    def wake(self, held_out: bool = False) -> None:
-        if self.watching >= 0 and not self.discovery.down and (held_out or self.watching < self.discovery.seq):
-            told = self.discovery.since(self.link[0], self.watching)
-            self.end_watch()
-            self.tell(told)
-
-    def tell(self, told: dict[str, Any]) -> None:
-        for row in told["hosts"]:
-            self.discovery.record.note("told", node=self.link[0], party=row["host"], state=row["health"])
-        self.answer(200, json.dumps(told).encode())
-
-    def answer(self, status: int, body: bytes = b"") -> None:
-        self.send(f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
+            self.watched_version = version
+            server.watches.add(self)
+            self.watch_timer = asyncio.get_running_loop().call_later(hold_s, self.wake, True)
+
+    def wake(self, hold_is_over: bool = False) -> None:
+        """Answer an open watch, if there is a change or its time is over."""
+        version = self.watched_version
+        if version is None or self.server.is_down:
+            return
+        if hold_is_over or version < self.server.version:
+            changes = self.server.changes_since(self.node, version)
+            self._end_watch()
+            self._send_list(changes)
+
+    def _end_watch(self) -> None:
+        self.server.watches.discard(self)
+        self.watched_version = None
+        if self.watch_timer is not None:
+            self.watch_timer.cancel()
+            self.watch_timer = None
+
+    # Answers
+
+    def _send_list(self, endpoint_list: EndpointList) -> None:
+        for entry in endpoint_list.entries:
+            self.server.event_log.note(EventKind.HEALTH_SENT, node=self.node, party=entry.host, state=entry.health)
+        self._answer(HTTPStatus.OK, json.dumps(msgspec.to_builtins(endpoint_list)).encode())
+
+    def _answer(self, status: HTTPStatus, body: bytes = b"") -> None:
+        head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
+        self.send(head.encode() + body)
--- a/lab/endpoints.py
+++ b/lab/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints on sockets: one listener for each forwarder, the destination's limit shared by all of them."""
+"""Fake endpoints on sockets: one listener for each forwarder, the destination's rate limit shared by all of them."""
 
 from __future__ import annotations
 
@@ -8,14 +8,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
+from http import HTTPStatus
 
 import httptools
 
-from lab.model import INFORMED, Station
-from lab.net import Guarded, Link, Listener, Net, Where
-from lab.record import Record
+from lab.endpoint_model import INFORMED_SHARE, EndpointModel
+from lab.event_log import EventKind, EventLog
+from lab.listener import Listener, ListenerState
+from lab.network import Address, Link, LinkConnection, Network
 
-PHRASES = {200: "OK", 400: "Bad Request", 413: "Too Large", 429: "Too Many", 500: "Fault", 503: "Unavailable"}
+REASON_PHRASES = {
+    HTTPStatus.OK: "OK",
+    HTTPStatus.BAD_REQUEST: "Bad Request",
+    HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Too Large",
+    HTTPStatus.TOO_MANY_REQUESTS: "Too Many",
+    HTTPStatus.INTERNAL_SERVER_ERROR: "Fault",
+    HTTPStatus.SERVICE_UNAVAILABLE: "Unavailable",
+}
+BATCH_PATH = "/hook/batch"
+REFUSALS = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 @dataclass(slots=True, eq=False)
@@ -23,170 +34,230 @@
     """One call at an endpoint."""
 
     number: int
-    door: Door
-    ids: list[str]
-    first_s: float
-    batch: bool
-    fresh: bool
-    """The first on its connection, which pays for the handshake."""
-    over: bool = False
+    connection: EndpointConnection
+    message_ids: list[str]
+    first_byte_s: float
+    is_batch: bool
+    pays_handshake: bool
+    """It is the first on its connection."""
+    is_over: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class WaitingCall:
+    """A call in an endpoint's queue, and how long its work takes."""
+
+    call: Call
+    service_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class PendingAnswer:
+    """An answer that was decided on and has not left yet."""
+
+    call: Call
+    status: HTTPStatus
+    retry_after_s: float
+
+
+def _ignore(message_id: str) -> None:
+    """Do nothing about a message."""
 
 
 @dataclass(slots=True, eq=False)
-class Site:
+class EndpointServer:
     """One endpoint with all its connections."""
 
-    station: Station
-    net: Net
-    record: Record
-    known: Callable[[str, str, int], bool]
-    """Whether a client handed a message in at that forwarder, for that destination."""
-    on_ran: Callable[[str], None] = lambda ident: None
-    on_delivered: Callable[[str], None] = lambda ident: None
-    silent: bool = False
-    doors: set[Door] = field(default_factory=set)
-    numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
+    model: EndpointModel[WaitingCall]
+    network: Network
+    event_log: EventLog
+    is_submitted: Callable[[str, str, int], bool]
+    """Whether a client submitted a message (its id) to a forwarder (its name), for a destination."""
+    on_started: Callable[[str], None] = _ignore
+    on_delivered: Callable[[str], None] = _ignore
+    is_silent: bool = False
+    """While it is down it says nothing; else it refuses connections."""
+    connections: set[EndpointConnection] = field(default_factory=set)
+    call_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     @property
     def name(self) -> str:
-        return self.station.told.name
+        """The endpoint's name."""
+        return self.model.spec.name
 
-    def listen(self, node: str, where: Where) -> Listener:
+    def make_listener(self, node: str, address: Address) -> Listener:
+        """Make the listener that one forwarder dials."""
         link = (node, self.name)
-        return Listener(self.net, link, where, partial(Door, self, link), self.down)
+        return Listener(self.network, link, address, partial(EndpointConnection, self, link), self.listener_state)
 
-    def down(self) -> str | None:
-        if not self.station.down:
-            return None
-        return "silence" if self.silent else "refuse"
+    def listener_state(self) -> ListenerState:
+        """Return what becomes of new connections, by the endpoint itself."""
+        if not self.model.is_down:
+            return ListenerState.OPEN
+        return ListenerState.SILENT if self.is_silent else ListenerState.REFUSING
 
     # What the schedule does
 
     def fail(self, silent: bool) -> None:
-        self.silent = silent
-        self.station.fail()
-        self.record.note("outage", party=self.name)
-        self._changed()
-
-    def come_back(self) -> None:
-        self.station.come_back(self.record.clock())
-        self.record.note("back", party=self.name, state="fallen" if self.station.fallen else "cold")
-        self._changed()
-
-    def _changed(self) -> None:
-        for link, listener in self.net.listeners.items():
+        """Begin an outage, with connections refused or left without an answer."""
+        self.is_silent = silent
+        self.model.fail()
+        self.event_log.note(EventKind.OUTAGE_STARTED, party=self.name)
+        self._apply_model_state()
+
+    def recover(self) -> None:
+        """End an outage."""
+        self.model.recover(self.event_log.clock())
+        state = "fallen" if self.model.is_overloaded else "cold"
+        self.event_log.note(EventKind.OUTAGE_ENDED, party=self.name, state=state)
+        self._apply_model_state()
+
+    def _apply_model_state(self) -> None:
+        for link, listener in self.network.listeners.items():
             if link[1] == self.name:
-                listener.heed()
-        if self.station.down:
-            self.station.line.clear()
-            self.station.busy = 0
-            for door in list(self.doors):
-                door.silence() if self.silent else door.abort()
+                listener.apply_link_state()
+        if not self.model.is_down:
+            return
+        self.model.queue.clear()
+        self.model.busy_slots = 0
+        for connection in list(self.connections):
+            if self.is_silent:
+                connection.silence()
+            else:
+                connection.abort()
 
     # Calls
 
-    def take(self, call: Call, node: str) -> None:
-        """A call is whole."""
-        now = self.record.clock()
-        for ident in call.ids:
-            self.record.note(
-                "call",
-                id=ident,
+    def take_call(self, call: Call, node: str) -> None:
+        """Answer, queue or start a call whose last byte has come."""
+        now_s = self.event_log.clock()
+        destination = self.model.spec.destination
+        for message_id in call.message_ids:
+            self.event_log.note(
+                EventKind.CALL_RECEIVED,
+                id=message_id,
                 node=node,
                 party=self.name,
                 call=call.number,
-                first_s=call.first_s,
-                destination=self.station.told.destination,
+                first_s=call.first_byte_s,
+                destination=destination,
             )
-        if not call.ids or not all(self.known(ident, node, self.station.told.destination) for ident in call.ids):
-            self.record.note("stranger", id=",".join(call.ids), node=node, party=self.name)
-            self.answer(call, 400)
+        known = [self.is_submitted(message_id, node, destination) for message_id in call.message_ids]
+        if not known or not all(known):
+            ids = ",".join(call.message_ids)
+            self.event_log.note(EventKind.UNKNOWN_MESSAGE, id=ids, node=node, party=self.name)
+            self._answer(call, HTTPStatus.BAD_REQUEST)
             return
-        informed = self.station.heed(now, node)
-        if informed is not None:
-            self.record.note("fell", party=self.name, share=informed, state="pushed" if informed >= INFORMED else "")
-            self._changed()
+        informed_share = self.model.count_against_budget(now_s, node)
+        if informed_share is not None:
+            self._overload(informed_share)
             return
-        verdict = self.station.judge(now)
-        if verdict.status != 200:
-            self.answer(call, verdict.status, verdict.wait_s)
-            return
-        if self.station.busy < self.station.slots:
-            self.begin(call, verdict.work_s)
+        self._decide(call, now_s)
+
+    def _overload(self, informed_share: float) -> None:
+        state = "pushed" if informed_share >= INFORMED_SHARE else ""
+        self.event_log.note(EventKind.ENDPOINT_OVERLOADED, party=self.name, share=informed_share, state=state)
+        self._apply_model_state()
+
+    def _decide(self, call: Call, now_s: float) -> None:
+        decision = self.model.decide(now_s)
+        if decision.status is not HTTPStatus.OK:
+            self._answer(call, decision.status, decision.retry_after_s)
+        elif self.model.has_free_slot():
+            self._start(call, decision.service_s)
         else:
-            self.station.line.append((call, verdict.work_s))
-
-    def begin(self, call: Call, work_s: float) -> None:
-        self.station.busy += 1
-        for ident in call.ids:
-            self.record.note("ran", id=ident, node=call.door.link[0], party=self.name, call=call.number)
-            self.on_ran(ident)
-        extra = self.station.settings.handshake_s if call.fresh else 0.0
-        asyncio.get_running_loop().call_later(work_s + extra, self.done, call)
-
-    def done(self, call: Call) -> None:
-        """The work is done, whether anybody still waits for it or not."""
-        if self.station.down:
+            self.model.queue.append(WaitingCall(call, decision.service_s))
+
+    def _start(self, call: Call, service_s: float) -> None:
+        self.model.busy_slots += 1
+        node = call.connection.link[0]
+        for message_id in call.message_ids:
+            self.event_log.note(EventKind.CALL_STARTED, id=message_id, node=node, party=self.name, call=call.number)
+            self.on_started(message_id)
+        handshake_s = self.model.settings.handshake_s if call.pays_handshake else 0.0
+        asyncio.get_running_loop().call_later(service_s + handshake_s, self._finish, call)
+
+    def _finish(self, call: Call) -> None:
+        """End a call's work, whether anybody still waits for it or not."""
+        model = self.model
+        if model.is_down:
             return
-        self.station.busy = max(0, self.station.busy - 1)
-        while self.station.line and self.station.busy < self.station.slots:
-            waiting, work_s = self.station.line.popleft()
-            if not waiting.over:  # one whose connection has ended is not begun
-                self.begin(waiting, work_s)
-        self.answer(call, 200)
+        model.busy_slots = max(0, model.busy_slots - 1)
+        while model.queue and model.has_free_slot():
+            waiting = model.queue.popleft()
+            if not waiting.call.is_over:  # one whose connection has ended is not started
+                self._start(waiting.call, waiting.service_s)
+        self._answer(call, HTTPStatus.OK)
 
-    def answer(self, call: Call, status: int, wait_s: float = 0.0) -> None:
-        if not call.over:
-            call.door.answer(call, status, wait_s)
+    def _answer(self, call: Call, status: HTTPStatus, retry_after_s: float = 0.0) -> None:
+        if not call.is_over:
+            call.connection.answer(call, status, retry_after_s)
 
 
-class Door(Guarded):
-    """One connection from a forwarder."""
+class EndpointConnection(LinkConnection):
+    """One connection from a forwarder to a fake endpoint."""
 
-    def __init__(self, site: Site, link: Link) -> None:
-        super().__init__(site.net, link)
-        self.site = site
+    def __init__(self, server: EndpointServer, link: Link) -> None:
+        super().__init__(server.network, link)
+        self.server = server
         self.parser = httptools.HttpRequestParser(self)
         self.call: Call | None = None
-        self.calls, self.first_s = 0, 0.0
+        self.call_count = 0
+        self.first_byte_s = 0.0
         self.headers: dict[str, str] = {}
-        self.path, self.body = "", bytearray()
-        self.writing: list[tuple[Call, int, float]] = []
+        self.path = ""
+        self.body = bytearray()
+        self.pending_answers: list[PendingAnswer] = []
+
+    @property
+    def node(self) -> str:
+        """The forwarder's name."""
+        return self.link[0]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the connection, or reset it where the endpoint holds too many."""
         super().connection_made(transport)
-        self.site.record.note("dialled", node=self.link[0], party=self.site.name)
-        if len(self.site.doors) >= self.site.station.settings.connections:
+        self.server.event_log.note(EventKind.CONNECTION_OPENED, node=self.node, party=self.server.name)
+        if len(self.server.connections) >= self.server.model.settings.connections:
             self.abort()
             return
-        self.site.doors.add(self)
+        self.server.connections.add(self)
 
     def silence(self) -> None:
-        """The machine has vanished: nothing is said on what is open."""
+        """Say nothing on the connection from now on: the machine has vanished."""
         if self.transport is not None:
             self.transport.pause_reading()
-        self.lost()
-
-    def lost(self) -> None:
-        """The connection is of no use any more: its call ends, and answers that the link held back never leave."""
-        calls = [call for call, *_ in self.writing] + ([] if self.call is None else [self.call])
-        self.call, self.writing, self.mute = None, [], True
+        self._drop_calls()
+
+    def on_peer_ended(self) -> None:
+        """Give up what is under way."""
+        self._drop_calls()
+
+    def on_closed(self) -> None:
+        """Give up what is under way; a forwarder whose connection breaks in an outage knows of it."""
+        self.server.connections.discard(self)
+        self._drop_calls()
+        if self.server.model.is_down:
+            self.server.model.informed_nodes.add(self.node)
+
+    def _drop_calls(self) -> None:
+        """End the calls of a connection that is of no use any more. Answers that the link held back never leave."""
+        calls = [pending.call for pending in self.pending_answers]
+        if self.call is not None:
+            calls.append(self.call)
+        self.call = None
+        self.pending_answers = []
+        self.muted = True
         for call in calls:
-            call.over = True
-            for ident in call.ids:
-                self.site.record.note("cut", id=ident, node=self.link[0], party=self.site.name, call=call.number)
-
-    def gave_up(self) -> None:
-        self.lost()
-
-    def gone(self) -> None:
-        self.site.doors.discard(self)
-        self.lost()
-        if self.site.station.down:
-            self.site.station.seen_failing.add(self.link[0])
-
-    def got(self, data: bytes) -> None:
-        if self.site.station.down:
+            call.is_over = True
+            for message_id in call.message_ids:
+                self.server.event_log.note(
+                    EventKind.CALL_ABORTED, id=message_id, node=self.node, party=self.server.name, call=call.number
+                )
+
+    def receive(self, data: bytes) -> None:
+        """Parse bytes of the forwarder, unless the endpoint is down."""
+        if self.server.model.is_down:
             return
         try:
             self.parser.feed_data(data)
@@ -196,60 +267,83 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        self.first_s = self.site.record.clock()
-        self.headers, self.path, self.body = {}, "", bytearray()
+        """Begin a request."""
+        self.first_byte_s = self.server.event_log.clock()
+        self.headers = {}
+        self.path = ""
+        self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
+        """Add to the request's path."""
         self.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header of the request."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """Add to the request's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        batch = self.path == "/hook/batch"
-        ids = [self.headers.get("x-correlation-id", "")]
-        if batch:
-            try:
-                ids = [str(entry["id"]) for entry in json.loads(self.body)]
-            except (ValueError, TypeError, KeyError):
-                ids = []
-        self.calls += 1
-        self.call = Call(next(self.site.numbers), self, ids, self.first_s, batch, self.calls == 1)
-        self.site.take(self.call, self.link[0])
-
-    def answer(self, call: Call, status: int, wait_s: float) -> None:
-        body = b""
-        if status == 200 and call.batch:
-            body = json.dumps([{"id": ident, "state": "accepted"} for ident in call.ids]).encode()
-        lines = [f"HTTP/1.1 {status} {PHRASES[status]}", f"Content-Length: {len(body)}"]
-        report = self.site.station.shop.report()
-        if report is not None:
-            lines.append(f"X-Backend-Load: {report}")
-        if wait_s:
-            lines.append(f"X-RateLimit-Wait-Ms: {wait_s * 1000:.0f}")
-        if status in (429, 503) and self.site.station.cold(self.site.record.clock()):
-            self.site.station.seen_failing.add(self.link[0])
+        """Hand the call to the endpoint."""
+        is_batch = self.path == BATCH_PATH
+        self.call_count += 1
+        self.call = Call(
+            number=next(self.server.call_numbers),
+            connection=self,
+            message_ids=self._batch_ids() if is_batch else [self.headers.get("x-correlation-id", "")],
+            first_byte_s=self.first_byte_s,
+            is_batch=is_batch,
+            pays_handshake=self.call_count == 1,
+        )
+        self.server.take_call(self.call, self.node)
+
+    def _batch_ids(self) -> list[str]:
+        """Return the ids of a batch; none where it cannot be read."""
+        try:
+            return [str(entry["id"]) for entry in json.loads(self.body)]
+        except (ValueError, TypeError, KeyError):
+            return []
+
+    # Answers
+
+    def answer(self, call: Call, status: HTTPStatus, retry_after_s: float) -> None:
+        """Send an answer, as far as the link lets it pass."""
+        model = self.server.model
+        if status in REFUSALS and model.is_warming_up(self.server.event_log.clock()):
+            model.informed_nodes.add(self.node)
         self.call = None
-        self.writing.append((call, status, wait_s))
-        self.send("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-
-    def sent(self, data: bytes) -> None:
-        """An answer has left: only now it counts as given."""
-        call, status, wait_s = self.writing.pop(0)
-        call.over = True
-        for ident in call.ids:
-            self.site.record.note(
-                "answered",
-                id=ident,
-                node=self.link[0],
-                party=self.site.name,
-                call=call.number,
-                status=status,
-                wait_s=wait_s,
-                destination=self.site.station.told.destination,
+        self.pending_answers.append(PendingAnswer(call, status, retry_after_s))
+        self.send(encode_answer(call, status, retry_after_s, model.destination.load_report()))
+
+    def on_sent(self, data: bytes) -> None:
+        """Note an answer that has left: only now it counts as given."""
+        answer = self.pending_answers.pop(0)
+        answer.call.is_over = True
+        for message_id in answer.call.message_ids:
+            self.server.event_log.note(
+                EventKind.CALL_ANSWERED,
+                id=message_id,
+                node=self.node,
+                party=self.server.name,
+                call=answer.call.number,
+                status=answer.status,
+                wait_s=answer.retry_after_s,
+                destination=self.server.model.spec.destination,
             )
-            if status == 200:
-                self.site.on_delivered(ident)
+            if answer.status is HTTPStatus.OK:
+                self.server.on_delivered(message_id)
+
+
+def encode_answer(call: Call, status: HTTPStatus, retry_after_s: float, load_report: str | None) -> bytes:
+    """Return an answer as the protocol page has it ("Forwarders to endpoints")."""
+    body = b""
+    if status is HTTPStatus.OK and call.is_batch:
+        body = json.dumps([{"id": message_id, "state": "accepted"} for message_id in call.message_ids]).encode()
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}", f"Content-Length: {len(body)}"]
+    if load_report is not None:
+        lines.append(f"X-Backend-Load: {load_report}")
+    if retry_after_s:
+        lines.append(f"X-RateLimit-Wait-Ms: {retry_after_s * 1000:.0f}")
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/lab/launcher.py
+++ b/lab/launcher.py
@@ -1,17 +1,16 @@
 """Starts and reaps the forwarders for the lab, in a process of its own.
 
-While a process with many descriptors starts others, its own loop stands still (60 ms for each, where six start at
-once): the lab would be late at just the moment that it measures. This one has no descriptors but its pipes. It also
-ends whatever it has started when the lab is gone, in whatever way.
+While a process with many descriptors starts others, its own event loop stands still (60 ms for each, where six start at
+once), and the lab would be late. This process has no descriptors but its pipes. It also ends whatever it has started
+when the lab is gone, in whatever way.
 
-A line of JSON asks for a start: {"key", "argv", "cwd", "env", "log"}; lines tell {"key", "pid"} and, later, {"key",
-"pid", "code"}.
+A line of JSON asks for a start; further lines tell that it has started and, later, that it has ended.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
+import contextlib
 import os
 import signal
 import subprocess
@@ -19,28 +18,49 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-LINE = 1 << 20
+import msgspec
+
+MAX_LINE_BYTES = 1 << 20
+
+
+class StartRequest(msgspec.Struct, frozen=True):
+    """Asks for a process. `key` is the asker's, and comes back in the replies."""
+
+    key: int
+    argv: list[str]
+    cwd: str
+    env: dict[str, str]
+    log: str
+    """The file that its output is added to."""
+
+
+class Reply(msgspec.Struct, frozen=True, omit_defaults=True):
+    """Tells that a process has started (`pid`), could not be started (`error`), or has ended (`code`)."""
+
+    key: int
+    pid: int = 0
+    code: int | None = None
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """One that was started. It is struck by its descriptor, so never another that got its number."""
+    """A started process. Signals go to its descriptor, so never to another process that got its number."""
 
     pid: int
     fd: int
     """-1: it had ended before it could be had."""
 
     def send(self, sign: int) -> None:
+        """Send a signal, if the process has not ended."""
         if self.fd < 0:
             return
-        try:
+        with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.fd, sign)
-        except ProcessLookupError:
-            pass  # it has ended meanwhile
 
     def close(self) -> None:
+        """Release the descriptor."""
         if self.fd >= 0:
             os.close(self.fd)
 
@@ -52,10 +72,11 @@
         self.process: asyncio.subprocess.Process | None = None
         self.reading: asyncio.Task[None] | None = None
         self.starting: dict[int, asyncio.Future[int]] = {}
-        self.ended: dict[int, Callable[[int], None]] = {}
-        self.key = 0
+        self.on_end: dict[int, Callable[[int], None]] = {}
+        self.last_key = 0
 
     async def open(self) -> None:
+        """Start the launcher's process."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -63,24 +84,36 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             cwd=Path(__file__).resolve().parent.parent,
-            limit=LINE,
+            limit=MAX_LINE_BYTES,
             start_new_session=True,
         )
         self.reading = asyncio.get_running_loop().create_task(self._read())
 
     async def start(
-        self, argv: list[str], cwd: Path, env: dict[str, str], log: Path, ended: Callable[[int], None]
+        self, argv: list[str], cwd: Path, env: dict[str, str], log: Path, on_end: Callable[[int], None]
     ) -> Process:
-        """Start one; `ended` hears its exit status. Raises OSError."""
+        """Start a process.
+
+        Args:
+            argv: The command.
+            cwd: Its working directory.
+            env: Its whole environment.
+            log: The file that its output is added to.
+            on_end: Called with its exit status.
+
+        Raises:
+            OSError: It could not be started.
+        """
         assert self.process is not None
         assert self.process.stdin is not None
-        self.key += 1
-        key, answer = self.key, asyncio.get_running_loop().create_future()
-        self.starting[key], self.ended[key] = answer, ended
-        self.process.stdin.write(
-            json.dumps({"key": key, "argv": argv, "cwd": str(cwd), "env": env, "log": str(log)}).encode() + b"\n"
-        )
-        pid = await answer
+        self.last_key += 1
+        key = self.last_key
+        started: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.starting[key] = started
+        self.on_end[key] = on_end
+        request = StartRequest(key, argv, str(cwd), env, str(log))
+        self.process.stdin.write(msgspec.json.encode(request) + b"\n")
+        pid = await started
         try:
             return Process(pid, os.pidfd_open(pid))
         except ProcessLookupError:
@@ -90,16 +123,16 @@
         assert self.process is not None
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            told: dict[str, Any] = json.loads(line)
-            if "code" in told:  # after whoever waits for its start has heard of that
-                asyncio.get_running_loop().call_soon(self.ended.pop(told["key"]), told["code"])
-            elif "error" in told:
-                self.starting.pop(told["key"]).set_exception(OSError(told["error"]))
+            reply = msgspec.json.decode(line, type=Reply)
+            if reply.code is not None:  # after whoever waits for its start has heard of that
+                asyncio.get_running_loop().call_soon(self.on_end.pop(reply.key), reply.code)
+            elif reply.error:
+                self.starting.pop(reply.key).set_exception(OSError(reply.error))
             else:
-                self.starting.pop(told["key"]).set_result(told["pid"])
+                self.starting.pop(reply.key).set_result(reply.pid)
 
     async def close(self) -> None:
-        """All that it has started ends with it."""
+        """End the launcher's process, and with it all that it has started."""
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
             await self.process.wait()
@@ -107,44 +140,49 @@
             await self.reading
 
 
-def tell(**told: Any) -> None:
-    sys.stdout.write(json.dumps(told) + "\n")
+def _write(reply: Reply) -> None:
+    sys.stdout.write(msgspec.json.encode(reply).decode() + "\n")
     sys.stdout.flush()
 
 
+def _spawn(request: StartRequest) -> subprocess.Popen[bytes]:
+    with open(request.log, "ab") as log:
+        return subprocess.Popen(
+            request.argv,
+            cwd=request.cwd,
+            env=request.env,
+            stdin=subprocess.DEVNULL,
+            stdout=log,
+            stderr=log,
+            start_new_session=True,
+        )
+
+
 async def serve() -> None:
-    """The launcher's side, until its input ends."""
+    """Run the launcher's side, until its input ends."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(LINE)
+    reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     children: dict[int, subprocess.Popen[bytes]] = {}
 
     def reap(fd: int, key: int, child: subprocess.Popen[bytes]) -> None:
+        """Take the exit status of a child that has ended."""
         loop.remove_reader(fd)
         os.close(fd)
         del children[key]
-        tell(key=key, pid=child.pid, code=child.wait())
+        _write(Reply(key, pid=child.pid, code=child.wait()))
 
     while line := await reader.readline():
-        told = json.loads(line)
+        request = msgspec.json.decode(line, type=StartRequest)
         try:
-            with open(told["log"], "ab") as log:
-                child = subprocess.Popen(
-                    told["argv"],
-                    cwd=told["cwd"],
-                    env=told["env"],
-                    stdin=subprocess.DEVNULL,
-                    stdout=log,
-                    stderr=log,
-                    start_new_session=True,
-                )
+            child = _spawn(request)
         except OSError as error:
-            tell(key=told["key"], error=str(error))
+            _write(Reply(request.key, error=str(error)))
             continue
-        children[told["key"]] = child
-        tell(key=told["key"], pid=child.pid)
+        children[request.key] = child
+        _write(Reply(request.key, pid=child.pid))
         fd = os.pidfd_open(child.pid)
-        loop.add_reader(fd, reap, fd, told["key"], child)
+        loop.add_reader(fd, reap, fd, request.key, child)
     for child in children.values():
         child.kill()
     for child in children.values():
--- /dev/null
+++ b/lab/network.py
@@ -0,0 +1,263 @@
+"""Links between a forwarder and the other parties of a run, and the faults that are injected into them.
+
+A forwarder dials each party at an address that only this forwarder is given, so a link is known by the address that was
+dialled, without special rights. A silent link holds bytes back as a network that retransmits does: they come when the
+fault is healed, also behind an orderly close, since the sender's kernel goes on; after a reset nothing comes.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import enum
+import random
+import select
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+Link = tuple[str, str]
+"""A forwarder and a party: an endpoint's name, `discovery`, `front`, or another forwarder."""
+Address = tuple[str, int]
+"""An IPv4 address and a port."""
+MIN_SPACING_S = 1e-6
+"""Two pieces of a delayed stream arrive at least so long after one another, which keeps their order."""
+
+
+@dataclass(frozen=True, slots=True)
+class LinkFault:
+    """What is wrong with a link. `out` is the direction from the forwarder to the party."""
+
+    silent_out: bool = False
+    silent_in: bool = False
+    refuse: bool = False
+    delay_s: float = 0.0
+    jitter_s: float = 0.0
+    loss: float = 0.0
+    """Share of the datagrams that are lost; `doubled` and `swapped` likewise."""
+    doubled: float = 0.0
+    swapped: float = 0.0
+
+    @property
+    def delays(self) -> bool:
+        """Whether what passes the link is delayed."""
+        return bool(self.delay_s or self.jitter_s)
+
+
+HEALTHY = LinkFault()
+
+
+class Direction(enum.Enum):
+    """Where bytes on a link go to."""
+
+    TO_PARTY = enum.auto()
+    TO_FORWARDER = enum.auto()
+
+
+class LinkListener(Protocol):
+    """A listening socket of a party, which follows the state of its link."""
+
+    def apply_link_state(self) -> None:
+        """Accept, refuse or ignore new connections, as the link has it now."""
+
+    def close(self) -> None:
+        """Release the address."""
+
+
+class Network:
+    """All links of a run. Listeners and connections follow a change of their link at once."""
+
+    def __init__(self, seed: object) -> None:
+        self.rng = random.Random(f"{seed}/net")
+        self.faults: dict[Link, LinkFault] = {}
+        self.listeners: dict[Link, LinkListener] = {}
+        self.connections: dict[Link, set[LinkConnection]] = {}
+        self.counts: Counter[str] = Counter()
+        """How often each kind of thing befell what passed a link."""
+
+    def fault_on(self, link: Link) -> LinkFault:
+        """Return what is wrong with a link now."""
+        return self.faults.get(link, HEALTHY)
+
+    def set_fault(self, link: Link, fault: LinkFault) -> None:
+        """Put a fault in the place of the one that the link had."""
+        if fault == HEALTHY:
+            self.faults.pop(link, None)
+        else:
+            self.faults[link] = fault
+        if link in self.listeners:
+            self.listeners[link].apply_link_state()
+        for connection in list(self.connections.get(link, ())):
+            if fault.refuse:
+                connection.abort()
+            connection.release_held()
+
+    def heal(self, link: Link) -> None:
+        """End the fault of a link."""
+        self.set_fault(link, HEALTHY)
+
+    def reset_connections(self, link: Link) -> None:
+        """Reset every open connection of a link."""
+        for connection in list(self.connections.get(link, ())):
+            self.counts["reset"] += 1
+            connection.abort()
+
+    def draw_delay_s(self, fault: LinkFault) -> float:
+        """Draw how long the next piece takes, in seconds."""
+        return fault.delay_s + fault.jitter_s * self.rng.random()
+
+
+class LinkConnection(asyncio.Protocol):
+    """A party's end of a connection with a forwarder, whose bytes the link may hold back or delay.
+
+    Subclasses implement `receive` and call `send`; they may override the `on_` methods.
+    """
+
+    def __init__(self, network: Network, link: Link) -> None:
+        self.network = network
+        self.link = link
+        self.transport: asyncio.Transport | None = None
+        self.held_inbound: list[bytes] = []
+        self.held_outbound: list[bytes] = []
+        self.last_arrival_s = {Direction.TO_PARTY: 0.0, Direction.TO_FORWARDER: 0.0}
+        """When the last delayed piece arrives, by the loop's clock."""
+        self.close_when_sent = False
+        self.eof_behind_held = False
+        """The forwarder has ended its side, behind bytes that the link holds back."""
+        self.muted = False
+        """Nothing leaves any more, also of what the link has held back or delayed."""
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with its link."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        self.network.connections.setdefault(self.link, set()).add(self)
+        self.network.counts["connections"] += 1
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Take the connection off its link."""
+        self.transport = None
+        self.network.connections.get(self.link, set()).discard(self)
+        self.on_closed()
+
+    def data_received(self, data: bytes) -> None:
+        """Pass bytes of the forwarder on, now, later, or once the link is healed."""
+        fault = self.network.fault_on(self.link)
+        if fault.silent_out or self.held_inbound:
+            self.network.counts["held"] += 1
+            self.held_inbound.append(data)
+        elif self._is_delayed(Direction.TO_PARTY, fault):
+            self._delay(Direction.TO_PARTY, fault, self.receive, data)
+        else:
+            self.receive(data)
+
+    def eof_received(self) -> bool:
+        """Note that the forwarder has ended its side.
+
+        Returns:
+            Whether the connection stays open, for what the link holds back.
+        """
+        self.eof_behind_held = bool(self.held_inbound)
+        if self.eof_behind_held:
+            self.on_peer_ended()
+        return self.eof_behind_held
+
+    # Called by the party
+
+    def send(self, data: bytes) -> None:
+        """Send bytes to the forwarder, as far as the link lets them pass."""
+        fault = self.network.fault_on(self.link)
+        if fault.silent_in or self.held_outbound:
+            self.network.counts["held"] += 1
+            self.held_outbound.append(data)
+        elif self._is_delayed(Direction.TO_FORWARDER, fault):
+            self._delay(Direction.TO_FORWARDER, fault, self._write, data)
+        else:
+            self._write(data)
+
+    def close(self) -> None:
+        """Close the connection once what the link holds back has left."""
+        self.close_when_sent = True
+        if not self.held_outbound and self.transport is not None:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def is_usable(self) -> bool:
+        """Whether a request may still be sent on the connection."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    # Called by the network
+
+    def release_held(self) -> None:
+        """Let what was held back go on, as far as the link now lets it pass."""
+        fault = self.network.fault_on(self.link)
+        if not fault.silent_out:
+            self._release_inbound()
+        if not fault.silent_in:
+            outbound, self.held_outbound = self.held_outbound, []
+            for data in outbound:
+                self._write(data)
+
+    def _release_inbound(self) -> None:
+        inbound, self.held_inbound = self.held_inbound, []
+        if self.eof_behind_held and self._was_reset():
+            self.network.counts["dropped by a reset"] += 1
+            inbound = []
+        for data in inbound:
+            self.receive(data)
+        if self.eof_behind_held and self.transport is not None:
+            self.transport.close()
+
+    def _was_reset(self) -> bool:
+        """Whether a reset has come behind the forwarder's end: the loop does not look for one any more."""
+        sock = None if self.transport is None else self.transport.get_extra_info("socket")
+        if sock is None or sock.fileno() < 0:
+            return True
+        poller = select.poll()
+        poller.register(sock.fileno(), 0)
+        return bool(poller.poll(0))
+
+    def _is_delayed(self, direction: Direction, fault: LinkFault) -> bool:
+        return fault.delays or self.last_arrival_s[direction] > asyncio.get_running_loop().time()
+
+    def _delay(self, direction: Direction, fault: LinkFault, deliver: Callable[[bytes], None], data: bytes) -> None:
+        """Deliver bytes after the link's delay, and never before what was sent earlier: it is a stream."""
+        self.network.counts["delayed"] += 1
+        loop = asyncio.get_running_loop()
+        earliest_s = self.last_arrival_s[direction] + MIN_SPACING_S
+        self.last_arrival_s[direction] = max(earliest_s, loop.time() + self.network.draw_delay_s(fault))
+        loop.call_at(self.last_arrival_s[direction], self._arrive, deliver, data)
+
+    def _arrive(self, deliver: Callable[[bytes], None], data: bytes) -> None:
+        """Deliver delayed bytes. Those of a connection that has ended meanwhile are lost with it."""
+        if self.transport is not None:
+            deliver(data)
+
+    def _write(self, data: bytes) -> None:
+        if self.transport is None or self.transport.is_closing() or self.muted:
+            return
+        self.transport.write(data)
+        self.on_sent(data)
+        if self.close_when_sent and not self.held_outbound:
+            self.transport.close()
+
+    # For subclasses
+
+    def receive(self, data: bytes) -> None:
+        """Take bytes of the forwarder that have passed the link."""
+        raise NotImplementedError
+
+    def on_sent(self, data: bytes) -> None:
+        """Note that these bytes were handed to the socket."""
+
+    def on_peer_ended(self) -> None:
+        """Note that the forwarder has ended its side, and that what it sent last is still held back."""
+
+    def on_closed(self) -> None:
+        """Note that the connection has ended."""
--- /dev/null
+++ b/lab/observed_state.py
@@ -0,0 +1,271 @@
+"""What the fake parties know at a moment of a run: the state that the rule checks look at. Pure."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+from lab.event_log import Event, EventKind
+from lab.plan import REFUND_CLASS
+
+SOCKET_GRACE_S = 0.05
+"""Every time limit is so much longer on sockets (PROTOCOL, "The rules on sockets")."""
+ACCEPTED = (HTTPStatus.OK, HTTPStatus.ACCEPTED)
+REFUSED = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+MAY_HAVE_RUN = (HTTPStatus.OK, HTTPStatus.INTERNAL_SERVER_ERROR)
+"""Answers to a call which do not say that it never ran."""
+
+
+@dataclass(slots=True)
+class MessageState:
+    """What is known of one submission."""
+
+    submitted: Event
+    answer: int = 0
+    """The status that its client got; 0 for none."""
+    refused_at_s: float | None = None
+    noticed_at_s: float | None = None
+    ended_at_s: float | None = None
+    """When it was delivered or its notice came."""
+    may_have_run: bool = False
+    """By a call whose answer did not say that it never ran."""
+    was_given_up: bool = False
+    """Its client has waited long enough: what becomes of it counts for nothing (PROTOCOL)."""
+    open_calls: set[int] = field(default_factory=set)
+
+    @property
+    def is_accepted(self) -> bool:
+        """Whether its client heard that it was taken on."""
+        return self.answer in ACCEPTED
+
+    @property
+    def runs_once(self) -> bool:
+        """Whether it may take effect once only."""
+        return self.submitted.state == REFUND_CLASS
+
+
+@dataclass(frozen=True, slots=True)
+class KeyBackoff:
+    """A key whose last call may still run: its next message waits."""
+
+    until_s: float
+    message_id: str
+    """The message of that call, which itself may be sent again."""
+
+
+@dataclass(frozen=True, slots=True)
+class RetryAfter:
+    """A wait that a destination told a forwarder."""
+
+    told_at_s: float
+    until_s: float
+
+
+@dataclass(slots=True)
+class Downtime:
+    """A time in which a forwarder could not end messages: from a kill until its next 200, or while it was stopped."""
+
+    begin_s: float
+    end_s: float | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class OverlappingCall:
+    """A call that came while others of its message were open."""
+
+    call: Event
+    still_open: set[int]
+    """Those of them that nothing has ended since."""
+
+
+class ObservedState:
+    """Replays events. `apply` brings the state past an event; the rule checks look at it before."""
+
+    def __init__(self, lateness_s: float = 0.0, key_backoff_s: float = 0.0) -> None:
+        """Make the state before the first event.
+
+        Args:
+            lateness_s: How late the lab itself was.
+            key_backoff_s: How long a key waits after a call that may still run.
+        """
+        self.grace_s = SOCKET_GRACE_S + lateness_s
+        self.key_backoff_s = key_backoff_s
+        self.messages: dict[str, MessageState] = {}
+        self.run_submissions: dict[int, str] = {}
+        """By arrival, the submission that took effect, of messages that may take effect once only."""
+        self.key_order: defaultdict[tuple[str, str], list[str]] = defaultdict(list)
+        """By forwarder and key, the accepted messages in their order."""
+        self.key_backoffs: dict[tuple[str, str], KeyBackoff] = {}
+        self.retry_after: dict[tuple[str, int], RetryAfter] = {}
+        """By forwarder and destination."""
+        self.unlisted_since_s: dict[tuple[str, str], float] = {}
+        """By forwarder and endpoint, since when it was told that the endpoint is draining or removed."""
+        self.disabled_since_s: dict[tuple[str, str], float] = {}
+        self.downtimes: defaultdict[str, list[Downtime]] = defaultdict(list)
+        self.overlapping_calls: list[OverlappingCall] = []
+        self.forgotten: list[str] = []
+        """Messages that went with a folder that the schedule lost or damaged: no rule stands for them."""
+        self._handlers: dict[EventKind, Callable[[Event], None]] = {
+            EventKind.SUBMITTED: self._on_submitted,
+            EventKind.SUBMIT_ANSWERED: self._on_submit_answered,
+            EventKind.SUBMIT_TIMED_OUT: self._on_submit_timed_out,
+            EventKind.CALL_RECEIVED: self._on_call_received,
+            EventKind.CALL_STARTED: self._on_call_started,
+            EventKind.CALL_ANSWERED: self._on_call_answered,
+            EventKind.CALL_ABORTED: self._on_call_aborted,
+            EventKind.NOTICE: self._on_notice,
+            EventKind.HEALTH_SENT: self._on_health_sent,
+            EventKind.ENDPOINT_DISABLED: self._on_endpoint_disabled,
+            EventKind.ENDPOINT_ENABLED: self._on_endpoint_enabled,
+            EventKind.PROCESS_KILLED: self._on_process_struck,
+            EventKind.PROCESS_TERMINATED: self._on_process_struck,
+            EventKind.PROCESS_PAUSED: self._on_process_paused,
+            EventKind.PROCESS_RESUMED: self._on_process_resumed,
+            EventKind.PROCESS_ENDED: self._on_process_ended,
+            EventKind.FORWARDER_READY: self._on_forwarder_ready,
+            EventKind.STATE_FOLDER_CHANGED: self._on_state_folder_changed,
+        }
+
+    def apply(self, event: Event) -> None:
+        """Bring the state past an event."""
+        handler = self._handlers.get(event.kind)
+        if handler is not None:
+            handler(event)
+
+    def is_forgotten(self, message_id: str) -> bool:
+        """Whether a message went with a lost or damaged folder."""
+        return message_id in self.forgotten
+
+    # Clients
+
+    def _on_submitted(self, event: Event) -> None:
+        self.messages[event.id] = MessageState(event)
+
+    def _on_submit_answered(self, event: Event) -> None:
+        message = self.messages.get(event.id)
+        if message is None:
+            return
+        message.answer = event.status
+        if event.status in REFUSED:
+            message.refused_at_s = event.at_s
+        key = message.submitted.key
+        if event.status in ACCEPTED and key is not None:
+            self.key_order[(event.node, key)].append(event.id)
+
+    def _on_submit_timed_out(self, event: Event) -> None:
+        if event.id in self.messages:
+            self.messages[event.id].was_given_up = True
+
+    # Calls
+
+    def _on_call_received(self, event: Event) -> None:
+        message = self.messages.get(event.id)
+        if message is None:
+            return  # the endpoint itself notes an unknown message
+        if message.open_calls:
+            self.overlapping_calls.append(OverlappingCall(event, set(message.open_calls)))
+        message.open_calls.add(event.call)
+
+    def _on_call_started(self, event: Event) -> None:
+        message = self.messages.get(event.id)
+        if message is None:
+            return
+        message.may_have_run = True
+        if message.runs_once:
+            self.run_submissions.setdefault(message.submitted.number, event.id)
+
+    def _on_call_answered(self, event: Event) -> None:
+        self._end_call(event, may_have_run=event.status in MAY_HAVE_RUN)
+        message = self.messages.get(event.id)
+        if event.status == HTTPStatus.OK and message is not None and message.ended_at_s is None:
+            message.ended_at_s = event.at_s
+        if event.wait_s:
+            told = self.retry_after.get((event.node, event.destination), RetryAfter(0.0, 0.0))
+            until_s = max(told.until_s, event.at_s + event.wait_s)
+            self.retry_after[(event.node, event.destination)] = RetryAfter(event.at_s, until_s)
+
+    def _on_call_aborted(self, event: Event) -> None:
+        """Note that the connection of a call ended before its answer: it may have run."""
+        self._end_call(event, may_have_run=True)
+        if event.id in self.messages:
+            self._begin_key_backoff(event, self.messages[event.id])
+        for overlapping in self.overlapping_calls:
+            if overlapping.call.id == event.id and event.at_s - overlapping.call.at_s <= self.grace_s:
+                # Two sockets were ready at once: which the lab looks at first is chance.
+                overlapping.still_open.discard(event.call)
+
+    def _end_call(self, event: Event, may_have_run: bool) -> None:
+        message = self.messages.get(event.id)
+        if message is not None:
+            message.open_calls.discard(event.call)
+            message.may_have_run |= may_have_run
+
+    def _begin_key_backoff(self, event: Event, message: MessageState) -> None:
+        """Let the next of a key wait: a call with this message may still run."""
+        key = message.submitted.key
+        if key is not None and self.key_backoff_s:
+            until_s = event.at_s + self.key_backoff_s
+            self.key_backoffs[(event.node, key)] = KeyBackoff(until_s, message.submitted.id)
+
+    # Notices, discovery and operators
+
+    def _on_notice(self, event: Event) -> None:
+        message = self.messages.get(event.id)
+        if message is None:
+            return
+        if message.ended_at_s is None:
+            message.ended_at_s = event.at_s
+        if message.noticed_at_s is None:
+            message.noticed_at_s = event.at_s
+
+    def _on_health_sent(self, event: Event) -> None:
+        if event.state == "up":
+            self.unlisted_since_s.pop((event.node, event.party), None)
+        else:
+            self.unlisted_since_s.setdefault((event.node, event.party), event.at_s)
+
+    def _on_endpoint_disabled(self, event: Event) -> None:
+        self.disabled_since_s.setdefault((event.node, event.party), event.at_s)
+
+    def _on_endpoint_enabled(self, event: Event) -> None:
+        self.disabled_since_s.pop((event.node, event.party), None)
+
+    # Processes
+
+    def _on_process_struck(self, event: Event) -> None:
+        self._begin_downtime(event)
+        self._end_retry_after(event)
+
+    def _on_process_ended(self, event: Event) -> None:
+        if event.state == "crashed":
+            self._begin_downtime(event)
+        self._end_retry_after(event)
+
+    def _begin_downtime(self, event: Event) -> None:
+        downtimes = self.downtimes[event.node]
+        if not downtimes or downtimes[-1].end_s is not None:
+            downtimes.append(Downtime(event.at_s))
+
+    def _end_retry_after(self, event: Event) -> None:
+        """End the waits that a forwarder was told: a restart ends them (PROTOCOL)."""
+        self.retry_after = {route: told for route, told in self.retry_after.items() if route[0] != event.node}
+
+    def _on_process_paused(self, event: Event) -> None:
+        """Begin a downtime: a stopped process can end nothing, and has as long as one that starts again."""
+        self.downtimes[event.node].append(Downtime(event.at_s))
+
+    def _on_process_resumed(self, event: Event) -> None:
+        self.downtimes[event.node][-1].end_s = event.at_s
+
+    def _on_forwarder_ready(self, event: Event) -> None:
+        downtimes = self.downtimes[event.node]
+        if downtimes and downtimes[-1].end_s is None:
+            downtimes[-1].end_s = event.at_s
+
+    def _on_state_folder_changed(self, event: Event) -> None:
+        """Forget what the folder held: it may be gone, and is not the program's to answer for."""
+        for message in self.messages.values():
+            if message.submitted.node == event.node and message.ended_at_s is None and message.is_accepted:
+                self.forgotten.append(message.submitted.id)
--- a/lab/plan.py
+++ b/lab/plan.py
@@ -9,33 +9,48 @@
 
 from lab.scenario import Fault, Scenario
 
-STATUS, ONCE = "statusvarsel", "refusjon"
-KINDS = ("banker", "butikker", "innlosere")
-AIM_S = {STATUS: 1.0, ONCE: 2.0}
-DEADLINE_S = {STATUS: 5.0, ONCE: 28.0}
-WORTH = {STATUS: 1.0, ONCE: 2.0}
-LATE_WORTH = {STATUS: 0.0, ONCE: 0.4}
-LEAST_LIMIT = 2.0
+STATUS_CLASS = "statusvarsel"
+"""Messages that may be repeated."""
+REFUND_CLASS = "refusjon"
+"""Messages that may take effect once only, and keep the order of their key."""
+ENDPOINT_KINDS = ("banker", "butikker", "innlosere")
+LATENCY_OBJECTIVE_S = {STATUS_CLASS: 1.0, REFUND_CLASS: 2.0}
+DEADLINE_S = {STATUS_CLASS: 5.0, REFUND_CLASS: 28.0}
+PRIORITY_WEIGHT = {STATUS_CLASS: 1.0, REFUND_CLASS: 2.0}
+LATE_WEIGHT_SHARE = {STATUS_CLASS: 0.0, REFUND_CLASS: 0.4}
+"""What is left of the weight at the deadline."""
+MIN_RATE_LIMIT = 2.0
+"""Calls a second."""
+CAPACITY_HEADROOM = 1.3
+"""Capacity of a destination's endpoints, over its rate limit."""
+ENDPOINT_FAULTS = ("outage", "limit", "drain", "replace")
+"""Kinds of faults that strike endpoints; the others strike forwarders."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """An endpoint, as the plan has it."""
+
     name: str
     number: int
     destination: int
     kind: str
-    rate: float
-    """Calls a second that it can do when warm."""
+    capacity_per_s: float
+    """Calls a second that it can do when it is warm."""
     service_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Destination:
+    """An upstream service, as the plan has it."""
+
     number: int
     weight: float
-    limit: float
+    """Its share of all messages."""
+    limit_per_s: float
     """Calls a second from all forwarders together; 0 where it has none but its capacity."""
-    tells_wait: float
+    retry_after_share: float
+    """Share of its refusals that tell how long to wait."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,141 +59,154 @@
 
     at_s: float
     number: int
-    cls: str
+    message_class: str
     destination: int
     key: str | None
-    honours: bool
+    honours_retry_after: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class ScheduledFault:
     """One step of the schedule: a fault, and whom it strikes."""
 
     at_s: float
     fault: Fault
-    names: tuple[str, ...]
+    targets: tuple[str, ...]
+    """Names of forwarders or endpoints."""
     parties: tuple[str, ...] = ()
     """For a cut: whom they are cut off from, but for other forwarders."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """All that is decided before a run begins."""
+
     scenario: Scenario
     nodes: tuple[str, ...]
+    """The forwarders' names."""
     endpoints: tuple[Endpoint, ...]
     destinations: tuple[Destination, ...]
     arrivals: tuple[Arrival, ...]
-    acts: tuple[Act, ...]
-    skews_s: tuple[float, ...]
-    believed: tuple[int, ...]
+    schedule: tuple[ScheduledFault, ...]
+    clock_skews_s: tuple[float, ...]
+    """How far each forwarder's wall clock is off."""
+    believed_fleet_sizes: tuple[int, ...]
     """How many forwarders each one's settings name."""
 
 
-def make(s: Scenario) -> Plan:
+def make(scenario: Scenario) -> Plan:
     """Draw everything that chance decides before the run; each kind of thing from a stream of its own."""
-    nodes = tuple(f"n{n}" for n in range(s.fleet.nodes))
-    destinations = _destinations(s, random.Random(f"{s.seed}/destinations"))
-    endpoints = _endpoints(s, destinations, random.Random(f"{s.seed}/endpoints"))
-    skewed, sizes = random.Random(f"{s.seed}/clocks"), random.Random(f"{s.seed}/sizes")
+    seed, fleet = scenario.seed, scenario.fleet
+    nodes = tuple(f"n{number}" for number in range(fleet.nodes))
+    destinations = _destinations(scenario, random.Random(f"{seed}/destinations"))
+    endpoints = _endpoints(scenario, destinations, random.Random(f"{seed}/endpoints"))
+    clock_rng = random.Random(f"{seed}/clocks")
+    size_rng = random.Random(f"{seed}/sizes")
     return Plan(
-        s,
-        nodes,
-        endpoints,
-        destinations,
-        _arrivals(s, destinations, random.Random(f"{s.seed}/arrivals")),
-        _acts(s, nodes, endpoints, random.Random(f"{s.seed}/faults")),
-        tuple(skewed.uniform(-s.fleet.skew_s, s.fleet.skew_s) for _ in nodes),
-        tuple(round(len(nodes) * sizes.uniform(*s.fleet.believed)) for _ in nodes),
+        scenario=scenario,
+        nodes=nodes,
+        endpoints=endpoints,
+        destinations=destinations,
+        arrivals=_arrivals(scenario, destinations, random.Random(f"{seed}/arrivals")),
+        schedule=_schedule(scenario, nodes, endpoints, random.Random(f"{seed}/faults")),
+        clock_skews_s=tuple(clock_rng.uniform(-fleet.skew_s, fleet.skew_s) for _ in nodes),
+        believed_fleet_sizes=tuple(round(len(nodes) * size_rng.uniform(*fleet.believed)) for _ in nodes),
     )
 
 
-def _destinations(s: Scenario, chance: random.Random) -> tuple[Destination, ...]:
-    weights = [1.0 / (n + 1) ** s.load.skew for n in range(s.fleet.destinations)]
-    asked = s.fleet.nodes * s.load.per_node_s
-    made = []
-    for n, weight in enumerate(weights):
-        part = asked * weight / sum(weights)
-        limit = max(LEAST_LIMIT, part / s.load.of_limits)
-        made.append(
-            Destination(
-                n + 1,
-                part / asked,
-                0.0 if chance.random() < s.endpoints.unlimited_share else limit,
-                s.endpoints.told_share,
-            )
+def _load_per_s(scenario: Scenario) -> float:
+    """Messages a second of the whole fleet."""
+    return scenario.fleet.nodes * scenario.load.per_node_s
+
+
+def _destinations(scenario: Scenario, rng: random.Random) -> tuple[Destination, ...]:
+    weights = [1.0 / (rank + 1) ** scenario.load.skew for rank in range(scenario.fleet.destinations)]
+    load_per_s = _load_per_s(scenario)
+    destinations = []
+    for rank, weight in enumerate(weights):
+        own_load_per_s = load_per_s * weight / sum(weights)
+        limit_per_s = max(MIN_RATE_LIMIT, own_load_per_s / scenario.load.of_limits)
+        if rng.random() < scenario.endpoints.unlimited_share:
+            limit_per_s = 0.0
+        destinations.append(
+            Destination(rank + 1, own_load_per_s / load_per_s, limit_per_s, scenario.endpoints.told_share)
         )
-    return tuple(made)
-
-
-def _endpoints(s: Scenario, destinations: tuple[Destination, ...], chance: random.Random) -> tuple[Endpoint, ...]:
-    """Each destination has one; the rest go to the busiest."""
-    owners = [d.number for d in destinations]
-    while len(owners) < s.fleet.endpoints:
-        owners.append(min(destinations, key=lambda d: owners.count(d.number) / d.weight).number)
-    asked = s.fleet.nodes * s.load.per_node_s
-    made = []
-    for n, owner in enumerate(sorted(owners)):
-        d = destinations[owner - 1]
-        capacity = max(LEAST_LIMIT, 1.3 * (d.limit or asked * d.weight / s.load.of_limits))
-        made.append(
+    return tuple(destinations)
+
+
+def _endpoints(scenario: Scenario, destinations: tuple[Destination, ...], rng: random.Random) -> tuple[Endpoint, ...]:
+    """Give each destination one endpoint, and the rest to the busiest."""
+    owners = [destination.number for destination in destinations]
+    while len(owners) < scenario.fleet.endpoints:
+        owners.append(min(destinations, key=lambda each: owners.count(each.number) / each.weight).number)
+    endpoints = []
+    for number, owner in enumerate(sorted(owners)):
+        destination = destinations[owner - 1]
+        needed_per_s = destination.limit_per_s or (_load_per_s(scenario) * destination.weight / scenario.load.of_limits)
+        capacity_per_s = max(MIN_RATE_LIMIT, CAPACITY_HEADROOM * needed_per_s)
+        endpoints.append(
             Endpoint(
-                f"s-{n}",
-                n,
-                owner,
-                KINDS[owner % len(KINDS)],
-                capacity / owners.count(owner),
-                chance.uniform(*s.endpoints.service_s),
+                name=f"s-{number}",
+                number=number,
+                destination=owner,
+                kind=ENDPOINT_KINDS[owner % len(ENDPOINT_KINDS)],
+                capacity_per_s=capacity_per_s / owners.count(owner),
+                service_s=rng.uniform(*scenario.endpoints.service_s),
             )
         )
-    return tuple(made)
+    return tuple(endpoints)
+
+
+def _arrivals(scenario: Scenario, destinations: tuple[Destination, ...], rng: random.Random) -> tuple[Arrival, ...]:
+    load = scenario.load
+    load_per_s = _load_per_s(scenario)
+    bounds = list(accumulate(destination.weight for destination in destinations))
+    arrivals: list[Arrival] = []
+    at_s = 0.0
+    while (at_s := at_s + rng.expovariate(load_per_s)) < scenario.time.load_s:
+        message_class = REFUND_CLASS if rng.random() < load.once_share else STATUS_CLASS
+        index = min(bisect(bounds, rng.random() * bounds[-1]), len(destinations) - 1)
+        key = None
+        if message_class == REFUND_CLASS:  # a key belongs to one refund claim, and so to one destination
+            key = f"k{index}-{rng.randrange(load.keys)}"
+        honours_retry_after = rng.random() < load.honour
+        arrivals.append(
+            Arrival(at_s, len(arrivals), message_class, destinations[index].number, key, honours_retry_after)
+        )
+    return tuple(arrivals)
 
 
-def _arrivals(s: Scenario, destinations: tuple[Destination, ...], chance: random.Random) -> tuple[Arrival, ...]:
-    rate = s.fleet.nodes * s.load.per_node_s
-    bounds = list(accumulate(d.weight for d in destinations))
-    made: list[Arrival] = []
-    at = 0.0
-    while (at := at + chance.expovariate(rate)) < s.time.load_s:
-        cls = ONCE if chance.random() < s.load.once_share else STATUS
-        where = min(bisect(bounds, chance.random() * bounds[-1]), len(destinations) - 1)
-        key = None
-        if cls == ONCE:  # a key belongs to one refund claim, and so to one destination
-            key = f"k{where}-{chance.randrange(s.load.keys)}"
-        made.append(Arrival(at, len(made), cls, destinations[where].number, key, chance.random() < s.load.honour))
-    return tuple(made)
-
-
-def _acts(
-    s: Scenario, nodes: tuple[str, ...], endpoints: tuple[Endpoint, ...], chance: random.Random
-) -> tuple[Act, ...]:
-    acts = []
-    for fault in s.faults:
-        struck = _struck(fault, nodes, endpoints, chance)
-        size = -(-len(struck) // fault.waves)
+def _schedule(
+    scenario: Scenario, nodes: tuple[str, ...], endpoints: tuple[Endpoint, ...], rng: random.Random
+) -> tuple[ScheduledFault, ...]:
+    schedule = []
+    for fault in scenario.faults:
+        targets = _targets(fault, nodes, endpoints, rng)
+        wave_size = -(-len(targets) // fault.waves)
         for wave in range(fault.waves):
-            names = struck[wave * size : (wave + 1) * size]
-            if names or not struck:
-                acts.append(Act(fault.at_s + wave * fault.every_s, fault, names, _parties(fault, endpoints, chance)))
-    return tuple(sorted(acts, key=lambda act: act.at_s))
+            struck = targets[wave * wave_size : (wave + 1) * wave_size]
+            if struck or not targets:
+                at_s = fault.at_s + wave * fault.every_s
+                schedule.append(ScheduledFault(at_s, fault, struck, _parties(fault, endpoints, rng)))
+    return tuple(sorted(schedule, key=lambda step: step.at_s))
 
 
-def _parties(fault: Fault, endpoints: tuple[Endpoint, ...], chance: random.Random) -> tuple[str, ...]:
+def _parties(fault: Fault, endpoints: tuple[Endpoint, ...], rng: random.Random) -> tuple[str, ...]:
     if fault.kind != "cut" or fault.between in (None, "nodes"):
         return ()
     if fault.between != "endpoints":
         return (fault.between,)
-    return tuple(e.name for e in chance.sample(endpoints, round(fault.of * len(endpoints))))
+    return tuple(endpoint.name for endpoint in rng.sample(endpoints, round(fault.of * len(endpoints))))
 
 
-def _struck(
-    fault: Fault, nodes: tuple[str, ...], endpoints: tuple[Endpoint, ...], chance: random.Random
+def _targets(
+    fault: Fault, nodes: tuple[str, ...], endpoints: tuple[Endpoint, ...], rng: random.Random
 ) -> tuple[str, ...]:
-    """Those that a fault strikes, in a random order."""
+    """Return those that a fault strikes, in a random order."""
     if fault.names:
         return fault.names
-    of_endpoints = fault.kind in ("outage", "limit", "drain", "replace")
-    pool = [e.name for e in endpoints] if of_endpoints else list(nodes)
     if fault.kind == "discovery":
         return ()
+    pool = [endpoint.name for endpoint in endpoints] if fault.kind in ENDPOINT_FAULTS else list(nodes)
     share = 1.0 if fault.share is None else fault.share
-    return tuple(chance.sample(pool, round(share * len(pool))))
+    return tuple(rng.sample(pool, round(share * len(pool))))
--- /dev/null
+++ b/lab/result.py
@@ -0,0 +1,113 @@
+"""What a run came to: rule violations, metrics, costs, and whether the scenario's limits held."""
+
+from __future__ import annotations
+
+import resource
+from collections import defaultdict
+from collections.abc import Sequence
+
+import msgspec
+
+from lab.datagrams import DatagramExchange
+from lab.forwarder_process import ForwarderProcess, ProcessSample
+from lab.metrics import Metric, Metrics
+from lab.rules import Finding
+from lab.scenario import Limits
+
+Costs = dict[str, float | int]
+"""By name, what the forwarders and the lab used."""
+EXIT_OK = 0
+EXIT_BROKEN = 1
+EXIT_INVALID = 2
+BOUNDED_RATIOS = ("discovery_ratio", "dials_ratio", "cold_ratio")
+"""Metrics that a scenario may set a bound to, under the same name."""
+
+
+class Result(
+    msgspec.Struct,
+    rename={
+        "forwarders": "nodes",
+        "forgotten_messages": "forgotten",
+        "metrics": "figures",
+        "link_events": "counts",
+        "is_valid": "counts_for",
+    },
+):
+    """What a run came to."""
+
+    scenario: str
+    seed: int
+    forwarders: int
+    findings: list[Finding]
+    forgotten_messages: int
+    """Messages that went with a folder that the schedule lost or damaged."""
+    metrics: Metrics
+    lateness_ms: dict[str, float]
+    """How late the lab itself was."""
+    costs: Costs
+    link_events: dict[str, int]
+    """How often each kind of thing befell what passed a link."""
+    broken_limits: list[str]
+    is_valid: bool
+    """The lab's lateness stayed within the scenario's bound."""
+    notes: list[str] = []
+
+    def exit_status(self) -> int:
+        """Return 0, 1 for a broken rule or limit, or 2 where the lab was late."""
+        if not self.is_valid:
+            return EXIT_INVALID
+        return EXIT_BROKEN if self.broken_limits else EXIT_OK
+
+
+def broken_limits(limits: Limits, findings: Sequence[Finding], metrics: Metrics) -> list[str]:
+    """Return the limits that did not hold, in words."""
+    broken = []
+    if len(findings) > limits.broken:
+        broken.append(f"{len(findings)} findings, {limits.broken} allowed")
+    full_s = metrics["full_after_blow_s"]
+    if limits.full_s is not None and (full_s is None or full_s > limits.full_s):
+        broken.append(f"full service after {full_s} s, {limits.full_s} allowed")
+    served = metrics["served"] or 0.0
+    if limits.served is not None and served < limits.served:
+        broken.append(f"{served:.3f} served, {limits.served} wanted")
+    for name in BOUNDED_RATIOS:
+        bound: float | None = getattr(limits, name)
+        ratio: Metric = metrics[name]
+        if bound is not None and ratio is not None and ratio > bound:
+            broken.append(f"{name} {ratio:.2f}, {bound} allowed")
+    return broken
+
+
+def sum_costs(
+    forwarders: Sequence[ForwarderProcess], samples: Sequence[ProcessSample], exchange: DatagramExchange | None
+) -> Costs:
+    """Return for each forwarder the processor time over the run, and the most memory, descriptors and disk."""
+    own = resource.getrusage(resource.RUSAGE_SELF)
+    cpu_by_node = _cpu_s_by_node(samples)
+    cpu_s = [cpu_by_node.get(forwarder.name, 0.0) for forwarder in forwarders]
+    costs: Costs = {
+        "cpu_s_mean": sum(cpu_s) / max(1, len(cpu_s)),
+        "cpu_s_most": max(cpu_s, default=0.0),
+        "memory_mb_most": max((sample.memory_bytes for sample in samples), default=0) / 1e6,
+        "descriptors_most": max((sample.descriptors for sample in samples), default=0),
+        "disk_kb_most": max((sample.disk_bytes for sample in samples), default=0) / 1000,
+        "starts": sum(forwarder.starts for forwarder in forwarders),
+        "crashes": sum(forwarder.crashes for forwarder in forwarders),
+        "lab_cpu_s": own.ru_utime + own.ru_stime,
+        "lab_memory_mb": own.ru_maxrss / 1000,
+    }
+    if exchange is not None:
+        costs["datagrams"] = exchange.sent_datagrams.total()
+        costs["datagram_bytes"] = exchange.sent_bytes.total()
+    return costs
+
+
+def _cpu_s_by_node(samples: Sequence[ProcessSample]) -> dict[str, float]:
+    """Add up the processor time of each forwarder's processes: one that uses less than before is another process."""
+    ended: defaultdict[str, float] = defaultdict(float)
+    running: defaultdict[str, float] = defaultdict(float)
+    for sample in samples:
+        if sample.cpu_s < running[sample.node]:
+            ended[sample.node] += running[sample.node]
+        running[sample.node] = sample.cpu_s
+    return {node: ended[node] + cpu_s for node, cpu_s in running.items()}
--- /dev/null
+++ b/lab/rules.py
@@ -0,0 +1,362 @@
+"""The protocol page's rules, one a function, checked over what the fake parties saw. Never the forwarders' logs. Pure.
+
+A rule looks at an event and at the state before it, and returns what was broken, if anything.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from enum import StrEnum
+
+import msgspec
+
+from lab.event_log import Event, EventKind
+from lab.observed_state import REFUSED, MessageState, ObservedState, OverlappingCall
+
+LOST_AFTER_S = 0.3
+"""A message without an end is lost so long after its deadline (PROTOCOL)."""
+RESTART_GRACE_S = 1.5
+"""No notice is overdue from a kill until so long after the forwarder is ready again (PROTOCOL)."""
+RETRY_AFTER_GRACE_S = 0.1
+"""Calls that arrive so soon after a Retry-After was told are let through (PROTOCOL)."""
+DRAIN_GRACE_S = 0.25
+DISABLE_GRACE_S = 0.25
+AFTER_RUN_S = 1.0
+"""Puts a limit behind the last event: it cannot be missed any more."""
+
+
+class Rule(StrEnum):
+    """The rules, by the names that findings are printed with."""
+
+    LOST = "lost"
+    DUPLICATE = "duplicate"
+    SECOND_COPY = "second copy"
+    ORDER = "order"
+    RETRY_AFTER = "wait"
+    DRAIN = "drain"
+    DISABLED = "ban"
+    UNKNOWN = "unknown"
+    COLD = "cold"
+    CRASH = "crash"
+
+
+class Finding(msgspec.Struct, frozen=True):
+    """One broken rule, with the message that shows it."""
+
+    rule: Rule
+    at_s: float
+    id: str
+    """The message's id."""
+    node: str
+    text: str
+
+
+@dataclass(frozen=True, slots=True)
+class CheckedRun:
+    """What the rules find in a run."""
+
+    findings: list[Finding]
+    forgotten: list[str]
+    """Messages that went with a folder that the schedule lost or damaged: they are counted, and break no rule."""
+
+
+def check(events: Iterable[Event], lateness_s: float = 0.0, key_backoff_s: float = 0.0) -> CheckedRun:
+    """Check every rule over the events of a run, in their order.
+
+    Args:
+        events: All of a run.
+        lateness_s: How late the lab itself was: the rules allow for that.
+        key_backoff_s: How long the next of a key waits after a call that may still run.
+    """
+    state = ObservedState(lateness_s, key_backoff_s)
+    findings: list[Finding | None] = []
+    end_s = 0.0
+    for event in events:
+        findings += [rule(state, event) for rule in RULES.get(event.kind, ())]
+        state.apply(event)
+        end_s = event.at_s
+    findings += [check_message_has_end(state, message, end_s) for message in state.messages.values()]
+    findings += [check_overlapping_call(state, overlapping) for overlapping in state.overlapping_calls]
+    return CheckedRun([finding for finding in findings if finding is not None], state.forgotten)
+
+
+def _finding(rule: Rule, event: Event, text: str) -> Finding:
+    return Finding(rule, event.at_s, event.id, event.node, text)
+
+
+# Messages
+
+
+def check_connection_answered(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no client's connection was ended without an answer.
+
+    PROTOCOL, "The rules on sockets": a message is lost if a client's connection is ended without an answer once the
+    request's last byte has been written to it.
+    """
+    for downtime in state.downtimes[event.node]:
+        is_back = downtime.end_s is not None and event.at_s > downtime.end_s + RESTART_GRACE_S
+        if downtime.begin_s - state.grace_s <= event.at_s and not is_back:
+            return None
+    return _finding(Rule.LOST, event, "the connection was ended without an answer")
+
+
+def check_refusal_is_harmless(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no message was refused to its client which may have run and may not run twice.
+
+    PROTOCOL, "Clients to forwarders": after 429 or 503, handing it in again is harmless.
+    """
+    message = state.messages.get(event.id)
+    if message is None or event.status not in REFUSED:
+        return None
+    if message.may_have_run and message.runs_once:
+        return _finding(Rule.DUPLICATE, event, "refused as harmless, though it may have run")
+    return None
+
+
+def check_return_is_harmless(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no message was returned by its notice which may have run and may not run twice.
+
+    PROTOCOL, "Notices": `returned` is a refusal.
+    """
+    message = state.messages.get(event.id)
+    if message is None or event.state != "returned" or message.ended_at_s is not None:
+        return None
+    if message.may_have_run and message.runs_once:
+        return _finding(Rule.DUPLICATE, event, "returned as harmless, though it may have run")
+    return None
+
+
+def check_message_has_end(state: ObservedState, message: MessageState, end_s: float) -> Finding | None:
+    """Check that an accepted message was over in its time.
+
+    PROTOCOL, "The rules on sockets": one that 300 ms after its time is up has neither been delivered nor ended by a
+    notice is lost; no notice is overdue from a restart until 1.5 s after the forwarder is ready again.
+    """
+    submitted = message.submitted
+    if not message.is_accepted or state.is_forgotten(submitted.id):
+        return None
+    limit_s = submitted.due_s + LOST_AFTER_S + state.grace_s
+    for downtime in state.downtimes[submitted.node]:
+        if downtime.begin_s <= limit_s:
+            if downtime.end_s is None:
+                limit_s = max(limit_s, end_s + AFTER_RUN_S)
+            else:
+                limit_s = max(limit_s, downtime.end_s + RESTART_GRACE_S + state.grace_s)
+    ended_at_s = message.ended_at_s
+    if (end_s if ended_at_s is None else ended_at_s) <= limit_s:
+        return None
+    when = "never" if ended_at_s is None else f"{ended_at_s - submitted.due_s:.3f} s after its time"
+    text = f"taken on, and its end came {when}"
+    return Finding(Rule.LOST, limit_s, submitted.id, submitted.node, text)
+
+
+# Calls
+
+
+def check_destination(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a message went to an endpoint of its destination.
+
+    PROTOCOL, "Forwarders to endpoints": sending it to any other voids the run.
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.submitted.destination == event.destination:
+        return None
+    return _finding(Rule.UNKNOWN, event, f"sent to {event.party} of destination {event.destination}")
+
+
+def check_message_is_known(state: ObservedState, event: Event) -> Finding | None:
+    """Check that an endpoint got nothing that no client handed in.
+
+    PROTOCOL, "Forwarders to endpoints": such a message is answered 400, and the run is void.
+    """
+    return _finding(Rule.UNKNOWN, event, f"{event.party} got what no client handed in there")
+
+
+def check_no_repeat_after_run(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no message is sent again which may have run and may not run twice.
+
+    PROTOCOL, "The rules on sockets": sending again one that may not be repeated breaks the rule on duplicates. A call
+    that came while another was open is checked once it is known how that one ended (`check_overlapping_call`).
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.open_calls or message.was_given_up:
+        return None
+    if message.may_have_run and message.runs_once:
+        return _finding(Rule.DUPLICATE, event, f"sent again to {event.party}, though an earlier call may have run")
+    return None
+
+
+def check_overlapping_call(state: ObservedState, overlapping: OverlappingCall) -> Finding | None:
+    """Check a call that came while another of its message was open, or just before the end of that other was seen.
+
+    PROTOCOL, "Forwarders to endpoints": it is a second copy if an earlier call with that message is still out on an
+    open connection. The settings of the lab allow none. The other call may have run.
+    """
+    call = overlapping.call
+    message = state.messages[call.id]
+    if overlapping.still_open:
+        text = f"call {call.call} to {call.party} while {sorted(overlapping.still_open)} is out"
+        return _finding(Rule.SECOND_COPY, call, text)
+    if message.runs_once and not message.was_given_up:
+        return _finding(Rule.DUPLICATE, call, f"sent again to {call.party}, though an earlier call may have run")
+    return None
+
+
+def check_effect_is_once(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a message which may take effect once only did so under one id.
+
+    PROTOCOL, "The rules on sockets", on duplicates. An id that its client has given up counts for nothing.
+    """
+    message = state.messages.get(event.id)
+    if message is None or not message.runs_once:
+        return None
+    other = state.run_submissions.get(message.submitted.number, event.id)
+    if other == event.id or state.messages[other].was_given_up or state.is_forgotten(other):
+        return None
+    return _finding(Rule.DUPLICATE, event, f"takes effect a second time: {other} had run")
+
+
+def check_key_order(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a message is sent only once all that came before it with its key are over.
+
+    PROTOCOL, "The rules on sockets": a key's order is the order in which its messages were handed in.
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.was_given_up or message.submitted.key is None:
+        return None
+    for earlier_id in state.key_order[(event.node, message.submitted.key)]:
+        if earlier_id == event.id:
+            return None
+        earlier = state.messages[earlier_id]
+        if earlier.ended_at_s is None and not earlier.was_given_up and not state.is_forgotten(earlier_id):
+            return _finding(Rule.ORDER, event, f"{earlier_id} of the same key was taken before and is not over")
+    return None
+
+
+def check_key_backoff(state: ObservedState, event: Event) -> Finding | None:
+    """Check that the next of a key waits after a call that may still run.
+
+    WIRE, rule 6, "Ordering by key": after an attempt that may still run, the key waits for `key_rest_us`.
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.was_given_up:
+        return None
+    backoff = state.key_backoffs.get((event.node, message.submitted.key or ""))
+    if backoff is None or backoff.message_id == event.id or event.first_s >= backoff.until_s - state.grace_s:
+        return None
+    early_s = backoff.until_s - event.first_s
+    return _finding(Rule.ORDER, event, f"{early_s:.3f} s before the end of its key's rest after {backoff.message_id}")
+
+
+def check_not_refused(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a message which was refused to its client is not sent any more.
+
+    PROTOCOL, "Clients to forwarders": after 429 or 503 its client may hand it in elsewhere.
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.was_given_up or message.refused_at_s is None:
+        return None
+    if event.first_s <= message.refused_at_s + state.grace_s:
+        return None
+    return _finding(Rule.LOST, event, f"forwarded {event.first_s - message.refused_at_s:.3f} s after it was refused")
+
+
+def check_not_noticed(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a message which has ended by a notice is not sent any more.
+
+    PROTOCOL, "The rules on sockets": a message that ends by a notice is over once the notice is answered.
+    """
+    message = state.messages.get(event.id)
+    if message is None or message.was_given_up or message.noticed_at_s is None:
+        return None
+    if event.first_s <= message.noticed_at_s + state.grace_s:
+        return None
+    return _finding(Rule.LOST, event, f"forwarded {event.first_s - message.noticed_at_s:.3f} s after its notice")
+
+
+def check_retry_after(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no call comes before the end of a Retry-After.
+
+    PROTOCOL, "The rules on sockets": a wait starts when its answer is written; calls that arrive within 100 ms of that
+    are let through, and a restart ends the wait.
+    """
+    told = state.retry_after.get((event.node, event.destination))
+    if event.id not in state.messages or told is None:
+        return None
+    if told.told_at_s + RETRY_AFTER_GRACE_S + state.grace_s < event.at_s < told.until_s - state.grace_s:
+        early_s = told.until_s - event.at_s
+        text = f"{early_s:.3f} s before the end of a wait told {event.at_s - told.told_at_s:.3f} s ago"
+        return _finding(Rule.RETRY_AFTER, event, text)
+    return None
+
+
+def check_listed(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no call goes to an endpoint that is draining or removed.
+
+    WIRE, rule 3, "Draining done safely"; PROTOCOL, "Figures": the time of a send counts from its first byte.
+    """
+    since_s = state.unlisted_since_s.get((event.node, event.party))
+    return _check_not_out(Rule.DRAIN, state, event, since_s, DRAIN_GRACE_S)
+
+
+def check_enabled(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no call goes to an endpoint that operators have disabled (the forwarder's own `OFFLINE`)."""
+    since_s = state.disabled_since_s.get((event.node, event.party))
+    return _check_not_out(Rule.DISABLED, state, event, since_s, DISABLE_GRACE_S)
+
+
+def _check_not_out(
+    rule: Rule, state: ObservedState, event: Event, since_s: float | None, grace_s: float
+) -> Finding | None:
+    if event.id not in state.messages or since_s is None or event.first_s <= since_s + grace_s + state.grace_s:
+        return None
+    return _finding(rule, event, f"{event.party} was out {event.first_s - since_s:.3f} s before")
+
+
+# Endpoints and processes
+
+
+def check_not_overloaded(state: ObservedState, event: Event) -> Finding | None:
+    """Check that a warming-up endpoint was not overloaded by forwarders that had seen it fail.
+
+    WIRE, rule 4, "Safe fail-back": it is broken if two thirds of the calls came from such forwarders.
+    """
+    if event.state != "pushed":
+        return None
+    text = f"{event.party} fell over, {event.share:.0%} of it from forwarders that had seen it fail"
+    return _finding(Rule.COLD, event, text)
+
+
+def check_no_crash(state: ObservedState, event: Event) -> Finding | None:
+    """Check that no process ended by itself, but for one that was told to or was replaced.
+
+    PROTOCOL, "Figures": a forwarder that ends after SIGTERM has not crashed.
+    """
+    if event.state != "crashed":
+        return None
+    return _finding(Rule.CRASH, event, f"the process ended by itself with {event.status}")
+
+
+RuleCheck = Callable[[ObservedState, Event], Finding | None]
+RULES: dict[EventKind, tuple[RuleCheck, ...]] = {
+    EventKind.SUBMIT_ANSWERED: (check_refusal_is_harmless,),
+    EventKind.SUBMIT_UNANSWERED: (check_connection_answered,),
+    EventKind.CALL_RECEIVED: (
+        check_destination,
+        check_no_repeat_after_run,
+        check_key_order,
+        check_key_backoff,
+        check_not_refused,
+        check_not_noticed,
+        check_retry_after,
+        check_listed,
+        check_enabled,
+    ),
+    EventKind.CALL_STARTED: (check_effect_is_once,),
+    EventKind.NOTICE: (check_return_is_harmless,),
+    EventKind.UNKNOWN_MESSAGE: (check_message_is_known,),
+    EventKind.ENDPOINT_OVERLOADED: (check_not_overloaded,),
+    EventKind.PROCESS_ENDED: (check_no_crash,),
+}
+"""What is checked at each kind of event, in this order."""
--- a/lab/shim.py
+++ b/lab/shim.py
@@ -31,7 +31,7 @@
 from pathlib import Path
 from typing import Any
 
-LOOK_S = 0.005
+CONTROL_POLL_S = 0.005
 """The control file is looked at this often at most."""
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "fdatasync", "fsync", "close")
 READ_CALL = "read"
@@ -39,7 +39,7 @@
 SOCKET_CALLS = ("socket", "accept", "connect", "recv", "send", "client-recv", "client-send")
 WATCH_CALLS = ("epoll_ctl", "poll")
 CALLS = (*FILE_CALLS, READ_CALL, *SOCKET_CALLS, *WATCH_CALLS, "short")
-MOST_SHORT = 24
+MAX_SHORT_BYTES = 24
 """Bytes that a read or write carries at most while it comes short."""
 
 
@@ -81,7 +81,7 @@
     def look(self) -> Control:
         """What is asked for now."""
         now = self.real_monotonic()
-        if now - self.looked_s >= LOOK_S:
+        if now - self.looked_s >= CONTROL_POLL_S:
             self.looked_s = now
             try:
                 stamp = self.real_stat(self.path).st_mtime_ns
@@ -107,7 +107,7 @@
         """How many of so many bytes go at once."""
         for failure in self.look().failures:
             if failure.call == "short" and size > 1 and self.chance.random() < failure.share:
-                return self.chance.randrange(1, min(size, MOST_SHORT) + 1)
+                return self.chance.randrange(1, min(size, MAX_SHORT_BYTES) + 1)
         return size
 
     def concerned(self, where: Any) -> str | None:
--- /dev/null
+++ b/lab/testbed.py
@@ -0,0 +1,288 @@
+"""All parties of one run: they are set up, the forwarders started, and everything ended again."""
+
+from __future__ import annotations
+
+import asyncio
+import compileall
+import random
+import resource
+import signal
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lab.addresses import Role, free_port, host_for
+from lab.clients import Clients
+from lab.datagrams import DatagramExchange
+from lab.discovery import DiscoveryServer
+from lab.endpoint_model import DestinationModel, EndpointModel
+from lab.endpoints import EndpointServer, WaitingCall
+from lab.errors import SetupError
+from lab.event_log import EventLog
+from lab.forwarder_process import ForwarderProcess
+from lab.forwarder_settings import forwarder_settings
+from lab.front import Front
+from lab.launcher import Launcher
+from lab.network import Address, Link, Network
+from lab.plan import Endpoint, Plan
+from lab.shim import module_name
+
+START_TIMEOUT_S = 90.0
+START_POLL_S = 0.05
+END_TIMEOUT_S = 10.0
+END_POLL_S = 0.02
+DESCRIPTORS_PER_ENDPOINT = 2
+DESCRIPTORS_PER_FORWARDER = 8
+DATAGRAM_PORT_OFFSET = 1
+"""Above the port of HTTP, as `ADMIN_PORT_OFFSET`."""
+ADMIN_PORT_OFFSET = 2
+SEED_MEMBERS = 3
+"""Forwarders whose addresses stand for `@seeds@` in an extensions file."""
+SHIMMED_FAULTS = ("errors", "clock")
+"""Kinds of faults that need the forwarders to run with replaced calls."""
+
+
+def ignore_progress(text: str) -> None:
+    """Tell nobody of a run's progress."""
+
+
+class Testbed:
+    """The fake parties and the forwarders of one run."""
+
+    __test__ = False
+    """It is no test, whatever pytest makes of its name."""
+
+    def __init__(
+        self,
+        plan: Plan,
+        out: Path,
+        program: Path,
+        extensions: str | None = None,
+        report_progress: Callable[[str], None] = ignore_progress,
+    ) -> None:
+        """Make all parties but the forwarders; `open` starts them.
+
+        Args:
+            plan: The run's plan.
+            out: The folder for logs and state folders.
+            program: The checkout that the forwarders run from.
+            extensions: The text of an extensions file for all.
+            report_progress: Called with a line of text now and then.
+        """
+        self.plan = plan
+        self.out = out
+        self.program = program
+        self.extensions = extensions
+        self.report_progress = report_progress
+        scenario = plan.scenario
+        self.loop = asyncio.get_running_loop()
+        self.epoch_s = self.loop.time()
+        """When the load began, by the loop's clock."""
+        self.event_log = EventLog(lambda: self.loop.time() - self.epoch_s)
+        self.network = Network(scenario.seed)
+        self.rng = random.Random(f"{scenario.seed}/run")
+        self.port = free_port()
+        self.endpoint_addresses: dict[Link, Address] = {}
+        self.discovery = DiscoveryServer(
+            self.network,
+            self.event_log,
+            scenario.discovery,
+            scenario.fleet.nodes,
+            scenario.seed,
+            self.endpoint_addresses,
+        )
+        self.front = Front(plan, self.network, self.event_log, self._addresses(Role.FORWARDER, 0))
+        self.clients = Clients(plan, self.front, self.event_log, self._on_submitted)
+        self.destinations = {
+            destination.number: DestinationModel(
+                destination,
+                random.Random(f"{scenario.seed}/shop{destination.number}"),
+                scenario.endpoints.wait_s,
+                reports_limit=scenario.endpoints.tells_limits,
+            )
+            for destination in plan.destinations
+        }
+        self.endpoints: dict[str, EndpointServer] = {}
+        self.forwarders: dict[str, ForwarderProcess] = {}
+        self.launcher = Launcher()
+        self.exchange: DatagramExchange | None = None
+        """Passes datagrams between the forwarders on, if their extensions ask for it."""
+
+    def _addresses(self, role: Role, port_offset: int) -> dict[str, Address]:
+        return {name: (host_for(role, index), self.port + port_offset) for index, name in enumerate(self.plan.nodes)}
+
+    def _on_submitted(self, node: str, destination: int) -> None:
+        """Note that a forwarder has a message for a destination: it will hear of its endpoints that are down."""
+        for endpoint in self.endpoints.values():
+            if endpoint.model.is_down and endpoint.model.spec.destination == destination:
+                endpoint.model.informed_nodes.add(node)
+
+    # Setting up
+
+    async def open(self) -> None:
+        """Set all parties up, start the forwarders, and wait until all are up.
+
+        Raises:
+            SetupError: Something of that could not be done.
+        """
+        self._raise_descriptor_limit()
+        # Programs that start at once and compile themselves take all cores: they are late, and the lab with them.
+        await asyncio.to_thread(compileall.compile_dir, self.program / module_name(self.program), quiet=2)
+        self.discovery.on_notice = self.clients.note_notice
+        try:
+            for endpoint in self.plan.endpoints:
+                self.add_endpoint(endpoint)
+            for name, address in self._addresses(Role.DISCOVERY, 0).items():
+                self.discovery.make_listener(name, address).open()
+        except OSError as error:
+            raise SetupError(f"an address cannot be had: {error}") from None
+        self._add_forwarders()
+        await self._open_exchange()
+        self.front.open()
+        await self.launcher.open()
+        for forwarder in self.forwarders.values():
+            await forwarder.start()
+        await self._wait_until_up()
+
+    def _raise_descriptor_limit(self) -> None:
+        _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+        per_forwarder = len(self.plan.endpoints) * DESCRIPTORS_PER_ENDPOINT + DESCRIPTORS_PER_FORWARDER
+        needed = len(self.plan.nodes) * per_forwarder
+        if needed > hard_limit:
+            raise SetupError(f"{needed} descriptors are needed, {hard_limit} are allowed")
+
+    def add_endpoint(self, spec: Endpoint) -> None:
+        """Add an endpoint, and list it.
+
+        Raises:
+            OSError: One of its addresses is taken.
+        """
+        scenario = self.plan.scenario
+        rng = random.Random(f"{scenario.seed}/{spec.name}")
+        model = EndpointModel[WaitingCall](spec, self.destinations[spec.destination], scenario.endpoints, rng)
+        server = EndpointServer(model, self.network, self.event_log, self.clients.is_submitted)
+        server.on_started = self.clients.note_started
+        server.on_delivered = self.clients.note_delivered
+        self.endpoints[spec.name] = server
+        for index, node in enumerate(self.plan.nodes):
+            address = (host_for(Role.ENDPOINT, index, spec.number), self.port)
+            self.endpoint_addresses[(node, spec.name)] = address
+            server.make_listener(node, address).open()
+        self.discovery.update_endpoint(spec)
+
+    def _add_forwarders(self) -> None:
+        settings = forwarder_settings(self.plan)
+        scenario = self.plan.scenario
+        is_shimmed = scenario.fleet.skew_s > 0 or any(
+            fault.kind in SHIMMED_FAULTS or fault.clock_s for fault in scenario.faults
+        )
+        for index, name in enumerate(self.plan.nodes):
+            forwarder = ForwarderProcess(
+                name=name,
+                root=self.out / "nodes" / name,
+                program=self.program,
+                config=self._config(index, name, settings),
+                event_log=self.event_log,
+                launcher=self.launcher,
+                admin_address=(host_for(Role.FORWARDER, index), self.port + ADMIN_PORT_OFFSET),
+                extensions=self.extensions_for(index),
+                clock_skew_s=self.plan.clock_skews_s[index],
+                is_shimmed=is_shimmed,
+            )
+            forwarder.write_files()
+            self.forwarders[name] = forwarder
+
+    def _config(self, index: int, name: str, settings: dict[str, Any]) -> dict[str, Any]:
+        """Return a forwarder's configuration file, in the pages' form."""
+        scenario = self.plan.scenario
+        host = host_for(Role.FORWARDER, index)
+        return {
+            "name": name,
+            "listen": f"{host}:{self.port}",
+            "control": f"{host}:{self.port + ADMIN_PORT_OFFSET}",
+            "discovery": f"{host_for(Role.DISCOVERY, index)}:{self.port}",
+            "seed": f"{scenario.seed}-{index}",
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": scenario.fleet.memory_mb,
+                "sockets": scenario.fleet.sockets,
+                "disk_mb": scenario.fleet.disk_mb,
+            },
+            "known": msgspec.to_builtins(self.discovery.whole_list(name)),
+            "settings": {**settings, "balancers": self.plan.believed_fleet_sizes[index]},
+        }
+
+    def extensions_for(self, index: int) -> str | None:
+        """Return one forwarder's extensions file, with its values in the place of what stands between `@`."""
+        if self.extensions is None:
+            return None
+        port = self.port + DATAGRAM_PORT_OFFSET
+        seed_members = [
+            f'"{host_for(Role.DATAGRAM_PROXY, seed)}:{port}"' for seed in range(min(SEED_MEMBERS, len(self.plan.nodes)))
+        ]
+        return (
+            self.extensions.replace("@listen@", f"{host_for(Role.FORWARDER, index)}:{port}")
+            .replace("@post@", f"{host_for(Role.DATAGRAM_PROXY, index)}:{port}")
+            .replace("@seeds@", f"[{', '.join(seed_members)}]")
+            .replace("@out@", str(self.out))
+        )
+
+    async def _open_exchange(self) -> None:
+        if self.extensions is None or "@post@" not in self.extensions:
+            return
+        self.exchange = DatagramExchange(
+            self.network,
+            real=self._addresses(Role.FORWARDER, DATAGRAM_PORT_OFFSET),
+            advertised=self._addresses(Role.DATAGRAM_PROXY, DATAGRAM_PORT_OFFSET),
+        )
+        await self.exchange.open()
+
+    async def _wait_until_up(self) -> None:
+        try:
+            async with asyncio.timeout(START_TIMEOUT_S):
+                while not all(forwarder.was_up for forwarder in self.front.forwarders.values()):
+                    await asyncio.sleep(START_POLL_S)
+                    self._check_none_ended()
+        except TimeoutError:
+            late = [forwarder.name for forwarder in self.front.forwarders.values() if not forwarder.was_up]
+            raise SetupError(f"{len(late)} forwarders did not come up, {late[0]} first") from None
+
+    def _check_none_ended(self) -> None:
+        for forwarder in self.forwarders.values():
+            if forwarder.process is None:
+                lines = forwarder.read_log().splitlines() or ["it said nothing"]
+                raise SetupError(f"{forwarder.name} did not start: {lines[-1]}")
+
+    # The run
+
+    def begin_load(self) -> None:
+        """Let time count from now on."""
+        shift_s = self.event_log.clock()
+        self.epoch_s += shift_s
+        events = self.event_log.events
+        self.event_log.events = [msgspec.structs.replace(event, at_s=event.at_s - shift_s) for event in events]
+        self.discovery.capacity.updated_at_s = 0.0
+
+    # Ending
+
+    async def close(self) -> None:
+        """End every process and every connection."""
+        self.event_log.closed = True
+        self.front.close()
+        for forwarder in self.forwarders.values():
+            forwarder.may_start = False
+            forwarder.signal(signal.SIGKILL)
+        patience_s = self.loop.time() + END_TIMEOUT_S
+        while any(each.process is not None for each in self.forwarders.values()) and self.loop.time() < patience_s:
+            await asyncio.sleep(END_POLL_S)
+        await self.launcher.close()
+        for listener in self.network.listeners.values():
+            listener.close()
+        for connections in self.network.connections.values():
+            for connection in list(connections):
+                connection.abort()
+        if self.exchange is not None:
+            self.exchange.close()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,7 +17,7 @@
 from typing import Any, Self
 
 from forwarder.storage.clock import Clock
-from lab.shim import LOOK_S, Control, Failure, module_name
+from lab.shim import CONTROL_POLL_S, Control, Failure, module_name
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = 20.0  # seconds that a test waits for an event before it fails; nothing asserts on speed
@@ -313,7 +313,7 @@
         """Which system calls fail from now on, and how far the wall clock is off. Returns once the program heeds it."""
         self.shim = Control(clock_s, list(failures))
         self.shim.write(self.folder / "control.json")
-        await asyncio.sleep(4 * LOOK_S)
+        await asyncio.sleep(4 * CONTROL_POLL_S)
 
     async def start(self, ready: bool = True) -> Node:
         env = {
--- a/tests/test_lab_clients.py
+++ b/tests/test_lab_clients.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from lab.clients import PARTY, UP, Visit
-from lab.net import Net
+from lab.client_connection import PARTY, ClientConnection
+from lab.front import UP_REQUEST
+from lab.network import Network
 
 
 @pytest.mark.parametrize("read", [False, True])
@@ -18,11 +19,13 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            _, visit = await loop.create_connection(lambda: Visit(Net(1), "n0"), *listener.getsockname()[:2])
+            _, connection = await loop.create_connection(
+                lambda: ClientConnection(Network(1), "n0"), *listener.getsockname()[:2]
+            )
             accepted, _ = listener.accept()
-            answer = visit.ask(UP)
+            answer = connection.request(UP_REQUEST)
             if read:
-                assert accepted.recv(4096) == UP
+                assert accepted.recv(4096) == UP_REQUEST
                 accepted.close()
             else:
                 accepted.shutdown(socket.SHUT_WR)  # the end is on its way, the request was not looked at
@@ -31,7 +34,7 @@
             with pytest.raises(ConnectionResetError):
                 async with asyncio.timeout(1.0):
                     await answer
-        assert visit.reset is not read
-        assert visit.link == ("n0", PARTY)
+        assert connection.was_reset is not read
+        assert connection.link == ("n0", PARTY)
 
     asyncio.run(scene())
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -8,6 +8,7 @@
 import os
 import re
 import shutil
+import socket
 import subprocess
 import sys
 from collections import Counter
@@ -18,8 +19,11 @@
 import pytest
 from click.testing import CliRunner
 
-from lab import figures, gates, plan, run
+from lab import hold_reasons, metrics, plan, run, testbed
 from lab.__main__ import cli
+from lab.addresses import Role, host_for
+from lab.errors import LabError
+from lab.result import Result
 from lab.scenario import Endpoints, Fault, Fleet, Front, Limits, Load, Scenario, Time
 from tests.sockets import ROOT
 
@@ -40,13 +44,13 @@
 
 
 def play(
-    told: Scenario, out: Path, program: Path = ROOT, parts: str | None = None, ask_gates: bool = False
-) -> tuple[run.Result, run.Lab]:
-    return asyncio.run(run.run(plan.make(told), out, program, parts, ask_gates=ask_gates))
+    told: Scenario, out: Path, program: Path = ROOT, parts: str | None = None, asks_hold_reasons: bool = False
+) -> tuple[Result, run.Run]:
+    return asyncio.run(run.run(plan.make(told), out, program, parts, asks_hold_reasons=asks_hold_reasons))
 
 
-def events(lab: run.Lab, kind: str) -> list[Any]:
-    return [e for e in lab.record.events if e.kind == kind]
+def events(played: run.Run, kind: str) -> list[Any]:
+    return [e for e in played.testbed.event_log.events if e.kind == kind]
 
 
 def test_a_fleet_that_is_killed_cut_off_and_restarted_keeps_every_rule(tmp_path: Path) -> None:
@@ -61,15 +65,15 @@
         Fault(at_s=6.0, kind="replace", names=("s-3",)),
         Fault(at_s=5.0, kind="outage", names=("s-2",), for_s=1.0),
     )
-    result, lab = play(told, tmp_path)
+    result, played = play(told, tmp_path)
     assert result.findings == []
-    assert len(events(lab, "fault")) == 9
-    assert len(events(lab, "banned")) == 1
-    assert len(events(lab, "killed")) >= 6
-    assert len(events(lab, "started")) >= 12
-    assert result.counts["held"] > 0
-    assert {"paused", "resumed", "told"} <= {e.kind for e in lab.record.events}
-    assert result.figures["delivered"] > 0.5 * result.figures["asked"] > 50
+    assert len(events(played, "fault")) == 9
+    assert len(events(played, "banned")) == 1
+    assert len(events(played, "killed")) >= 6
+    assert len(events(played, "started")) >= 12
+    assert result.link_events["held"] > 0
+    assert {"paused", "resumed", "told"} <= {e.kind for e in played.testbed.event_log.events}
+    assert result.metrics["delivered"] > 0.5 * result.metrics["asked"] > 50
 
 
 RETURNS = {
@@ -104,13 +108,13 @@
     tmp_path: Path, faults: tuple[Fault, ...]
 ) -> None:
     """Counters, not clocks: what a start costs discovery, and a cold endpoint, is bounded by how many start."""
-    result, lab = play(scenario(*faults, seed=3), tmp_path)
+    result, played = play(scenario(*faults, seed=3), tmp_path)
     assert result.findings == []
-    starts, asked = len(events(lab, "started")), [e for e in events(lab, "listed") if e.status == 200]
-    assert starts > len(lab.nodes)
-    assert len(asked) <= 2 * starts + len(lab.nodes) * len(events(lab, "fault")) * 3
-    assert result.figures["cold_ratio"] <= 1.0
-    assert result.figures["delivered"] > 0.6 * result.figures["asked"]
+    starts, asked = len(events(played, "started")), [e for e in events(played, "listed") if e.status == 200]
+    assert starts > len(played.testbed.forwarders)
+    assert len(asked) <= 2 * starts + len(played.testbed.forwarders) * len(events(played, "fault")) * 3
+    assert result.metrics["cold_ratio"] <= 1.0
+    assert result.metrics["delivered"] > 0.6 * result.metrics["asked"]
 
 
 def test_full_and_unequal_journals_come_back_in_order(tmp_path: Path) -> None:
@@ -126,13 +130,13 @@
         time=Time(warm_s=1.0, load_s=7.0, drain_s=10.0),
         seed=4,
     )
-    result, lab = play(told, tmp_path)
+    result, played = play(told, tmp_path)
     assert result.findings == []
-    assert result.figures["cold_ratio"] <= 1.0
-    logs = "".join((node.root / "log").read_text() for node in lab.nodes.values())
+    assert result.metrics["cold_ratio"] <= 1.0
+    logs = "".join(node.read_log() for node in played.testbed.forwarders.values())
     took = [int(n) for n in re.findall(r"took up (\d+) messages", logs)]
     assert len(took) >= 4 and max(took) >= 8 and max(took) > min(took), "much of what 20 places hold, and not all alike"
-    handed = Counter(e.node for e in events(lab, "handed") if e.at_s < 3.5)
+    handed = Counter(e.node for e in events(played, "handed") if e.at_s < 3.5)
     assert handed["n0"] > 0.2 * sum(handed.values())
 
 
@@ -144,15 +148,15 @@
         time=Time(warm_s=1.0, load_s=16.0, drain_s=8.0),
         endpoints=Endpoints(warm_s=3.0),
     )
-    result, lab = play(told, tmp_path, ask_gates=True)
+    result, played = play(told, tmp_path, asks_hold_reasons=True)
     assert result.findings == []
-    served = figures.Served(lab.record.events)
+    served = metrics.ServiceLevel(played.testbed.event_log.events)
     before, after = served.share(1.0, 4.0), served.share(11.0, 15.5)
     assert before and after and after >= 0.6 * before, "five seconds after it was healed"
-    rows = gates.rows(gates.load(tmp_path))
-    gate_of = {row.gate for row in rows}
-    assert gate_of & {"outage", "window", "pace by our share of the limit"}
-    assert {row.cls for row in rows} == {
+    rows = hold_reasons.hold_rows(hold_reasons.load(tmp_path))
+    reasons = {row.key.reason for row in rows}
+    assert reasons & {"outage", "window", "pace by our share of the limit"}
+    assert {row.key.message_class for row in rows} == {
         "statusvarsel",
         "refusjon",
     }
@@ -178,31 +182,31 @@
         time=Time(warm_s=2.0, load_s=14.0, drain_s=8.0),
         endpoints=Endpoints(tells_limits=False, told_share=1.0, wait_s=(0.5, 1.0), unlimited_share=0.0),
     )
-    result, lab = play(told, tmp_path)
+    result, played = play(told, tmp_path)
     assert result.findings == []
-    calls = Counter(e.status for e in events(lab, "answered"))
+    calls = Counter(e.status for e in events(played, "answered"))
     assert calls[200] > 100 and calls[429] > 20, "the limits bind"
-    assert result.figures["delivered"] > 0.3 * result.figures["asked"]
+    assert result.metrics["delivered"] > 0.3 * result.metrics["asked"]
 
 
 @pytest.mark.parametrize(("rooms", "needless"), [((True, True, True), 3.0), ((True, False, True), 0.0), ((), 0.0)])
 def test_seconds_are_needless_only_where_there_was_room_all_the_time(rooms: tuple[bool, ...], needless: float) -> None:
     said = 'ok {"held":[[7,"refusjon","window",%d]],"refused":[[7,"refusjon","window",%d]]}'
     looks = [
-        gates.look(at, "n0", start, said % (us, n))
+        hold_reasons.parse_report(at, "n0", start, said % (us, n))
         for at, start, us, n in ((1.0, 1, 1_000_000, 2), (2.0, 1, 4_000_000, 5), (3.0, 2, 500_000, 1))
     ]
-    found = gates.rows(
-        gates.Looks(
+    found = hold_reasons.hold_rows(
+        hold_reasons.HoldReports(
             [look for look in looks if look is not None],
-            [gates.Room(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(rooms)],
+            [hold_reasons.CapacitySample(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(rooms)],
         )
     )
     assert [(row.held_s, row.refused) for row in found] == [(1.0, 2), (3.0, 3), (0.5, 1)], "a restart begins anew"
     assert found[1].needless_s == needless
-    assert found[1].worth == 6.0
-    assert gates.look(1.0, "n0", 1, "fail not open") is None
-    assert gates.table([], 1.0) == ["nothing was held"]
+    assert found[1].refused_weight == 6.0
+    assert hold_reasons.parse_report(1.0, "n0", 1, "fail not open") is None
+    assert hold_reasons.format_table([], 1.0) == ["nothing was held"]
 
 
 def test_kills_aimed_at_the_narrowest_moments_break_no_rule(tmp_path: Path) -> None:
@@ -217,16 +221,16 @@
         Fault(at_s=1.0, kind="outage", share=0.8, for_s=5.0),
         load=Load(per_node_s=8.0, of_limits=1.2, keys=20, once_share=0.7),
     )
-    result, lab = play(told, tmp_path)
+    result, played = play(told, tmp_path)
     assert result.findings == []
-    kinds = [(e.kind, e.node) for e in lab.record.events]
+    kinds = [(e.kind, e.node) for e in played.testbed.event_log.events]
     before = {kinds[k - 1] for k, what in enumerate(kinds) if what[0] == "killed"}
     assert {on for n, (on, within) in enumerate(AIMED) if not within and (on, f"n{n}") in before} == {
         "call",
         "notice",
         "answered",
     }
-    assert lab.nodes["n0"].starts == lab.nodes["n5"].starts == 3
+    assert played.testbed.forwarders["n0"].starts == played.testbed.forwarders["n5"].starts == 3
 
 
 AIMED: list[tuple[Any, float]] = [
@@ -246,10 +250,10 @@
             for n, folder in enumerate(("lost", "old", "short", "byte", "block"))
         )
     )
-    result, lab = play(told, tmp_path)
+    result, played = play(told, tmp_path)
     assert [f for f in result.findings if f.rule != "duplicate"] == []
-    assert {e.state for e in events(lab, "folder")} == {"lost", "old", "short", "byte", "block"}
-    assert all(lab.nodes[f"n{n}"].starts == 2 for n in range(5))
+    assert {e.state for e in events(played, "folder")} == {"lost", "old", "short", "byte", "block"}
+    assert all(played.testbed.forwarders[f"n{n}"].starts == 2 for n in range(5))
 
 
 Edit = tuple[str, str, str]  # a file of the program, a line of it, what stands in its place
@@ -357,15 +361,15 @@
 
 @pytest.mark.parametrize(("late_ms", "findings", "verdict"), [(9.0, 0, 0), (9.0, 1, 1), (300.0, 0, 2), (300.0, 1, 2)])
 def test_a_late_lab_gives_no_result(late_ms: float, findings: int, verdict: int) -> None:
-    result = run.Result("x", 1, 1, [], 0, {}, {"most": late_ms}, {}, {}, ["a limit"] * findings, late_ms < 250.0)
-    assert result.verdict() == verdict
+    result = Result("x", 1, 1, [], 0, {}, {"most": late_ms}, {}, {}, ["a limit"] * findings, late_ms < 250.0)
+    assert result.exit_status() == verdict
 
 
 def test_an_address_that_is_taken_is_no_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     told = plan.make(scenario())
-    with run.socket.socket() as taken:
-        taken.bind((run.address("endpoint", 3, 2), 0))
+    with socket.socket() as taken:
+        taken.bind((host_for(Role.ENDPOINT, 3, 2), 0))
         taken.listen()
-        monkeypatch.setattr(run, "free_port", lambda: taken.getsockname()[1])
-        with pytest.raises(run.LabError, match="address"):
+        monkeypatch.setattr(testbed, "free_port", lambda: taken.getsockname()[1])
+        with pytest.raises(LabError, match="address"):
             asyncio.run(run.run(told, tmp_path, ROOT))
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from lab import figures
-from lab.judge import Judge
-from lab.plan import ONCE, STATUS
-from lab.record import Event, way
+from lab import metrics
+from lab.event_log import Event, message_history
+from lab.plan import REFUND_CLASS, STATUS_CLASS
+from lab.rules import check
 
 
 def ev(at_s: float, kind: str, ident: str = "", node: str = "n0", **more: Any) -> Event:
@@ -17,7 +17,7 @@
 
 
 def handed(
-    at_s: float, ident: str, cls: str = ONCE, key: str | None = "k", number: int = 0, **more: Any
+    at_s: float, ident: str, cls: str = REFUND_CLASS, key: str | None = "k", number: int = 0, **more: Any
 ) -> list[Event]:
     due = {"due_s": at_s + 5.0} | more
     return [
@@ -41,14 +41,14 @@
     return [*handed(at_s, ident, **more), *called(at_s + 0.1, ident, call)]
 
 
-KEY_REST_S = 1.0
+KEY_BACKOFF_S = 1.0
 LATE = [ev(20.0, "up", node="n9")]
 KILLED = [ev(0.5, "killed"), ev(0.5, "ended", status=-9)]
 CLEAN: dict[str, list[Event]] = {
     "delivered": fine(),
     "refused by the endpoint and sent again": [*handed(0, "a"), *called(0.1, "a", 1, 503), *called(1, "a", 2)],
     "sent again as its connection was cut": [
-        *handed(0, "a", STATUS, None),
+        *handed(0, "a", STATUS_CLASS, None),
         *called(0.1, "a", 1, None),
         *called(0.2, "a", 2, party="s-2"),
         ev(0.201, "cut", "a", party="s-1", call=1),
@@ -62,7 +62,7 @@
     ],
     "returned unsent": [*handed(0, "a"), ev(5.2, "notice", "a", state="returned"), *LATE],
     "failed after it ran": [*handed(0, "a"), *called(0.1, "a", 1, 500), ev(1, "notice", "a", state="failed"), *LATE],
-    "a repeatable one runs twice": [*handed(0, "a", STATUS, None), *called(0.1, "a", 1, 500), *called(1, "a", 2)],
+    "a repeatable one runs twice": [*handed(0, "a", STATUS_CLASS, None), *called(0.1, "a", 1, 500), *called(1, "a", 2)],
     "overdue, but the forwarder was away": [
         *handed(0, "a"),
         *KILLED,
@@ -94,18 +94,18 @@
     "used again after a ban": [ev(0, "banned", party="s-1"), ev(1, "unbanned", party="s-1"), *fine("a", 2.0)],
     "gone with a lost folder": [*handed(0, "a"), *KILLED, ev(0.6, "folder", state="lost"), ev(1, "up"), *LATE],
     "no answer, but it was being killed": [
-        ev(0, "handed", "a", due_s=5, state=ONCE, destination=7),
+        ev(0, "handed", "a", due_s=5, state=REFUND_CLASS, destination=7),
         *KILLED,
         ev(0.6, "unanswered", "a"),
     ],
     "given up by its client, so it counts for nothing": [
-        ev(0, "handed", "a", due_s=5, state=ONCE, key="k", destination=7, number=0),
+        ev(0, "handed", "a", due_s=5, state=REFUND_CLASS, key="k", destination=7, number=0),
         ev(0.4, "given_up", "a"),
         *called(0.3, "a", 1, 500),
         *fine("b", 1.0, 2),
     ],
     "given up, and sent before what was taken on since": [
-        ev(0, "handed", "a", due_s=5, state=ONCE, key="k", destination=7, number=0),
+        ev(0, "handed", "a", due_s=5, state=REFUND_CLASS, key="k", destination=7, number=0),
         ev(0.4, "given_up", "a"),
         *handed(0.5, "b", number=0),
         *called(0.6, "a", 1, 503),
@@ -125,7 +125,7 @@
     "late though long ready again": ("lost", [*handed(0, "a"), *KILLED, ev(1, "up"), *LATE]),
     "the connection ended unanswered": (
         "lost",
-        [ev(0, "handed", "a", due_s=5, state=ONCE), ev(0.1, "unanswered", "a")],
+        [ev(0, "handed", "a", due_s=5, state=REFUND_CLASS), ev(0.1, "unanswered", "a")],
     ),
     "sent again after an error": ("duplicate", [*handed(0, "a"), *called(0.1, "a", 1, 500), *called(1, "a", 2)]),
     "sent again after a cut": (
@@ -139,12 +139,12 @@
     ),
     "two out at once": (
         "second copy",
-        [*handed(0, "a", STATUS, None), *called(0.1, "a", 1, None), *called(0.2, "a", 2, party="s-2")],
+        [*handed(0, "a", STATUS_CLASS, None), *called(0.1, "a", 1, None), *called(0.2, "a", 2, party="s-2")],
     ),
     "a cut that was seen too late for chance": (
         "second copy",
         [
-            *handed(0, "a", STATUS, None),
+            *handed(0, "a", STATUS_CLASS, None),
             *called(0.1, "a", 1, None),
             *called(0.2, "a", 2, party="s-2"),
             ev(0.4, "cut", "a", party="s-1", call=1),
@@ -177,14 +177,14 @@
     "after it was refused": (
         "lost",
         [
-            ev(0, "handed", "a", due_s=5, state=STATUS, destination=7),
+            ev(0, "handed", "a", due_s=5, state=STATUS_CLASS, destination=7),
             ev(0.1, "answer", "a", status=503),
             *called(1, "a", 1),
         ],
     ),
     "after its notice": (
         "lost",
-        [*handed(0, "a", STATUS, None), ev(1, "notice", "a", state="returned"), *called(2, "a", 1)],
+        [*handed(0, "a", STATUS_CLASS, None), ev(1, "notice", "a", state="returned"), *called(2, "a", 1)],
     ),
     "within a wait": ("wait", [*handed(0, "a"), *called(0.1, "a", 1, 429, wait_s=3.0), *called(1, "a", 2)]),
     "another message within a wait": (
@@ -208,20 +208,20 @@
 
 @pytest.mark.parametrize("events", CLEAN.values(), ids=CLEAN)
 def test_nothing_is_found_in_a_clean_record(events: list[Event]) -> None:
-    assert Judge(key_rest_s=KEY_REST_S).read(sorted(events, key=lambda e: e.at_s)).findings == []
+    assert check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings == []
 
 
 @pytest.mark.parametrize(("rule", "events"), BROKEN.values(), ids=BROKEN)
 def test_each_kind_of_broken_rule_is_found(rule: str, events: list[Event]) -> None:
-    found = Judge(key_rest_s=KEY_REST_S).read(sorted(events, key=lambda e: e.at_s)).findings
+    found = check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings
     assert {f.rule for f in found} == {rule}
     assert all(f.id in f.text or f.id for f in found if rule not in ("cold", "crash"))
 
 
 def test_the_way_of_a_message_goes_over_all_its_ids() -> None:
     events = [*fine("a", number=3), *fine("b", 2.0, 2, number=3), *fine("c", 3.0, 3, number=4)]
-    assert {e.id for e in way(events, "b")} == {"a", "b"}
-    assert way(events, "x") == []
+    assert {e.id for e in message_history(events, "b")} == {"a", "b"}
+    assert message_history(events, "x") == []
 
 
 def served(shares: list[float]) -> list[Event]:
@@ -231,8 +231,8 @@
         for k in range(10):
             number, at = n * 10 + k, n * 0.5 + k * 0.05
             events += [
-                ev(at, "asked", number=number, state=STATUS),
-                ev(at, "handed", f"m{number}", number=number, state=STATUS, destination=7),
+                ev(at, "asked", number=number, state=STATUS_CLASS),
+                ev(at, "handed", f"m{number}", number=number, state=STATUS_CLASS, destination=7),
             ]
             if k < share * 10:
                 events.append(ev(at + 0.1, "answered", f"m{number}", status=200))
@@ -249,7 +249,7 @@
     ],
 )
 def test_time_to_full_service(after: list[float], full_s: float | None) -> None:
-    got = figures.Served(served([1.0] * 10 + after)).full_after(5.0, 0.0, 17.0)
+    got = metrics.ServiceLevel(served([1.0] * 10 + after)).time_to_full_service(5.0, 0.0, 17.0)
     assert got == full_s if full_s is None else got is not None and abs(got - full_s) <= 0.25
 
 
@@ -261,26 +261,26 @@
             ev(float(n), "handed", f"m{n}", number=n, state=cls),
             ev(n + took, "answered", f"m{n}", status=200),
         ]
-    s = figures.Served(sorted(events, key=lambda e: e.at_s))
+    s = metrics.ServiceLevel(sorted(events, key=lambda e: e.at_s))
     for n, (_, _, worth) in enumerate(WORTHS):
-        assert s.share(n, n + 0.5, 2) == pytest.approx(worth)
+        assert s.share(n, n + 0.5, metrics.Weight.EARNED) == pytest.approx(worth)
 
 
 WORTHS = [
-    (STATUS, 0.9, 1.0),
-    (STATUS, 3.0, 0.5),
-    (STATUS, 5.1, 0.0),
-    (ONCE, 2.0, 1.0),
-    (ONCE, 28.0, 0.4),
-    (ONCE, 29.0, 0.0),
+    (STATUS_CLASS, 0.9, 1.0),
+    (STATUS_CLASS, 3.0, 0.5),
+    (STATUS_CLASS, 5.1, 0.0),
+    (REFUND_CLASS, 2.0, 1.0),
+    (REFUND_CLASS, 28.0, 0.4),
+    (REFUND_CLASS, 29.0, 0.0),
 ]
 
 
 def test_the_worst_second_is_told_over_the_steady_one() -> None:
     events = [ev(n / 2, "listed") for n in range(20)] + [ev(10.5, "listed")] * 9
-    row = figures.per_second(sorted(events, key=lambda e: e.at_s), "listed", 12.0)
-    assert figures.worst_over_steady(row, 2.0, 10.0) == pytest.approx(4.5)
-    assert figures.worst_over_steady([0] * 12, 2.0, 10.0) is None
+    row = metrics.per_second(sorted(events, key=lambda e: e.at_s), "listed", 12.0)
+    assert metrics.worst_over_steady(row, 2.0, 10.0) == pytest.approx(4.5)
+    assert metrics.worst_over_steady([0] * 12, 2.0, 10.0) is None
 
 
 def test_the_steps_of_a_return_are_told_apart() -> None:
@@ -300,7 +300,7 @@
         ev(5.0, "answered", "m", status=200),
         ev(6.0, "answered", "late", status=200),
     ]
-    got = figures.steps_of_return(seen, 2.0)
+    got = metrics.restart_steps(seen, 2.0)
     assert {name: value and round(value, 6) for name, value in got.items()} == {
         "backlog_s": 1.2,
         "notice_s": 1.0,
@@ -310,4 +310,4 @@
         "list_s": 1.2,
         "list_longest_s": 1.2,
     }
-    assert set(figures.steps_of_return(seen[:1], 2.0).values()) == {None}
+    assert set(metrics.restart_steps(seen[:1], 2.0).values()) == {None}
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -15,8 +15,11 @@
 import pytest
 
 from lab import plan, run
-from lab.net import Effect
+from lab.event_log import EventKind
+from lab.network import LinkFault
+from lab.result import Result
 from lab.scenario import Fleet, Limits, Load, Scenario, Time
+from lab.testbed import Testbed
 from tests.sockets import ROOT
 
 NODES = 8
@@ -38,14 +41,14 @@
 class Watched:
     """A fleet of the lab, and what its forwarders believe."""
 
-    def __init__(self, lab: run.Lab) -> None:
-        self.lab = lab
-        self.names = list(lab.nodes)
+    def __init__(self, testbed: Testbed) -> None:
+        self.testbed = testbed
+        self.names = list(testbed.forwarders)
 
     async def view(self, name: str) -> dict[str, Any]:
         """Of one that cannot be asked yet, an empty one."""
         try:
-            said = await self.lab.nodes[name].call("MEMBERS json")
+            said = await self.testbed.forwarders[name].admin_call("MEMBERS json")
         except OSError:
             said = ""
         told: dict[str, Any] = json.loads(said[3:]) if said.startswith("ok ") else {"digest": name, "members": []}
@@ -72,13 +75,13 @@
             await self.until(same)
 
     async def shares(self, name: str) -> str:
-        return await self.lab.nodes[name].call("SHARES")
+        return await self.testbed.forwarders[name].admin_call("SHARES")
 
-    def cut(self, *groups: set[str], effect: Effect = Effect(silent_out=True)) -> None:  # noqa: B008
+    def cut(self, *groups: set[str], effect: LinkFault = LinkFault(silent_out=True)) -> None:  # noqa: B008
         part = {name: n for n, group in enumerate(groups) for name in group}
         for a in self.names:
             for b in self.names:
-                self.lab.net.put((a, b), effect if a != b and part.get(a) != part.get(b) else Effect())
+                self.testbed.network.set_fault((a, b), effect if a != b and part.get(a) != part.get(b) else LinkFault())
 
     def heal(self) -> None:
         self.cut(set(self.names))
@@ -92,9 +95,9 @@
     endpoints: int = 6,
     parts: str = PARTS,
     load: Load = Load(per_node_s=2.0),  # noqa: B008
-    tweak: Callable[[run.Lab], None] = lambda lab: None,
+    tweak: Callable[[Testbed], None] = lambda testbed: None,
     believed: tuple[float, float] = (1.0, 1.0),
-) -> tuple[run.Result, run.Lab]:
+) -> tuple[Result, run.Run]:
     """Play a scene while messages pass. No rule may be broken meanwhile."""
     told = Scenario(
         "members",
@@ -104,21 +107,21 @@
         time=Time(warm_s=1.0, load_s=60.0, drain_s=8.0),
         limits=Limits(late_ms=2000.0),
     )
-    result: list[tuple[run.Result, run.Lab]] = []
+    result: list[tuple[Result, run.Run]] = []
 
     async def played() -> None:
         (tmp_path / "nodes").mkdir()
-        lab = run.Lab(plan.make(told), tmp_path, ROOT, parts)
-        tweak(lab)
+        play = run.Run(plan.make(told), tmp_path, ROOT, parts)
+        tweak(play.testbed)
         try:
-            await lab.open()
-            playing = asyncio.create_task(lab.play())
-            await scene(Watched(lab))
+            await play.open()
+            playing = asyncio.create_task(play.play())
+            await scene(Watched(play.testbed))
             playing.cancel()
             await asyncio.gather(playing, return_exceptions=True)
         finally:
-            await lab.close()
-        result.append((lab.result(), lab))
+            await play.close()
+        result.append((play.result(), play))
 
     asyncio.run(played())
     assert result[0][0].findings == [], result[0][0].findings[:3]
@@ -129,15 +132,15 @@
     async def scene(w: Watched) -> None:
         everybody = set(w.names)
         await w.agree(everybody)
-        await w.lab.nodes["n7"].end(hard=True)
+        await w.testbed.forwarders["n7"].kill_and_wait()
         await w.agree(everybody - {"n7"})
         states = {m["name"]: m["state"] for m in (await w.view("n0"))["members"]}
         assert states["n7"] == "failed"
-        await w.lab.nodes["n6"].end(hard=False)
+        await w.testbed.forwarders["n6"].terminate_and_wait()
         states = {m["name"]: m["state"] for m in (await w.view("n0"))["members"]}
         assert states["n6"] == "left", "told at once, and not found out"
         for name in ("n6", "n7"):
-            await w.lab.nodes[name].start()
+            await w.testbed.forwarders[name].start()
         await w.agree(everybody)
         lives = {m["name"]: m["life"] for m in (await w.view("n0"))["members"]}
         assert lives["n7"] == lives["n6"] == 2
@@ -199,12 +202,12 @@
 
         await w.until(settled)
         for name in ("n6", "n7"):
-            await w.lab.nodes[name].end(hard=True)
-        shutil.rmtree(w.lab.nodes["n7"].state)
-        w.lab.nodes["n7"].state.mkdir()
-        w.lab.record.note("folder", node="n7", state="lost")
+            await w.testbed.forwarders[name].kill_and_wait()
+        shutil.rmtree(w.testbed.forwarders["n7"].state.path)
+        w.testbed.forwarders["n7"].state.path.mkdir()
+        w.testbed.event_log.note(EventKind.STATE_FOLDER_CHANGED, node="n7", state="lost")
         for name in ("n6", "n7"):
-            await w.lab.nodes[name].start()
+            await w.testbed.forwarders[name].start()
         kept, lost = await asyncio.gather(came_back("n6"), came_back("n7"))
         assert not any("held back" in said for said in kept)
         assert any("its own for" in said for said in kept)
@@ -218,16 +221,16 @@
     async def scene(w: Watched) -> None:
         everybody = set(w.names)
         await w.agree(everybody)
-        w.lab.nodes["n1"].signal(19)
-        w.lab.record.note("paused", node="n1")
+        w.testbed.forwarders["n1"].signal(19)
+        w.testbed.event_log.note(EventKind.PROCESS_PAUSED, node="n1")
         await asyncio.sleep(4.0)
-        w.lab.nodes["n1"].signal(18)
-        w.lab.record.note("resumed", node="n1")
+        w.testbed.forwarders["n1"].signal(18)
+        w.testbed.event_log.note(EventKind.PROCESS_RESUMED, node="n1")
         await w.agree(everybody)
-        log = (w.lab.nodes["n1"].root / "log").read_text()
+        log = w.testbed.forwarders["n1"].read_log()
         assert " is failed" not in log, "it blamed others for its own stop"
         for other in everybody - {"n2"}:  # it hears all, and nobody hears it
-            w.lab.net.put(("n2", other), Effect(silent_out=True))
+            w.testbed.network.set_fault(("n2", other), LinkFault(silent_out=True))
 
         async def alone() -> bool:
             return all(["n2" not in await w.there(name) for name in everybody - {"n2"}])
@@ -242,37 +245,39 @@
 def test_a_lost_folder_hears_of_its_former_life_and_says_so(tmp_path: Path) -> None:
     async def scene(w: Watched) -> None:
         await w.agree(set(w.names))
-        node = w.lab.nodes["n3"]
+        node = w.testbed.forwarders["n3"]
         for folder in ("kept", "lost"):
-            await node.end(hard=True)
-            node.spoil(folder, 0.0, w.lab.chance)
+            await node.kill_and_wait()
+            node.damage_folder(folder, 0.0, w.testbed.rng)
             if folder == "lost":
-                w.lab.clients.machine_lost("n3")
+                w.testbed.clients.note_folder_lost("n3")
             await node.start()
             await w.agree(set(w.names))
         told = await w.view("n3")
         assert told["former_life"] == 2
-        assert "others remember life 2 of n3" in (node.root / "log").read_text()
+        assert "others remember life 2 of n3" in node.read_log()
 
     fleet(tmp_path, scene, nodes=4)
 
 
 @pytest.mark.parametrize(
-    "effect", [Effect(loss=0.2, doubled=0.2, swapped=0.2), Effect(delay_s=0.05, jitter_s=0.2)], ids=["loss", "delay"]
+    "effect",
+    [LinkFault(loss=0.2, doubled=0.2, swapped=0.2), LinkFault(delay_s=0.05, jitter_s=0.2)],
+    ids=["loss", "delay"],
 )
-def test_bad_links_get_nobody_failed(tmp_path: Path, effect: Effect) -> None:
+def test_bad_links_get_nobody_failed(tmp_path: Path, effect: LinkFault) -> None:
     async def scene(w: Watched) -> None:
         await w.agree(set(w.names))
         for a in w.names:
             for b in w.names:
                 if a != b:
-                    w.lab.net.put((a, b), effect)
+                    w.testbed.network.set_fault((a, b), effect)
         await asyncio.sleep(8.0)
         w.heal()
         await w.agree(set(w.names))
         for name in w.names:
-            assert " is failed" not in (w.lab.nodes[name].root / "log").read_text()
-        assert sum(n for what, n in w.lab.net.counts.items() if what.startswith("datagrams")) > 50
+            assert " is failed" not in w.testbed.forwarders[name].read_log()
+        assert sum(n for what, n in w.testbed.network.counts.items() if what.startswith("datagrams")) > 50
 
     fleet(tmp_path, scene, nodes=6)
 
@@ -306,11 +311,11 @@
         everybody, half = set(w.names), w.names[::2]
 
         async def handed_over() -> bool:
-            return all(node.former is None for node in w.lab.nodes.values())
+            return all(node.former is None for node in w.testbed.forwarders.values())
 
         await w.agree(everybody)
         for name in half:  # one after the other, messages and calls under way
-            await w.lab.nodes[name].upgrade(later)
+            await w.testbed.forwarders[name].upgrade(later)
         await w.until(handed_over)
         await w.agree(everybody)
 
@@ -322,14 +327,14 @@
         await asyncio.sleep(3.0)
         for name in w.names:
             if name not in half:
-                await w.lab.nodes[name].upgrade(later)
+                await w.testbed.forwarders[name].upgrade(later)
         await w.until(handed_over)
         await w.agree(everybody)
         for name in w.names:
-            log = (w.lab.nodes[name].root / "log").read_text()
+            log = w.testbed.forwarders[name].read_log()
             assert " is failed" not in log and " is left" not in log and "Traceback" not in log, name
             assert {m["life"] for m in (await w.view(name))["members"]} == {2}
-        assert w.lab.costs()["crashes"] == 0
+        assert sum(forwarder.crashes for forwarder in w.testbed.forwarders.values()) == 0
 
     fleet(tmp_path, scene, parts=PARTS + "news = true\n")
 
@@ -340,7 +345,7 @@
     async def scene(w: Watched) -> None:
         everybody = set(w.names)
         await w.agree(everybody)
-        node = w.lab.nodes["n1"]
+        node = w.testbed.forwarders["n1"]
         host, _, port = node.config["listen"].rpartition(":")
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (40, 40))  # type: ignore[union-attr]
         open_ = [await asyncio.open_connection(host, int(port)) for _ in range(60)]
@@ -348,6 +353,6 @@
         for _, writer in open_:
             writer.close()
         await w.agree(everybody)
-        assert not [n for n in w.names if " is failed" in (w.lab.nodes[n].root / "log").read_text()]
+        assert not [n for n in w.names if " is failed" in w.testbed.forwarders[n].read_log()]
 
     fleet(tmp_path, scene, nodes=4)
