--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -15,33 +15,37 @@
 from forwarder.clients.listener import reset_on_close
 from forwarder.simulator.adapter import parse_settings
 from lab import plan, scenario
-from lab.__main__ import swept
-from lab.judge import Finding
+from lab.datagrams import DatagramExchange
+from lab.endpoint_model import DestinationModel, EndpointModel, TokenBucket
+from lab.errors import ScenarioError
+from lab.forwarder_settings import forwarder_settings
 from lab.launcher import Launcher, Process
-from lab.model import Limit, Shop, Station
-from lab.net import Effect, Exchange, Guarded, Link, Listener, Net
-from lab.run import Result, facts
+from lab.listener import Listener
+from lab.network import Link, LinkConnection, LinkFault, Network
+from lab.reports import format_sweep
+from lab.result import Result
+from lab.rules import Finding, Rule
 from lab.scenario import Fault, Scenario
 from tests.sockets import PATIENCE, free_port, own_host
 
 LINK = ("n0", "s-0")
 
 
-class Echo(Guarded):
-    def got(self, data: bytes) -> None:
+class Echo(LinkConnection):
+    def receive(self, data: bytes) -> None:
         self.send(data)
 
 
-class Sink(Guarded):
-    def __init__(self, net: Net, link: Link, came: list[bytes]) -> None:
+class Sink(LinkConnection):
+    def __init__(self, net: Network, link: Link, came: list[bytes]) -> None:
         super().__init__(net, link)
         self.came_through = came
 
-    def got(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         self.came_through.append(data)
 
 
-async def linked(net: Net, link: Link = LINK) -> Listener:
+async def linked(net: Network, link: Link = LINK) -> Listener:
     host = own_host()
     listener = Listener(net, link, (host, free_port(host)), lambda: Echo(net, link))
     listener.open()
@@ -53,20 +57,20 @@
         assert await reader.readexactly(len(wanted)) == wanted
 
 
-def played(scene: Callable[[Net], Any]) -> Net:
-    net = Net(1)
+def played(scene: Callable[[Network], Any]) -> Network:
+    net = Network(1)
     asyncio.run(scene(net))
     return net
 
 
-@pytest.mark.parametrize("effect", [Effect(silent_out=True), Effect(silent_in=True), Effect(True, True)])
-def test_silence_holds_bytes_back_until_it_heals(effect: Effect) -> None:
-    async def scene(net: Net) -> None:
+@pytest.mark.parametrize("effect", [LinkFault(silent_out=True), LinkFault(silent_in=True), LinkFault(True, True)])
+def test_silence_holds_bytes_back_until_it_heals(effect: LinkFault) -> None:
+    async def scene(net: Network) -> None:
         listener = await linked(net)
-        reader, writer = await asyncio.open_connection(*listener.where)
+        reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"before")
         await said(reader, b"before")
-        net.put(LINK, effect)
+        net.set_fault(LINK, effect)
         writer.write(b"after")
         async with asyncio.timeout(PATIENCE):
             while not net.counts.get("held"):
@@ -82,16 +86,16 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_what_silence_held_back_comes_behind_a_close_and_not_behind_a_reset(reset: bool) -> None:
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         listener = await linked(net)
         came: list[bytes] = []
-        listener.make = lambda: Sink(net, LINK, came)
-        _, writer = await asyncio.open_connection(*listener.where)
+        listener.make_connection = lambda: Sink(net, LINK, came)
+        _, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"before")
         async with asyncio.timeout(PATIENCE):
             while not came:
                 await asyncio.sleep(0.01)
-        net.put(LINK, Effect(silent_out=True))
+        net.set_fault(LINK, LinkFault(silent_out=True))
         writer.write(b"late")
         if reset:
             reset_on_close(writer.get_extra_info("socket"), True)
@@ -107,14 +111,14 @@
 
 
 def test_a_new_connection_never_comes_up_in_silence_and_does_when_it_heals() -> None:
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         listener = await linked(net)
-        net.put(LINK, Effect(True, True))
+        net.set_fault(LINK, LinkFault(True, True))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
-                await asyncio.open_connection(*listener.where)
+                await asyncio.open_connection(*listener.address)
         net.heal(LINK)
-        reader, writer = await asyncio.open_connection(*listener.where)
+        reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"x")
         await said(reader, b"x")
         writer.close()
@@ -124,10 +128,10 @@
 
 
 def test_refusal_and_reset_end_connections_and_refusal_new_ones_too() -> None:
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         listener = await linked(net)
-        for end in (lambda: net.reset(LINK), lambda: net.put(LINK, Effect(refuse=True))):
-            reader, writer = await asyncio.open_connection(*listener.where)
+        for end in (lambda: net.reset_connections(LINK), lambda: net.set_fault(LINK, LinkFault(refuse=True))):
+            reader, writer = await asyncio.open_connection(*listener.address)
             writer.write(b"x")
             await said(reader, b"x")
             end()
@@ -137,17 +141,17 @@
                         raise ConnectionResetError
             writer.close()
         with pytest.raises(ConnectionRefusedError):
-            await asyncio.open_connection(*listener.where)
+            await asyncio.open_connection(*listener.address)
         listener.close()
 
     assert played(scene).counts["reset"] == 1
 
 
 def test_delay_keeps_the_order_of_a_stream() -> None:
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         listener = await linked(net)
-        net.put(LINK, Effect(delay_s=0.02, jitter_s=0.05))
-        reader, writer = await asyncio.open_connection(*listener.where)
+        net.set_fault(LINK, LinkFault(delay_s=0.02, jitter_s=0.05))
+        reader, writer = await asyncio.open_connection(*listener.address)
         for n in range(30):
             writer.write(bytes([n]))
             await writer.drain()
@@ -160,10 +164,10 @@
 
 
 def test_a_cut_between_two_leaves_others_alone() -> None:
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         one, other = await linked(net), await linked(net, ("n1", "s-0"))
-        net.put(LINK, Effect(refuse=True))
-        reader, writer = await asyncio.open_connection(*other.where)
+        net.set_fault(LINK, LinkFault(refuse=True))
+        reader, writer = await asyncio.open_connection(*other.address)
         writer.write(b"x")
         await said(reader, b"x")
         writer.close()
@@ -183,29 +187,29 @@
 @pytest.mark.parametrize(
     ("effect", "counted", "came"),
     [
-        (Effect(), "", lambda n: n == 40),
-        (Effect(silent_out=True), "datagrams lost", lambda n: n == 0),
-        (Effect(loss=0.5), "datagrams lost", lambda n: 5 < n < 35),
-        (Effect(doubled=0.5), "datagrams doubled", lambda n: 45 < n < 75),
-        (Effect(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
-        (Effect(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40),
+        (LinkFault(), "", lambda n: n == 40),
+        (LinkFault(silent_out=True), "datagrams lost", lambda n: n == 0),
+        (LinkFault(loss=0.5), "datagrams lost", lambda n: 5 < n < 35),
+        (LinkFault(doubled=0.5), "datagrams doubled", lambda n: 45 < n < 75),
+        (LinkFault(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
+        (LinkFault(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40),
     ],
     ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"],
 )
-def test_datagrams_between_two_forwarders(effect: Effect, counted: str, came: Callable[[int], bool]) -> None:
+def test_datagrams_between_two_forwarders(effect: LinkFault, counted: str, came: Callable[[int], bool]) -> None:
     """What comes bears the sender's advertised address; the way back is another link and is not touched."""
 
-    async def scene(net: Net) -> None:
+    async def scene(net: Network) -> None:
         hosts = [own_host(), own_host()]
         socks = [member(host) for host in hosts]
         posts = [(own_host(), free_port()) for _ in hosts]
-        exchange = Exchange(
+        exchange = DatagramExchange(
             net,
             {f"n{n}": sock.getsockname() for n, sock in enumerate(socks)},
             {f"n{n}": where for n, where in enumerate(posts)},
         )
         await exchange.open()
-        net.put(("n0", "n1"), effect)
+        net.set_fault(("n0", "n1"), effect)
         got: list[tuple[bytes, Any]] = []
         for n in range(40):
             socks[0].sendto(bytes([n]), posts[1])
@@ -244,15 +248,15 @@
     one, same, other = (plan.make(scenario.load(HERD, 20, seed)) for seed in (4, 4, 5))
     assert one == same
     assert one.arrivals != other.arrivals
-    assert one.acts[0].names != other.acts[0].names
-    assert len(one.acts[0].names) == 14
-    assert len(set(one.acts[0].names)) == 14
+    assert one.schedule[0].targets != other.schedule[0].targets
+    assert len(one.schedule[0].targets) == 14
+    assert len(set(one.schedule[0].targets)) == 14
 
 
 @pytest.mark.parametrize(("name", "told"), [("herd", True), ("untold", False)])
 def test_the_settings_are_those_that_the_program_reads(name: str, told: bool) -> None:
     made = plan.make(scenario.load(HERD.with_name(f"{name}.toml"), 20, 1))
-    known = parse_settings(facts(made))
+    known = parse_settings(forwarder_settings(made))
     assert (known.forwarders, known.max_attempts, known.overload_window_us) == (20, 8, 2_000_000)
     assert [c.name for c in known.classes] == ["statusvarsel", "refusjon"]
     assert known.classes[1].in_order
@@ -261,9 +265,9 @@
 
 @pytest.mark.parametrize("told", [True, False])
 def test_a_destination_reports_its_limit_only_where_it_tells(told: bool) -> None:
-    one = next(d for d in plan.make(Scenario("x")).destinations if d.limit)
-    report = Shop(one, plan.random.Random(1), (1.0, 1.0), tells=told).report()
-    assert report == (f"x0=1.000,x1={one.limit:.3f}" if told else None)
+    one = next(d for d in plan.make(Scenario("x")).destinations if d.limit_per_s)
+    report = DestinationModel(one, plan.random.Random(1), (1.0, 1.0), reports_limit=told).load_report()
+    assert report == (f"x0=1.000,x1={one.limit_per_s:.3f}" if told else None)
 
 
 @pytest.mark.parametrize(
@@ -284,33 +288,33 @@
 )
 def test_a_bad_scenario_is_refused_and_the_key_named(tmp_path: Path, text: str, named: str) -> None:
     (tmp_path / "x.toml").write_text(text)
-    with pytest.raises(scenario.BadScenario, match=named.replace("[", r"\[").replace("]", r"\]")):
+    with pytest.raises(ScenarioError, match=named.replace("[", r"\[").replace("]", r"\]")):
         scenario.load(tmp_path / "x.toml")
 
 
 def test_waves_and_shares_strike_everybody_once() -> None:
     fault = Fault(at_s=1.0, kind="term", share=1.0, waves=10, every_s=2.0, back_s=0.5)
-    acts = plan.make(Scenario("x", faults=(fault,))).acts
-    assert sorted(n for act in acts for n in act.names) == sorted(f"n{n}" for n in range(12))
+    acts = plan.make(Scenario("x", faults=(fault,))).schedule
+    assert sorted(n for act in acts for n in act.targets) == sorted(f"n{n}" for n in range(12))
     assert [act.at_s for act in acts] == [1.0 + 2.0 * n for n in range(len(acts))]
 
 
 # The endpoints' model
 
 
-def station() -> Station:
+def station() -> EndpointModel:
     made = plan.make(Scenario("x"))
     e = made.endpoints[0]
-    return Station(
+    return EndpointModel(
         e,
-        Shop(made.destinations[e.destination - 1], plan.random.Random(1), (1.0, 1.0)),
+        DestinationModel(made.destinations[e.destination - 1], plan.random.Random(1), (1.0, 1.0)),
         made.scenario.endpoints,
         plan.random.Random(2),
     )
 
 
 def test_a_limit_lets_its_rate_through_and_no_more() -> None:
-    limit = Limit(10.0)
+    limit = TokenBucket(10.0)
     assert sum(limit.take(n / 100) for n in range(1000)) in range(100, 107)
 
 
@@ -319,24 +323,24 @@
     s = station()
     s.fail()
     if informed:
-        s.seen_failing.add("n1")
-    s.come_back(10.0)
-    shares = [s.heed(10.0 + n * 0.01, "n1") for n in range(200)]
+        s.informed_nodes.add("n1")
+    s.recover(10.0)
+    shares = [s.count_against_budget(10.0 + n * 0.01, "n1") for n in range(200)]
     fell = [share for share in shares if share is not None]
-    assert s.fallen
-    assert s.down
+    assert s.is_overloaded
+    assert s.is_down
     assert fell[0] == float(informed)
-    assert shares.index(fell[0]) >= s.settings.fall_times * s.settings.cold_from * s.told.rate * 2 - 1
-    s.come_back(20.0)
-    assert s.down
+    assert shares.index(fell[0]) >= s.settings.fall_times * s.settings.cold_from * s.spec.capacity_per_s * 2 - 1
+    s.recover(20.0)
+    assert s.is_down
 
 
 def test_a_warm_endpoint_heeds_no_budget() -> None:
     s = station()
     s.fail()
-    s.come_back(0.0)
-    assert 0.18 <= s.part(0.1) < s.part(6.0) < s.part(13.0) == 1.0
-    assert all(s.heed(14.0, "n1") is None for _ in range(1000))
+    s.recover(0.0)
+    assert 0.18 <= s.capacity_share(0.1) < s.capacity_share(6.0) < s.capacity_share(13.0) == 1.0
+    assert all(s.count_against_budget(14.0, "n1") is None for _ in range(1000))
 
 
 def test_what_the_launcher_started_ends_with_it_and_is_told_of(tmp_path: Path) -> None:
@@ -371,7 +375,7 @@
 
 
 def test_many_seeds_are_added_up_and_a_late_one_is_told() -> None:
-    found = Finding("wait", 1.0, "m1", "n0", "")
+    found = Finding(Rule.RETRY_AFTER, 1.0, "m1", "n0", "")
     results = [
         Result(
             "x",
@@ -388,6 +392,6 @@
         )
         for seed in (1, 2, 3)
     ]
-    lines = swept(results)
+    lines = format_sweep(results)
     assert lines[0].startswith("x, 6 forwarders, 3 seeds: 1 with broken rules, 1 wait; 1 do not count")
     assert lines[1:] == ["  served             0.920 (0.910 to 0.930)"]
--- a/tests/test_lab_news.py
+++ b/tests/test_lab_news.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from lab import run
-from lab.net import Effect
+from lab.network import LinkFault
 from lab.scenario import Load
+from lab.testbed import Testbed
 from tests.test_lab_members import PARTS, Watched, fleet
 
 NEWS = PARTS + "news = true\n"
@@ -20,7 +20,7 @@
 
 
 async def told(w: Watched, name: str) -> str:
-    return await w.lab.nodes[name].call("NEWS")
+    return await w.testbed.forwarders[name].admin_call("NEWS")
 
 
 async def said_of(w: Watched, name: str, subject: str, kind: str) -> set[str]:
@@ -52,30 +52,30 @@
 def test_bans_outlast_a_lost_folder_and_the_first_call_waits_for_the_others(tmp_path: Path) -> None:
     async def scene(w: Watched) -> None:
         await agreed(w)
-        node = w.lab.nodes["n3"]
+        node = w.testbed.forwarders["n3"]
         for line in ("OFFLINE s-1", "OFFLINE s-2", "ONLINE s-2"):
-            assert (await node.call(line)).startswith("ok")
+            assert (await node.admin_call(line)).startswith("ok")
         await all_hear(w, set(w.names), "s-1", "ban")
         await all_hear(w, set(w.names), "s-2", "used")
-        await node.end(hard=True)
-        node.spoil("lost", 0.0, w.lab.chance)
-        w.lab.clients.machine_lost("n3")
+        await node.kill_and_wait()
+        node.damage_folder("lost", 0.0, w.testbed.rng)
+        w.testbed.clients.note_folder_lost("n3")
         await node.start()
         await agreed(w)
 
         async def asked() -> bool:
-            return "others told what they have heard; 1 bans taken up" in (node.root / "log").read_text()
+            return "others told what they have heard; 1 bans taken up" in node.read_log()
 
         await w.until(asked)
-        assert (await node.call("OFFLINE s-1")) == "ok s-1 is left out"
+        assert (await node.admin_call("OFFLINE s-1")) == "ok s-1 is left out"
         await asyncio.sleep(3.0)
 
-    _, lab = fleet(tmp_path, scene, nodes=6, parts=NEWS + "ask_s = 6.0\n", load=BUSY)  # also where all is slow
+    _, play = fleet(tmp_path, scene, nodes=6, parts=NEWS + "ask_s = 6.0\n", load=BUSY)  # also where all is slow
     log = (tmp_path / "nodes/n3/log").read_text()
     assert "s-1 is left out again" in log
     assert "s-2 is left out again" not in log
-    began = max(e.at_s for e in lab.record.events if e.kind == "started" and e.node == "n3")
-    calls = [e for e in lab.record.events if e.kind == "call" and e.node == "n3" and e.at_s > began]
+    began = max(e.at_s for e in play.testbed.event_log.events if e.kind == "started" and e.node == "n3")
+    calls = [e for e in play.testbed.event_log.events if e.kind == "call" and e.node == "n3" and e.at_s > began]
     assert calls
     assert "s-1" not in {e.party for e in calls}
 
@@ -83,13 +83,13 @@
 def test_a_fleet_whose_folders_are_all_new_does_not_wait_for_long(tmp_path: Path) -> None:
     async def scene(w: Watched) -> None:
         async def all_went_on() -> bool:
-            return all("the folder was new or lost" in (n.root / "log").read_text() for n in w.lab.nodes.values())
+            return all("the folder was new or lost" in n.read_log() for n in w.testbed.forwarders.values())
 
         await w.until(all_went_on)
         await asyncio.sleep(2.0)
 
     result, _ = fleet(tmp_path, scene, nodes=4, parts=NEWS)
-    assert result.figures["delivered"] > 0
+    assert result.metrics["delivered"] > 0
 
 
 def test_cut_in_two_an_endpoint_falls_and_comes_back_cold_and_all_keep_to_its_budget(tmp_path: Path) -> None:
@@ -101,23 +101,23 @@
         many = set(w.names) - few
         w.cut(few, many)
         await w.agree(few, many)
-        shop = w.lab.sites["s-0"].station.shop
-        shop.lowered(0.4)
-        w.lab.sites["s-0"].fail(silent=False)
+        destination = w.testbed.endpoints["s-0"].model.destination
+        destination.scale_limit(0.4)
+        w.testbed.endpoints["s-0"].fail(silent=False)
 
         await all_hear(w, {"n0", "n3"}, "s-0", "out")
         assert not await said_of(w, "n0", "s-0", "out") & many
         assert not await said_of(w, "n3", "s-0", "out") & few
-        w.lab.sites["s-0"].come_back()
+        w.testbed.endpoints["s-0"].recover()
         await asyncio.sleep(1.0)
         w.heal()  # in the middle of its return
         await all_hear(w, set(w.names), "s-0", "back")
         await agreed(w)
-        shop.lowered(1.0)
+        destination.scale_limit(1.0)
 
-    result, lab = fleet(tmp_path, scene, parts=NEWS, load=BUSY, endpoints=3)
-    assert result.figures["cold_ratio"] <= 1.0
-    assert not [e for e in lab.record.events if e.kind == "fell"]
+    result, play = fleet(tmp_path, scene, parts=NEWS, load=BUSY, endpoints=3)
+    assert result.metrics["cold_ratio"] <= 1.0
+    assert not [e for e in play.testbed.event_log.events if e.kind == "fell"]
 
 
 def test_each_believes_another_size_and_all_together_take_no_more_than_the_whole(tmp_path: Path) -> None:
@@ -131,27 +131,27 @@
             return sum("unsure" in line and "held back" not in line for line in said) >= 3
 
         await w.until(proved)
-        w.lab.sites["s-0"].fail(silent=False)
+        w.testbed.endpoints["s-0"].fail(silent=False)
         await all_hear(w, {"n0"}, "s-0", "(?:out|holds)")
-        w.lab.sites["s-0"].come_back()
+        w.testbed.endpoints["s-0"].recover()
         for _ in range(15):
             sizes = [float(re.findall(r"divides by ([\d.]+)", await w.shares(name))[0]) for name in w.names]
             assert sum(1 / size for size in sizes) <= 1.0 + 1e-9
             assert len(set(sizes)) > 2
             await asyncio.sleep(0.2)
 
-    result, lab = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, believed=(1.0, 2.0))
-    assert lab.plan.believed != (6,) * 6
-    assert result.figures["cold_ratio"] <= 1.0
-    assert not [e for e in lab.record.events if e.kind == "fell"]
+    result, play = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, believed=(1.0, 2.0))
+    assert play.plan.believed_fleet_sizes != (6,) * 6
+    assert result.metrics["cold_ratio"] <= 1.0
+    assert not [e for e in play.testbed.event_log.events if e.kind == "fell"]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_one_with_a_broken_network_takes_no_endpoint_from_the_others(tmp_path: Path, seed: int) -> None:
     async def scene(w: Watched) -> None:
         await agreed(w)
-        for site in w.lab.sites:
-            w.lab.net.put(("n1", site), Effect(refuse=True))
+        for site in w.testbed.endpoints:
+            w.testbed.network.set_fault(("n1", site), LinkFault(refuse=True))
 
         async def complains() -> bool:
             return bool(re.search(r"n1: s-\d+ out", await told(w, "n0")))
@@ -162,8 +162,8 @@
                 for subject in re.findall(r"s-\d+", (await told(w, name)).partition("word: ")[2].partition(";")[0]):
                     assert await said_of(w, name, subject, "(?:out|back|well)") - {"n1"}, "by its word alone"
             await asyncio.sleep(0.2)
-        for site in w.lab.sites:
-            w.lab.net.heal(("n1", site))
+        for site in w.testbed.endpoints:
+            w.testbed.network.heal(("n1", site))
 
     fleet(tmp_path, scene, nodes=6, seed=seed, parts=NEWS, load=BUSY)
 
@@ -171,23 +171,23 @@
 def test_with_the_part_on_half_of_them_those_that_have_it_hear_each_other(tmp_path: Path) -> None:
     """As in a release that is under way. Who has no board neither hears nor passes on; nobody's budget grows by it."""
 
-    def half(lab: run.Lab) -> None:
-        whole = lab.parts_of
+    def half(testbed: Testbed) -> None:
+        whole = testbed.extensions_for
 
-        def parts_of(n: int) -> str | None:
+        def extensions_for(n: int) -> str | None:
             return (whole(n) or "").replace("news = true\n", "") if n % 2 else whole(n)
 
-        lab.parts_of = parts_of  # type: ignore[method-assign]
+        testbed.extensions_for = extensions_for  # type: ignore[method-assign]
 
     async def scene(w: Watched) -> None:
         await agreed(w)
-        w.lab.sites["s-0"].fail(silent=False)
+        w.testbed.endpoints["s-0"].fail(silent=False)
         await all_hear(w, {"n0", "n2", "n4"}, "s-0", "(?:out|holds)")
         assert "not turned on" in await told(w, "n1")
-        w.lab.sites["s-0"].come_back()
+        w.testbed.endpoints["s-0"].recover()
         await all_hear(w, {"n0", "n2", "n4"}, "s-0", "(?:back|well)")
         await asyncio.sleep(3.0)
 
-    result, lab = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, tweak=half)
-    assert result.figures["cold_ratio"] <= 1.0
-    assert not [e for e in lab.record.events if e.kind == "fell"]
+    result, play = fleet(tmp_path, scene, nodes=6, endpoints=3, parts=NEWS, load=BUSY, tweak=half)
+    assert result.metrics["cold_ratio"] <= 1.0
+    assert not [e for e in play.testbed.event_log.events if e.kind == "fell"]
