--- a/lab/forwarder_process.py
+++ b/lab/forwarder_process.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from lab.event_log import EventKind, EventLog
+from lab.forwarder_config import ForwarderConfig
 from lab.launcher import Launcher, Process
 from lab.network import Address
 from lab.shim import Control, Failure, module_name
@@ -26,14 +26,16 @@
 KILL_AFTER_S = 3.7
 """SIGKILL follows SIGTERM no sooner (PROTOCOL)."""
 FULL_DISK_SPARE_BYTES = 64
-"""A full disk has room for so much more."""
+"""A full disk takes so much more."""
 ADMIN_TIMEOUT_S = 5.0
 END_POLL_S = 0.02
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 SHIM_SCRIPT = Path(__file__).resolve().parent / "shim.py"
-STAT_USER_TIME, STAT_SYSTEM_TIME, STAT_RESIDENT_PAGES = 11, 12, 21
-"""Fields of /proc/PID/stat behind the command's name."""
+STAT_USER_TICKS = 11
+"""A field of /proc/PID/stat behind the command's name, as the next two."""
+STAT_SYSTEM_TICKS = 12
+STAT_RESIDENT_PAGES = 21
 
 
 class ProcessSample(msgspec.Struct, frozen=True, rename={"memory_bytes": "memory", "disk_bytes": "disk"}):
@@ -56,8 +58,7 @@
     """Holds its configuration, its log and its state folder."""
     program: Path
     """The checkout that it runs from."""
-    config: dict[str, Any]
-    """Its configuration file, in the pages' form."""
+    config: ForwarderConfig
     event_log: EventLog
     launcher: Launcher
     admin_address: Address
@@ -114,7 +115,7 @@
     def write_files(self) -> None:
         """Write its configuration, and make its state folder."""
         self.state.path.mkdir(parents=True)
-        self.config_path.write_text(json.dumps(self.config))
+        self.config_path.write_text(self._encoded_config())
         if self.extensions is not None:
             self.extensions_path.write_text(self.extensions)
         self.write_shim_control()
@@ -122,9 +123,12 @@
     def write_config(self) -> None:
         """Put the configuration in the old one's place."""
         spare = self.root / "config.json.new"
-        spare.write_text(json.dumps(self.config))
+        spare.write_text(self._encoded_config())
         os.replace(spare, self.config_path)
 
+    def _encoded_config(self) -> str:
+        return json.dumps(msgspec.to_builtins(self.config))
+
     def write_shim_control(self) -> None:
         """Say which calls fail from now on, and how far the wall clock is off; while it runs too."""
         Control(self.clock_skew_s, self.failures).write(self.control_path)
@@ -151,12 +155,12 @@
 
     async def _start(self) -> None:
         self.starts += 1
-        self.config["seed"] = f"{self.config['seed'].partition('/')[0]}/{self.starts}"
+        self.config.seed = f"{self.config.seed.partition('/')[0]}/{self.starts}"
         self.terminated_at_s = None
         self.started_at_s = asyncio.get_running_loop().time()
         self.write_config()
         self.process = await self._spawn()
-        sockets = int(self.config["limits"]["sockets"])
+        sockets = self.config.limits.sockets
         with contextlib.suppress(ProcessLookupError):
             resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
         self.event_log.note(EventKind.PROCESS_STARTED, node=self.name)
@@ -165,9 +169,9 @@
         env = {
             **os.environ,
             "LB_NAME": self.name,
-            "LB_LISTEN": self.config["listen"],
-            "LB_CONTROL": self.config["control"],
-            "LB_DISCOVERY": self.config["discovery"],
+            "LB_LISTEN": self.config.listen,
+            "LB_CONTROL": self.config.admin,
+            "LB_DISCOVERY": self.config.discovery,
             "LB_STATE": str(self.state.path),
             "LB_CONFIG": str(self.config_path),
             "PYTHONDONTWRITEBYTECODE": "1",
@@ -275,7 +279,7 @@
         return ProcessSample(
             at_s=self.event_log.clock(),
             node=self.name,
-            cpu_s=(int(fields[STAT_USER_TIME]) + int(fields[STAT_SYSTEM_TIME])) / CLOCK_TICKS_PER_S,
+            cpu_s=(int(fields[STAT_USER_TICKS]) + int(fields[STAT_SYSTEM_TICKS])) / CLOCK_TICKS_PER_S,
             memory_bytes=int(fields[STAT_RESIDENT_PAGES]) * PAGE_BYTES,
             descriptors=descriptors,
             disk_bytes=disk_bytes,
--- a/lab/metrics.py
+++ b/lab/metrics.py
@@ -1,4 +1,4 @@
-"""What a run is measured by, from the event log alone: weight delivered in time, time to full service. Pure."""
+"""The metrics of a run, from the event log alone: weight delivered in time, time to full service. Pure."""
 
 from __future__ import annotations
 
@@ -307,7 +307,8 @@
 
 
 def _service_metrics(events: Sequence[Event], service: ServiceLevel, phases: Phases) -> Metrics:
-    warm_s, fault_s, end_s = phases.warm_s, phases.fault_s, phases.end_s
+    warm_s, fault_s = phases.warm_s, phases.fault_s
+    end_s = phases.end_s
     full_s = all_up_s = full_after_disturbance_s = full_after_up_s = None
     if phases.has_faults:
         full_s = service.time_to_full_service(fault_s, warm_s, end_s)
--- a/lab/observed_state.py
+++ b/lab/observed_state.py
@@ -107,32 +107,12 @@
         self.overlapping_calls: list[OverlappingCall] = []
         self.forgotten: list[str] = []
         """Messages that went with a folder that the schedule lost or damaged: no rule stands for them."""
-        self._handlers: dict[EventKind, Callable[[Event], None]] = {
-            EventKind.SUBMITTED: self._on_submitted,
-            EventKind.SUBMIT_ANSWERED: self._on_submit_answered,
-            EventKind.SUBMIT_TIMED_OUT: self._on_submit_timed_out,
-            EventKind.CALL_RECEIVED: self._on_call_received,
-            EventKind.CALL_STARTED: self._on_call_started,
-            EventKind.CALL_ANSWERED: self._on_call_answered,
-            EventKind.CALL_ABORTED: self._on_call_aborted,
-            EventKind.NOTICE: self._on_notice,
-            EventKind.HEALTH_SENT: self._on_health_sent,
-            EventKind.ENDPOINT_DISABLED: self._on_endpoint_disabled,
-            EventKind.ENDPOINT_ENABLED: self._on_endpoint_enabled,
-            EventKind.PROCESS_KILLED: self._on_process_struck,
-            EventKind.PROCESS_TERMINATED: self._on_process_struck,
-            EventKind.PROCESS_PAUSED: self._on_process_paused,
-            EventKind.PROCESS_RESUMED: self._on_process_resumed,
-            EventKind.PROCESS_ENDED: self._on_process_ended,
-            EventKind.FORWARDER_READY: self._on_forwarder_ready,
-            EventKind.STATE_FOLDER_CHANGED: self._on_state_folder_changed,
-        }
 
     def apply(self, event: Event) -> None:
         """Bring the state past an event."""
-        handler = self._handlers.get(event.kind)
+        handler = HANDLERS.get(event.kind)
         if handler is not None:
-            handler(event)
+            handler(self, event)
 
     def is_forgotten(self, message_id: str) -> bool:
         """Whether a message went with a lost or damaged folder."""
@@ -140,10 +120,12 @@
 
     # Clients
 
-    def _on_submitted(self, event: Event) -> None:
+    def on_submitted(self, event: Event) -> None:
+        """Add a submission."""
         self.messages[event.id] = MessageState(event)
 
-    def _on_submit_answered(self, event: Event) -> None:
+    def on_submit_answered(self, event: Event) -> None:
+        """Note the answer that a client got."""
         message = self.messages.get(event.id)
         if message is None:
             return
@@ -154,21 +136,24 @@
         if event.status in ACCEPTED and key is not None:
             self.key_order[(event.node, key)].append(event.id)
 
-    def _on_submit_timed_out(self, event: Event) -> None:
+    def on_submit_timed_out(self, event: Event) -> None:
+        """Note that a client has given up."""
         if event.id in self.messages:
             self.messages[event.id].was_given_up = True
 
     # Calls
 
-    def _on_call_received(self, event: Event) -> None:
+    def on_call_received(self, event: Event) -> None:
+        """Note a call, and whether others of its message were open."""
         message = self.messages.get(event.id)
         if message is None:
-            return  # the endpoint itself notes an unknown message
+            return  # an unknown message is an event of its own
         if message.open_calls:
             self.overlapping_calls.append(OverlappingCall(event, set(message.open_calls)))
         message.open_calls.add(event.call)
 
-    def _on_call_started(self, event: Event) -> None:
+    def on_call_started(self, event: Event) -> None:
+        """Note that a call may take effect."""
         message = self.messages.get(event.id)
         if message is None:
             return
@@ -176,7 +161,8 @@
         if message.runs_once:
             self.run_submissions.setdefault(message.submitted.number, event.id)
 
-    def _on_call_answered(self, event: Event) -> None:
+    def on_call_answered(self, event: Event) -> None:
+        """Note a call's answer, and its Retry-After."""
         self._end_call(event, may_have_run=event.status in MAY_HAVE_RUN)
         message = self.messages.get(event.id)
         if event.status == HTTPStatus.OK and message is not None and message.ended_at_s is None:
@@ -186,7 +172,7 @@
             until_s = max(told.until_s, event.at_s + event.wait_s)
             self.retry_after[(event.node, event.destination)] = RetryAfter(event.at_s, until_s)
 
-    def _on_call_aborted(self, event: Event) -> None:
+    def on_call_aborted(self, event: Event) -> None:
         """Note that the connection of a call ended before its answer: it may have run."""
         self._end_call(event, may_have_run=True)
         if event.id in self.messages:
@@ -211,7 +197,8 @@
 
     # Notices, discovery and operators
 
-    def _on_notice(self, event: Event) -> None:
+    def on_notice(self, event: Event) -> None:
+        """Note a message's end by a notice."""
         message = self.messages.get(event.id)
         if message is None:
             return
@@ -220,25 +207,30 @@
         if message.noticed_at_s is None:
             message.noticed_at_s = event.at_s
 
-    def _on_health_sent(self, event: Event) -> None:
+    def on_health_sent(self, event: Event) -> None:
+        """Note an endpoint's health, as discovery told it."""
         if event.state == "up":
             self.unlisted_since_s.pop((event.node, event.party), None)
         else:
             self.unlisted_since_s.setdefault((event.node, event.party), event.at_s)
 
-    def _on_endpoint_disabled(self, event: Event) -> None:
+    def on_endpoint_disabled(self, event: Event) -> None:
+        """Note that operators disabled an endpoint."""
         self.disabled_since_s.setdefault((event.node, event.party), event.at_s)
 
-    def _on_endpoint_enabled(self, event: Event) -> None:
+    def on_endpoint_enabled(self, event: Event) -> None:
+        """Note that operators enabled an endpoint again."""
         self.disabled_since_s.pop((event.node, event.party), None)
 
     # Processes
 
-    def _on_process_struck(self, event: Event) -> None:
+    def on_process_struck(self, event: Event) -> None:
+        """Begin a downtime by SIGKILL or SIGTERM."""
         self._begin_downtime(event)
         self._end_retry_after(event)
 
-    def _on_process_ended(self, event: Event) -> None:
+    def on_process_ended(self, event: Event) -> None:
+        """Note that a process has ended; a crash begins a downtime."""
         if event.state == "crashed":
             self._begin_downtime(event)
         self._end_retry_after(event)
@@ -252,20 +244,45 @@
         """End the waits that a forwarder was told: a restart ends them (PROTOCOL)."""
         self.retry_after = {route: told for route, told in self.retry_after.items() if route[0] != event.node}
 
-    def _on_process_paused(self, event: Event) -> None:
+    def on_process_paused(self, event: Event) -> None:
         """Begin a downtime: a stopped process can end nothing, and has as long as one that starts again."""
         self.downtimes[event.node].append(Downtime(event.at_s))
 
-    def _on_process_resumed(self, event: Event) -> None:
+    def on_process_resumed(self, event: Event) -> None:
+        """End the downtime of a stopped process."""
         self.downtimes[event.node][-1].end_s = event.at_s
 
-    def _on_forwarder_ready(self, event: Event) -> None:
+    def on_forwarder_ready(self, event: Event) -> None:
+        """End a downtime."""
         downtimes = self.downtimes[event.node]
         if downtimes and downtimes[-1].end_s is None:
             downtimes[-1].end_s = event.at_s
 
-    def _on_state_folder_changed(self, event: Event) -> None:
+    def on_state_folder_changed(self, event: Event) -> None:
         """Forget what the folder held: it may be gone, and is not the program's to answer for."""
         for message in self.messages.values():
             if message.submitted.node == event.node and message.ended_at_s is None and message.is_accepted:
                 self.forgotten.append(message.submitted.id)
+
+
+HANDLERS: dict[EventKind, Callable[[ObservedState, Event], None]] = {
+    EventKind.SUBMITTED: ObservedState.on_submitted,
+    EventKind.SUBMIT_ANSWERED: ObservedState.on_submit_answered,
+    EventKind.SUBMIT_TIMED_OUT: ObservedState.on_submit_timed_out,
+    EventKind.CALL_RECEIVED: ObservedState.on_call_received,
+    EventKind.CALL_STARTED: ObservedState.on_call_started,
+    EventKind.CALL_ANSWERED: ObservedState.on_call_answered,
+    EventKind.CALL_ABORTED: ObservedState.on_call_aborted,
+    EventKind.NOTICE: ObservedState.on_notice,
+    EventKind.HEALTH_SENT: ObservedState.on_health_sent,
+    EventKind.ENDPOINT_DISABLED: ObservedState.on_endpoint_disabled,
+    EventKind.ENDPOINT_ENABLED: ObservedState.on_endpoint_enabled,
+    EventKind.PROCESS_KILLED: ObservedState.on_process_struck,
+    EventKind.PROCESS_TERMINATED: ObservedState.on_process_struck,
+    EventKind.PROCESS_PAUSED: ObservedState.on_process_paused,
+    EventKind.PROCESS_RESUMED: ObservedState.on_process_resumed,
+    EventKind.PROCESS_ENDED: ObservedState.on_process_ended,
+    EventKind.FORWARDER_READY: ObservedState.on_forwarder_ready,
+    EventKind.STATE_FOLDER_CHANGED: ObservedState.on_state_folder_changed,
+}
+"""What an event changes in the state. The other kinds change nothing."""
--- a/lab/process_faults.py
+++ b/lab/process_faults.py
@@ -9,8 +9,8 @@
 from lab.addresses import Role, host_for
 from lab.discovery import PARTY as DISCOVERY
 from lab.event_log import EventKind
+from lab.forwarder_config import MAX_RETRY_AFTER_US
 from lab.forwarder_process import ForwarderProcess
-from lab.forwarder_settings import MAX_RETRY_AFTER_US
 from lab.plan import ScheduledFault
 from lab.scenario import Fault
 from lab.shim import Failure
@@ -180,9 +180,9 @@
         if forwarder.process is None or not is_ready:
             return  # the platform sends no SIGHUP then
         host, port = self._move_discovery(forwarder)
-        allowed = forwarder.config["settings"]["allowed"]
-        allowed["max_retry_after_us"] = MAX_RETRY_AFTER_US + RELOAD_STEP_US * forwarder.discovery_moves
-        forwarder.config["discovery"] = f"{host}:{port}"
+        allowed = forwarder.config.settings.allowed
+        allowed.max_retry_after_us = MAX_RETRY_AFTER_US + RELOAD_STEP_US * forwarder.discovery_moves
+        forwarder.config.discovery = f"{host}:{port}"
         forwarder.write_config()
         forwarder.signal(signal.SIGHUP)
         self.event_log.note(EventKind.PROCESS_RELOADED, node=forwarder.name)
--- a/lab/sampling.py
+++ b/lab/sampling.py
@@ -77,7 +77,7 @@
             task.cancel()
 
     async def _measure_lateness(self) -> None:
-        """Measure how late the lab's own loop is: what it says of others can be no better than that."""
+        """Measure how late the lab's own loop is: nothing that it times is more exact than that."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + LATENESS_INTERVAL_S
--- a/lab/shim.py
+++ b/lab/shim.py
@@ -1,4 +1,4 @@
-"""Runs the forwarder with system calls that fail, come short, or tell another time. Never imported by the program.
+"""Runs the forwarder with system calls that fail, come short, or see another time. Never imported by the program.
 
     python lab/shim.py CONTROL STATE [ARGUMENT ...]
 
@@ -16,6 +16,7 @@
 from __future__ import annotations
 
 import builtins
+import contextlib
 import errno
 import io
 import json
@@ -29,18 +30,30 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Concatenate, ParamSpec, TypeVar
 
+if TYPE_CHECKING:
+    from _typeshed import ReadableBuffer, WriteableBuffer
+
+    Address = tuple[object, ...] | str | ReadableBuffer
+
+Parameters = ParamSpec("Parameters")
+Returned = TypeVar("Returned")
+Target = int | str | os.PathLike[str]
+"""A descriptor or a path."""
 CONTROL_POLL_S = 0.005
-"""The control file is looked at this often at most."""
+"""The control file is read this often at most."""
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "fdatasync", "fsync", "close")
 READ_CALL = "read"
-"""Of a small file that is read as a whole: opening it counts."""
+"""Of a small file that is read as a whole: opening it counts as the call."""
 SOCKET_CALLS = ("socket", "accept", "connect", "recv", "send", "client-recv", "client-send")
 WATCH_CALLS = ("epoll_ctl", "poll")
 CALLS = (*FILE_CALLS, READ_CALL, *SOCKET_CALLS, *WATCH_CALLS, "short")
 MAX_SHORT_BYTES = 24
 """Bytes that a read or write carries at most while it comes short."""
+WRITING_MODES = frozenset("wax+")
+"""Letters of a file's mode that mean writing."""
+NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +61,9 @@
     """Calls of one kind fail with this share of all, by chance."""
 
     call: str
+    """One of `CALLS`."""
     errno: str = "EIO"
+    """The error's name."""
     share: float = 1.0
     file: str = ""
     """Of calls on files: only where the file has this name; any file's, if empty."""
@@ -62,7 +77,7 @@
     failures: list[Failure] = field(default_factory=list)
 
     def write(self, path: Path) -> None:
-        """In the old one's place, so that no half of it is ever read."""
+        """Write the file in the old one's place, so that no half of it is ever read."""
         spare = path.with_name(f"{path.name}.new")
         spare.write_text(json.dumps(asdict(self)))
         os.replace(spare, path)
@@ -71,49 +86,65 @@
 class Shim:
     """The replaced calls of this process."""
 
-    def __init__(self, control: Path, state: Path) -> None:
-        self.path, self.state = control, str(state.resolve())
-        self.chance = random.Random(os.getpid())
-        self.told = Control()
-        self.looked_s, self.stamp = -1.0, 0
-        self.real_stat, self.real_open, self.real_monotonic = os.stat, io.open, time.monotonic
-
-    def look(self) -> Control:
-        """What is asked for now."""
-        now = self.real_monotonic()
-        if now - self.looked_s >= CONTROL_POLL_S:
-            self.looked_s = now
-            try:
-                stamp = self.real_stat(self.path).st_mtime_ns
-                if stamp != self.stamp:
-                    with self.real_open(self.path) as file:
-                        told = json.load(file)
-                    self.told = Control(told["clock_s"], [Failure(**each) for each in told["failures"]])
-                    self.stamp = stamp
-            except OSError:
-                pass  # it is not there yet
-        return self.told
-
-    def strike(self, call: str, file: str = "") -> None:
-        """Fail, if this call is to fail now. Raises OSError."""
-        for failure in self.look().failures:
+    def __init__(self, control_path: Path, state: Path) -> None:
+        """Make a shim; `install` replaces the calls.
+
+        Args:
+            control_path: The control file.
+            state: The folder whose files' calls fail.
+        """
+        self.control_path = control_path
+        self.state = str(state.resolve())
+        self.rng = random.Random(os.getpid())
+        self.control = Control()
+        self.polled_at_s = -1.0
+        self.control_mtime_ns = 0
+        self.real_stat = os.stat
+        self.real_open = io.open
+        self.real_monotonic = time.monotonic
+
+    def current_control(self) -> Control:
+        """Return what is asked for now."""
+        now_s = self.real_monotonic()
+        if now_s - self.polled_at_s >= CONTROL_POLL_S:
+            self.polled_at_s = now_s
+            with contextlib.suppress(OSError):  # the file is not there yet
+                self._read_control()
+        return self.control
+
+    def _read_control(self) -> None:
+        mtime_ns = self.real_stat(self.control_path).st_mtime_ns
+        if mtime_ns == self.control_mtime_ns:
+            return
+        with self.real_open(self.control_path) as file:
+            fields = json.load(file)
+        self.control = Control(fields["clock_s"], [Failure(**each) for each in fields["failures"]])
+        self.control_mtime_ns = mtime_ns
+
+    def raise_if_failing(self, call: str, file: str = "") -> None:
+        """Fail a call, if it is to fail now.
+
+        Raises:
+            OSError: With the error that the control file names.
+        """
+        for failure in self.current_control().failures:
             if failure.call != call or failure.file not in ("", file):
                 continue
-            if self.chance.random() < failure.share:
+            if self.rng.random() < failure.share:
                 number = getattr(errno, failure.errno)
                 raise OSError(number, f"{os.strerror(number)} (lab)")
 
-    def short(self, size: int) -> int:
-        """How many of so many bytes go at once."""
-        for failure in self.look().failures:
-            if failure.call == "short" and size > 1 and self.chance.random() < failure.share:
-                return self.chance.randrange(1, min(size, MAX_SHORT_BYTES) + 1)
+    def shorten(self, size: int) -> int:
+        """Return how many of so many bytes go at once."""
+        for failure in self.current_control().failures:
+            if failure.call == "short" and size > 1 and self.rng.random() < failure.share:
+                return self.rng.randrange(1, min(size, MAX_SHORT_BYTES) + 1)
         return size
 
-    def concerned(self, where: Any) -> str | None:
-        """The name of a path or descriptor in the state folder, or of the folder; None elsewhere."""
+    def name_in_state(self, target: Target) -> str | None:
+        """Return the name of a path or descriptor in the state folder, or of the folder itself; None elsewhere."""
         try:
-            path = os.readlink(f"/proc/self/fd/{where}") if isinstance(where, int) else os.path.abspath(where)
+            path = os.readlink(f"/proc/self/fd/{target}") if isinstance(target, int) else os.path.abspath(target)
         except (OSError, TypeError):
             return None
         return os.path.basename(path) if path == self.state or path.startswith(self.state + "/") else None
@@ -121,127 +152,171 @@
     # Replacing
 
     def install(self) -> None:
+        """Replace the calls of this process."""
         for call in FILE_CALLS:
-            setattr(os, call, self.file_call(call, getattr(os, call)))
-        real_open = io.open
-
-        def open_file(file: Any, mode: str = "r", *rest: Any, **named: Any) -> Any:
-            if (name := self.concerned(file)) is not None:
-                self.strike("open" if any(letter in mode for letter in "wax+") else READ_CALL, name)
-            return real_open(file, mode, *rest, **named)
-
-        io.open = builtins.open = open_file
-        socket.socket = self.socket_class()  # type: ignore[misc]
-        select.epoll = self.epoll_class()  # type: ignore[misc, assignment]
-        select.poll = self.poll_class()  # type: ignore[misc, assignment]
+            setattr(os, call, self._replacement(call, getattr(os, call)))
+        io.open = builtins.open = self._failing_open(io.open)  # type: ignore[assignment]
+        socket.socket = self._failing_socket_class()  # type: ignore[misc]
+        select.epoll = _failing_epoll_class(self)  # type: ignore[misc, assignment]
+        select.poll = _failing_poll_class(self)  # type: ignore[misc, assignment]
         real_time_ns = time.time_ns
-        time.time_ns = lambda: real_time_ns() + int(self.look().clock_s * 1e9)
-        time.time = lambda: time.time_ns() / 1e9
-
-    def file_call(self, name: str, real: Callable[..., Any]) -> Callable[..., Any]:
-        def replaced(where: Any, *rest: Any, **named: Any) -> Any:
-            file = self.concerned(where)
-            if file is None:
-                return real(where, *rest, **named)
-            if name == "close":
-                real(where)  # Linux frees the descriptor in any case
-                self.strike(name, file)
-                return None
-            self.strike(name, file)
-            if name == "write":
-                data = rest[0]
-                return real(where, data[: self.short(len(data))])
-            return real(where, *rest, **named)
+        time.time_ns = lambda: real_time_ns() + int(self.current_control().clock_s * NS_PER_S)
+        time.time = lambda: time.time_ns() / NS_PER_S
+
+    def _replacement(self, call: str, real: Callable[..., object]) -> Callable[..., object]:
+        if call == "close":
+            return self._failing_close(real)
+        if call == "write":
+            return self._failing_write(real)
+        return self._failing_call(call, real)
+
+    def _failing_call(
+        self, call: str, real: Callable[Concatenate[Target, Parameters], Returned]
+    ) -> Callable[Concatenate[Target, Parameters], Returned]:
+        def replaced(target: Target, /, *args: Parameters.args, **kwargs: Parameters.kwargs) -> Returned:
+            """Fail before the real call."""
+            file = self.name_in_state(target)
+            if file is not None:
+                self.raise_if_failing(call, file)
+            return real(target, *args, **kwargs)
 
         return replaced
 
-    def epoll_class(self) -> type:
-        shim, real = self, select.epoll
-
-        class Epoll:
-            """One that may fail to watch a descriptor. The real class cannot be derived from."""
-
-            def __init__(self) -> None:
-                self.real = real()
-                self.poll, self.unregister, self.close = self.real.poll, self.real.unregister, self.real.close
-                self.fileno = self.real.fileno
+    def _failing_close(self, real: Callable[[int], object]) -> Callable[[int], None]:
+        def close(descriptor: int) -> None:
+            """Fail after the real call: Linux frees the descriptor in any case."""
+            file = self.name_in_state(descriptor)
+            real(descriptor)
+            if file is not None:
+                self.raise_if_failing("close", file)
 
-            def register(self, fd: int, events: int) -> None:
-                shim.strike("epoll_ctl")
-                self.real.register(fd, events)
+        return close
 
-            def modify(self, fd: int, events: int) -> None:
-                shim.strike("epoll_ctl")
-                self.real.modify(fd, events)
-
-        return Epoll
-
-    def poll_class(self) -> type:
-        shim, real = self, select.poll
-
-        class Poll:
-            """One that may fail to look. The real class cannot be derived from."""
+    def _failing_write(self, real: Callable[[int, ReadableBuffer], Returned]) -> Callable[..., Returned]:
+        def write(descriptor: int, data: ReadableBuffer) -> Returned:
+            """Fail before the real call, or write a part."""
+            file = self.name_in_state(descriptor)
+            if file is None:
+                return real(descriptor, data)
+            self.raise_if_failing("write", file)
+            view = memoryview(data)
+            return real(descriptor, view[: self.shorten(len(view))])
 
-            def __init__(self) -> None:
-                self.real = real()
-                self.register, self.unregister = self.real.register, self.real.unregister
+        return write
 
-            def poll(self, timeout_ms: float | None = None) -> list[tuple[int, int]]:
-                shim.strike("poll")
-                return self.real.poll(timeout_ms)
+    def _failing_open(self, real: Callable[..., object]) -> Callable[..., object]:
+        def open_file(file: Target, mode: str = "r", *args: object, **kwargs: object) -> object:
+            """Fail before the real call."""
+            name = self.name_in_state(file)
+            if name is not None:
+                self.raise_if_failing("open" if WRITING_MODES.intersection(mode) else READ_CALL, name)
+            return real(file, mode, *args, **kwargs)
 
-        return Poll
+        return open_file
 
-    def socket_class(self) -> type[socket.socket]:
+    def _failing_socket_class(self) -> type[socket.socket]:
         shim = self
 
-        class Socket(socket.socket):
-            """One whose calls may fail."""
+        class FailingSocket(socket.socket):
+            """A socket whose calls may fail."""
 
-            dialled = False
+            is_client = False
+            """The program made the connection itself."""
 
             def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
                 if fileno is None and family in (-1, socket.AF_INET):
-                    shim.strike("socket")
+                    shim.raise_if_failing("socket")
                 super().__init__(family, type, proto, fileno)
 
-            def accept(self) -> tuple[socket.socket, Any]:
-                shim.strike("accept")
+            def accept(self) -> tuple[socket.socket, Address]:
+                """Accept a connection."""
+                shim.raise_if_failing("accept")
                 return super().accept()
 
-            def connect(self, address: Any) -> None:
+            def connect(self, address: Address) -> None:
+                """Connect to another party."""
                 if self.family == socket.AF_INET:
-                    shim.strike("connect")
-                    self.dialled = True
+                    shim.raise_if_failing("connect")
+                    self.is_client = True
                 super().connect(address)
 
-            def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-                shim.strike("recv" if self.dialled else "client-recv")
-                return super().recv_into(buffer, shim.short(nbytes or len(buffer)), flags)
+            def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
+                """Read into a buffer, perhaps a part."""
+                shim.raise_if_failing("recv" if self.is_client else "client-recv")
+                return super().recv_into(buffer, shim.shorten(nbytes or len(memoryview(buffer))), flags)
 
             def recv(self, bufsize: int, flags: int = 0) -> bytes:
-                if self.dialled:
-                    shim.strike("recv")
-                return super().recv(shim.short(bufsize), flags)
+                """Read, perhaps a part."""
+                if self.is_client:
+                    shim.raise_if_failing("recv")
+                return super().recv(shim.shorten(bufsize), flags)
+
+            def send(self, data: ReadableBuffer, flags: int = 0) -> int:
+                """Write, perhaps a part."""
+                shim.raise_if_failing("send" if self.is_client else "client-send")
+                view = memoryview(data)
+                return super().send(view[: shim.shorten(len(view))], flags)
+
+        return FailingSocket
+
+
+def _failing_epoll_class(shim: Shim) -> type:
+    real = select.epoll
+
+    class FailingEpoll:
+        """An epoll that may fail to watch a descriptor. The real class cannot be derived from."""
+
+        def __init__(self) -> None:
+            self.real = real()
+            self.poll = self.real.poll
+            self.unregister = self.real.unregister
+            self.close = self.real.close
+            self.fileno = self.real.fileno
+
+        def register(self, descriptor: int, events: int) -> None:
+            """Watch a descriptor."""
+            shim.raise_if_failing("epoll_ctl")
+            self.real.register(descriptor, events)
+
+        def modify(self, descriptor: int, events: int) -> None:
+            """Watch a descriptor for something else."""
+            shim.raise_if_failing("epoll_ctl")
+            self.real.modify(descriptor, events)
+
+    return FailingEpoll
+
+
+def _failing_poll_class(shim: Shim) -> type:
+    real = select.poll
+
+    class FailingPoll:
+        """A poll that may fail. The real class cannot be derived from."""
+
+        def __init__(self) -> None:
+            self.real = real()
+            self.register = self.real.register
+            self.unregister = self.real.unregister
 
-            def send(self, data: Any, flags: int = 0) -> int:
-                shim.strike("send" if self.dialled else "client-send")
-                return super().send(data[: shim.short(len(data))], flags)
+        def poll(self, timeout_ms: float | None = None) -> list[tuple[int, int]]:
+            """Look at the descriptors."""
+            shim.raise_if_failing("poll")
+            return self.real.poll(timeout_ms)
 
-        return Socket
+    return FailingPoll
 
 
 def module_name(program: Path) -> str:
-    """The package that `python -m` runs in a checkout; until e0ee873 it had another name."""
+    """Return the package that `python -m` runs in a checkout; until e0ee873 it had another name."""
     return "forwarder" if (program / "forwarder").is_dir() else "lemonshunt"
 
 
 def main() -> None:
-    control, state = Path(sys.argv[1]), Path(sys.argv[2])
+    """Install the shim, and run the program as its own interpreter would."""
+    control_path, state = Path(sys.argv[1]), Path(sys.argv[2])
     program = module_name(Path.cwd())
     sys.argv = [program, *sys.argv[3:]]
     sys.path[0] = os.getcwd()
-    Shim(control, state).install()
+    Shim(control_path, state).install()
     runpy.run_module(program, run_name="__main__", alter_sys=True)
 
 
--- a/lab/testbed.py
+++ b/lab/testbed.py
@@ -9,7 +9,6 @@
 import signal
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
@@ -21,8 +20,8 @@
 from lab.endpoints import EndpointServer, WaitingCall
 from lab.errors import SetupError
 from lab.event_log import EventLog
+from lab.forwarder_config import ForwarderConfig, ForwarderSettings, ResourceLimits, make_settings
 from lab.forwarder_process import ForwarderProcess
-from lab.forwarder_settings import forwarder_settings
 from lab.front import Front
 from lab.launcher import Launcher
 from lab.network import Address, Link, Network
@@ -76,16 +75,27 @@
         self.program = program
         self.extensions = extensions
         self.report_progress = report_progress
-        scenario = plan.scenario
         self.loop = asyncio.get_running_loop()
         self.epoch_s = self.loop.time()
         """When the load began, by the loop's clock."""
         self.event_log = EventLog(lambda: self.loop.time() - self.epoch_s)
-        self.network = Network(scenario.seed)
-        self.rng = random.Random(f"{scenario.seed}/run")
+        self.network = Network(plan.scenario.seed)
+        self.rng = random.Random(f"{plan.scenario.seed}/run")
         self.port = free_port()
         self.endpoint_addresses: dict[Link, Address] = {}
-        self.discovery = DiscoveryServer(
+        self.discovery = self._make_discovery()
+        self.front = Front(plan, self.network, self.event_log, self._addresses(Role.FORWARDER, 0))
+        self.clients = Clients(plan, self.front, self.event_log, self._on_submitted)
+        self.destinations = self._make_destinations()
+        self.endpoints: dict[str, EndpointServer] = {}
+        self.forwarders: dict[str, ForwarderProcess] = {}
+        self.launcher = Launcher()
+        self.exchange: DatagramExchange | None = None
+        """Passes datagrams between the forwarders on, if their extensions ask for it."""
+
+    def _make_discovery(self) -> DiscoveryServer:
+        scenario = self.plan.scenario
+        return DiscoveryServer(
             self.network,
             self.event_log,
             scenario.discovery,
@@ -93,22 +103,18 @@
             scenario.seed,
             self.endpoint_addresses,
         )
-        self.front = Front(plan, self.network, self.event_log, self._addresses(Role.FORWARDER, 0))
-        self.clients = Clients(plan, self.front, self.event_log, self._on_submitted)
-        self.destinations = {
+
+    def _make_destinations(self) -> dict[int, DestinationModel]:
+        scenario = self.plan.scenario
+        return {
             destination.number: DestinationModel(
                 destination,
                 random.Random(f"{scenario.seed}/shop{destination.number}"),
                 scenario.endpoints.wait_s,
                 reports_limit=scenario.endpoints.tells_limits,
             )
-            for destination in plan.destinations
+            for destination in self.plan.destinations
         }
-        self.endpoints: dict[str, EndpointServer] = {}
-        self.forwarders: dict[str, ForwarderProcess] = {}
-        self.launcher = Launcher()
-        self.exchange: DatagramExchange | None = None
-        """Passes datagrams between the forwarders on, if their extensions ask for it."""
 
     def _addresses(self, role: Role, port_offset: int) -> dict[str, Address]:
         return {name: (host_for(role, index), self.port + port_offset) for index, name in enumerate(self.plan.nodes)}
@@ -174,7 +180,7 @@
         self.discovery.update_endpoint(spec)
 
     def _add_forwarders(self) -> None:
-        settings = forwarder_settings(self.plan)
+        settings = make_settings(self.plan)
         scenario = self.plan.scenario
         is_shimmed = scenario.fleet.skew_s > 0 or any(
             fault.kind in SHIMMED_FAULTS or fault.clock_s for fault in scenario.faults
@@ -195,25 +201,20 @@
             forwarder.write_files()
             self.forwarders[name] = forwarder
 
-    def _config(self, index: int, name: str, settings: dict[str, Any]) -> dict[str, Any]:
-        """Return a forwarder's configuration file, in the pages' form."""
+    def _config(self, index: int, name: str, settings: ForwarderSettings) -> ForwarderConfig:
         scenario = self.plan.scenario
+        fleet = scenario.fleet
         host = host_for(Role.FORWARDER, index)
-        return {
-            "name": name,
-            "listen": f"{host}:{self.port}",
-            "control": f"{host}:{self.port + ADMIN_PORT_OFFSET}",
-            "discovery": f"{host_for(Role.DISCOVERY, index)}:{self.port}",
-            "seed": f"{scenario.seed}-{index}",
-            "limits": {
-                "cores": 1.0,
-                "memory_mb": scenario.fleet.memory_mb,
-                "sockets": scenario.fleet.sockets,
-                "disk_mb": scenario.fleet.disk_mb,
-            },
-            "known": msgspec.to_builtins(self.discovery.whole_list(name)),
-            "settings": {**settings, "balancers": self.plan.believed_fleet_sizes[index]},
-        }
+        return ForwarderConfig(
+            name=name,
+            listen=f"{host}:{self.port}",
+            admin=f"{host}:{self.port + ADMIN_PORT_OFFSET}",
+            discovery=f"{host_for(Role.DISCOVERY, index)}:{self.port}",
+            seed=f"{scenario.seed}-{index}",
+            limits=ResourceLimits(1.0, fleet.memory_mb, fleet.sockets, fleet.disk_mb),
+            known=self.discovery.whole_list(name),
+            settings=msgspec.structs.replace(settings, forwarders=self.plan.believed_fleet_sizes[index]),
+        )
 
     def extensions_for(self, index: int) -> str | None:
         """Return one forwarder's extensions file, with its values in the place of what stands between `@`."""
--- a/tests/test_lab_members.py
+++ b/tests/test_lab_members.py
@@ -346,7 +346,7 @@
         everybody = set(w.names)
         await w.agree(everybody)
         node = w.testbed.forwarders["n1"]
-        host, _, port = node.config["listen"].rpartition(":")
+        host, _, port = node.config.listen.rpartition(":")
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (40, 40))  # type: ignore[union-attr]
         open_ = [await asyncio.open_connection(host, int(port)) for _ in range(60)]
         await asyncio.sleep(3.0)
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from forwarder.clients.listener import reset_on_close
@@ -18,7 +19,7 @@
 from lab.datagrams import DatagramExchange
 from lab.endpoint_model import DestinationModel, EndpointModel, TokenBucket
 from lab.errors import ScenarioError
-from lab.forwarder_settings import forwarder_settings
+from lab.forwarder_config import make_settings
 from lab.launcher import Launcher, Process
 from lab.listener import Listener
 from lab.network import Link, LinkConnection, LinkFault, Network
@@ -256,7 +257,7 @@
 @pytest.mark.parametrize(("name", "told"), [("herd", True), ("untold", False)])
 def test_the_settings_are_those_that_the_program_reads(name: str, told: bool) -> None:
     made = plan.make(scenario.load(HERD.with_name(f"{name}.toml"), 20, 1))
-    known = parse_settings(forwarder_settings(made))
+    known = parse_settings(msgspec.to_builtins(make_settings(made)))
     assert (known.forwarders, known.max_attempts, known.overload_window_us) == (20, 8, 2_000_000)
     assert [c.name for c in known.classes] == ["statusvarsel", "refusjon"]
     assert known.classes[1].in_order
