--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -28,7 +28,7 @@
 from forwarder.membership.suspicion import MIN_LOG_SIZE
 from forwarder.membership.timing import Timing
 from forwarder.membership.view import INCARNATIONS_PER_START, Member, MemberPhase, MemberState, SocketAddress
-from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.extension import BaseExtension, ExtensionHost
 from forwarder.runtime.startup_phase import StartupPhase
 from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.lease import Lease
@@ -72,20 +72,20 @@
     if not (config.told.get("settings") or {}).get("allowed", {}).get("may_tell"):
         raise ConfigError("parts: members: by settings.allowed.may_tell forwarders may not talk to each other")
     listen = table.address("listen")
-    advertise = table.address("advertise") if "advertise" in table.left else listen
+    advertise = table.address("advertise") if "advertise" in table else listen
     cluster = table.take("cluster", None)
     if not isinstance(cluster, str) or not 0 < len(cluster) <= 64:
-        raise table.wrong("cluster", f"is no name of 1 to 64 characters: {cluster!r}")
+        raise table.error("cluster", f"is no name of 1 to 64 characters: {cluster!r}")
     base = Timing()
     period = table.number("period_s", base.period_us / SECOND, 0.02, 60.0)
     timing = replace(
         base,
         period_us=int(period * SECOND),
         probe_timeout_us=int(table.number("probe_s", 0.5 * period, 0.005, period) * SECOND),
-        indirect_probes=table.whole("helpers", base.indirect_probes, 0, 20),
+        indirect_probes=table.integer("helpers", base.indirect_probes, 0, 20),
         suspicion_factor=table.number("suspicion", base.suspicion_factor, 0.1, 100.0),
         max_suspicion_factor=table.number("suspicion_top", base.max_suspicion_factor, 1.0, 100.0),
-        confirmations=table.whole("confirmations", base.confirmations, 0, 20),
+        confirmations=table.integer("confirmations", base.confirmations, 0, 20),
         retransmit_factor=table.number("retell", base.retransmit_factor, 1.0, 20.0),
         sync_interval_us=int(
             table.number("exchange_s", max(base.sync_interval_us / SECOND, period), period, 3600.0) * SECOND
@@ -99,15 +99,15 @@
         * max(MIN_LOG_SIZE, math.log10(config.settings.forwarders))
     )
     detected = period * (2 + longest)
-    divide, news = (table.truth(key, False) for key in ("divide", "news"))
+    divide, news = (table.boolean(key, False) for key in ("divide", "news"))
     if news and not divide:
-        raise table.wrong("news", "needs divide = true: what others have seen is heeded by who is there")
+        raise table.error("news", "needs divide = true: what others have seen is heeded by who is there")
     spread = 2 * math.log2(config.settings.forwarders + 1)
     told = table.number("told_s", period * spread, period, 3600.0)
     # After a restart there is time to be noticed, to hear of all, and for all to hear, before a lease of before ends.
     settle = table.number("settle_s", 3 * detected + told, detected, 3600.0)
     if told > settle:
-        raise table.wrong("told_s", f"is {told}, more than settle_s, {settle}")
+        raise table.error("told_s", f"is {told}, more than settle_s, {settle}")
     believe = table.number("believe_s", 10 * settle, settle, 86400.0)
     made = MembershipSettings(
         listen,
@@ -131,11 +131,11 @@
 
 def parse_addresses(table: ExtensionTable, told: Any) -> tuple[Address, ...]:
     if not isinstance(told, list):
-        raise table.wrong("seeds", f"is no list and no file: {told!r}")
+        raise table.error("seeds", f"is no list and no file: {told!r}")
     try:
         return tuple(parse_address(text) for text in told)
     except MalformedInputError as error:
-        raise table.wrong("seeds", f"has what is {error}") from None
+        raise table.error("seeds", f"has what is {error}") from None
 
 
 def load_seeds(settings: MembershipSettings) -> list[SocketAddress]:
@@ -167,7 +167,7 @@
     settings: MembershipSettings
     descriptors: int = 2
 
-    def __call__(self, engine: Engine) -> MembershipExtension:
+    def __call__(self, engine: ExtensionHost) -> MembershipExtension:
         return MembershipExtension(engine, self.settings)
 
 
@@ -197,7 +197,7 @@
 
     name = "members"
 
-    def __init__(self, engine: Engine, settings: MembershipSettings) -> None:
+    def __init__(self, engine: ExtensionHost, settings: MembershipSettings) -> None:
         self.engine, self.settings = engine, settings
         self.codec = Codec(settings.cluster, load_keys(settings.key_file))
         self.rate_limiter = DatagramRateLimiter()
@@ -215,7 +215,7 @@
         if settings.divide_quota:
             self.follow_view(engine)
 
-    def follow_view(self, engine: Engine) -> None:
+    def follow_view(self, engine: ExtensionHost) -> None:
         """The Dispatcher divides what all share by who is there."""
         s = self.settings
         self.lease = Lease(engine.config.state, engine.clock)
@@ -239,7 +239,7 @@
         return FleetView(frozenset(view.present()), left, self.protocol.state.is_stale or gone, gone)
 
     @property
-    def calls(self) -> CommandTable:
+    def commands(self) -> CommandTable:
         return {
             "MEMBERS": self.show_members,
             "SHARES": without_arguments(self.show_quota),
@@ -258,7 +258,7 @@
             raise CommandRefusedError("members.news is not turned on")
         return self.gossip.show(self.now())
 
-    def act(self, actions: Iterable[Action]) -> None:
+    def apply_actions(self, actions: Iterable[Action]) -> None:
         if self.quota is not None and self.lease is not None:
             self.lease.keep(self.quota.leased_until)
         if self.gossip is not None and self.protocol is not None:
@@ -313,10 +313,10 @@
     def resume_writing(self) -> None:
         self.is_paused = False
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         self._phase(MemberPhase.LEAVING)
 
-    def join(self) -> None:
+    def stop_draining(self) -> None:
         self._phase(MemberPhase.SERVING)
 
     def _phase(self, phase: MemberPhase) -> None:
@@ -324,9 +324,9 @@
             self.protocol.set_phase(self.now(), phase)
             self.flush()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """The process ends. After SIGTERM the others hear that it has left; a process that takes over goes on."""
-        if self.protocol is not None and self.engine.leaving_s and self.transport is not None:
+        if self.protocol is not None and self.engine.run_state.is_stopping and self.transport is not None:
             self.protocol.leave(self.now())
             self.flush()
         if self.timer is not None:
@@ -381,7 +381,7 @@
         assert self.protocol is not None
         if (
             self.protocol.state.own_record.phase is MemberPhase.RECOVERING
-            and self.engine.life.phase is StartupPhase.SERVING
+            and self.engine.startup_progress.phase is StartupPhase.SERVING
         ):
             self.protocol.set_phase(self.now(), MemberPhase.SERVING)
         self.protocol.tick(self.now())
@@ -463,7 +463,7 @@
             )
             self.drops_logged_at_s, self.drops_logged = time.monotonic(), dropped
 
-    def state(self) -> str:
+    def describe_state(self) -> str:
         if self.protocol is None:
             return "not open"
         p = self.protocol
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -23,7 +23,7 @@
 from forwarder.decisions.fleet_quota import FleetQuota, GossipExtension, SlowStartSlots
 from forwarder.membership.gossip_store import MAX_AGES_US, GossipRecord, GossipStore, RecordKind, rendezvous_order
 from forwarder.membership.protocol import MembershipProtocol
-from forwarder.runtime.engine import Engine
+from forwarder.runtime.extension import ExtensionHost
 from forwarder.storage.identity import StartKind
 
 SECOND = 1_000_000
@@ -42,7 +42,7 @@
 class GossipBridge:
     """Joins one forwarder's board to its Dispatcher."""
 
-    def __init__(self, engine: Engine, shares: FleetQuota, told_us: int, ask_us: int) -> None:
+    def __init__(self, engine: ExtensionHost, shares: FleetQuota, told_us: int, ask_us: int) -> None:
         self.engine, self.query_us = engine, ask_us
         s = engine.config.settings
         self.store = GossipStore(
@@ -56,7 +56,7 @@
         )
         engine.dispatcher.extensions.append(self.extension)
         self.protocol: MembershipProtocol | None = None
-        self.folder_was_lost = engine.start is not StartKind.AGAIN
+        self.folder_was_lost = engine.start_kind is not StartKind.AGAIN
         self.is_querying = True
         self.disabled_announced: dict[str, int] = {}
         self.holding_announced: frozenset[str] = frozenset()
@@ -75,7 +75,7 @@
 
     def slot_order(self, target: int, names: frozenset[str]) -> list[str]:
         """This forwarder and others in the order of their turn for a target."""
-        return rendezvous_order(self.engine.targets.names.get(target, ""), names | {self.engine.config.name})
+        return rendezvous_order(self.engine.endpoint_table.names.get(target, ""), names | {self.engine.config.name})
 
     def open(self, protocol: MembershipProtocol, now: int) -> None:
         """From here on the board rides along. `now` is the protocol's time, in microseconds."""
@@ -97,17 +97,25 @@
         """What a round has seen."""
         for a in actions:
             match a:
-                case AnnounceEjection() if a.endpoint in self.engine.targets.names:
-                    self.announce_ejection(now, self.engine.targets.names[a.endpoint], a)
-                case AnnounceRetryAfter((destination, which), until) if which < 0 or which in self.engine.targets.names:
-                    subject = str(destination) if which < 0 else f"{destination} {self.engine.targets.names[which]}"
+                case AnnounceEjection() if a.endpoint in self.engine.endpoint_table.names:
+                    self.announce_ejection(now, self.engine.endpoint_table.names[a.endpoint], a)
+                case AnnounceRetryAfter((destination, which), until) if (
+                    which < 0 or which in self.engine.endpoint_table.names
+                ):
+                    subject = (
+                        str(destination) if which < 0 else f"{destination} {self.engine.endpoint_table.names[which]}"
+                    )
                     if until > self.retry_after_announced.get(subject, 0):
                         self.retry_after_announced[subject] = until
                         self.announce(now, RecordKind.RETRY_AFTER, subject, until - self.engine.clock())
                 case AnnounceHolding():
                     self.announce_holding(
                         now,
-                        frozenset(self.engine.targets.names[t] for t in a.endpoints if t in self.engine.targets.names),
+                        frozenset(
+                            self.engine.endpoint_table.names[t]
+                            for t in a.endpoints
+                            if t in self.engine.endpoint_table.names
+                        ),
                     )
         if self.engine.store.bans != self.disabled_announced:
             self.announce_disabled(now)
@@ -199,14 +207,14 @@
             if fact.subject not in store.bans:
                 since = self.engine.clock() - (now - fact.observed_at_us) - fact.value_us
                 store.ban(fact.subject, since)
-                self.engine.carry_out(EndpointDisabled(self.engine.number(fact.subject), since))
+                self.engine.apply_command(EndpointDisabled(self.engine.endpoint_number(fact.subject), since))
                 log.warning("maintenance: %s is left out again, as others remember", fact.subject)
                 found += 1
         return found
 
     def gossip_received(self, now: int) -> GossipReceived:
         """All that others say and that is not too old, in the Dispatcher's numbers and times."""
-        numbers, ahead = self.engine.targets.numbers, self.engine.clock() - now
+        numbers, ahead = self.engine.endpoint_table.numbers, self.engine.clock() - now
         words: dict[int, list[Observation]] = {}
         for fact in self.store.from_others(now, RecordKind.EJECTED, RecordKind.RECOVERING, RecordKind.SERVING):
             if fact.subject in numbers:
@@ -230,8 +238,8 @@
             if self.retry_after_known.get(fact.key) == fact.number:
                 continue
             destination, _, name = fact.subject.partition(" ")
-            if destination.isdecimal() and (not name or name in self.engine.targets.numbers):
-                which = self.engine.targets.numbers[name] if name else -1
+            if destination.isdecimal() and (not name or name in self.engine.endpoint_table.numbers):
+                which = self.engine.endpoint_table.numbers[name] if name else -1
                 yield (int(destination), which), fact.observed_at_us + fact.value_us + ahead
         self.retry_after_known = known
 
@@ -258,7 +266,7 @@
             )
             for fact in facts[:MAX_SHOWN]
         ]
-        by_word = sorted(self.engine.targets.names.get(t, "?") for t in self.extension.ejected_by_gossip)
+        by_word = sorted(self.engine.endpoint_table.names.get(t, "?") for t in self.extension.ejected_by_gossip)
         return "; ".join([f"{len(facts)} facts; by others' word: {', '.join(by_word) or 'nothing'}", *rows])
 
 
