--- a/tests/test_incident_lost_and_order.py
+++ b/tests/test_incident_lost_and_order.py
@@ -103,7 +103,7 @@
 def test_an_error_in_one_decision_costs_that_step_alone() -> None:
     dispatcher = started()
     first, second = sends(dispatcher.handle(0, [ask("a"), ask("b", dest=11)]))
-    broken = end(first, Outcome.REJECTED, wait_us="soon")
+    broken = end(first, Outcome.REJECTED, retry_after_us="soon")
     again = sends(dispatcher.handle(S, [broken, end(second, Outcome.DELIVERED)]))
     assert len(dispatcher.errors) == 1
     assert [send.message_id for send in again] == [*dispatcher.messages] == ["a"]
