--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -15,7 +15,7 @@
 from forwarder.admin.server import AdminServer
 from forwarder.clients.arrival_time import event_loop
 from forwarder.clients.listener import bind
-from forwarder.config.config import Config, ConfigError, ConfigUnreadableError, load_config
+from forwarder.config.config import Address, Config, ConfigError, ConfigUnreadableError, load_config
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.extension import ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
@@ -52,7 +52,7 @@
 
 def is_transient_read_error(error: Exception) -> bool:
     """Returns whether the configuration may be readable in a moment."""
-    return isinstance(error, ConfigUnreadableError) and error.passing
+    return isinstance(error, ConfigUnreadableError) and error.is_transient
 
 
 def is_system_error(error: Exception) -> bool:
@@ -89,14 +89,10 @@
     early_hangups: list[int] = []
     loop.add_signal_handler(signal.SIGHUP, early_hangups.append, signal.SIGHUP)
     admin = AdminServer()
-    ownership = Ownership(config.state)
-    if config.control is not None:
-        try:
-            admin.listen(await bind(config.control, patience_s=0))
-        except OSError as error:  # the process before may have it, and hand it over
-            log.info("control address not free yet: %s", error)
+    ownership = Ownership(config.state_folder)
+    await _listen_for_operators(admin, config.admin)
 
-    async def make_engine(handover: HandoverState | None) -> Engine:
+    async def _make_engine(handover: HandoverState | None) -> Engine:
         if handover is None:
             # The address before the journal: where another forwarder serves, nothing may be sent.
             clients = await bind(config.listen)
@@ -108,7 +104,7 @@
             clients = await bind(config.listen)
         return Engine(config, ownership, admin, clients, handover, extensions)
 
-    engine = await ownership.obtain(make_engine)
+    engine = await ownership.obtain(_make_engine)
     loop.add_signal_handler(signal.SIGTERM, engine.shutdown.start)
     loop.add_signal_handler(signal.SIGINT, engine.shutdown.start)
     loop.add_signal_handler(signal.SIGHUP, engine.reloader.reload)
@@ -122,6 +118,16 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
+async def _listen_for_operators(admin: AdminServer, address: Address | None) -> None:
+    """Listens on the admin address, if it is free: the process before may have it, and hand it over."""
+    if address is None:
+        return
+    try:
+        admin.listen(await bind(address, patience_s=0))
+    except OSError as error:
+        log.info("control address not free yet: %s", error)
+
+
 def requested_extensions(arguments: Sequence[str], config: Config) -> list[ExtensionFactory]:
     """Returns what makes the extensions that the command line asks for. The others are not even imported.
 
--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -40,12 +40,12 @@
 def without_arguments(command: Callable[[], str]) -> Command:
     """Returns a command that has to stand alone on its line."""
 
-    def checked(arguments: str) -> str:
+    def _without_arguments(arguments: str) -> str:
         if arguments:
             raise CommandRefusedError("this call stands alone")
         return command()
 
-    return checked
+    return _without_arguments
 
 
 class AdminConnection(asyncio.Protocol):
--- a/forwarder/config/config.py
+++ b/forwarder/config/config.py
@@ -1,4 +1,7 @@
-"""What a forwarder is told: LB_CONFIG and the environment, checked at the start and again on SIGHUP."""
+"""The configuration: the file at $LB_CONFIG and the environment, checked at the start and again on SIGHUP.
+
+The file's keys and the words of an endpoint list are those of the platform. They are mapped here to the code's names.
+"""
 
 from __future__ import annotations
 
@@ -9,55 +12,88 @@
 import zlib
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import Settings
+from forwarder.errors import ForwarderError
 from forwarder.simulator.adapter import MalformedInputError, parse_endpoint_entry, parse_settings, require_field
 
 TRANSIENT_ERRORS = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
 """Errors of open and read that may be over in a moment (open(2), read(2))."""
-HEALTH = {"up": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
+MAX_PORT = 65535
+DEFAULT_MEMORY_MB = 192
+DEFAULT_SOCKETS = 1024
+DEFAULT_DISK_MB = 3
+BYTES_PER_MB = 1_000_000
+
+JsonObject = dict[str, Any]
+"""A JSON object as it was read."""
 
 
-class ConfigError(Exception):
+class ConfigError(ForwarderError):
     """The configuration is missing or cannot hold; the text is one line."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file could not be read just now; it may be later. `passing`: by an error that says nothing of the file."""
+    """The file could not be read just now; it may be later."""
 
-    def __init__(self, text: str, passing: bool = False) -> None:
+    def __init__(self, text: str, is_transient: bool = False) -> None:
+        """Takes whether the error says nothing of the file."""
         super().__init__(text)
-        self.passing = passing
+        self.is_transient = is_transient
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """A TCP or UDP address."""
+
     host: str
     port: int
 
 
+class EndpointHealth(StrEnum):
+    """What discovery says of an endpoint."""
+
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
+
+
+READINESS = {
+    EndpointHealth.UP: "SERVING",
+    EndpointHealth.DRAINING: "DRAINING",
+    EndpointHealth.REMOVED: "DELETED",
+}
+"""The simulator's word for each."""
+
+
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One target as discovery lists it."""
+    """One endpoint as discovery lists it."""
 
     name: str
-    dial: Address
+    address: Address
     destination: int
-    health: str
-    raw: dict[str, Any]
+    health: EndpointHealth
+    raw: JsonObject
+    """The entry as it was read."""
 
     def entry(self, number: int) -> EndpointEntry:
-        """The module's entry, by way of the adapter's own translation."""
+        """Returns the decisions' entry, by way of the simulator adapter's own translation.
+
+        Raises:
+            MalformedInputError: a field of the entry is missing or of another type.
+        """
         return parse_endpoint_entry(
             {
                 "target": number,
                 "hall": self.raw.get("site"),
                 "kind": self.raw.get("class"),
                 "belongs_to": self.destination,
-                "readiness": HEALTH[self.health],
+                "readiness": READINESS[self.health],
                 "power_hint": require_field(self.raw, "share", float) if "share" in self.raw else 0.0,
             }
         )
@@ -65,124 +101,179 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    seq: int
-    whole: bool
-    hosts: tuple[ListedEndpoint, ...]
+    """An endpoint list, or the changes since an earlier version."""
+
+    version: int
+    is_complete: bool
+    """Whether what is not listed is gone."""
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """What one forwarder is started with."""
+
     name: str
     listen: Address
     discovery: Address
-    control: Address | None
+    admin: Address | None
     """Where operators call; None where they do not."""
-    state: Path
+    state_folder: Path
     seed: int
     memory_mb: int
-    sockets: int
+    max_sockets: int
     disk_bytes: int
-    known: EndpointList
+    initial_list: EndpointList
     settings: Settings
     report_fields: tuple[str, ...]
-    told: dict[str, Any]
+    """The fields of an endpoint's load report."""
+    document: JsonObject
     """The file as it was read."""
 
 
-def parse_address(text: Any) -> Address:
+def parse_address(text: object) -> Address:
+    """Returns the address of the form HOST:PORT.
+
+    Raises:
+        MalformedInputError: the text is none.
+    """
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise MalformedInputError(f"not an address: {text!r}")
     return Address(host, int(port))
 
 
-def parse_endpoint(raw: Any) -> ListedEndpoint:
+def parse_endpoint(raw: object) -> ListedEndpoint:
+    """Returns one entry of an endpoint list.
+
+    Raises:
+        MalformedInputError: it is not one.
+    """
     health = require_field(raw, "health", str)
-    if health not in HEALTH:
+    if health not in {known.value for known in EndpointHealth}:
         raise MalformedInputError(f"unknown health {health!r}")
+    assert isinstance(raw, dict)
     if "share" in raw and not 0.0 <= require_field(raw, "share", float) < math.inf:
         raise MalformedInputError(f"no share: {raw['share']!r}")
-    made = ListedEndpoint(
+    endpoint = ListedEndpoint(
         require_field(raw, "host", str),
         parse_address(require_field(raw, "dial", str)),
         require_field(raw, "block", int),
-        health,
+        EndpointHealth(health),
         raw,
     )
-    made.entry(0)  # a bad line must be found here, not in the middle of a round
-    return made
+    endpoint.entry(0)  # a malformed entry must be found here, not in the middle of a round
+    return endpoint
+
 
+def parse_endpoint_list(answer: object) -> EndpointList:
+    """Returns one answer of discovery.
 
-def parse_endpoint_list(told: Any) -> EndpointList:
-    """One answer of discovery, or Malformed."""
+    Raises:
+        MalformedInputError: it is not an endpoint list.
+    """
     return EndpointList(
-        require_field(told, "seq", int),
-        require_field(told, "whole", bool),
-        tuple(parse_endpoint(raw) for raw in require_field(told, "hosts", list)),
+        require_field(answer, "seq", int),
+        require_field(answer, "whole", bool),
+        tuple(parse_endpoint(raw) for raw in require_field(answer, "hosts", list)),
     )
 
 
-def check_complete(had: Any, told: Any, path: str) -> None:
-    """A file that is read again must hold every key that the one before it held, with a value of its kind. In
-    a list, each entry must have what all entries before had.
+def check_complete(before: object, after: object, path: str) -> None:
+    """Checks that a file that is read again holds every key that it held before, with a value of the same kind.
+
+    In a list, each entry must have the keys that all entries had before.
+
+    Raises:
+        MalformedInputError: names the path within the file.
     """
-    for kind in (bool, (int, float), str, dict, list):
-        if isinstance(had, kind):
-            if not isinstance(told, kind) or (isinstance(told, bool) and kind is not bool):
-                raise MalformedInputError(f"{path} is {told!r:.40}, where it was {had!r:.40}")
-            break
-    if isinstance(had, dict):
-        for key in had:
-            if key not in told:
+    _check_same_kind(before, after, path)
+    if isinstance(before, dict) and isinstance(after, dict):
+        for key in before:
+            if key not in after:
                 raise MalformedInputError(f"{path} has no {key!r}")
-            check_complete(had[key], told[key], f"{path}.{key}")
-    elif isinstance(had, list) and had and all(isinstance(entry, dict) for entry in had):
-        common = {key: value for key, value in had[0].items() if all(key in entry for entry in had)}
-        for n, entry in enumerate(told):
-            check_complete(common, entry, f"{path}[{n}]")
+            check_complete(before[key], after[key], f"{path}.{key}")
+    elif isinstance(before, list) and isinstance(after, list):
+        common = _common_entries(before)
+        for index, entry in enumerate(after):
+            check_complete(common, entry, f"{path}[{index}]")
+
+
+def _common_entries(values: list[object]) -> JsonObject | None:
+    """Returns the entries of the first object whose keys all others have too; None where not all are objects."""
+    objects = [value for value in values if isinstance(value, dict)]
+    if not objects or len(objects) < len(values):
+        return None
+    return {key: value for key, value in objects[0].items() if all(key in other for other in objects)}
+
+
+def _check_same_kind(before: object, after: object, path: str) -> None:
+    kinds: tuple[type | tuple[type, ...], ...] = (bool, (int, float), str, dict, list)  # bool is an int, too
+    for kind in kinds:
+        if isinstance(before, kind):
+            if not isinstance(after, kind) or (isinstance(after, bool) and kind is not bool):
+                raise MalformedInputError(f"{path} is {after!r:.40}, where it was {before!r:.40}")
+            return
 
 
 def load_config(environ: Mapping[str, str] = os.environ, before: Config | None = None) -> Config:
-    """The configuration; the environment's names go before those in the file. When it is read again, it must
-    be whole, and the address of discovery is the file's: the environment cannot have followed a change.
+    """Reads the configuration. The environment's values go before those in the file.
+
+    Args:
+        environ: the environment.
+        before: what was read before, where the file is read again. It must be complete then, and the address of
+            discovery is the file's: the environment cannot have followed a change.
+
+    Raises:
+        ConfigUnreadableError: the file cannot be read.
+        ConfigError: the configuration cannot hold.
     """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
-    try:
-        told = json.loads(Path(path).read_bytes())
-    except OSError as error:
-        raise ConfigUnreadableError(f"cannot read {path}: {error}", error.errno in TRANSIENT_ERRORS) from None
-    except ValueError as error:
-        raise ConfigError(f"cannot read {path}: {error}") from None
+    document = _read_document(path)
     try:
         if before is not None:
-            check_complete(before.told, told, "the file")
-            if not told["settings"]["services"]:
+            check_complete(before.document, document, "the file")
+            if not document["settings"]["services"]:
                 raise MalformedInputError("settings.services is empty")
-        limits = told.get("limits") or {}
-        facts = require_field(told, "settings", dict)
-        state = environ.get("LB_STATE")
-        if not state:
-            raise ConfigError("LB_STATE is not set")
-        control = environ.get("LB_CONTROL") or told.get("control")
-        return Config(
-            name=environ.get("LB_NAME") or require_field(told, "name", str),
-            listen=parse_address(environ.get("LB_LISTEN") or require_field(told, "listen", str)),
-            discovery=parse_address(
-                (before is None and environ.get("LB_DISCOVERY")) or require_field(told, "discovery", str)
-            ),
-            control=None if control is None else parse_address(control),
-            state=Path(state),
-            seed=zlib.crc32(str(told.get("seed", "")).encode()),
-            memory_mb=int(limits.get("memory_mb", 192)),
-            sockets=int(limits.get("sockets", 1024)),
-            disk_bytes=int(float(limits.get("disk_mb", 3)) * 1_000_000),
-            known=parse_endpoint_list(told.get("known") or {"seq": 0, "whole": True, "hosts": []}),
-            settings=parse_settings(facts),
-            report_fields=tuple((facts.get("telemetry") or {}).get("fields") or ()),
-            told=told,
-        )
+        return _parse_document(document, environ, before is None)
     except (MalformedInputError, ValueError, TypeError, AttributeError) as error:
         text = " ".join(str(error).split())
         raise ConfigError(f"bad configuration in {path}: {text}") from None
+
+
+def _read_document(path: str) -> JsonObject:
+    try:
+        document: JsonObject = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigUnreadableError(f"cannot read {path}: {error}", error.errno in TRANSIENT_ERRORS) from None
+    except ValueError as error:
+        raise ConfigError(f"cannot read {path}: {error}") from None
+    return document
+
+
+def _parse_document(document: JsonObject, environ: Mapping[str, str], is_first: bool) -> Config:
+    limits = document.get("limits") or {}
+    settings = require_field(document, "settings", dict)
+    state_folder = environ.get("LB_STATE")
+    if not state_folder:
+        raise ConfigError("LB_STATE is not set")
+    admin = environ.get("LB_CONTROL") or document.get("control")
+    return Config(
+        name=environ.get("LB_NAME") or require_field(document, "name", str),
+        listen=parse_address(environ.get("LB_LISTEN") or require_field(document, "listen", str)),
+        discovery=parse_address(
+            (is_first and environ.get("LB_DISCOVERY")) or require_field(document, "discovery", str)
+        ),
+        admin=None if admin is None else parse_address(admin),
+        state_folder=Path(state_folder),
+        seed=zlib.crc32(str(document.get("seed", "")).encode()),
+        memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        max_sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        disk_bytes=int(float(limits.get("disk_mb", DEFAULT_DISK_MB)) * BYTES_PER_MB),
+        initial_list=parse_endpoint_list(document.get("known") or {"seq": 0, "whole": True, "hosts": []}),
+        settings=parse_settings(settings),
+        report_fields=tuple((settings.get("telemetry") or {}).get("fields") or ()),
+        document=document,
+    )
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -205,8 +205,8 @@
                 log.warning("the list cannot be had: %s", error or type(error).__name__)
                 self.ended()
                 return
-            news, self.seq, self.current = told.seq != self.seq, told.seq, True
-            if (news or not told.whole) and not self.supervisor.guard("list", partial(self.listed, told)):
+            news, self.seq, self.current = told.version != self.seq, told.version, True
+            if (news or not told.is_complete) and not self.supervisor.guard("list", partial(self.listed, told)):
                 self.ended()
                 return
             if not news and time.monotonic() - asked < LEAST_WATCH_S:
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -35,10 +35,10 @@
 
     def take(self, told: EndpointList) -> None:
         """Follow the list, whole or in part."""
-        if told.whole:
+        if told.is_complete:
             self._gone.update(dict.fromkeys(name for name in self.hosts if name in self.numbers))
             self.hosts = {}
-        for host in told.hosts:
+        for host in told.endpoints:
             self.destinations.add(host.destination)
             self._gone.pop(host.name, None)
             if host.health != "removed":
@@ -73,7 +73,7 @@
     def serving(self, banned: Container[str]) -> dict[int, Address]:
         """Where those are that may get new calls."""
         return {
-            self.number(host.name, banned): host.dial
+            self.number(host.name, banned): host.address
             for host in self.hosts.values()
             if host.health == "up" and host.name not in banned
         }
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -66,7 +66,7 @@
 
 def read(table: ExtensionTable, config: Config) -> Settings:
     """Raises ConfigError, naming the key."""
-    if not (config.told.get("settings") or {}).get("allowed", {}).get("may_tell"):
+    if not (config.document.get("settings") or {}).get("allowed", {}).get("may_tell"):
         raise ConfigError("parts: members: by settings.allowed.may_tell forwarders may not talk to each other")
     listen = table.address("listen")
     advertise = table.address("advertise") if "advertise" in table else listen
@@ -209,7 +209,7 @@
     def follow_view(self, engine: ExtensionHost) -> None:
         """The Dispatcher divides what all share by who is there."""
         s = self.settings
-        self.lease = Lease(engine.config.state, engine.clock)
+        self.lease = Lease(engine.config.state_folder, engine.clock)
         self.shares = FleetQuota(
             engine.config.settings.forwarders,
             s.settle_us,
--- a/forwarder/runtime/endpoint_list.py
+++ b/forwarder/runtime/endpoint_list.py
@@ -30,14 +30,14 @@
         if not self._has_first_list:
             self._has_first_list = True
             self._log_first_list(endpoint_list)
-        if endpoint_list.hosts or endpoint_list.whole:
-            entries = runtime.endpoint_table.entries(endpoint_list.hosts, runtime.store.bans)
+        if endpoint_list.endpoints or endpoint_list.is_complete:
+            entries = runtime.endpoint_table.entries(endpoint_list.endpoints, runtime.store.bans)
             self.apply(endpoint_list)
             listed = {endpoint.name: endpoint.raw for endpoint in runtime.endpoint_table.hosts.values()}
-            runtime.store.list(endpoint_list.seq, listed, runtime.clock())
+            runtime.store.list(endpoint_list.version, listed, runtime.clock())
         else:
             entries = ()
-        kind = EndpointListKind.WHOLE if endpoint_list.whole else EndpointListKind.CHANGES
+        kind = EndpointListKind.WHOLE if endpoint_list.is_complete else EndpointListKind.CHANGES
         runtime.loop.events.append(EndpointListReceived(kind, entries))
         if not runtime.run_state.is_frozen:
             runtime.loop.run_round()
@@ -45,7 +45,7 @@
     def _log_first_list(self, endpoint_list: EndpointList) -> None:
         log.info(
             "list: version %d is the first that discovery told, %.3f s after the start; %d calls were made before",
-            endpoint_list.seq,
+            endpoint_list.version,
             time.monotonic() - self._started_s,
             self.runtime.effects.calls_made,
         )
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -81,9 +81,9 @@
         self.clients = clients
         self.handover = handover
         description = HandoverDescription() if handover is None else handover.description
-        self.clock = clock or AnchoredClock(config.state, description.clock_base_ns)
+        self.clock = clock or AnchoredClock(config.state_folder, description.clock_base_ns)
         settings = socket_settings(config.settings)
-        self.identity, self.start_kind = identity.claim(config.state, config.name)
+        self.identity, self.start_kind = identity.claim(config.state_folder, config.name)
         self.store = self._open_store(settings)
         self.dispatcher = Dispatcher(settings, config.seed, self.clock())
         self.run_state = RunState()
@@ -139,14 +139,14 @@
     def _open_store(self, settings: Settings) -> MessageStore:
         classes = {message_class.name: message_class for message_class in settings.classes}
         salt = None if self.identity is None else self.identity.salt
-        return MessageStore(self.config.state, self.config.disk_bytes, classes, salt)
+        return MessageStore(self.config.state_folder, self.config.disk_bytes, classes, salt)
 
     def _open_sides(self, settings: Settings, extension_descriptors: int) -> None:
         """Builds the clients' and the endpoints' side, with a share of the descriptors for each.
 
         The rest is for files, discovery and the listener.
         """
-        descriptors = min(self.config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        descriptors = min(self.config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         client_connections = descriptors // 2 - OVERSHOOT - extension_descriptors
         self.server = ClientServer(
             settings,
@@ -217,7 +217,7 @@
         self.clock.keep()
         self.store.own()
         self.identity = identity.begin(
-            self.identity, self.config.state, self.config.name, self.store.salt, self.store.durable
+            self.identity, self.config.state_folder, self.config.name, self.store.salt, self.store.durable
         )
         log.info("start %d of %s: %s", self.identity.starts, self.identity.id, self.start_kind.value)
         self._log_descriptors()
@@ -246,7 +246,7 @@
         log.info(
             "descriptors: %d configured, %d allowed (hard limit %d), %d open; at most %d clients, "
             "%d connections to endpoints",
-            self.config.sockets,
+            self.config.max_sockets,
             soft_limit,
             hard_limit,
             open_descriptors(),
@@ -256,7 +256,7 @@
 
     async def _listen_for_operators(self) -> None:
         """Listens on the admin address once it is free; clients do not wait for it."""
-        address = self.config.control
+        address = self.config.admin
         while address is not None and address not in self.admin.listeners:
             try:
                 self.admin.listen(await bind(address))
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -115,7 +115,7 @@
 
 def _describe_admin(runtime: Runtime, table: DescriptorTable) -> tuple[list[int], list[HandedAdminConnection]]:
     """Returns the admin interface's own listeners, and the connections that have no answer yet."""
-    listeners = [found for where, found in runtime.admin.listeners.items() if where == runtime.config.control]
+    listeners = [found for where, found in runtime.admin.listeners.items() if where == runtime.config.admin]
     connections = runtime.admin.connections
     known = {fileno(connection.transport) for connection in connections}
     accepted = [conn.fileno() for found in listeners for conn in found.coming if conn.fileno() not in known]
@@ -137,7 +137,7 @@
     assert server.listener is not None
     records = [(client, record) for client in server.doors if (record := client.hand_over()) is not None]
     records.sort(key=lambda each: (not each[0].idle(), each[0].used_us), reverse=True)
-    free_sockets = runtime.config.sockets - len(server.doors) - len(runtime.pool.all) - SPARE_SOCKETS
+    free_sockets = runtime.config.max_sockets - len(server.doors) - len(runtime.pool.all) - SPARE_SOCKETS
     known = {fileno(client.transport) for client in server.doors}
     accepted = [conn.fileno() for conn in server.listener.coming if conn.fileno() not in known]
     handed = [
@@ -187,7 +187,7 @@
         await runtime.supervisor.guarded("hand-over of a client", runtime.server.adopt(sock, client.state))
     for number in description.admin_listeners:
         listener = runtime.admin.listen(handover.socket(number))
-        if listener.where() != runtime.config.control:
+        if listener.where() != runtime.config.admin:
             asyncio.get_running_loop().call_later(OLD_ADMIN_ADDRESS_S, listener.close)
     for connection in description.admin_connections:
         sock = handover.socket(connection.descriptor)
--- a/forwarder/runtime/reload.py
+++ b/forwarder/runtime/reload.py
@@ -55,7 +55,7 @@
             discovery=loaded.discovery,
             settings=loaded.settings,
             report_fields=loaded.report_fields,
-            told=loaded.told,
+            document=loaded.document,
         )
         runtime.intake.settings = loaded.settings
         for extension in runtime.extensions:
--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -38,10 +38,10 @@
     events = runtime.loop.events
     description = HandoverDescription() if runtime.handover is None else runtime.handover.description
     saved_list = _newest_list(runtime)
-    store.note_names(endpoint.name for endpoint in saved_list.hosts)
+    store.note_names(endpoint.name for endpoint in saved_list.endpoints)
     runtime.apply_endpoint_list(saved_list)
     events += [EndpointDisabled(runtime.endpoint_number(name), since_us) for name, since_us in store.bans.items()]
-    entries = runtime.endpoint_table.entries(saved_list.hosts, store.bans)
+    entries = runtime.endpoint_table.entries(saved_list.endpoints, store.bans)
     events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
     if runtime.handover is None:
         events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
@@ -58,14 +58,14 @@
         log.info("took up %d messages and %d owed ends again", len(store.messages), len(store.owed))
     if description.learned_state is not None:
         events.append(HandoverReceived(description.learned_state))
-    return saved_list.seq if saved_list.hosts else NO_LIST_VERSION
+    return saved_list.version if saved_list.endpoints else NO_LIST_VERSION
 
 
 def _newest_list(runtime: Runtime) -> EndpointList:
     """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
-    configured = runtime.config.known
+    configured = runtime.config.initial_list
     store = runtime.store
-    if store.seq < configured.seq:
+    if store.seq < configured.version:
         return configured
     return EndpointList(store.seq, True, tuple(parse_endpoint(raw) for raw in store.hosts.values()))
 
--- a/forwarder/streaming/settings.py
+++ b/forwarder/streaming/settings.py
@@ -55,7 +55,7 @@
 def read(table: ExtensionTable, config: Config) -> StreamSettings:
     """Read the table. A configuration that cannot hold is refused here, by the key to be changed."""
     listen = table.address("listen")
-    taken = {"listen": config.listen, "discovery": config.discovery, "control": config.control}
+    taken = {"listen": config.listen, "discovery": config.discovery, "control": config.admin}
     for name, where in taken.items():
         if where == listen:
             raise table.error("listen", f"is the address of {name}")
@@ -67,9 +67,9 @@
     by_memory = memory // stream_bytes(buffer)
     if by_memory < 1:
         raise table.error("memory_bytes", f"is {memory}: one stream may hold {stream_bytes(buffer)}")
-    by_sockets = (config.sockets // SOCKETS_PART - SPARE_SOCKETS) // 2
+    by_sockets = (config.max_sockets // SOCKETS_PART - SPARE_SOCKETS) // 2
     if by_sockets < 1:
-        raise table.error("listen", f"cannot be served: {config.sockets} descriptors leave none for streams")
+        raise table.error("listen", f"cannot be served: {config.max_sockets} descriptors leave none for streams")
     share = table.number("slots_share", 0.5, 0.0, 1.0)
     slots = config.settings.slots
     if not 0 < most_streams(slots, share) < slots:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -712,8 +712,8 @@
         if answered:
             sock.send(WHOLE)
         pool.settle()
-        told, going = pool.hand_over()
-        assert told["calls"] == []
+        record, going = pool.hand_over()
+        assert record.calls == ()
         assert going == []
         assert [e.outcome for e in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
@@ -1086,7 +1086,7 @@
             ahead[0] += watch_module.LEAST_WATCH_S
         known: dict[str, Any] = {}
         for told in filter(None, heard):
-            known = ({} if told.whole else known) | {h.name: h.raw for h in told.hosts}
+            known = ({} if told.is_complete else known) | {h.name: h.raw for h in told.endpoints}
         assert len(heard) == count
         assert known == hosts
         watch.client.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -383,7 +383,7 @@
             while not told:
                 await asyncio.sleep(0.01)
         assert told[0] is not None
-        assert told[0].whole
+        assert told[0].is_complete
         watch.client.close()
 
     asyncio.run(scene())
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -81,7 +81,7 @@
 def test_what_the_limits_cannot_hold_is_refused(tmp_path: Path) -> None:
     small = replace(CONFIG, memory_mb=32)
     assert "streaming.memory_bytes is 1000000: of 32 MB" in refused(GOOD, tmp_path, small)
-    few = replace(CONFIG, sockets=50)
+    few = replace(CONFIG, max_sockets=50)
     assert "streaming.listen cannot be served: 50 descriptors" in refused(GOOD, tmp_path, few)
     two = replace(CONFIG, settings=settings(slots=2))
     assert "streaming.slots_share is 0.5: of 2 slots" in refused(GOOD, tmp_path, two)
@@ -96,10 +96,10 @@
 
     assert connections(GOOD, CONFIG) == 1_000_000 // (2 * (16_384 + 65_536 + 64)) == 6
     assert connections(GOOD + "buffer_bytes = 4096", CONFIG) == (256 // 6 - 8) // 2 == 17
-    assert connections(GOOD + "buffer_bytes = 4096", replace(CONFIG, sockets=1024)) == 24
+    assert connections(GOOD + "buffer_bytes = 4096", replace(CONFIG, max_sockets=1024)) == 24
 
 
-MAY_TELL = replace(CONFIG, told={"settings": {"allowed": {"may_tell": True}}})
+MAY_TELL = replace(CONFIG, document={"settings": {"allowed": {"may_tell": True}}})
 
 
 def test_the_example_file_holds(tmp_path: Path) -> None:
