--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container, Iterable, Mapping
 
-from forwarder.config.config import Address, EndpointList, ListedEndpoint
+from forwarder.config.config import Address, EndpointHealth, EndpointList, ListedEndpoint
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import DestinationKind
 from forwarder.endpoints.call import ALL_ENDPOINTS, LimitScopeKey
@@ -47,7 +47,7 @@
         for endpoint in endpoint_list.endpoints:
             self.destinations.add(endpoint.destination)
             self._unlisted.pop(endpoint.name, None)
-            if endpoint.state != "removed":
+            if endpoint.health is not EndpointHealth.REMOVED:
                 self.endpoints[endpoint.name] = endpoint
                 continue
             self.endpoints.pop(endpoint.name, None)
@@ -78,7 +78,7 @@
         return {
             self.number(endpoint.name, disabled): endpoint.address
             for endpoint in self.endpoints.values()
-            if endpoint.state == "up" and endpoint.name not in disabled
+            if endpoint.health is EndpointHealth.UP and endpoint.name not in disabled
         }
 
     def endpoint(self, number: int) -> ListedEndpoint | None:
--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -63,7 +63,7 @@
 
 def _newest_list(runtime: Runtime) -> EndpointList:
     """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
-    configured = runtime.config.known
+    configured = runtime.config.initial_list
     store = runtime.store
     if store.seq < configured.version:
         return configured
