--- /dev/null
+++ b/forwarder/discovery/client.py
@@ -0,0 +1,171 @@
+"""Requests to discovery, one after the other on one connection that is kept open."""
+
+from __future__ import annotations
+
+import asyncio
+
+from forwarder.clients.listener import unread
+from forwarder.config.config import Address
+from forwarder.endpoints.local_errors import LOCAL_ERRORS
+from forwarder.protocol.http1 import MAX_ENDPOINT_LIST_BYTES, BadResponseError, ResponseReader, render_request
+
+RECONNECT_PAUSES_S = (0.0, 0.02, 0.05)  # short: until an answer has been read, calls go by an older endpoint list
+
+
+class DiscoveryChannel(asyncio.Protocol):
+    """One connection to discovery, with at most one request on it."""
+
+    def __init__(self) -> None:
+        self.reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
+        self.transport: asyncio.Transport | None = None
+        self.answer: asyncio.Future[None] | None = None
+        """Is done when the answer to the request is complete; None without a request."""
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin to use the connection; called by the event loop."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+
+    def data_received(self, data: bytes) -> None:
+        """Read a part of an answer; called by the event loop."""
+        try:
+            self.reader.feed(data)
+        except BadResponseError as error:
+            self._end_request(error)
+            self.close()
+            return
+        if self.reader.complete:
+            self._end_request(None)
+
+    def eof_received(self) -> bool:
+        """Read discovery's end of the connection, which may complete an answer; called by the event loop."""
+        self.reader.end()
+        if self.reader.complete:
+            self._end_request(None)
+        return False
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Fail the request that has no answer; called by the event loop."""
+        self.transport = None
+        self._end_request(ConnectionResetError("the connection ended"))
+        self.reader.release()
+
+    # Requests
+
+    async def request(self, data: bytes) -> ResponseReader:
+        """Write a request and wait for the answer.
+
+        Cancelled, it leaves the connection in the middle of an answer: it must be closed then.
+
+        Returns:
+            The reader that holds the answer, until the next request.
+
+        Raises:
+            ConnectionError: the connection ended before the answer was complete.
+            BadResponseError: the answer is malformed or too large.
+        """
+        if self.transport is None:
+            raise ConnectionResetError("the connection ended")
+        self.reader.renew()
+        self.answer = asyncio.get_running_loop().create_future()
+        self.transport.write(data)
+        try:
+            await self.answer
+        finally:
+            self.answer = None
+        if not self.reader.keep_alive:
+            self.close()
+        return self.reader
+
+    def is_usable(self) -> bool:
+        """Return whether a request may be made on it."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    def has_unread_answer(self) -> bool:
+        """Return whether a part of an answer has come that whoever made the request has not seen yet."""
+        if self.answer is None:
+            return False
+        return self.answer.done() or (self.is_usable() and bool(unread([self.transport])))
+
+    def close(self) -> None:
+        """Close the connection at once."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def _end_request(self, error: Exception | None) -> None:
+        if self.answer is None or self.answer.done():
+            return
+        if error is None:
+            self.answer.set_result(None)
+        else:
+            self.answer.set_exception(error)
+
+
+class DiscoveryClient:
+    """Makes requests to discovery.
+
+    One whose connection ends without an answer is made again at once, a few times: all requests to discovery are
+    idempotent, and what it had written counts as known to the forwarder (PROTOCOL).
+
+    Args:
+        address: where discovery is.
+    """
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self.channel = DiscoveryChannel()
+
+    def close(self) -> None:
+        """Close the connection; the next request opens another."""
+        self.channel.close()
+
+    async def request(self, method: str, path: str, timeout_s: float, body: bytes = b"") -> ResponseReader:
+        """Make a request and wait for the answer; cancelled or failed, it closes the connection.
+
+        Returns:
+            The reader that holds the answer, until the next request.
+
+        Raises:
+            TimeoutError: no complete answer has come in time.
+            OSError: discovery cannot be reached, or the connection ended every time.
+            BadResponseError: the answer is malformed or too large.
+        """
+        data = render_request(method, path, f"{self.address.host}:{self.address.port}", (), body)
+        try:
+            async with asyncio.timeout(timeout_s):
+                return await self._request_with_retries(data)
+        except BaseException:
+            self.channel.close()
+            raise
+
+    async def _request_with_retries(self, data: bytes) -> ResponseReader:
+        for pause_s in RECONNECT_PAUSES_S:
+            if self.channel.is_usable() or await self._try_connect():
+                try:
+                    return await self.channel.request(data)
+                except ConnectionError:
+                    pass
+            await asyncio.sleep(pause_s)
+        if not self.channel.is_usable():
+            await self._connect()
+        return await self.channel.request(data)
+
+    async def _connect(self) -> None:
+        loop = asyncio.get_running_loop()
+        _, self.channel = await loop.create_connection(DiscoveryChannel, self.address.host, self.address.port)
+
+    async def _try_connect(self) -> bool:
+        """Connect; return False where this machine could not, for a moment.
+
+        Raises:
+            OSError: discovery cannot be reached.
+        """
+        try:
+            await self._connect()
+        except OSError as error:
+            if error.errno not in LOCAL_ERRORS:
+                raise
+            return False
+        return True
--- /dev/null
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -0,0 +1,127 @@
+"""The watch of the endpoint list: polls discovery for changes, and polls again as soon as one has come."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+import time
+from collections.abc import Callable
+from functools import partial
+
+from forwarder.config.config import Address, EndpointList, parse_endpoint_list
+from forwarder.discovery.client import DiscoveryClient
+from forwarder.protocol.http1 import BadResponseError, ResponseReader
+from forwarder.runtime.supervisor import Supervisor
+from forwarder.simulator.adapter import MalformedInputError
+
+LIST_PATH = "/discovery/hosts"
+NO_VERSION = -1
+FIRST_POLL_HOLD_MS = 1  # the first poll after a start is answered at once, with what discovery has
+POLL_HOLD_MS = 20_000  # how long discovery may hold a poll until there is a change
+POLL_GRACE_S = 0.8  # a poll without an answer so long after its hold is given up (PROTOCOL: a change counts 2 s after)
+ANSWER_TIMEOUT_S = 2.5  # how long an answer to a poll without a hold may take
+FIRST_LIST_TIMEOUT_US = 2_000_000  # discovery answers a poll without a hold by then, or not at all (PROTOCOL, Figures)
+MIN_POLL_INTERVAL_S = 0.1  # between two polls without a change; the next must come within 0.2 s (PROTOCOL)
+log = logging.getLogger("forwarder.discovery")
+
+ListObserver = Callable[[EndpointList | None], None]
+
+
+class EndpointListWatch:
+    """Follows the endpoint list from a version on. It ends with its first failure, until it is subscribed again.
+
+    Args:
+        address: where discovery is.
+        version: the version that is known; `NO_VERSION` for none, so that the complete list is polled first.
+        on_list: takes each list or change, and None where the watch has failed.
+        is_current: whether that version is what discovery answered last, not one that was saved.
+        supervisor: counts unexpected errors.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        version: int,
+        on_list: ListObserver,
+        is_current: bool = False,
+        supervisor: Supervisor | None = None,
+    ) -> None:
+        self.client = DiscoveryClient(address)
+        self.version = version
+        self.on_list = on_list
+        self.is_current = is_current
+        self.supervisor = supervisor or Supervisor()
+        self._task: asyncio.Task[None] | None = None
+        self._polled: EndpointList | None = None
+
+    def has_unread_list(self) -> bool:
+        """Return whether discovery has answered something that is not handed on yet."""
+        return self.client.channel.has_unread_answer()
+
+    def subscribe(self) -> None:
+        """Begin to follow the list, unless that is under way."""
+        if self._task is None or self._task.done():
+            self._task = asyncio.get_running_loop().create_task(self._follow())
+
+    def change_address(self, address: Address) -> None:
+        """Follow the list at a new address of discovery, at once and from the version that is known."""
+        if self._task is not None:
+            self._task.cancel()
+            self._task = None
+        self.client.close()
+        self.client = DiscoveryClient(address)
+        self.subscribe()
+
+    async def _follow(self) -> None:
+        while True:
+            began_s = time.monotonic()
+            await self.supervisor.guarded("watch", self._poll())
+            endpoint_list = self._polled
+            if endpoint_list is None:
+                self._fail()
+                return
+            is_change = endpoint_list.version != self.version
+            self.version = endpoint_list.version
+            self.is_current = True
+            if (is_change or not endpoint_list.is_complete) and not self.supervisor.guard(
+                "list", partial(self.on_list, endpoint_list)
+            ):
+                self._fail()
+                return
+            if not is_change and time.monotonic() - began_s < MIN_POLL_INTERVAL_S:
+                await asyncio.sleep(MIN_POLL_INTERVAL_S)
+
+    async def _poll(self) -> None:
+        """Poll once, for `_polled`: the answer, or None where none can be had."""
+        self._polled = None
+        path, timeout_s = self._next_poll()
+        try:
+            self._polled = _read_list(await self.client.request("GET", path, timeout_s))
+        except (OSError, BadResponseError, MalformedInputError, ValueError) as error:
+            log.warning("the list cannot be had: %s", error or type(error).__name__)
+
+    def _next_poll(self) -> tuple[str, float]:
+        """Return the path of the next poll, and its time-out in seconds."""
+        if self.version < 0:  # version 0 is that of a list that never changed
+            return LIST_PATH, ANSWER_TIMEOUT_S
+        hold_ms = POLL_HOLD_MS if self.is_current else FIRST_POLL_HOLD_MS
+        timeout_s = max(ANSWER_TIMEOUT_S, POLL_GRACE_S + hold_ms / 1000)
+        return f"{LIST_PATH}?from={self.version}&hold_ms={hold_ms}", timeout_s
+
+    def _fail(self) -> None:
+        self._task = None
+        self.on_list(None)
+
+
+def _read_list(answer: ResponseReader) -> EndpointList:
+    """Return the list that an answer holds.
+
+    Raises:
+        BadResponseError: the answer has another status than 200.
+        MalformedInputError: its body is not an endpoint list.
+        ValueError: its body is not JSON.
+    """
+    if answer.status != 200:
+        raise BadResponseError(f"status {answer.status}")
+    return parse_endpoint_list(json.loads(answer.body))
--- a/forwarder/runtime/context.py
+++ b/forwarder/runtime/context.py
@@ -9,7 +9,8 @@
 from forwarder.clients.drain import ClientDrain
 from forwarder.clients.server import ClientServer
 from forwarder.config.config import EndpointList
-from forwarder.discovery.watch import EndpointListWatch, Notifier
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import Notifier
 from forwarder.runtime.decision_loop import DecisionLoop
 from forwarder.runtime.effects import Effects
 from forwarder.runtime.extension import Extension, ExtensionHost
--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -15,7 +15,8 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import AttemptEnded, Event, TimerFired
 from forwarder.decisions.outcomes import MAY_STILL_RUN
-from forwarder.discovery.watch import EndpointListWatch, Notifier
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import Notifier
 from forwarder.runtime.effects import Departures, Effects, PendingSubmissions
 from forwarder.runtime.extension import Extension, Syncer
 from forwarder.runtime.intake import SubmissionIntake
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -22,7 +22,8 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import Event
 from forwarder.decisions.settings import Settings
-from forwarder.discovery.watch import EndpointListWatch, Notifier
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import Notifier
 from forwarder.endpoints.endpoint_table import EndpointTable
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime.decision_loop import DecisionLoop
@@ -133,7 +134,7 @@
         self.shutdown = GracefulShutdown(self)
         self.handover_sender = HandoverSender(self)
         self.extensions += [make_extension(self) for make_extension in extensions]
-        self.watch.seq = recover_state(self)
+        self.watch.version = recover_state(self)
         self.startup_progress = StartupProgress(self.clock(), self.store.messages)
 
     def _open_store(self, settings: Settings) -> MessageStore:
--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -18,7 +18,7 @@
     MessageRecovered,
     PendingNoticeRecovered,
 )
-from forwarder.discovery.watch import FIRST_LIST_US
+from forwarder.discovery.endpoint_list_watch import FIRST_LIST_TIMEOUT_US
 from forwarder.runtime.context import Runtime
 from forwarder.runtime.handover_format import HandoverDescription
 from forwarder.storage.journal import may_resend
@@ -44,7 +44,7 @@
     entries = runtime.endpoint_table.entries(saved_list.endpoints, store.bans)
     events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
     if runtime.handover is None:
-        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
+        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_TIMEOUT_US))
     for name, (ejected_at_us, recovering_since_us) in store.outages.items():
         if name in runtime.endpoint_table.numbers:
             events.append(EjectionRecovered(runtime.endpoint_table.numbers[name], ejected_at_us, recovering_since_us))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,7 +32,10 @@
 from forwarder.decisions.events import AttemptEnded, EndpointListKind, EndpointListReceived, MessageRecovered
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.timer_queue import MIN_RECHECK_US
-from forwarder.discovery import watch as watch_module
+from forwarder.discovery import endpoint_list_watch as watch_module
+from forwarder.discovery.client import RECONNECT_PAUSES_S
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import POST_TIMEOUT_S, RETRY_PAUSES_S, Notifier
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.connection import EndpointConnection
 from forwarder.endpoints.in_flight_calls import DELIVERY_MARGIN_US
@@ -419,7 +422,7 @@
 
 def test_a_silent_watch_is_asked_anew_before_what_it_missed_counts_as_told() -> None:
     """Up to 0.2 s too late, before: the grace for drains, which settings may make shorter, hid it."""
-    assert watch_module.LATE_S + 2 * MIN_POLL_BACKOFF_US / SECOND < TOLD_AFTER_S - 0.1
+    assert watch_module.POLL_GRACE_S + 2 * MIN_POLL_BACKOFF_US / SECOND < TOLD_AFTER_S - 0.1
 
 
 TOLD_ANYWAY_S = 6.0
@@ -462,7 +465,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, silent: int, cut: bytes
 ) -> None:
     """From the first question of the process on, and though the watch that follows falls silent too."""
-    monkeypatch.setattr(watch_module, "HOLD_MS", 100)
+    monkeypatch.setattr(watch_module, "POLL_HOLD_MS", 100)
     monkeypatch.setattr(engine_module, "AnchoredClock", lambda folder, base: Skewed(base))
 
     async def scene(_: Platform) -> None:
@@ -490,7 +493,7 @@
 
 def test_a_post_that_gets_no_answer_is_made_again_in_time() -> None:
     """It was waited for 2.5 s."""
-    assert watch_module.POST_S + watch_module.NOTICE_PAUSES_S[0] < LOST_S
+    assert POST_TIMEOUT_S + RETRY_PAUSES_S[0] < LOST_S
 
 
 @pytest.mark.parametrize("silent", [1, 3])
@@ -509,7 +512,7 @@
             def acknowledge_notices(self, names: list[str]) -> None:
                 told.extend(names)
 
-        notices = watch_module.Notifier(at.where, Book())
+        notices = Notifier(at.where, Book())
         notices.wake()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
@@ -1050,7 +1053,7 @@
 @given(steps=st.lists(st.sampled_from(WATCH_STEPS), min_size=1, max_size=10))
 def test_a_watch_knows_all_that_was_told_in_any_order_of_steps(steps: list[str]) -> None:
     """One question is out at a time, from the version that is known; what fails is told once and changes nothing, and a
-    connection that breaks is replaced, for one question as often as AGAIN_S says; an answer of the old place that
+    connection that breaks is replaced, for one question as RECONNECT_PAUSES_S says; an answer of the old place that
     crosses a move is not heard, and asked for again at the new one.
     """
 
@@ -1061,7 +1064,7 @@
         heard: list[EndpointList | None] = []
         at = await Asked().start()
         places = [at]
-        watch = watch_module.EndpointListWatch(at.where, -1, heard.append)
+        watch = EndpointListWatch(at.where, -1, heard.append)
         watch.subscribe()
         seq, hosts, count, breaks = -1, {}, 0, 0  # the model
         for n, step in enumerate(steps):
@@ -1089,9 +1092,9 @@
                 if step in ("cut", "reset"):
                     writer.transport.abort() if step == "reset" else writer.close()
                 elif step == "silent":
-                    ahead[0] += watch_module.HOLD_MS / 1000 + watch_module.LATE_S + 0.1
+                    ahead[0] += watch_module.POLL_HOLD_MS / 1000 + watch_module.POLL_GRACE_S + 0.1
             breaks = breaks + 1 if step in ("cut", "reset") else 0
-            if 0 < breaks <= len(watch_module.AGAIN_S):
+            if 0 < breaks <= len(RECONNECT_PAUSES_S):
                 continue
             count, breaks = count + 1, 0
             while len(heard) < count:
@@ -1100,7 +1103,7 @@
             if step in FAILURES:
                 watch.subscribe()
                 watch.subscribe()
-            ahead[0] += watch_module.LEAST_WATCH_S
+            ahead[0] += watch_module.MIN_POLL_INTERVAL_S
         known: dict[str, Any] = {}
         for told in filter(None, heard):
             known = ({} if told.is_complete else known) | {h.name: h.raw for h in told.endpoints}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,8 @@
 from forwarder.__main__ import is_transient_read_error, retry_transient
 from forwarder.clients.listener import BIND_TIMEOUT_S
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
-from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import RETRY_PAUSES_S, Notifier, render_notices
 from forwarder.endpoints.connection import GIVEN_UP_S
 from forwarder.protocol.http1 import MAX_BODY_BYTES
 from forwarder.runtime.ownership import LOCK_PATIENCE_S
@@ -275,7 +276,7 @@
         supervisor = Supervisor()
         book = Book()
         notices = Notifier(Address("127.0.0.1", platform.port), book, supervisor)
-        real: Callable[..., Awaitable[object]] = notices.client.ask
+        real: Callable[..., Awaitable[object]] = notices.client.request
         failing = [RuntimeError("unforeseen"), AssertionError()]
 
         async def ask(*args: object, **named: object) -> object:
@@ -283,7 +284,7 @@
                 raise failing.pop()
             return await real(*args, **named)
 
-        notices.client.ask = ask  # type: ignore[assignment, method-assign]
+        notices.client.request = ask  # type: ignore[assignment, method-assign]
         notices.wake()
         await platform.notice("m")
         async with asyncio.timeout(PATIENCE):
@@ -296,14 +297,14 @@
 
 def test_a_post_that_fails_is_made_again_within_what_an_end_may_be_late() -> None:
     """A message without its end is lost 0.3 s after its time, and a given-up call takes 0.1 s of that (PROTOCOL)."""
-    assert GIVEN_UP_S + max(NOTICE_PAUSES_S) <= 0.2
+    assert GIVEN_UP_S + max(RETRY_PAUSES_S) <= 0.2
 
 
 def test_a_post_of_notices_stays_within_what_a_body_may_hold() -> None:
     owed = [(f"{n:0128d}", PendingNotice("returned", 500, None)) for n in range(500)]
     left = owed
     while left:
-        body, told = post_body(left)
+        body, told = render_notices(left)
         assert len(body) <= MAX_BODY_BYTES
         assert len(body.splitlines()) == len(told) > 0
         left = left[len(told) :]
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -15,7 +15,7 @@
 from forwarder.clients.listener import bind
 from forwarder.clients.server import ClientServer
 from forwarder.config.config import Address
-from forwarder.discovery.watch import DiscoveryChannel, DiscoveryClient
+from forwarder.discovery.client import DiscoveryChannel, DiscoveryClient
 from forwarder.protocol.http1 import ResponseReader
 from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
@@ -124,7 +124,7 @@
         client, unused = DiscoveryClient(Address("127.0.0.1", peer.port)), DiscoveryChannel()
         made.clear()  # its first channel is never connected, and the only one such
         for _ in range(COUNT):
-            assert (await client.ask("GET", "/", PATIENCE)).status == 200
+            assert (await client.request("GET", "/", PATIENCE)).status == 200
             client.close()
             client.channel = unused
         await freed(made, COUNT)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from forwarder.discovery.watch import FIRST_HOLD_MS, HOLD_MS
+from forwarder.discovery.endpoint_list_watch import FIRST_POLL_HOLD_MS, POLL_HOLD_MS
 from tests.scenes import ids, node_on, play, target
 from tests.sockets import (
     OK,
@@ -276,7 +276,7 @@
             assert (await node.hand_in(f"m{n}"))[0] == 202
         await peer.got(20)
         assert [r.path for r in platform.requests] == [
-            f"/discovery/hosts?from=0&hold_ms={hold_ms}" for hold_ms in (FIRST_HOLD_MS, HOLD_MS)
+            f"/discovery/hosts?from=0&hold_ms={hold_ms}" for hold_ms in (FIRST_POLL_HOLD_MS, POLL_HOLD_MS)
         ]
         await platform.change("s1", "draining")
         await platform.until(lambda: any("from=1" in r.path for r in platform.requests))
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -20,7 +20,8 @@
 from forwarder.decisions.actions import FailMessage, RejectMessage
 from forwarder.decisions.events import AttemptEnded
 from forwarder.decisions.outcomes import Outcome
-from forwarder.discovery.watch import EndpointListWatch, Notifier
+from forwarder.discovery.endpoint_list_watch import EndpointListWatch
+from forwarder.discovery.notifier import Notifier
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime import intake as intake_module
