--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -122,7 +122,7 @@
     def listen(self, sock: socket.socket) -> Listener:
         """Accepts connections on a socket that is bound."""
         listener = Listener(sock, BACKLOG, lambda waited_us: AdminConnection(self), self.free_connections)
-        self.listeners[listener.where()] = listener
+        self.listeners[listener.address()] = listener
         return listener
 
     async def adopt(self, sock: socket.socket, line: bytes) -> None:
@@ -136,7 +136,7 @@
 
     def free_connections(self) -> int:
         """Returns how many may be accepted now: those that close hold a descriptor until the loop's next turn."""
-        accepted = sum(len(listener.coming) for listener in self.listeners.values())
+        accepted = sum(len(listener.attaching) for listener in self.listeners.values())
         return 2 * MAX_CONNECTIONS - len(self.connections) - accepted
 
     def add(self, connection: AdminConnection) -> None:
--- a/forwarder/runtime/intake.py
+++ b/forwarder/runtime/intake.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from forwarder.clients.server import ClientConnection, Submission, disconnected
+from forwarder.clients.client_connection import ClientConnection, disconnected
+from forwarder.clients.submission import Submission
 from forwarder.decisions.actions import FailMessage, RejectMessage
 from forwarder.decisions.events import Event, MessageArrived, MessageWithdrawn, NoticeAcknowledged
 from forwarder.decisions.settings import Settings
@@ -69,12 +70,12 @@
             self.reject_unavailable(submission, client, "no such destination")
             return
         self.pending[submission.id] = (submission, client)
-        client.left = lambda: self.withdraw(submission.id)
+        client.on_withdrawn = lambda: self.withdraw(submission.id)
         self.post(
             MessageArrived(
                 submission.id,
                 submission.destination,
-                submission.cls.name,
+                submission.message_class.name,
                 submission.due_us,
                 submission.key,
                 submission.tenant,
--- a/forwarder/runtime/pending_notices.py
+++ b/forwarder/runtime/pending_notices.py
@@ -21,12 +21,12 @@
         self.clock = clock
         self.post = post
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         """Returns the notices that may be sent now, by message id."""
         now_us = self.clock()
         return {name: end for name, end in self.store.owed.items() if self.invariants.may_notify(name, now_us) is None}
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         """Records that the platform has acknowledged the notices of these messages."""
         for name in names:
             end = self.store.owed.get(name)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,13 +16,15 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
 from forwarder.admin.server import AdminServer
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import MOST_READ, STALLED_US, ClientConnection, ClientServer, Submission
+from forwarder.clients.server import READ_BUFFER_BYTES, STALL_TIMEOUT_US, ClientServer
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Address, EndpointList, load_config
 from forwarder.decisions.actions import FailMessage, RequestEndpointList
 from forwarder.decisions.dispatcher import Dispatcher
@@ -31,14 +33,17 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.timer_queue import MIN_RECHECK_US
 from forwarder.discovery import watch as watch_module
-from forwarder.endpoints.pool import EDGE_US, CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
+from forwarder.endpoints.connection import EndpointConnection
+from forwarder.endpoints.in_flight_calls import DELIVERY_MARGIN_US
+from forwarder.endpoints.pool import ConnectionPool
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
 from forwarder.units import NEVER_US
-from tests import test_node as real
+from tests import scenes as real
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
     OK,
@@ -171,12 +176,18 @@
 
 def test_the_module_gives_up_at_once_what_was_heard_too_late() -> None:
     """A delivery that may not count is heard within the time in which the unsent drop ends a message."""
-    assert EDGE_US <= MIN_RECHECK_US
+    assert DELIVERY_MARGIN_US <= MIN_RECHECK_US
 
 
 @pytest.mark.parametrize(
     ("before_us", "over"),
-    [(2 * SECOND, True), (EDGE_US + 5_000, True), (EDGE_US - 5_000, False), (1_000, False), (-1_000, False)],
+    [
+        (2 * SECOND, True),
+        (DELIVERY_MARGIN_US + 5_000, True),
+        (DELIVERY_MARGIN_US - 5_000, False),
+        (1_000, False),
+        (-1_000, False),
+    ],
 )
 def test_a_delivery_heard_at_the_end_of_its_time_is_not_surely_one(before_us: int, over: bool) -> None:
     """Its time began when the client sent it, which was before it was read: the platform may have counted it out."""
@@ -192,8 +203,8 @@
 
         peer = await Peer(answer).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", peer.port)})
-        pool.start(EndpointCall(1, (7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.is_final) for e in ends] == [(Outcome.DELIVERED, over)]
@@ -278,15 +289,15 @@
 
         peer = await Peer(accept).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", peer.port)})
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         far = now + DUE_US
         for alone in (True, False):
-            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, leave_by_us=clock() + SECOND)
+            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND)
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
-            pool.start(EndpointCall(1, (7, -1), clock(), [late, *others]))
+            pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
             clock.until(clock() + SECOND)  # the dial has not begun yet
-            while pool.out:
+            while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(e.message_id, e.outcome) for e in ends] == [
             ("late-True", Outcome.NOT_SENT),
@@ -316,11 +327,11 @@
     sock = socket.socket()
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
-    await loop.sock_connect(sock, ("127.0.0.1", server.listener.where().port))
+    await loop.sock_connect(sock, ("127.0.0.1", server.listener.address().port))
     sending = asyncio.create_task(loop.sock_sendall(sock, FLOOD))
-    while not server.doors:
+    while not server.connections:
         await asyncio.sleep(0.005)
-    (door,) = server.doors
+    (door,) = server.connections
     assert door.transport is not None
     while door.transport.is_reading() and not sending.done():
         await asyncio.sleep(0.005)
@@ -339,7 +350,7 @@
         server = ClientServer(settings_of(SETTINGS), Skewed(), 10, refuse)
         sock, door, sending = await flooded(server)
         assert not sending.done()
-        assert not door.closed()
+        assert not door.is_closed()
         loop, got, answered = asyncio.get_running_loop(), b"", 0
         while answered < FLOOD.count(b"POST"):
             *whole, got = (got + await loop.sock_recv(sock, 1 << 20)).split(b"HTTP/1.1 404")
@@ -374,7 +385,7 @@
         await asyncio.gather(*(loop.connect_accepted_socket(lambda: ClientConnection(server), sock) for sock in doors))
         while "/up" not in handled:
             await asyncio.sleep(0)
-        assert handled.index("/up") <= 2 * floods * (MOST_READ // ONE_OF_FLOOD + 1)
+        assert handled.index("/up") <= 2 * floods * (READ_BUFFER_BYTES // ONE_OF_FLOOD + 1)
         for sock in clients:
             sock.close()
         server.close()
@@ -389,8 +400,8 @@
         clock = Skewed()
         server = ClientServer(settings_of(SETTINGS), clock, 10, refuse)
         sock, _, sending = await flooded(server)
-        clock.until(clock() + STALLED_US + 1)
-        while server.doors:
+        clock.until(clock() + STALL_TIMEOUT_US + 1)
+        while server.connections:
             await asyncio.sleep(0.005)
         with pytest.raises(ConnectionError):
             await sending
@@ -461,9 +472,9 @@
         platform.host("s2", 9)
         at = await Scene(tmp_path, platform).start()
         await platform.got(1)
-        assert len(at.engine.pool.where) == 2
+        assert len(at.engine.pool.addresses) == 2
         await platform.change("s1", "draining")
-        while len(at.engine.pool.where) == 2:
+        while len(at.engine.pool.addresses) == 2:
             await asyncio.sleep(0.005)
         assert len(platform.requests) >= silent + 1
         at.end()
@@ -492,14 +503,14 @@
         told: list[str] = []
 
         class Book:
-            def owed_ends(self) -> dict[str, PendingNotice]:
+            def pending_notices(self) -> dict[str, PendingNotice]:
                 return {} if told else {"m": PendingNotice("failed", 0, None)}
 
-            def acknowledged(self, names: list[str]) -> None:
+            def acknowledge_notices(self, names: list[str]) -> None:
                 told.extend(names)
 
         notices = watch_module.Notifier(at.where, Book())
-        notices.kick()
+        notices.wake()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
             path, writer = await at.questions.get()
@@ -541,13 +552,13 @@
     def pool(self, ends: list[AttemptEnded]) -> ConnectionPool:
         """A pool whose target 1 this is."""
         pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
-        pool.serving({1: self.address})
+        pool.update_addresses({1: self.address})
         return pool
 
     async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
         """Start a call, which must come on a new connection, and return that."""
         far = pool.clock() + DUE_US
-        pool.start(EndpointCall(1, (7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
+        pool.start(EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         sock.setblocking(False)
         assert b"X-Correlation-Id: " + name.encode() in await self.request(sock)
@@ -628,7 +639,9 @@
         sock = await wire.carry(pool, "a")
         if answer:
             sock.send(answer)
-            while not ends and not any(c.connection and c.connection.seen == answer for c in pool.calls.values()):
+            while not ends and not any(
+                c.connection and c.connection.received == answer for c in pool.in_flight.by_attempt.values()
+            ):
                 await asyncio.sleep(0.002)
         if broken == "reset":
             wire.reset(sock)
@@ -647,9 +660,9 @@
 WAIT_MS = 700
 TURNED_AWAY = b"HTTP/1.1 429 X\r\nX-RateLimit-Wait-Ms: %d\r\nContent-Length: 0\r\n\r\n" % WAIT_MS
 GIVE_UPS: dict[str, tuple[Callable[[ConnectionPool, EndpointCall], None], Outcome]] = {
-    "time-out": (ConnectionPool.timed_out, Outcome.TIMED_OUT),
+    "time-out": (lambda pool, call: pool.in_flight.timed_out(call), Outcome.TIMED_OUT),
     "cancel": (lambda pool, call: pool.cancel("a", 0), Outcome.CANCELED),
-    "quiet": (ConnectionPool.fell_quiet, Outcome.UNREADABLE),
+    "quiet": (lambda pool, call: pool.in_flight.answer_stalled(call), Outcome.UNREADABLE),
     "exit": (lambda pool, call: pool.close(), Outcome.RESET),
 }
 
@@ -676,11 +689,11 @@
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
-        (call,) = pool.calls.values()
+        (call,) = pool.in_flight.by_attempt.values()
         give_up, alone = GIVE_UPS[how]
         if crossing == "split" or how == "quiet":
             sock.send(answer[:9])
-            while call.connection is not None and not call.connection.seen:
+            while call.connection is not None and not call.connection.received:
                 await asyncio.sleep(0.002)
         rest = answer[9:] if crossing == "split" or how == "quiet" else answer
         if crossing in ("before", "split"):
@@ -693,10 +706,10 @@
         assert [e.outcome for e in ends] == [alone if crossing == "never" else outcome]
         told = crossing != "never" and answer == TURNED_AWAY
         assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
-        assert bool(pool.waits) == told
-        assert pool.out == 0
-        assert not pool.calls
-        assert not pool.all
+        assert bool(pool.retry_after.entries()) == told
+        assert pool.calls_in_flight == 0
+        assert not pool.in_flight.by_attempt
+        assert not pool.connections
         pool.close()
 
     play(scene)
@@ -711,7 +724,7 @@
         wire = Wire()
         pool = wire.pool(ends)
         sock = await wire.carry(pool, "a")
-        pool.timed_out(*pool.calls.values())
+        pool.in_flight.timed_out(*pool.in_flight.by_attempt.values())
         if answered:
             sock.send(WHOLE)
         pool.settle()
@@ -743,7 +756,7 @@
         server = ClientServer(settings_of(SETTINGS), Skewed(), 1, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        address = ("127.0.0.1", server.listener.where().port)
+        address = ("127.0.0.1", server.listener.address().port)
         loop, sock = asyncio.get_running_loop(), socket.socket()
         sock.setblocking(False)
         await loop.sock_connect(sock, address)
@@ -752,11 +765,11 @@
         if sent == "before the close":
             sock.send(message("crossing"))
         if ending == "drain":
-            server.let_go()
+            server.close_idle_connections()
         elif ending == "exit":
             server.close()
         else:
-            server.joined(ClientConnection(server))
+            server.connection_opened(ClientConnection(server))
         if sent == "after the close":
             sock.send(message("crossing"))
         answered = sent == "before the close" and ending != "exit"
@@ -902,17 +915,18 @@
     came=st.integers(0, 70),
     breaks=st.lists(st.sampled_from(BREAKS), min_size=1, max_size=3),
 )
+@example(answer=b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", cuts=[], came=1, breaks=["quiet", "time-out"])
 def test_a_call_has_one_end_in_any_order_of_steps(answer: bytes, cuts: list[int], came: int, breaks: list[str]) -> None:
     came = min(came, len(answer))
     ends: list[AttemptEnded] = []
 
     async def run() -> None:
         pool = ConnectionPool(Skewed(), ends.append, (), SECOND, SECOND, 10)
-        pool.serving({1: Address("127.0.0.1", 9)})
+        pool.update_addresses({1: Address("127.0.0.1", 9)})
         connection, far = EndpointConnection(pool), pool.clock() + DUE_US
         connection.connection_made(Paper(protocol=connection))
-        call = EndpointCall(1, (7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
-        pool.keep(connection, 1)
+        call = EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
+        pool.keep_idle(connection, 1)
         pool.start(call)
         marks = sorted({0, came, *(cut for cut in cuts if cut < came)})
         for first, last in itertools.pairwise(marks):
@@ -924,15 +938,15 @@
             elif how == "reset":
                 connection.connection_lost(ConnectionResetError())
             elif how == "quiet":
-                pool.fell_quiet(call) if came else pool.timed_out(call)
+                pool.in_flight.answer_stalled(call) if came else pool.in_flight.timed_out(call)
             elif how == "time-out":
-                pool.timed_out(call)
+                pool.in_flight.timed_out(call)
             else:
                 pool.cancel("m", 0)
             if how in ("end", "reset"):
                 break
         await asyncio.sleep(0)
-        pool.idle.clear()
+        pool.idle.by_endpoint.clear()
 
     asyncio.run(run())
     how = breaks[0] if came or breaks[0] != "quiet" else "time-out"
@@ -976,8 +990,8 @@
                 await asyncio.sleep(0)
             elif step == "let go":
                 idle = len(handed) == answered and asked == answered and not half
-                server.let_go()
-                assert paper.closed == (idle and door.asked)
+                server.close_idle_connections()
+                assert paper.closed == (idle and door.has_sent_request)
             elif step in ("half-close", "gone"):
                 if step == "gone":
                     door.connection_lost(None)
@@ -1067,7 +1081,7 @@
                 places.append(at)
                 if step == "moved and answered":  # in the kernel, and not read
                     writer.write(json_answer(seq=seq + 1, whole=seq < 0, hosts=[more]))
-                watch.move(at.where)
+                watch.change_address(at.where)
                 breaks = 0
                 continue
             else:
@@ -1109,7 +1123,7 @@
         [
             EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]),
             MessageRecovered(
-                "m", 10, d.message_classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
+                "m", 10, d.message_table.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
             ),
         ],
     )
