--- /dev/null
+++ b/tests/lab/test_datagrams.py
@@ -0,0 +1,75 @@
+"""Every fault on a link between forwarders does to datagrams what it says, and is counted."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from lab.datagrams import DatagramExchange
+from lab.network import LinkFault, Network
+from tests.sockets import PATIENCE, free_port, own_host
+
+
+def bind(host: str) -> socket.socket:
+    sock = socket.socket(type=socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.bind((host, 0))
+    return sock
+
+
+@pytest.mark.parametrize(
+    ("effect", "counted", "is_expected"),
+    [
+        (LinkFault(), "", lambda n: n == 40),
+        (LinkFault(silent_out=True), "datagrams lost", lambda n: n == 0),
+        (LinkFault(loss=0.5), "datagrams lost", lambda n: 5 < n < 35),
+        (LinkFault(doubled=0.5), "datagrams doubled", lambda n: 45 < n < 75),
+        (LinkFault(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
+        (LinkFault(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40),
+    ],
+    ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"],
+)
+def test_datagrams_between_two_forwarders(effect: LinkFault, counted: str, is_expected: Callable[[int], bool]) -> None:
+    """What comes bears the sender's advertised address; the way back is another link and is not touched."""
+
+    async def scene(net: Network) -> None:
+        hosts = [own_host(), own_host()]
+        sockets = [bind(host) for host in hosts]
+        proxies = [(own_host(), free_port()) for _ in hosts]
+        exchange = DatagramExchange(
+            net,
+            {f"n{n}": sock.getsockname() for n, sock in enumerate(sockets)},
+            {f"n{n}": where for n, where in enumerate(proxies)},
+        )
+        await exchange.open()
+        net.set_fault(("n0", "n1"), effect)
+        received: list[tuple[bytes, Any]] = []
+        for n in range(40):
+            sockets[0].sendto(bytes([n]), proxies[1])
+            sockets[1].sendto(bytes([n]), proxies[0])
+            await asyncio.sleep(0)
+        loop = asyncio.get_running_loop()
+        async with asyncio.timeout(PATIENCE / 4):
+            for _ in range(40):
+                await loop.sock_recvfrom(sockets[0], 100)
+            await asyncio.sleep(0.2)  # what was delayed is under way for 0.06 s
+            while True:
+                try:
+                    received.append(sockets[1].recvfrom(100))
+                except BlockingIOError:
+                    break
+        assert is_expected(len(received))
+        assert {where for _, where in received} <= {proxies[0]}
+        if effect.jitter_s or effect.swapped:
+            assert [data for data, _ in received] != sorted(data for data, _ in received)
+        if counted:
+            assert net.counts[counted] > 0
+        exchange.close()
+        for sock in sockets:
+            sock.close()
+
+    asyncio.run(scene(Network(1)))
--- /dev/null
+++ b/tests/lab/test_network.py
@@ -0,0 +1,171 @@
+"""Every fault on a link does what it says, over sockets, and is counted."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+import pytest
+
+from forwarder.clients.listener import reset_on_close
+from lab.listener import Listener
+from lab.network import Link, LinkConnection, LinkFault, Network
+from tests.sockets import PATIENCE, free_port, own_host
+
+LINK = ("n0", "s-0")
+
+
+class Echo(LinkConnection):
+    """Sends back what it gets."""
+
+    def receive(self, data: bytes) -> None:
+        self.send(data)
+
+
+class Sink(LinkConnection):
+    """Keeps what it gets."""
+
+    def __init__(self, network: Network, link: Link, received: list[bytes]) -> None:
+        super().__init__(network, link)
+        self.received = received
+
+    def receive(self, data: bytes) -> None:
+        self.received.append(data)
+
+
+async def open_listener(network: Network, link: Link = LINK) -> Listener:
+    host = own_host()
+    listener = Listener(network, link, (host, free_port(host)), lambda: Echo(network, link))
+    listener.open()
+    return listener
+
+
+async def assert_received(reader: asyncio.StreamReader, wanted: bytes) -> None:
+    async with asyncio.timeout(PATIENCE):
+        assert await reader.readexactly(len(wanted)) == wanted
+
+
+async def read_until_end(reader: asyncio.StreamReader) -> None:
+    """Wait for the end of a connection. Raises ConnectionError for a close, as for a reset."""
+    async with asyncio.timeout(PATIENCE):
+        if not await reader.read():
+            raise ConnectionResetError
+
+
+def play(scene: Callable[[Network], Coroutine[Any, Any, None]]) -> Network:
+    network = Network(1)
+    asyncio.run(scene(network))
+    return network
+
+
+@pytest.mark.parametrize("effect", [LinkFault(silent_out=True), LinkFault(silent_in=True), LinkFault(True, True)])
+def test_silence_holds_bytes_back_until_it_heals(effect: LinkFault) -> None:
+    async def scene(network: Network) -> None:
+        listener = await open_listener(network)
+        reader, writer = await asyncio.open_connection(*listener.address)
+        writer.write(b"before")
+        await assert_received(reader, b"before")
+        network.set_fault(LINK, effect)
+        writer.write(b"after")
+        async with asyncio.timeout(PATIENCE):
+            while not network.counts.get("held"):
+                await asyncio.sleep(0.01)
+        assert not reader._buffer  # type: ignore[attr-defined]  # nothing has come
+        network.heal(LINK)
+        await assert_received(reader, b"after")
+        writer.close()
+        listener.close()
+
+    play(scene)
+
+
+@pytest.mark.parametrize("reset", [False, True])
+def test_what_silence_held_back_comes_behind_a_close_and_not_behind_a_reset(reset: bool) -> None:
+    async def scene(network: Network) -> None:
+        listener = await open_listener(network)
+        received: list[bytes] = []
+        listener.make_connection = lambda: Sink(network, LINK, received)
+        _, writer = await asyncio.open_connection(*listener.address)
+        writer.write(b"before")
+        async with asyncio.timeout(PATIENCE):
+            while not received:
+                await asyncio.sleep(0.01)
+        network.set_fault(LINK, LinkFault(silent_out=True))
+        writer.write(b"late")
+        if reset:
+            reset_on_close(writer.get_extra_info("socket"), True)
+        writer.write_eof()
+        await asyncio.sleep(0.05)
+        writer.close()
+        await asyncio.sleep(0.05)
+        network.heal(LINK)
+        assert received == ([b"before"] if reset else [b"before", b"late"])
+        listener.close()
+
+    assert play(scene).counts.get("dropped by a reset", 0) == reset
+
+
+def test_a_new_connection_never_comes_up_in_silence_and_does_when_it_heals() -> None:
+    async def scene(network: Network) -> None:
+        listener = await open_listener(network)
+        network.set_fault(LINK, LinkFault(True, True))
+        with pytest.raises(TimeoutError):
+            async with asyncio.timeout(0.3):
+                await asyncio.open_connection(*listener.address)
+        network.heal(LINK)
+        reader, writer = await asyncio.open_connection(*listener.address)
+        writer.write(b"x")
+        await assert_received(reader, b"x")
+        writer.close()
+        listener.close()
+
+    play(scene)
+
+
+def test_refusal_and_reset_end_connections_and_refusal_new_ones_too() -> None:
+    async def scene(network: Network) -> None:
+        listener = await open_listener(network)
+        for end in (lambda: network.reset_connections(LINK), lambda: network.set_fault(LINK, LinkFault(refuse=True))):
+            reader, writer = await asyncio.open_connection(*listener.address)
+            writer.write(b"x")
+            await assert_received(reader, b"x")
+            end()
+            with pytest.raises(ConnectionError):
+                await read_until_end(reader)
+            writer.close()
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection(*listener.address)
+        listener.close()
+
+    assert play(scene).counts["reset"] == 1
+
+
+def test_delay_keeps_the_order_of_a_stream() -> None:
+    async def scene(network: Network) -> None:
+        listener = await open_listener(network)
+        network.set_fault(LINK, LinkFault(delay_s=0.02, jitter_s=0.05))
+        reader, writer = await asyncio.open_connection(*listener.address)
+        for n in range(30):
+            writer.write(bytes([n]))
+            await writer.drain()
+            await asyncio.sleep(0.001)
+        await assert_received(reader, bytes(range(30)))
+        writer.close()
+        listener.close()
+
+    assert play(scene).counts["delayed"] >= 2
+
+
+def test_a_cut_between_two_leaves_others_alone() -> None:
+    async def scene(network: Network) -> None:
+        one, other = await open_listener(network), await open_listener(network, ("n1", "s-0"))
+        network.set_fault(LINK, LinkFault(refuse=True))
+        reader, writer = await asyncio.open_connection(*other.address)
+        writer.write(b"x")
+        await assert_received(reader, b"x")
+        writer.close()
+        one.close()
+        other.close()
+
+    play(scene)
--- /dev/null
+++ b/tests/lab/test_plan.py
@@ -0,0 +1,25 @@
+"""A plan is its seed's."""
+
+from __future__ import annotations
+
+from lab import plan, scenario
+from lab.scenario import Fault, Scenario
+from tests.sockets import ROOT
+
+HERD = ROOT / "lab/scenarios/herd.toml"
+
+
+def test_the_same_seed_gives_the_same_arrivals_and_schedule() -> None:
+    first, same, other = (plan.make(scenario.load(HERD, 20, seed)) for seed in (4, 4, 5))
+    assert first == same
+    assert first.arrivals != other.arrivals
+    assert first.schedule[0].targets != other.schedule[0].targets
+    assert len(first.schedule[0].targets) == 14
+    assert len(set(first.schedule[0].targets)) == 14
+
+
+def test_waves_and_shares_strike_everybody_once() -> None:
+    fault = Fault(at_s=1.0, kind="term", share=1.0, waves=10, every_s=2.0, back_s=0.5)
+    acts = plan.make(Scenario("x", faults=(fault,))).schedule
+    assert sorted(n for act in acts for n in act.targets) == sorted(f"n{n}" for n in range(12))
+    assert [act.at_s for act in acts] == [1.0 + 2.0 * n for n in range(len(acts))]
--- /dev/null
+++ b/tests/lab/test_reports.py
@@ -0,0 +1,30 @@
+"""What the command line prints of many runs."""
+
+from __future__ import annotations
+
+from lab.reports import format_sweep
+from lab.result import Result
+from lab.rules import Finding, Rule
+
+
+def test_a_sweep_adds_many_seeds_up_and_names_those_that_do_not_count() -> None:
+    found = Finding(Rule.RETRY_AFTER, 1.0, "m1", "n0", "")
+    results = [
+        Result(
+            "x",
+            seed,
+            6,
+            [found] * (seed == 2),
+            0,
+            {"served": 0.9 + seed / 100, "names": "no number"},
+            {},
+            {"crashes": 0},
+            {},
+            [],
+            seed != 3,
+        )
+        for seed in (1, 2, 3)
+    ]
+    lines = format_sweep(results)
+    assert lines[0].startswith("x, 6 forwarders, 3 seeds: 1 with broken rules, 1 wait; 1 do not count")
+    assert lines[1:] == ["  served             0.920 (0.910 to 0.930)"]
--- a/tests/test_lab_judge.py
+++ b/tests/lab/test_rules.py
@@ -1,49 +1,23 @@
-"""The judge finds each kind of broken rule in a record that breaks just that one, and nothing in a clean one."""
+"""The rules find each kind of violation in events that break just that one, and nothing in clean ones."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
-from lab import metrics
-from lab.event_log import Event, message_history
+from lab.event_log import Event
 from lab.plan import REFUND_CLASS, STATUS_CLASS
 from lab.rules import check
+from tests.lab.events import called, ev, fine, handed
 
-
-def ev(at_s: float, kind: str, ident: str = "", node: str = "n0", **more: Any) -> Event:
-    return Event(at_s, kind, ident, node, **more)
-
-
-def handed(
-    at_s: float, ident: str, cls: str = REFUND_CLASS, key: str | None = "k", number: int = 0, **more: Any
-) -> list[Event]:
-    due = {"due_s": at_s + 5.0} | more
-    return [
-        ev(at_s, "handed", ident, state=cls, key=key, number=number, destination=7, **due),
-        ev(at_s + 0.01, "answer", ident, status=202, number=number),
-    ]
+KEY_BACKOFF_S = 1.0
 
 
-def called(
-    at_s: float, ident: str, call: int, status: int | None = 200, party: str = "s-1", **more: Any
-) -> list[Event]:
-    events = [ev(at_s, "call", ident, party=party, call=call, first_s=more.pop("first_s", at_s), destination=7)]
-    if status in (200, 500, None):
-        events.append(ev(at_s, "ran", ident, party=party, call=call))
-    if status is not None:
-        events.append(ev(at_s + 0.1, "answered", ident, party=party, call=call, status=status, destination=7, **more))
-    return events
+LATE = [ev(20.0, "up", node="n9")]
 
 
-def fine(ident: str = "a", at_s: float = 0.0, call: int = 1, **more: Any) -> list[Event]:
-    return [*handed(at_s, ident, **more), *called(at_s + 0.1, ident, call)]
+KILLED = [ev(0.5, "killed"), ev(0.5, "ended", status=-9)]
 
 
-KEY_BACKOFF_S = 1.0
-LATE = [ev(20.0, "up", node="n9")]
-KILLED = [ev(0.5, "killed"), ev(0.5, "ended", status=-9)]
 CLEAN: dict[str, list[Event]] = {
     "delivered": fine(),
     "refused by the endpoint and sent again": [*handed(0, "a"), *called(0.1, "a", 1, 503), *called(1, "a", 2)],
@@ -119,6 +93,8 @@
         *LATE,
     ],
 }
+
+
 BROKEN: dict[str, tuple[str, list[Event]]] = {
     "no end at all": ("lost", [*handed(0, "a"), *LATE]),
     "an end too late": ("lost", [*handed(0, "a"), ev(5.6, "notice", "a", state="failed"), *LATE]),
@@ -207,7 +183,7 @@
 
 
 @pytest.mark.parametrize("events", CLEAN.values(), ids=CLEAN)
-def test_nothing_is_found_in_a_clean_record(events: list[Event]) -> None:
+def test_nothing_is_found_in_clean_events(events: list[Event]) -> None:
     assert check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings == []
 
 
@@ -216,98 +192,3 @@
     found = check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings
     assert {f.rule for f in found} == {rule}
     assert all(f.id in f.text or f.id for f in found if rule not in ("cold", "crash"))
-
-
-def test_the_way_of_a_message_goes_over_all_its_ids() -> None:
-    events = [*fine("a", number=3), *fine("b", 2.0, 2, number=3), *fine("c", 3.0, 3, number=4)]
-    assert {e.id for e in message_history(events, "b")} == {"a", "b"}
-    assert message_history(events, "x") == []
-
-
-def served(shares: list[float]) -> list[Event]:
-    """Ten messages in each half second; a share of them is delivered at once."""
-    events = []
-    for n, share in enumerate(shares):
-        for k in range(10):
-            number, at = n * 10 + k, n * 0.5 + k * 0.05
-            events += [
-                ev(at, "asked", number=number, state=STATUS_CLASS),
-                ev(at, "handed", f"m{number}", number=number, state=STATUS_CLASS, destination=7),
-            ]
-            if k < share * 10:
-                events.append(ev(at + 0.1, "answered", f"m{number}", status=200))
-    return events
-
-
-@pytest.mark.parametrize(
-    ("after", "full_s"),
-    [
-        ([1.0] * 24, 0.0),
-        ([0.0] * 8 + [1.0] * 16, 4.0),
-        ([0.0] * 4 + [1.0] * 4 + [0.0] * 4 + [1.0] * 12, 6.0),  # a second dip: not yet full
-        ([0.5] * 24, None),
-    ],
-)
-def test_time_to_full_service(after: list[float], full_s: float | None) -> None:
-    got = metrics.ServiceLevel(served([1.0] * 10 + after)).time_to_full_service(5.0, 0.0, 17.0)
-    assert got == full_s if full_s is None else got is not None and abs(got - full_s) <= 0.25
-
-
-def test_late_deliveries_earn_less_and_those_past_the_deadline_nothing() -> None:
-    events = []
-    for n, (cls, took, _) in enumerate(WORTHS):
-        events += [
-            ev(float(n), "asked", number=n, state=cls),
-            ev(float(n), "handed", f"m{n}", number=n, state=cls),
-            ev(n + took, "answered", f"m{n}", status=200),
-        ]
-    s = metrics.ServiceLevel(sorted(events, key=lambda e: e.at_s))
-    for n, (_, _, worth) in enumerate(WORTHS):
-        assert s.share(n, n + 0.5, metrics.Weight.EARNED) == pytest.approx(worth)
-
-
-WORTHS = [
-    (STATUS_CLASS, 0.9, 1.0),
-    (STATUS_CLASS, 3.0, 0.5),
-    (STATUS_CLASS, 5.1, 0.0),
-    (REFUND_CLASS, 2.0, 1.0),
-    (REFUND_CLASS, 28.0, 0.4),
-    (REFUND_CLASS, 29.0, 0.0),
-]
-
-
-def test_the_worst_second_is_told_over_the_steady_one() -> None:
-    events = [ev(n / 2, "listed") for n in range(20)] + [ev(10.5, "listed")] * 9
-    row = metrics.per_second(sorted(events, key=lambda e: e.at_s), "listed", 12.0)
-    assert metrics.worst_over_steady(row, 2.0, 10.0) == pytest.approx(4.5)
-    assert metrics.worst_over_steady([0] * 12, 2.0, 10.0) is None
-
-
-def test_the_steps_of_a_return_are_told_apart() -> None:
-    seen = [
-        ev(1.0, "handed", "m"),
-        ev(2.0, "killed", node="n0"),
-        ev(2.0, "killed", node="n1"),
-        ev(2.5, "started", node="n0"),
-        ev(2.6, "started", node="n1"),
-        ev(2.9, "up", node="n0"),
-        ev(3.0, "noticed", node="n1"),
-        ev(3.1, "listed", node="n0", status=503),
-        ev(3.5, "listed", node="n2", status=200),
-        ev(3.7, "listed", node="n0", status=200),
-        ev(3.8, "up", node="n1"),
-        ev(4.0, "handed", "late", node="n1"),
-        ev(5.0, "answered", "m", status=200),
-        ev(6.0, "answered", "late", status=200),
-    ]
-    got = metrics.restart_steps(seen, 2.0)
-    assert {name: value and round(value, 6) for name, value in got.items()} == {
-        "backlog_s": 1.2,
-        "notice_s": 1.0,
-        "notice_longest_s": 1.0,
-        "start_s": 1.2,
-        "start_longest_s": 1.2,
-        "list_s": 1.2,
-        "list_longest_s": 1.2,
-    }
-    assert set(metrics.restart_steps(seen[:1], 2.0).values()) == {None}
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -5,12 +5,8 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import re
 import shutil
-import socket
-import subprocess
-import sys
 from collections import Counter
 from pathlib import Path
 from typing import Any
@@ -19,10 +15,8 @@
 import pytest
 from click.testing import CliRunner
 
-from lab import hold_reasons, metrics, plan, run, testbed
+from lab import hold_reasons, metrics, plan, run
 from lab.__main__ import cli
-from lab.addresses import Role, host_for
-from lab.errors import LabError
 from lab.result import Result
 from lab.scenario import Endpoints, Fault, Fleet, Front, Limits, Load, Scenario, Time
 from tests.sockets import ROOT
@@ -189,26 +183,6 @@
     assert result.metrics["delivered"] > 0.3 * result.metrics["asked"]
 
 
-@pytest.mark.parametrize(("rooms", "needless"), [((True, True, True), 3.0), ((True, False, True), 0.0), ((), 0.0)])
-def test_seconds_are_needless_only_where_there_was_room_all_the_time(rooms: tuple[bool, ...], needless: float) -> None:
-    said = 'ok {"held":[[7,"refusjon","window",%d]],"refused":[[7,"refusjon","window",%d]]}'
-    looks = [
-        hold_reasons.parse_report(at, "n0", start, said % (us, n))
-        for at, start, us, n in ((1.0, 1, 1_000_000, 2), (2.0, 1, 4_000_000, 5), (3.0, 2, 500_000, 1))
-    ]
-    found = hold_reasons.hold_rows(
-        hold_reasons.HoldReports(
-            [look for look in looks if look is not None],
-            [hold_reasons.CapacitySample(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(rooms)],
-        )
-    )
-    assert [(row.held_s, row.refused) for row in found] == [(1.0, 2), (3.0, 3), (0.5, 1)], "a restart begins anew"
-    assert found[1].needless_s == needless
-    assert found[1].refused_weight == 6.0
-    assert hold_reasons.parse_report(1.0, "n0", 1, "fail not open") is None
-    assert hold_reasons.format_table([], 1.0) == ["nothing was held"]
-
-
 def test_kills_aimed_at_the_narrowest_moments_break_no_rule(tmp_path: Path) -> None:
     """Between a journal's write and the 202, a call's last byte and its answer, a notice and its 204; each twice."""
     aimed = [
@@ -328,52 +302,3 @@
     )
     result, _ = play(told, tmp_path / "out", tmp_path)
     assert rule in {f.rule for f in result.findings}
-
-
-# The lab's own faults: none may pass for a result
-
-
-def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run(
-        [sys.executable, "-m", "lab", *words],
-        cwd=ROOT,
-        capture_output=True,
-        text=True,
-        timeout=100,
-        env={**os.environ, **environment},
-    )
-
-
-def test_a_program_that_does_not_start_is_no_result(tmp_path: Path) -> None:
-    (tmp_path / "forwarder").mkdir()
-    (tmp_path / "forwarder/__main__.py").write_text("raise SystemExit('no such luck')\n")
-    done = command(
-        "run", "lab/scenarios/herd.toml", "--nodes", "2", "--program", str(tmp_path), "--out", str(tmp_path / "out")
-    )
-    assert done.returncode == 2
-    assert "did not start: no such luck" in done.stderr
-    assert not (tmp_path / "out/result.json").exists()
-
-
-def test_a_bad_scenario_ends_with_2_and_names_the_key(tmp_path: Path) -> None:
-    (tmp_path / "x.toml").write_text('name = "x"\n[load]\nper_nod = 3\n')
-    done = command("run", str(tmp_path / "x.toml"))
-    assert done.returncode == 2
-    assert "per_nod" in done.stderr
-    assert "herd.toml" in command("list").stdout
-
-
-@pytest.mark.parametrize(("late_ms", "findings", "verdict"), [(9.0, 0, 0), (9.0, 1, 1), (300.0, 0, 2), (300.0, 1, 2)])
-def test_a_late_lab_gives_no_result(late_ms: float, findings: int, verdict: int) -> None:
-    result = Result("x", 1, 1, [], 0, {}, {"most": late_ms}, {}, {}, ["a limit"] * findings, late_ms < 250.0)
-    assert result.exit_status() == verdict
-
-
-def test_an_address_that_is_taken_is_no_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    told = plan.make(scenario())
-    with socket.socket() as taken:
-        taken.bind((host_for(Role.ENDPOINT, 3, 2), 0))
-        taken.listen()
-        monkeypatch.setattr(testbed, "free_port", lambda: taken.getsockname()[1])
-        with pytest.raises(LabError, match="address"):
-            asyncio.run(run.run(told, tmp_path, ROOT))
