--- a/benchmarks/accept.py
+++ b/benchmarks/accept.py
@@ -1,9 +1,9 @@
-"""Time from a hand-in to its 202, of two checkouts in interleaved pairs.
+"""Time from a submission to its 202, of two checkouts in interleaved pairs.
 
     python -m benchmarks.accept OTHER [PAIRS] [MESSAGES]
 
-A is the checkout in OTHER, B the one this runs in. Clients hand in one message after another on kept connections; an
-endpoint answers at once. Prints median and 99th percentile of both, the messages taken on for each second of processor
+A is the checkout in OTHER, B the one this runs in. Clients submit one message after another on kept connections; an
+endpoint answers at once. Prints median and 99th percentile of both, the messages accepted for each second of processor
 time, and the ratios B/A pair by pair.
 """
 
@@ -15,68 +15,94 @@
 import sys
 import tempfile
 import time
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from pathlib import Path
 
 import tests.sockets as sockets
+from benchmarks.summary import percentile
 from tests.sockets import OK, Node, Peer, Platform, always
 
 CLIENTS = 8
-TICKS = os.sysconf("SC_CLK_TCK")
+DEFAULT_PAIRS = 5
+DEFAULT_MESSAGES = 4000
+MAX_OPEN_MESSAGES = 5000
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+STAT_USER_TICKS = 11
+"""A field of /proc/PID/stat behind the command's name, as the next."""
+STAT_SYSTEM_TICKS = 12
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Of one run: times in milliseconds."""
+    """What one run has measured. Times in milliseconds."""
 
     median: float
     p99: float
     per_cpu_s: float
+    """Messages accepted for each second of the forwarder's processor time."""
+
+
+@dataclass(frozen=True, slots=True)
+class Pair:
+    """A run of each checkout."""
+
+    a: Figures
+    b: Figures
+
+    def ratio(self, name: str) -> float:
+        """Return a figure of B over that of A."""
+        of_a: float = getattr(self.a, name)
+        of_b: float = getattr(self.b, name)
+        return of_b / of_a
 
 
 def processor_s(pid: int) -> float:
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    """Return the processor time that a process has used, in seconds."""
+    stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(stat[STAT_USER_TICKS]) + int(stat[STAT_SYSTEM_TICKS])) / CLOCK_TICKS_PER_S
 
 
-async def hand_in(node: Node, whose: int, count: int, took_ms: list[float]) -> None:
+async def submit(node: Node, client_number: int, count: int, took_ms: list[float]) -> None:
+    """Submit messages one after another, and add the time to each 202."""
     client = await node.client()
     for number in range(count):
-        began = time.perf_counter()
-        status, _ = await client.hand_in(f"{whose}-{number}", "status")
+        began_s = time.perf_counter()
+        status, _ = await client.hand_in(f"{client_number}-{number}", "status")
         if status == 202:
-            took_ms.append((time.perf_counter() - began) * 1000)
+            took_ms.append((time.perf_counter() - began_s) * 1000)
     client.writer.close()
 
 
 async def run(program: Path, messages: int) -> Figures:
-    """One process of that program."""
+    """Measure one process of a checkout."""
     sockets.ROOT = program
     with tempfile.TemporaryDirectory() as folder:
-        platform, peer = await Platform().start(), await Peer(always(OK)).start()
+        platform = await Platform().start()
+        peer = await Peer(always(OK)).start()
         platform.host("s1", peer.port)
-        node = await Node(Path(folder), platform, max_open=5000).start()
+        node = await Node(Path(folder), platform, max_open=MAX_OPEN_MESSAGES).start()
         await platform.got(1)
         took_ms: list[float] = []
         before_s = processor_s(node.process.pid)
-        await asyncio.gather(*(hand_in(node, whose, messages // CLIENTS, took_ms) for whose in range(CLIENTS)))
+        await asyncio.gather(*(submit(node, number, messages // CLIENTS, took_ms) for number in range(CLIENTS)))
         used_s = processor_s(node.process.pid) - before_s
         await node.end()
-    took_ms.sort()
-    return Figures(statistics.median(took_ms), took_ms[len(took_ms) * 99 // 100], len(took_ms) / max(used_s, 1e-9))
+    return Figures(statistics.median(took_ms), percentile(took_ms, 99), len(took_ms) / max(used_s, 1e-9))
 
 
 def main() -> None:
+    """Play the pairs, and print the ratios."""
     other = Path(sys.argv[1]).resolve()
-    pairs = int(sys.argv[2]) if len(sys.argv) > 2 else 5
-    messages = int(sys.argv[3]) if len(sys.argv) > 3 else 4000
-    rows = []
-    for _ in range(pairs):
-        rows.append((asyncio.run(run(other, messages)), asyncio.run(run(Path.cwd(), messages))))
-        print(f"A {rows[-1][0]}  B {rows[-1][1]}")
-    for name in ("median", "p99", "per_cpu_s"):
-        ratios = [getattr(b, name) / getattr(a, name) for a, b in rows]
-        print(f"{name} B/A: median {statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})")
+    pair_count = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_PAIRS
+    messages = int(sys.argv[3]) if len(sys.argv) > 3 else DEFAULT_MESSAGES
+    pairs = []
+    for _ in range(pair_count):
+        pair = Pair(asyncio.run(run(other, messages)), asyncio.run(run(Path.cwd(), messages)))
+        pairs.append(pair)
+        print(f"A {pair.a}  B {pair.b}")
+    for field in fields(Figures):
+        ratios = [pair.ratio(field.name) for pair in pairs]
+        print(f"{field.name} B/A: median {statistics.median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -12,53 +12,84 @@
 import sys
 import tempfile
 import time
+from collections import defaultdict
+from dataclasses import astuple, dataclass
 from pathlib import Path
 
+from benchmarks.summary import format_range, percentile
 from tests.sockets import OK, Node, Peer, Platform, always
 
 LEVELS = (None, "none", "interval", "data")
-ONE_BY_ONE, AT_ONCE, CLIENTS = 150, 400, 16
+"""Levels of durability; None runs without an extensions file."""
+DEFAULT_PAIRS = 5
+SEQUENTIAL_MESSAGES = 150
+CONCURRENT_MESSAGES = 400
+CLIENTS = 16
 
 
-async def played(level: str | None, folder: Path) -> tuple[float, float, float]:
-    """Median and 99th percentile of the time to the 202, in ms, and messages a second from many clients."""
+@dataclass(frozen=True, slots=True)
+class Figures:
+    """What one run has measured."""
+
+    median_ms: float
+    """To the 202, of messages one after another."""
+    p99_ms: float
+    messages_per_s: float
+    """From many clients at once."""
+
+
+async def measure(level: str | None, folder: Path) -> Figures:
+    """Measure one process at a level of durability."""
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
     platform.host("s1", peer.port)
     node = Node(folder, platform)
     if level is not None:
-        (folder / "parts.toml").write_text(f'[journal]\ndurability = "{level}"\n')
-        node.arguments = ["--parts", str(folder / "parts.toml")]
+        extensions = folder / "parts.toml"
+        extensions.write_text(f'[journal]\ndurability = "{level}"\n')
+        node.arguments = ["--parts", str(extensions)]
     await node.start()
-    times = []
-    for n in range(ONE_BY_ONE):
-        began = time.monotonic()
-        assert (await node.hand_in(f"a{n}"))[0] == 202
-        times.append((time.monotonic() - began) * 1000)
-
-    async def client(k: int) -> None:
-        for n in range(AT_ONCE // CLIENTS):
-            await node.hand_in(f"b{k}-{n}")
-
-    began = time.monotonic()
-    await asyncio.gather(*(client(k) for k in range(CLIENTS)))
-    rate = AT_ONCE / (time.monotonic() - began)
+    took_ms = await _submit_sequentially(node)
+    messages_per_s = await _submit_concurrently(node)
     await node.end()
-    times.sort()
-    return statistics.median(times), times[len(times) * 99 // 100], rate
+    return Figures(statistics.median(took_ms), percentile(took_ms, 99), messages_per_s)
+
+
+async def _submit_sequentially(node: Node) -> list[float]:
+    took_ms = []
+    for number in range(SEQUENTIAL_MESSAGES):
+        began_s = time.monotonic()
+        status, _ = await node.hand_in(f"a{number}")
+        assert status == 202
+        took_ms.append((time.monotonic() - began_s) * 1000)
+    return took_ms
+
+
+async def _submit_concurrently(node: Node) -> float:
+    """Return the messages a second that many clients get through."""
+
+    async def submit(client: int) -> None:
+        """Submit one client's messages."""
+        for number in range(CONCURRENT_MESSAGES // CLIENTS):
+            await node.hand_in(f"b{client}-{number}")
+
+    began_s = time.monotonic()
+    await asyncio.gather(*(submit(client) for client in range(CLIENTS)))
+    return CONCURRENT_MESSAGES / (time.monotonic() - began_s)
 
 
 def main() -> None:
-    pairs = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    found: dict[str, list[tuple[float, float, float]]] = {}
+    """Play each level in turn, and print its figures."""
+    pairs = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_PAIRS
+    found: defaultdict[str, list[Figures]] = defaultdict(list)
     for _ in range(pairs):
         for level in LEVELS:
             with tempfile.TemporaryDirectory(dir=Path.cwd()) as folder:
-                found.setdefault(str(level), []).append(asyncio.run(played(level, Path(folder))))
-    for level, rows in found.items():
-        columns = [sorted(column) for column in zip(*rows, strict=True)]
-        print(level, *(f"{statistics.median(c):.2f} ({c[0]:.2f} to {c[-1]:.2f})" for c in columns), sep=" | ")
+                found[str(level)].append(asyncio.run(measure(level, Path(folder))))
+    for level_name, rows in found.items():
+        columns = zip(*(astuple(row) for row in rows), strict=True)
+        print(level_name, *(format_range(column, 2) for column in columns), sep=" | ")
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.flood [CLIENTS] [SECONDS]
 
-Beside them one client hands messages in as usual: each has to be taken on.
+Beside them one client submits messages as usual: each has to be accepted.
 """
 
 from __future__ import annotations
@@ -13,87 +13,121 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass, field
 from pathlib import Path
 
 from tests.sockets import Node, Platform, message
 
-PIECE = message("flood", "nowhere", body=b"x" * 200) * 500
+BLOCK = message("flood", "nowhere", body=b"x" * 200) * 500
 PAUSE_S = 0.05
+DEFAULT_CLIENTS = 100
+DEFAULT_SECONDS = 8.0
+MAX_OPEN_MESSAGES = 10_000
+MAX_DESCRIPTORS = 256
+MAX_STEADY_MESSAGES = 1_000_000
+UNUSED_PORT = 9
 
 
-def used(pid: int) -> tuple[float, int]:
-    """Resident memory in MB, and open descriptors."""
+@dataclass(frozen=True, slots=True)
+class Usage:
+    """What a process uses."""
+
+    resident_mb: float
+    descriptors: int
+
+
+@dataclass(slots=True)
+class SteadyClient:
+    """What came of the messages that were submitted beside the flood."""
+
+    accepted_ms: list[float] = field(default_factory=list)
+    """Times to the 202."""
+    other_statuses: list[int] = field(default_factory=list)
+    """0: no answer came."""
+
+
+def usage_of(pid: int) -> Usage:
+    """Return what a process uses now."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return pages * os.sysconf("SC_PAGE_SIZE") / 1e6, len(os.listdir(f"/proc/{pid}/fd"))
+    return Usage(pages * os.sysconf("SC_PAGE_SIZE") / 1e6, len(os.listdir(f"/proc/{pid}/fd")))
 
 
-async def flood(host: str, port: int, sent: list[int], end: float) -> None:
-    """Send until the end; come again whenever the forwarder has let go."""
-    while time.monotonic() < end:
+async def flood_from_client(host: str, port: int, end_s: float) -> int:
+    """Send until the end, and connect again whenever the forwarder has closed. Returns the bytes that were sent."""
+    sent_bytes = 0
+    while time.monotonic() < end_s:
         try:
             _, writer = await asyncio.open_connection(host, port)
-            while time.monotonic() < end:
-                writer.write(PIECE)
-                async with asyncio.timeout(max(0.001, end - time.monotonic())):
+            while time.monotonic() < end_s:
+                writer.write(BLOCK)
+                async with asyncio.timeout(max(0.001, end_s - time.monotonic())):
                     await writer.drain()
-                sent[0] += len(PIECE)
+                sent_bytes += len(BLOCK)
         except (OSError, TimeoutError):
             await asyncio.sleep(PAUSE_S)
+    return sent_bytes
 
 
-async def floods(host: str, port: int, clients: int, seconds: float) -> None:
-    """In a process of its own, so that the client beside them is not held up by their sending."""
-    sent, end = [0], time.monotonic() + seconds
-    await asyncio.gather(*(flood(host, port, sent, end) for _ in range(clients)))
-    print(f"{clients} clients sent {sent[0] / 1e6:.0f} MB in {seconds:.0f} s")
+async def flood(host: str, port: int, clients: int, seconds: float) -> None:
+    """Send from many clients, in a process of its own: the client beside them is not held up by their sending."""
+    end_s = time.monotonic() + seconds
+    sent_bytes = await asyncio.gather(*(flood_from_client(host, port, end_s) for _ in range(clients)))
+    print(f"{clients} clients sent {sum(sent_bytes) / 1e6:.0f} MB in {seconds:.0f} s")
 
 
-async def steady(node: Node, took: list[float], refused: list[int]) -> None:
-    for n in range(1_000_000):
-        began = time.perf_counter()
+async def submit_steadily(node: Node, client: SteadyClient) -> None:
+    """Submit one message after another, until it is cancelled."""
+    for number in range(MAX_STEADY_MESSAGES):
+        began_s = time.perf_counter()
         try:
-            status, _ = await node.hand_in(f"m{n}", "status")
+            status, _ = await node.hand_in(f"m{number}", "status")
         except (OSError, asyncio.IncompleteReadError):
             status = 0
         if status == 202:
-            took.append((time.perf_counter() - began) * 1000)
+            client.accepted_ms.append((time.perf_counter() - began_s) * 1000)
         else:
-            refused.append(status)
+            client.other_statuses.append(status)
         await asyncio.sleep(PAUSE_S)
 
 
 async def run(folder: Path, clients: int, seconds: float) -> None:
+    """Measure one forwarder under a flood, and print what it used."""
     platform = await Platform().start()
-    platform.host("s1", 9)
-    node = await Node(folder, platform, max_open=10_000).start()
-    before = used(node.process.pid)
-    took, refused = list[float](), list[int]()
-    sending = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.flood", str(clients), str(seconds), node.host, str(node.port)
-    )
-    beside = asyncio.create_task(steady(node, took, refused))
-    looks = [before]
-    while sending.returncode is None:
+    platform.host("s1", UNUSED_PORT)
+    node = await Node(folder, platform, max_open=MAX_OPEN_MESSAGES).start()
+    usages = [usage_of(node.process.pid)]
+    client = SteadyClient()
+    arguments = [str(clients), str(seconds), node.host, str(node.port)]
+    flooding = await asyncio.create_subprocess_exec(sys.executable, "-m", "benchmarks.flood", *arguments)
+    submitting = asyncio.create_task(submit_steadily(node, client))
+    while flooding.returncode is None:
         await asyncio.sleep(PAUSE_S)
-        looks.append(used(node.process.pid))
-    beside.cancel()
-    await asyncio.gather(beside, return_exceptions=True)
+        usages.append(usage_of(node.process.pid))
+    submitting.cancel()
+    await asyncio.gather(submitting, return_exceptions=True)
     await node.end()
+    _print_figures(usages, client)
+
+
+def _print_figures(usages: list[Usage], client: SteadyClient) -> None:
+    before = usages[0]
     print(
-        f"memory {before[0]:.1f} MB before, {max(mb for mb, _ in looks):.1f} at most; "
-        f"descriptors {before[1]} and {max(n for _, n in looks)} of 256"
+        f"memory {before.resident_mb:.1f} MB before, {max(usage.resident_mb for usage in usages):.1f} at most; "
+        f"descriptors {before.descriptors} and {max(usage.descriptors for usage in usages)} of {MAX_DESCRIPTORS}"
     )
+    accepted_ms, others = client.accepted_ms, client.other_statuses
     print(
-        f"beside them {len(took)} taken on, {len(refused)} not {sorted(set(refused))}; to the 202 "
-        f"{statistics.median(took):.1f} ms, {max(took):.1f} at most"
+        f"beside them {len(accepted_ms)} taken on, {len(others)} not {sorted(set(others))}; to the 202 "
+        f"{statistics.median(accepted_ms):.1f} ms, {max(accepted_ms):.1f} at most"
     )
 
 
 def main() -> None:
-    clients = int(sys.argv[1]) if len(sys.argv) > 1 else 100
-    seconds = float(sys.argv[2]) if len(sys.argv) > 2 else 8.0
+    """Run the benchmark; with a host and a port, the flood alone."""
+    clients = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_CLIENTS
+    seconds = float(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_SECONDS
     if len(sys.argv) > 4:
-        asyncio.run(floods(sys.argv[3], int(sys.argv[4]), clients, seconds))
+        asyncio.run(flood(sys.argv[3], int(sys.argv[4]), clients, seconds))
         return
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(run(Path(folder), clients, seconds))
--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,20 +1,20 @@
-"""Measures verdicts on endpoints: how soon a fault is told, how many are false, what they are worth.
+"""Measures outlier detection: how soon a fault is found, how many ejections are false, what they gain.
 
     python -m benchmarks.health [detection|quiet|worth ...]
 
-The decisions are played by themselves, on a clock of their own: a call takes 100 ms, a quick failure 1 ms.
+The decisions are played by themselves, on a simulated clock: a call takes 100 ms, a quick failure 1 ms.
 """
 
 from __future__ import annotations
 
 import heapq
 import random
-import statistics
 import sys
-from collections import Counter
+from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from forwarder.decisions.actions import FailMessage, RejectMessage, SendAttempt, SetTimer
+from benchmarks.summary import print_values
+from forwarder.decisions.actions import Action, FailMessage, RejectMessage, SendAttempt, SetTimer
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import (
     AttemptEnded,
@@ -30,138 +30,184 @@
 from tests.test_health import LIMITS
 
 PAIRS = 9
-Fate = Callable[[int, int, random.Random], Outcome]
+DESTINATION = 10
+FAULTY_ENDPOINT = 1
+ENDPOINT_COUNTS = (2, 3, 8)
+CALL_US = 100 * MS
+FAILED_CALL_US = 1 * MS
+TIME_LEFT_US = 8 * S
+FLAP_US = 2 * S
+DETECTION_S = 120.0
+NAME_WIDTH = 62
+
+OutcomeOf = Callable[[int, int, random.Random], Outcome]
+"""Gives the outcome of a call by its endpoint, the time in microseconds, and chance."""
 
 
 class Run:
     """One destination under messages that may not be repeated: what fails is lost."""
 
-    def __init__(self, endpoints: int, on: bool, seed: int, fate: Fate, rate: float) -> None:
-        self.random, self.fate, self.rate = random.Random(seed), fate, rate
-        self.d = Dispatcher(settings(slots=8, forwarders=1, slow_start_us=10 * S), seed, 0)
-        self.health = OutlierDetector(self.d, LIMITS)
-        if on:
-            self.d.extensions.append(self.health)
-        entries = tuple(EndpointEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1))
-        self.d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
-        self.now, self.sent, self.lost, self.ends = 0, 0, 0, Counter[str]()
-        self.ejected_at = -1
-        self.heap: list[tuple[int, int, Event]] = []
-        self.count = 0
-
-    def later(self, at: int, event: Event) -> None:
-        self.count += 1
-        heapq.heappush(self.heap, (at, self.count, event))
+    def __init__(self, endpoints: int, detects: bool, seed: int, outcome_of: OutcomeOf, messages_per_s: float) -> None:
+        """Make a run.
+
+        Args:
+            endpoints: How many the destination has.
+            detects: Whether outlier detection is on.
+            seed: Of the random draws.
+            outcome_of: What becomes of calls.
+            messages_per_s: The load.
+        """
+        self.rng = random.Random(seed)
+        self.outcome_of = outcome_of
+        self.messages_per_s = messages_per_s
+        self.dispatcher = Dispatcher(settings(slots=8, forwarders=1, slow_start_us=10 * S), seed, 0)
+        self.detector = OutlierDetector(self.dispatcher, LIMITS)
+        if detects:
+            self.dispatcher.extensions.append(self.detector)
+        entries = tuple(EndpointEntry(number, DESTINATION, "north", "plain") for number in range(1, endpoints + 1))
+        self.dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
+        self.now_us = 0
+        self.submitted = 0
+        self.lost_calls = 0
+        self.undelivered = 0
+        self.ejected_at_us: int | None = None
+        self.attempts: Counter[str] = Counter()
+        self.pending: list[tuple[int, int, Event]] = []
+        """A heap of events by time and number."""
+        self.event_count = 0
+
+    def schedule(self, at_us: int, event: Event) -> None:
+        """Let an event happen at a time."""
+        self.event_count += 1
+        heapq.heappush(self.pending, (at_us, self.event_count, event))
 
     def play(self, seconds: float, until_ejected: bool = False) -> Run:
-        end, arrival = int(seconds * S), 0
-        attempts: Counter[str] = Counter()
-        while self.now < end and not (until_ejected and self.ejected_at >= 0):
-            if arrival <= self.now:
-                self.sent += 1
-                self.later(self.now, ask(f"m{self.sent}", cls="once", due=self.now + 8 * S))
-                arrival = self.now + int(self.random.expovariate(self.rate) * S)
-            self.now = max(self.now, min(arrival, self.heap[0][0] if self.heap else arrival))
-            events = []
-            while self.heap and self.heap[0][0] <= self.now:
-                events.append(heapq.heappop(self.heap)[2])
-            for a in self.d.handle(self.now, events):
-                match a:
-                    case SendAttempt(message, target):
-                        told = self.fate(target, self.now, self.random)
-                        took = 1 * MS if told is Outcome.FAILED else 100 * MS
-                        self.later(
-                            self.now + took,
-                            AttemptEnded(message, attempts[message], target, told, took, told is Outcome.DELIVERED),
-                        )
-                        attempts[message] += 1
-                        self.lost += told is not Outcome.DELIVERED
-                    case SetTimer(delay, token):
-                        self.later(self.now + delay, TimerFired(token))
-                    case FailMessage() | RejectMessage():
-                        self.ends[type(a).__name__] += 1
-            if self.ejected_at < 0 and self.health.ejections:
-                self.ejected_at = self.now
+        """Play so long, or until the first ejection. Returns itself."""
+        end_us = int(seconds * S)
+        next_arrival_us = 0
+        while self.now_us < end_us and not (until_ejected and self.ejected_at_us is not None):
+            if next_arrival_us <= self.now_us:
+                self._submit()
+                next_arrival_us = self.now_us + int(self.rng.expovariate(self.messages_per_s) * S)
+            next_event_us = self.pending[0][0] if self.pending else next_arrival_us
+            self.now_us = max(self.now_us, min(next_arrival_us, next_event_us))
+            for action in self.dispatcher.handle(self.now_us, self._due_events()):
+                self._carry_out(action)
+            if self.ejected_at_us is None and self.detector.ejections:
+                self.ejected_at_us = self.now_us
         return self
 
+    def _submit(self) -> None:
+        self.submitted += 1
+        self.schedule(self.now_us, ask(f"m{self.submitted}", cls="once", due=self.now_us + TIME_LEFT_US))
+
+    def _due_events(self) -> list[Event]:
+        events = []
+        while self.pending and self.pending[0][0] <= self.now_us:
+            events.append(heapq.heappop(self.pending)[2])
+        return events
+
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case SendAttempt(message, endpoint):
+                self._call(message, endpoint)
+            case SetTimer(delay_us, token):
+                self.schedule(self.now_us + delay_us, TimerFired(token))
+            case FailMessage() | RejectMessage():
+                self.undelivered += 1
+
+    def _call(self, message: str, endpoint: int) -> None:
+        outcome = self.outcome_of(endpoint, self.now_us, self.rng)
+        took_us = FAILED_CALL_US if outcome is Outcome.FAILED else CALL_US
+        is_delivered = outcome is Outcome.DELIVERED
+        ended = AttemptEnded(message, self.attempts[message], endpoint, outcome, took_us, is_delivered)
+        self.schedule(self.now_us + took_us, ended)
+        self.attempts[message] += 1
+        self.lost_calls += not is_delivered
+
 
-def shown(name: str, values: list[float], unit: str, digits: int = 1) -> None:
-    print(
-        f"{name:62} median {statistics.median(values):.{digits}f} {unit}, "
-        f"{min(values):.{digits}f} to {max(values):.{digits}f} ({len(values)})",
-        flush=True,
-    )
+def always(outcome: Outcome) -> OutcomeOf:
+    """Return a faulty endpoint whose calls all have one outcome."""
+    return lambda endpoint, now_us, rng: outcome if endpoint == FAULTY_ENDPOINT else Outcome.DELIVERED
 
 
-def always(outcome: Outcome) -> Fate:
-    return lambda target, now, r: outcome if target == 1 else Outcome.DELIVERED
+def half_of_the_calls(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
+    """Let half of the faulty endpoint's calls fail."""
+    return Outcome.FAILED if endpoint == FAULTY_ENDPOINT and rng.random() < 0.5 else Outcome.DELIVERED
 
 
-def half(target: int, now: int, r: random.Random) -> Outcome:
-    return Outcome.FAILED if target == 1 and r.random() < 0.5 else Outcome.DELIVERED
+def flapping(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
+    """Let the faulty endpoint fail in every other interval."""
+    is_failing = endpoint == FAULTY_ENDPOINT and now_us // FLAP_US % 2 == 0
+    return Outcome.FAILED if is_failing else Outcome.DELIVERED
 
 
-def flapping(target: int, now: int, r: random.Random) -> Outcome:
-    return Outcome.FAILED if target == 1 and now // (2 * S) % 2 == 0 else Outcome.DELIVERED
+def noise(share: float) -> OutcomeOf:
+    """Return sound endpoints whose calls fail by chance."""
+    return lambda endpoint, now_us, rng: Outcome.FAILED if rng.random() < share else Outcome.DELIVERED
 
 
-FAULTS: dict[str, Fate] = {
+FAULTS: dict[str, OutcomeOf] = {
     "500 in 1 ms": always(Outcome.FAILED),
     "garbled answers": always(Outcome.UNREADABLE),
     "time-outs": always(Outcome.TIMED_OUT),
-    "half of the calls": half,
+    "half of the calls": half_of_the_calls,
     "every other 2 s": flapping,
 }
 
 
 def detection() -> None:
     """Calls lost until the first ejection, and the time to it, passive alone."""
-    for endpoints in (2, 3, 8):
-        for name, fate in FAULTS.items():
-            runs = [Run(endpoints, True, seed, fate, 20).play(120, until_ejected=True) for seed in range(PAIRS)]
-            found = [run for run in runs if run.ejected_at >= 0]
-            what = f"{name}, one of {endpoints}: "
-            if len(found) < len(runs):
-                print(f"{what}not ejected within 120 s in {len(runs) - len(found)} of {len(runs)}")
-            if found:
-                shown(what + "calls lost", [run.lost for run in found], "calls", 0)
-                shown(what + "time", [run.ejected_at / S for run in found], "s")
+    for endpoints in ENDPOINT_COUNTS:
+        for name, outcome_of in FAULTS.items():
+            runs = [
+                Run(endpoints, True, seed, outcome_of, 20).play(DETECTION_S, until_ejected=True)
+                for seed in range(PAIRS)
+            ]
+            times_s = [run.ejected_at_us / S for run in runs if run.ejected_at_us is not None]
+            lost_calls = [run.lost_calls for run in runs if run.ejected_at_us is not None]
+            label = f"{name}, one of {endpoints}: "
+            if len(times_s) < len(runs):
+                print(f"{label}not ejected within 120 s in {len(runs) - len(times_s)} of {len(runs)}")
+            if times_s:
+                print_values(label + "calls lost", lost_calls, "calls", 0, NAME_WIDTH)
+                print_values(label + "time", times_s, "s", 1, NAME_WIDTH)
 
 
 def quiet() -> None:
     """False ejections of three sound endpoints in an hour at 20 messages a second, by chance failures."""
-    for noise in (0.01, 0.05, 0.1):
-
-        def fate(target: int, now: int, r: random.Random, noise: float = noise) -> Outcome:
-            return Outcome.FAILED if r.random() < noise else Outcome.DELIVERED
-
-        count = sum(Run(3, True, seed, fate, 20).play(1200).health.ejections for seed in range(3))
+    for share in (0.01, 0.05, 0.1):
+        count = sum(Run(3, True, seed, noise(share), 20).play(1200).detector.ejections for seed in range(3))
         # The count is Poisson's; these bounds hold its mean with some 95%.
-        least, most = max(0.0, (count + 1 - 2 * (count + 1) ** 0.5)), count + 2 + 2 * (count + 1) ** 0.5
-        print(f"noise {noise:4}: {count} false ejections, so {least if count else 0:.0f} to {most:.0f}", flush=True)
+        margin = 2 * (count + 1) ** 0.5
+        least = max(0.0, count + 1 - margin) if count else 0.0
+        most = count + 2 + margin
+        print(f"noise {share:4}: {count} false ejections, so {least:.0f} to {most:.0f}", flush=True)
 
 
 def worth() -> None:
     """Share of messages lost with one endpoint that fails at once, on against off, in pairs by seed."""
-    for endpoints in (2, 3, 8):
-        for rate in (5, 20, 60):
-            shares: dict[bool, list[float]] = {True: [], False: []}
+    for endpoints in ENDPOINT_COUNTS:
+        for messages_per_s in (5, 20, 60):
+            shares: defaultdict[str, list[float]] = defaultdict(list)
             for seed in range(PAIRS):
-                for on in (False, True):
-                    run = Run(endpoints, on, seed, FAULTS["500 in 1 ms"], rate).play(120)
-                    shares[on].append(100 * (run.ends["Fail"] + run.ends["Refuse"]) / run.sent)
-            for on, values in shares.items():
-                shown(
-                    f"one of {endpoints} fails, {rate} messages a second, {'on' if on else 'off'}",
-                    values,
-                    "% not delivered",
-                    2,
-                )
+                for name, detects in (("off", False), ("on", True)):
+                    run = Run(endpoints, detects, seed, FAULTS["500 in 1 ms"], messages_per_s).play(DETECTION_S)
+                    shares[name].append(100 * run.undelivered / run.submitted)
+            for name in ("on", "off"):
+                label = f"one of {endpoints} fails, {messages_per_s} messages a second, {name}"
+                print_values(label, shares[name], "% not delivered", 2, NAME_WIDTH)
+
+
+BENCHMARKS: dict[str, Callable[[], None]] = {"detection": detection, "quiet": quiet, "worth": worth}
+
 
+def main() -> None:
+    """Play the benchmarks that the command line names, or all."""
+    for name in sys.argv[1:] or list(BENCHMARKS):
+        print(f"-- {name}: {BENCHMARKS[name].__doc__}")
+        BENCHMARKS[name]()
 
-PARTS: dict[str, Callable[[], None]] = {"detection": detection, "quiet": quiet, "worth": worth}
 
 if __name__ == "__main__":
-    for part in sys.argv[1:] or list(PARTS):
-        print(f"-- {part}: {PARTS[part].__doc__}")
-        PARTS[part]()
+    main()
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -11,7 +11,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from benchmarks import gates
+from benchmarks import hold_reasons
 from forwarder.decisions.actions import RejectMessage, SendAttempt
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import (
@@ -239,11 +239,13 @@
     )
     (tmp_path / "n1").mkdir()
     (tmp_path / "n1/log").write_text(line + "pace by our share of the limit 2.5 s\n" + line + "nothing")
-    rows, refused = gates.added(tmp_path)
+    sums = hold_reasons.add_up(tmp_path)
+    rows, refused = sums.held_s, sums.refused
     assert rows[0] == {"window": 1.0, "told wait": 0.5, "pace by our share of the limit": 2.5}
     assert rows[1]["window"] == 3.0
     assert rows[2] == {"outage": 2.0}
-    assert refused == {(7, "outage"): 3}
-    assert gates.table(rows)[1].startswith("window")
-    assert "4" not in gates.table(rows)[1][:40]
-    assert all(gate.value in gates.gates(f"state: x; held by: {gate.value} 1.5 s") for gate in HoldReason)
+    assert refused == {hold_reasons.Refusal(7, "outage"): 3}
+    assert hold_reasons.format_table(rows)[1].startswith("window")
+    assert "4" not in hold_reasons.format_table(rows)[1][:40]
+    for reason in HoldReason:
+        assert hold_reasons.parse_state_line(f"state: x; held by: {reason.value} 1.5 s") == {reason.value: 1.5}
