--- a/forwarder/__init__.py
+++ b/forwarder/__init__.py
@@ -1,4 +1,4 @@
-"""forwarder: the decisions of a dispatcher of notifications to outside receivers."""
+"""A message forwarder: its decisions (`decisions`), and the program that applies them on sockets (`runtime`)."""
 
 from forwarder.decisions.dispatcher import Dispatcher
 
--- a/tests/test_operators.py
+++ b/tests/admin/test_commands.py
@@ -52,7 +52,7 @@
     play(scene, tmp_path)
 
 
-def test_a_forwarder_that_stops_is_not_well(tmp_path: Path) -> None:
+def test_health_fails_once_a_shutdown_has_begun(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
-def test_an_endpoint_left_out_gets_nothing_new_until_the_call_back(tmp_path: Path, sign: int) -> None:
+def test_a_disabled_endpoint_gets_nothing_new_until_it_is_enabled(tmp_path: Path, sign: int) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         one, two = await target(platform, always(OK)), await target(platform, always(OK), "s2")
         node = await node_on(folder, platform)
@@ -150,7 +150,7 @@
     play(scene, tmp_path)
 
 
-def test_only_an_id_that_was_once_listed_can_be_left_out(tmp_path: Path) -> None:
+def test_only_an_id_that_was_once_listed_can_be_disabled(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         await target(platform, always(OK), "s2")
@@ -169,7 +169,7 @@
     play(scene, tmp_path)
 
 
-def test_an_endpoint_used_again_is_cold() -> None:
+def test_an_endpoint_that_is_enabled_again_warms_up() -> None:
     d = started()
     d.handle(0, [EndpointDisabled(1, 0), EndpointDisabled(2, 0)])
     assert not sends(d.handle(S, [ask("a"), ask("b"), ask("c")]))
@@ -232,7 +232,7 @@
     return told
 
 
-def test_of_a_broken_file_nothing_is_taken(tmp_path: Path) -> None:
+def test_a_reload_of_a_broken_file_changes_nothing(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
--- a/tests/test_parts.py
+++ b/tests/config/test_extensions_file.py
@@ -153,7 +153,7 @@
     asyncio.run(played())
 
 
-def test_a_bad_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_a_malformed_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
     async def scene(platform: Platform) -> None:
         node = Node(tmp_path, platform)
         (tmp_path / "parts.toml").write_text(GOOD + "colour = 1")
@@ -194,7 +194,7 @@
 )
 
 
-def test_without_the_flag_nothing_of_it_is_loaded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_flag_no_module_of_an_extension_is_loaded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
 
     async def scene(platform: Platform) -> None:
@@ -215,7 +215,7 @@
     run(scene)
 
 
-def test_without_the_flag_the_bytes_on_the_wire_are_as_ever(tmp_path: Path) -> None:
+def test_without_the_flag_the_bytes_on_the_wire_are_as_before(tmp_path: Path) -> None:
     """To the letter: what a client reads, and what an endpoint reads."""
 
     async def scene(platform: Platform) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/runtime/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one folder: what the old one has passes to the new one whole, or stays where it is."""
+"""Two processes on one folder: what the old one has passes to the new one complete, or stays where it is."""
 
 from __future__ import annotations
 
@@ -103,7 +103,7 @@
     play(scene, tmp_path)
 
 
-def test_bans_waits_drains_and_owed_ends_pass_to_the_new_process(tmp_path: Path) -> None:
+def test_disabled_endpoints_retry_after_drains_and_pending_notices_pass_to_the_new_process(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         told = Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
         one, two = await target(platform, always(told)), await target(platform, always(OK), "s2", block=8)
@@ -198,9 +198,9 @@
     """Until the old process has had enough of it."""
 
 
-@pytest.mark.parametrize("heir", [dies_at_once, dies_when_it_has_all, says_nonsense, says_nothing])
+@pytest.mark.parametrize("successor", [dies_at_once, dies_when_it_has_all, says_nonsense, says_nothing])
 def test_a_new_process_that_fails_leaves_the_old_one_as_it_was(
-    tmp_path: Path, heir: Callable[[socket.socket], None]
+    tmp_path: Path, successor: Callable[[socket.socket], None]
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
@@ -211,7 +211,7 @@
         assert (await client.hand_in("a", "pay"))[0] == 202
         await peer.got(1)
         link = ask_owner(folder)
-        await asyncio.to_thread(heir, link)
+        await asyncio.to_thread(successor, link)
         assert (await client.hand_in("b", "pay"))[0] == 202
         free.set()
         await peer.got(2)
@@ -285,10 +285,10 @@
     play(scene, tmp_path)
 
 
-def heir_of(d: Dispatcher, messages: list[Event], now: int) -> Dispatcher:
-    """A dispatcher that takes over from another, with its memory as it comes over the wire."""
+def successor_of(dispatcher: Dispatcher, messages: list[Event], now: int) -> Dispatcher:
+    """A dispatcher that takes over from another, with its learned state as it is handed over."""
     new = Dispatcher(settings(), 8, now)
-    told = json.loads(json.dumps(learned_state_to_stored(d.learned_state())))
+    told = json.loads(json.dumps(learned_state_to_stored(dispatcher.learned_state())))
     new.handle(
         now,
         [
@@ -300,7 +300,7 @@
     return new
 
 
-def test_the_module_goes_on_with_slots_waits_and_keys() -> None:
+def test_the_dispatcher_goes_on_with_slots_retry_after_and_key_order() -> None:
     d = started()
     cls = {c.name: c for c in settings().classes}["turns"]
     first = sends(d.handle(0, [ask("a", 11, cls="turns", due=9 * S, key="k")]))[0]
@@ -311,7 +311,7 @@
         MessageRecovered("a", 11, cls, 9 * S, "k", attempts=1),
         MessageRecovered("b", 11, cls, 9 * S, "k"),
     ]
-    new = heir_of(d, held, 2 * MS)
+    new = successor_of(d, held, 2 * MS)
     assert not sends(new.handle(S, [ask("y")])), "the wait still binds, and the key is still out"
     after = sends(new.handle(2 * S, [end(first, Outcome.DELIVERED)]))
     assert [s.message_id for s in after] == ["b"]
@@ -332,8 +332,8 @@
         monkeypatch.setattr(fcntl, "flock", refused)
         monkeypatch.setattr(socket.socket, "bind", refused)
 
-        async def make(heritage: object) -> str:
-            assert heritage is None
+        async def make(handover: object) -> str:
+            assert handover is None
             return "serving"
 
         assert await ownership.obtain(make) == "serving"
@@ -347,7 +347,7 @@
     assert all("not implemented" in text for text in told)
 
 
-def test_a_control_address_that_is_taken_does_not_hold_up_clients(tmp_path: Path) -> None:
+def test_an_admin_address_that_is_taken_does_not_hold_up_clients(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = Node(folder, platform)
--- a/tests/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -18,9 +18,9 @@
 from forwarder.clients.arrival_time import earliest_ns
 from forwarder.decisions.outcomes import Outcome
 from lab.shim import Failure
+from tests.runtime.test_system_faults import LARGE, answers, shimmed
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Node, Platform, Request, always, message
-from tests.test_faults import LARGE, answers, shimmed
 from tests.test_node import folder_nodes, ids, node_on, play, target
 
 KEY_REST_S = 3.0
--- a/tests/test_recovery.py
+++ b/tests/runtime/test_startup.py
@@ -1,4 +1,4 @@
-"""Coming back: the phases of a start, what it still believes, and a page that names every piece of it."""
+"""The phases of a start, what it still goes by, and the page that names every record of it."""
 
 from __future__ import annotations
 
@@ -24,18 +24,19 @@
 def test_each_phase_ends_in_time_whatever_stays_down(
     listed_s: int | None, over_s: int | None, recovering_s: int, serving_s: int
 ) -> None:
-    life, seen = StartupProgress(0, ["a"]), {}
-    life.ready(0)
+    progress = StartupProgress(0, ["a"])
+    seen = {}
+    progress.ready(0)
     for tenth in range(600):
         now = tenth * S // 10
         if listed_s is not None and now >= listed_s * S:
-            life.list_received()
-        if life.step(now, {"a"} if over_s is None or now < over_s * S else {}):
-            seen[life.phase] = now
+            progress.list_received()
+        if progress.step(now, {"a"} if over_s is None or now < over_s * S else {}):
+            seen[progress.phase] = now
     assert seen.get(StartupPhase.CATCHING_UP, recovering_s * S) == recovering_s * S
     assert seen[StartupPhase.SERVING] == serving_s * S
-    assert life.durations_us[StartupPhase.RECOVERING] <= RECOVERING_US
-    assert life.durations_us[StartupPhase.CATCHING_UP] <= CATCHING_UP_US
+    assert progress.durations_us[StartupPhase.RECOVERING] <= RECOVERING_US
+    assert progress.durations_us[StartupPhase.CATCHING_UP] <= CATCHING_UP_US
 
 
 def test_a_restart_goes_through_its_phases_and_tells_them(tmp_path: Path) -> None:
@@ -85,7 +86,7 @@
     asyncio.run(scene())
 
 
-def test_refusals_at_the_door_name_times_of_their_own() -> None:
+def test_rejected_submissions_are_told_different_times_to_come_again() -> None:
     told = {float(retry_after_jittered()) for _ in range(50)}
     assert len(told) > 40
     assert min(told) >= 0.5
