--- a/forwarder/runtime/state_log.py
+++ b/forwarder/runtime/state_log.py
@@ -42,7 +42,7 @@
 
 def _log_counts(runtime: Runtime) -> None:
     store = runtime.store
-    key_queues = runtime.dispatcher.key_queues.values()
+    key_queues = runtime.dispatcher.key_queues.by_key.values()
     log.info(
         "state: %d held, %d of them in turn by %d keys; %d calls out, %d ends owed, %d left out; "
         "%d clients, %d connections, %d descriptors; %d rounds, %.1f s of CPU; "
