--- a/tests/data/e0ee873/make.py
+++ b/tests/data/e0ee873/make.py
@@ -30,16 +30,15 @@
 
 sys.path.insert(0, os.getcwd())
 
+from lemonshunt import journal
 from lemonshunt.interface import Effect, MessageClass, Scope
 from lemonshunt.members.board import Item
 from lemonshunt.members.codec import Body, Codec, Row
+from lemonshunt.net import lease as lease_module
 from lemonshunt.net.clock import Clock
 from lemonshunt.net.store import AcceptedMessage, Store
 from lemonshunt.net.upgrade import ASK, HEAD, receive
 from lemonshunt.wirehost import Host
-
-from lemonshunt import journal
-from lemonshunt.net import lease as lease_module
 from tests import sockets
 from tests.sockets import OK, Answer, Node, Peer, Platform, always, hang, message
 
