--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -177,8 +177,12 @@
         target = self.endpoint_table.host(action.endpoint)
         if target is None or target.destination != message.destination:
             # A message that reaches an endpoint of another destination cannot be called back.
-            name = self.endpoint_table.names.get(action.endpoint)
-            log.error("held back: %s is no target of destination %d", name, message.destination)
+            log.error(
+                "held back: reason=endpoint of another destination id=%s endpoint=%s destination=%d",
+                message.id,
+                self.endpoint_table.names.get(action.endpoint),
+                message.destination,
+            )
             message.attempts += 1
             self.post(AttemptEnded(message.id, number, action.endpoint, Outcome.NOT_SENT, 0))
             return
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -40,7 +40,7 @@
 from forwarder.runtime.reload import ConfigReloader, socket_settings
 from forwarder.runtime.run_state import RunState
 from forwarder.runtime.shutdown import GracefulShutdown
-from forwarder.runtime.startup import recover_state
+from forwarder.runtime.startup import NO_LIST_VERSION, recover_state
 from forwarder.runtime.startup_phase import StartupProgress
 from forwarder.runtime.state_log import open_descriptors
 from forwarder.runtime.supervisor import Supervisor
@@ -83,50 +83,21 @@
         description = HandoverDescription() if handover is None else handover.description
         self.clock = clock or AnchoredClock(config.state_folder, description.clock_base_ns)
         settings = socket_settings(config.settings)
-        self.identity, self.start_kind = identity.claim(config.state_folder, config.name)
-        self.store = self._open_store(settings)
-        self.dispatcher = Dispatcher(settings, config.seed, self.clock())
         self.run_state = RunState()
         self.reasons = ReasonCounts()
         self.supervisor = Supervisor()
+        self.identity, self.start_kind = identity.claim(config.state_folder, config.name)
+        self.store = self._open_store(settings)
         self.invariants = Invariants(self.store, self.reasons)
+        self.dispatcher = Dispatcher(settings, config.seed, self.clock())
         self.endpoint_table = EndpointTable(
             settings.kinds, description.endpoint_numbers or {}, description.destinations
         )
-        self.intake = SubmissionIntake(
-            config.settings, self.clock, self.store, self.endpoint_table, self.reasons, self.run_state, self.post
-        )
-        self._open_sides(settings, sum(factory.descriptors for factory in extensions))
-        self.effects = Effects(
-            self.store,
-            self.pool,
-            self.endpoint_table,
-            self.invariants,
-            self.reasons,
-            self.supervisor,
-            self.post,
-            self.intake.reject_submission,
-            self.intake.reject_unavailable,
-        )
-        self.pending_notices = PendingNotices(self.store, self.invariants, self.clock, self.post)
-        self.notices = Notifier(config.discovery, self.pending_notices, self.supervisor)
-        self.endpoint_lists = EndpointListUpdates(self)
-        self.watch = EndpointListWatch(
-            config.discovery, -1, self.endpoint_lists.receive, handover is not None, self.supervisor
-        )
         self.extensions: list[Extension] = []
-        self.loop = DecisionLoop(
-            self.clock,
-            self.dispatcher,
-            self.store,
-            self.effects,
-            self.intake,
-            self.watch,
-            self.notices,
-            self.extensions,
-            self.run_state,
-            self.supervisor,
-        )
+        self._build_sides(settings, sum(factory.descriptors for factory in extensions))
+        self._build_discovery()
+        self._build_loop()
+        self.endpoint_lists = EndpointListUpdates(self)
         self.commands = AdminCommands(self)
         self.checks = PeriodicChecks(self)
         self.reloader = ConfigReloader(self)
@@ -141,11 +112,14 @@
         salt = None if self.identity is None else self.identity.salt
         return MessageStore(self.config.state_folder, self.config.disk_bytes, classes, salt)
 
-    def _open_sides(self, settings: Settings, extension_descriptors: int) -> None:
+    def _build_sides(self, settings: Settings, extension_descriptors: int) -> None:
         """Builds the clients' and the endpoints' side, with a share of the descriptors for each.
 
         The rest is for files, discovery and the listener.
         """
+        self.intake = SubmissionIntake(
+            self.config.settings, self.clock, self.store, self.endpoint_table, self.reasons, self.run_state, self.post
+        )
         descriptors = min(self.config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         client_connections = descriptors // 2 - OVERSHOOT - extension_descriptors
         self.server = ClientServer(
@@ -169,6 +143,44 @@
         )
         self.drain = ClientDrain(self.server, self.supervisor)
 
+    def _build_discovery(self) -> None:
+        """Builds what follows the endpoint list, and what notifies the platform."""
+        self.pending_notices = PendingNotices(self.store, self.invariants, self.clock, self.post)
+        self.notices = Notifier(self.config.discovery, self.pending_notices, self.supervisor)
+        self.watch = EndpointListWatch(
+            self.config.discovery,
+            NO_LIST_VERSION,
+            self._receive_endpoint_list,
+            self.handover is not None,
+            self.supervisor,
+        )
+
+    def _build_loop(self) -> None:
+        """Builds the loop around the decisions, and what applies them."""
+        self.effects = Effects(
+            self.store,
+            self.pool,
+            self.endpoint_table,
+            self.invariants,
+            self.reasons,
+            self.supervisor,
+            self.post,
+            self.intake.reject_submission,
+            self.intake.reject_unavailable,
+        )
+        self.loop = DecisionLoop(
+            self.clock,
+            self.dispatcher,
+            self.store,
+            self.effects,
+            self.intake,
+            self.watch,
+            self.notices,
+            self.extensions,
+            self.run_state,
+            self.supervisor,
+        )
+
     # What the collaborators, the extensions and the admin interface ask for
 
     def post(self, event: Event) -> None:
@@ -196,6 +208,9 @@
         """From now on, what a record precedes waits until that record is synced."""
         self.loop.syncer = syncer
 
+    def _receive_endpoint_list(self, endpoint_list: EndpointList | None) -> None:
+        self.endpoint_lists.receive(endpoint_list)
+
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
         """Follows an endpoint list, whole or in part."""
         self.endpoint_lists.apply(endpoint_list)
--- a/forwarder/runtime/intake.py
+++ b/forwarder/runtime/intake.py
@@ -91,7 +91,7 @@
             return True
         if self.clock() - self._full_logged_us > FULL_LOG_INTERVAL_US and not self.run_state.is_frozen:
             self._full_logged_us = self.clock()
-            log.warning("full: %d messages held; new ones are turned away", held)
+            log.warning("full: new submissions are rejected: held=%d", held)
         return False
 
     def withdraw_disconnected(self) -> None:
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -75,7 +75,7 @@
         limit_us = runtime.clock() - OVERDUE_US
         overdue = [message for message in runtime.store.messages.values() if message.due_us < limit_us]
         for message in overdue:
-            log.error("message %s was left without an end", message.id)
+            log.error("a message was left without an end: id=%s", message.id)
             runtime.store.owe(message.id, "failed", 0)
             if message.key is not None:  # the next of its key waits until the platform has heard of it
                 runtime.post(PendingNoticeRecovered(message.id, message.key))
