--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -10,7 +10,6 @@
 import tomllib
 from collections.abc import Container, Iterator, Sequence
 from pathlib import Path
-from typing import Any
 
 from forwarder.config.config import Address, ConfigError, parse_address
 from forwarder.simulator.adapter import MalformedInputError
@@ -33,7 +32,7 @@
     def __contains__(self, key: str) -> bool:
         return key in self._untaken
 
-    def take(self, key: str, default: Any) -> Any:
+    def take(self, key: str, default: object) -> object:
         """Takes a value of any type. A default of None: the key has to be there."""
         value = self._untaken.pop(key, default)
         if value is None:
--- a/forwarder/runtime/handover_format.py
+++ b/forwarder/runtime/handover_format.py
@@ -12,17 +12,13 @@
 import json
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 from forwarder.decisions.learned_state import LearnedState
-from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
+from forwarder.runtime.learned_state_format import StoredRecord, learned_state_from_stored, learned_state_to_stored
 
 NO_CONNECTION = -1
 """In place of an index: the call was never written to a connection."""
 
-StoredRecord = Mapping[str, Any]
-"""A JSON object of the description, under its stored keys."""
-
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
--- a/forwarder/runtime/learned_state_format.py
+++ b/forwarder/runtime/learned_state_format.py
@@ -12,6 +12,9 @@
 
 from forwarder.decisions.learned_state import CallInFlight, LearnedFields, LearnedState
 
+StoredRecord = Mapping[str, Any]
+"""A JSON object under its stored keys."""
+
 STORED_LIMIT_SCOPE_FIELDS = {
     "concurrency_window": "window",
     "expected_call_us": "mean",
@@ -40,7 +43,7 @@
 """Fields of an endpoint, each with its stored name."""
 
 
-def learned_state_to_stored(state: LearnedState) -> dict[str, Any]:
+def learned_state_to_stored(state: LearnedState) -> StoredRecord:
     """Returns the state as JSON can carry it, under its stored names."""
     return {
         "places": [
@@ -65,11 +68,11 @@
     }
 
 
-def learned_state_from_stored(stored: Mapping[str, Any]) -> LearnedState:
+def learned_state_from_stored(stored: StoredRecord) -> LearnedState:
     """Returns the state that another process has stored.
 
     Raises:
-        KeyError, TypeError, ValueError: the description is not one of learned state.
+        KeyError, TypeError, ValueError: the record is not one of learned state.
     """
     return LearnedState(
         limit_scopes=tuple(
