--- a/forwarder/runtime/reason_counts.py
+++ b/forwarder/runtime/reason_counts.py
@@ -1,7 +1,7 @@
-"""Why connections were closed, calls retried and requests refused: counted, and logged once a second at most.
+"""Counts why connections were closed, calls retried and submissions rejected, and logs that once a second at most.
 
-A line an event would cost more than the event under load; a line a reason and second, with the number of events and the
-last request or peer concerned, still says what happened to whom, and when.
+Under load, a line for each event would cost more than the event. A line for each reason and second, with the number of
+events and the last request or peer concerned, still says what happened to whom, and when.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 
 log = logging.getLogger("forwarder.reasons")
-MOST_REASONS = 200
-"""Different reasons that are kept apart; further ones are counted under OTHER_REASON."""
+MAX_REASONS = 200
+"""Reasons that are counted apart; further ones are counted under OTHER_REASON."""
 OTHER_REASON = "other"
 
 
 class Subject(enum.Enum):
-    """What a reason is given for."""
+    """What a reason is given for. The values are what the log says."""
 
     CLIENT_CLOSED = "client closed"
     ENDPOINT_CLOSED = "endpoint closed"
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class ReasonCount:
     """How often a reason was given: since the start, and since it was last logged."""
 
     total: int = 0
@@ -38,17 +38,23 @@
 
 
 class ReasonCounts:
-    """Counts reasons of one process."""
+    """The counts of one process."""
 
     def __init__(self) -> None:
-        self.counts: dict[tuple[Subject, str], Count] = {}
+        self.counts: dict[tuple[Subject, str], ReasonCount] = {}
 
     def note(self, subject: Subject, reason: str, whom: str = "") -> None:
-        """One event. A violation of a rule is logged at once, and as an error."""
+        """Counts one event. A violation of an invariant is logged at once, and as an error.
+
+        Args:
+            subject: what the reason is given for.
+            reason: one of few texts, without what differs from event to event.
+            whom: the request, peer or endpoint concerned.
+        """
         key = (subject, reason)
-        if key not in self.counts and len(self.counts) >= MOST_REASONS:
+        if key not in self.counts and len(self.counts) >= MAX_REASONS:
             key = (subject, OTHER_REASON)
-        count = self.counts.setdefault(key, Count())
+        count = self.counts.setdefault(key, ReasonCount())
         count.total += 1
         count.last = whom
         if subject is Subject.VIOLATION:
@@ -57,19 +63,17 @@
             count.unlogged += 1
 
     def report(self) -> None:
-        """Log what was noted since the last report: one line a reason."""
+        """Logs what was counted since the last report: one line for each reason."""
         for (subject, reason), count in self.counts.items():
             if count.unlogged:
                 log.info("%s: reason=%s count=%d last=%s", subject.value, reason, count.unlogged, count.last)
                 count.unlogged = 0
 
     def total(self, subject: Subject) -> int:
-        """All events of one kind since the start."""
+        """Returns the number of events of one subject since the start."""
         return sum(count.total for (about, _), count in self.counts.items() if about is subject)
 
     def summary(self, subject: Subject) -> str:
-        """The reasons of one kind with their totals, the most frequent first."""
-        rows = sorted(
-            ((count.total, reason) for (about, reason), count in self.counts.items() if about is subject), reverse=True
-        )
-        return ", ".join(f"{reason} {total}" for total, reason in rows) or "none"
+        """Returns the reasons of one subject with their totals, the most frequent first."""
+        totals = [(count.total, reason) for (about, reason), count in self.counts.items() if about is subject]
+        return ", ".join(f"{reason} {total}" for total, reason in sorted(totals, reverse=True)) or "none"
