--- a/forwarder/decisions/__init__.py
+++ b/forwarder/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the forwarder. Pure: events in, actions out; no clock, file, socket or log."""
+"""The decisions of a forwarder: a pure state machine, events in and actions out."""
--- a/forwarder/decisions/events.py
+++ b/forwarder/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events that the dispatcher takes in. Times are integer microseconds of the caller's clock."""
+"""Events that the dispatcher takes in. Times are integers in microseconds, by the caller's clock."""
 
 from __future__ import annotations
 
@@ -11,31 +11,44 @@
 
 
 class EndpointListKind(Enum):
+    """What an endpoint list says."""
+
     CHANGES = "changes"
+    """Only entries that have changed."""
     WHOLE = "whole"
+    """All entries; endpoints that are not among them have left."""
     SAVED = "saved"
+    """All entries, as they were saved before a restart; a current list may differ."""
     FAILED = "failed"
+    """The list could not be had."""
 
 
 class EndpointState(Enum):
+    """The state of an endpoint by the list."""
+
     SERVING = "serving"
     DRAINING = "draining"
+    """It finishes its calls and takes no new ones."""
     GONE = "gone"
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
+    """One endpoint of an endpoint list."""
+
     endpoint: int
     destination: int
     zone: str = ""
     kind: str = ""
+    """The name of a DestinationKind."""
     state: EndpointState = EndpointState.SERVING
     weight: float = 0.0
+    """Its capacity in calls a second, where weights are reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """The list of targets, or what changed in it, or that asking for it failed."""
+    """The endpoint list, what changed in it, or that a poll of it failed."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -43,15 +56,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListAwaited:
-    """Discovery was asked at a start, and what it holds counts as told already: until it has answered, but no longer
-    than until this time, nothing may be sent by the list that was saved.
-    """
+    """At a start, discovery was asked for the list, and nothing may be sent by the saved one until it answers."""
 
     until_us: int
+    """Without an answer, the saved list is used from this time on."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
+    """A client submitted a message, and it was accepted."""
+
     message_id: str
     destination: int
     class_name: str
@@ -59,33 +73,34 @@
     key: str | None = None
     tenant: str | None = None
     resent: bool = False
+    """The client says that it submitted it before."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRecovered:
-    """A message that was taken on before a restart, with what is known of its attempts until then."""
+    """A message that was accepted before a restart, with what is known of its attempts until then."""
 
     message_id: str
     destination: int
     message_class: MessageClass
-    """The class that it was taken on with, whatever the settings say now."""
+    """The class that it was accepted with, whatever the settings say now."""
     due_us: int
     key: str | None = None
     tenant: str | None = None
     attempts: int = 0
     maybe_ran_at_us: int = -1
-    """When its first attempt that may have run was sent, by the same clock; -1 while none may have."""
+    """When its first attempt that may have run was sent; -1 while none may have."""
     maybe_ran_on: int = -1
-    """That attempt's target."""
+    """That attempt's endpoint; -1 where there is none."""
     interrupted: bool = False
-    """An attempt was out when the process ended: it may still run."""
+    """An attempt was in flight when the process ended: it may still run."""
     local_failures: int = 0
-    """Those of its attempts that the machine could not make: they do not count as tries."""
+    """Attempts that this machine could not make; they do not count against the allowed number."""
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionRecovered:
-    """What the dispatcher told by Outage before a restart."""
+    """An ejection that was stored by EjectionChanged before a restart."""
 
     endpoint: int
     ejected_at_us: int
@@ -94,21 +109,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverReceived:
-    """The memory of the process before, which is still true. It comes after the list and the messages."""
+    """The state of the process before, at a hand-over. It comes after the list and the messages."""
 
     learned_state: LearnedState
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings hold from now on; the list follows. Messages under way keep their class."""
+    """New settings are in use from now on; an endpoint list follows. Accepted messages keep their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """Operators leave a target out: it gets nothing new, whatever the list says."""
+    """Operators disabled an endpoint: it gets nothing new, whatever the list says."""
 
     endpoint: int
     since_us: int
@@ -116,41 +131,48 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEnabled:
-    """Operators use a target again; it may have been restarted meanwhile."""
+    """Operators enabled an endpoint again; it may have been restarted meanwhile."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
+    """What an endpoint reported of its rate limit."""
+
     limit_left: float
-    """Share of the allowance that is left."""
+    """Share of the limit that is left."""
     limit_per_s: float
-    """Calls a second that the limit allows; 0 where there is none."""
+    """Calls a second that the limit allows to all forwarders; 0 where there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt has its outcome; attempts of a message count from 0 in the order of their sends."""
+    """An attempt has its outcome."""
 
     message_id: str
     attempt: int
+    """Its number among the message's attempts, from 0 in the order of their SendAttempt actions."""
     endpoint: int
     outcome: Outcome
     duration_us: int
     is_final: bool = False
+    """The message is over with it."""
     retry_after_us: int = 0
+    """The Retry-After of a rejection; 0 is none."""
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
+    """The client of a message does not wait for it any more."""
+
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoticeAcknowledged:
-    """The end that the dispatcher gave a message with a key has been heard."""
+    """The notice of a message with a key, which the dispatcher ended, was acknowledged."""
 
     message_id: str
     key: str
@@ -158,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingNoticeRecovered:
-    """An end that was given before a restart and is not confirmed yet; only messages with a key have one."""
+    """The notice of a message with a key, which was ended before a restart, is not acknowledged yet."""
 
     message_id: str
     key: str
@@ -166,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyBackoffRecovered:
-    """What the dispatcher told by KeyRest before a restart."""
+    """A backoff that was stored by KeyBackoffStarted before a restart."""
 
     key: str
     until_us: int
@@ -174,11 +196,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer of SetTimer has run out."""
+
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
+    """A health check has its outcome."""
+
     endpoint: int
     outcome: Outcome
     duration_us: int
@@ -186,7 +212,7 @@
 
 
 class ExtensionEvent:
-    """Base of the events of parts that a site may turn on; only the part knows what they say."""
+    """Base of the events of optional extensions; only the extension knows them."""
 
     __slots__ = ()
 
@@ -210,3 +236,4 @@
     | HealthCheckEnded
     | ExtensionEvent
 )
+"""Everything that `Dispatcher.handle` takes in."""
--- a/forwarder/decisions/extension.py
+++ b/forwarder/decisions/extension.py
@@ -1,4 +1,4 @@
-"""What an optional extension adds to the dispatcher's decisions."""
+"""The interface of optional extensions of the dispatcher."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class DecisionExtension(Protocol):
-    """What a part that is turned on decides with, joined to the Dispatcher by its `parts`."""
+    """The decisions of an optional extension, called by the dispatcher in whose `extensions` it is."""
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Take in an event; those of other parts are passed over."""
+        """Takes in an event; ignores those of other extensions."""
 
-    def on_outcome(self, target: int, outcome: Outcome) -> None:
-        """One message or stream has its outcome at a target."""
+    def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
+        """Takes in the outcome of a message or a stream at an endpoint."""
 
     def before_release(self) -> None:
-        """Decide once a round what the messages' release has to heed."""
+        """Decides, once a round, what the release of messages depends on."""
 
     def after_release(self) -> None:
-        """Decide once a round, after the messages."""
+        """Decides, once a round, after the release of messages."""
--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -149,7 +149,7 @@
         if isinstance(event, FleetViewChanged):
             self.quota.update(self.dispatcher.now_us, event.view)
 
-    def on_outcome(self, target: int, outcome: Outcome) -> None: ...
+    def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None: ...
 
     def before_release(self) -> None:
         self.quota.forwarders = self.dispatcher.settings.forwarders
@@ -212,12 +212,12 @@
                     )
             self.apply_gossip()
 
-    def on_outcome(self, target: int, outcome: Outcome) -> None:
+    def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
         if outcome not in TELLS_NOTHING:
-            self.touched.add(target)
-            self.ejected_by_gossip.discard(target)
+            self.touched.add(endpoint_id)
+            self.ejected_by_gossip.discard(endpoint_id)
         if outcome is Outcome.DELIVERED:
-            self.last_success_at_us[target] = self.dispatcher.now_us
+            self.last_success_at_us[endpoint_id] = self.dispatcher.now_us
 
     def apply_gossip(self) -> None:
         d, doubted = self.dispatcher, dict[str, set[int]]()
--- a/forwarder/decisions/outcomes.py
+++ b/forwarder/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""How one attempt to deliver a message can end, and what each outcome proves."""
+"""How an attempt to deliver a message can end, and what each outcome proves."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended."""
+    """How an attempt ended. The values are read by operators."""
 
     DELIVERED = "delivered"
     FAILED = "failed"
     UNREADABLE = "unreadable"
-    """An answer came, but not one that can be read: it may have run, and the target is there."""
+    """An answer came that cannot be read: the message may have run, and the endpoint is up."""
     REJECTED = "full"
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
@@ -19,7 +19,7 @@
     CANCELED = "canceled"
     NOT_SENT = "not sent"
     LOCAL_FAILURE = "held back"
-    """This machine could not send it, or may not now: a failure of its own, that says nothing of the target."""
+    """This machine could not or may not send it, which tells nothing of the endpoint."""
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT, Outcome.LOCAL_FAILURE})
@@ -27,12 +27,12 @@
 
 
 MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED})
-"""Outcomes after which the attempt may still be running: the next message of its key waits."""
+"""Outcomes after which the attempt may still run: the next message of its key waits."""
 
 
 TOO_MUCH = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
-"""Outcomes that a target gives which is sent more than it takes."""
+"""Outcomes that overload can cause."""
 
 
 TELLS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.LOCAL_FAILURE, Outcome.CANCELED, Outcome.UNREADABLE})
-"""Outcomes that tell nothing of the target's pace and health."""
+"""Outcomes that tell nothing of the endpoint's capacity and health."""
--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -110,8 +110,8 @@
     def apply_event(self, event: ExtensionEvent) -> None:
         """It lives on what the Dispatcher notices."""
 
-    def on_outcome(self, target: int, outcome: Outcome) -> None:
-        t = self.dispatcher.endpoints.get(target)
+    def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
+        t = self.dispatcher.endpoints.get(endpoint_id)
         stalled = 0 <= self.due < self.dispatcher.now_us - STALL_US
         if (
             t is None
@@ -119,7 +119,7 @@
             or (stalled and outcome is Outcome.TIMED_OUT)
         ):
             return
-        r = self.weighed(target)
+        r = self.weighed(endpoint_id)
         failed = outcome in BAD
         r.good, r.bad, r.run = r.good + (not failed), r.bad + failed, r.run + 1 if failed else 0
         if r.trial:  # under nought it has failed on trial, and begins anew with its next success
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -95,7 +95,7 @@
                 self.asked.pop(stream, None)
                 self.over(stream)
 
-    def on_outcome(self, target: int, outcome: Outcome) -> None:
+    def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
         """What it learns, the Dispatcher has learned."""
 
     def before_release(self) -> None:
