--- a/forwarder/config/config.py
+++ b/forwarder/config/config.py
@@ -14,7 +14,8 @@
 
 from forwarder.decisions.events import EndpointEntry
 from forwarder.decisions.settings import Settings
-from forwarder.simulator.adapter import MalformedInputError, parse_endpoint_entry, parse_settings, require_field
+from forwarder.protocol.checked_fields import MalformedInputError, require_field
+from forwarder.protocol.settings_format import parse_endpoint_entry, parse_settings
 
 TRANSIENT_ERRORS = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
 """Errors of open and read that may be over in a moment (open(2), read(2))."""
--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from forwarder.config.config import Address, ConfigError, parse_address
-from forwarder.simulator.adapter import MalformedInputError
+from forwarder.protocol.checked_fields import MalformedInputError
 
 
 class ExtensionTable:
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -13,9 +13,9 @@
 from forwarder.clients.listener import unread
 from forwarder.config.config import Address, EndpointList, parse_endpoint_list
 from forwarder.endpoints.pool import LOCAL_ERRORS
+from forwarder.protocol.checked_fields import MalformedInputError
 from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadResponseError, ResponseReader, render_request
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.store import PendingNotice
 
 FIRST_HOLD_MS = 1  # a start's first question is answered with what discovery holds, be it news or not
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -28,9 +28,9 @@
 from forwarder.membership.suspicion import MIN_LOG_SIZE
 from forwarder.membership.timing import Timing
 from forwarder.membership.view import INCARNATIONS_PER_START, Member, MemberPhase, MemberState, SocketAddress
+from forwarder.protocol.checked_fields import MalformedInputError
 from forwarder.runtime.extension import BaseExtension, ExtensionHost
 from forwarder.runtime.startup_phase import StartupPhase
-from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.lease import Lease
 
 SECOND = 1_000_000
--- a/forwarder/simulator/__init__.py
+++ b/forwarder/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The same decisions on the simulator's wire."""
+"""Runs the decisions against the simulator, on its wire."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,10 +32,10 @@
 from forwarder.decisions.timer_queue import MIN_RECHECK_US
 from forwarder.discovery import watch as watch_module
 from forwarder.endpoints.pool import EDGE_US, CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.protocol.settings_format import parse_settings as settings_of
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
 from forwarder.units import NEVER_US
 from tests import test_node as real
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -16,7 +16,7 @@
 from forwarder.config.config import Address
 from forwarder.discovery.watch import DiscoveryChannel, DiscoveryClient
 from forwarder.protocol.http1 import ResponseReader
-from forwarder.simulator.adapter import parse_settings
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, always, message
 from tests.test_net import call, pool
--- a/tests/test_lab_net.py
+++ b/tests/test_lab_net.py
@@ -13,7 +13,7 @@
 import pytest
 
 from forwarder.clients.listener import reset_on_close
-from forwarder.simulator.adapter import parse_settings
+from forwarder.protocol.settings_format import parse_settings
 from lab import plan, scenario
 from lab.__main__ import swept
 from lab.judge import Finding
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,9 +20,9 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
 from forwarder.endpoints.pool import CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from forwarder.storage.store import MOST_ENDED, AcceptedMessage, MessageStore
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, Skewed, always, hang, message
