--- a/forwarder/decisions/dispatcher.py
+++ b/forwarder/decisions/dispatcher.py
@@ -98,9 +98,6 @@
         self.release = MessageRelease(
             context, messages, key_queues, timers, retry_policy, estimates, limits, calls, availability
         )
-        self.state_transfer = LearnedStateTransfer(
-            context, endpoint_table, messages, key_queues, self.tenant_quotas, idle, calls
-        )
 
         # What the engine, the operators' commands and the extensions read.
         self.endpoints = endpoint_table.endpoints
@@ -108,7 +105,6 @@
         self.limit_scopes = endpoint_table.limit_scopes
         self.messages = messages.by_id
         self.hold_times = messages.hold_times
-        self.attempts = calls.attempts
         self.extensions = self.outcomes.extensions
         self._apply_settings(settings)
         self.idle_connections.trust_longest()
@@ -160,6 +156,7 @@
 
     @peers_queried_until_us.setter
     def peers_queried_until_us(self, until_us: int) -> None:
+        """Awaits the answers of other forwarders until then."""
         self.availability.peers_queried_until_us = until_us
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
@@ -248,7 +245,7 @@
             case KeyBackoffRecovered():
                 self.key_queues.restore_backoff(event.key, event.until_us)
             case HandoverReceived():
-                self.state_transfer.restore(event.learned_state)
+                self._state_transfer().restore(event.learned_state)
 
     def _apply_settings(self, settings: Settings) -> None:
         """Uses settings, the first or new ones. Held messages keep the class that they came with."""
@@ -289,4 +286,15 @@
 
     def learned_state(self) -> LearnedState:
         """Returns what was learned and is in flight, for the process that takes over."""
-        return self.state_transfer.capture()
+        return self._state_transfer().capture()
+
+    def _state_transfer(self) -> LearnedStateTransfer:
+        return LearnedStateTransfer(
+            self.context,
+            self.endpoint_table,
+            self.message_table,
+            self.key_queues,
+            self.tenant_quotas,
+            self.idle_connections,
+            self.calls,
+        )
--- a/forwarder/decisions/learned_state_transfer.py
+++ b/forwarder/decisions/learned_state_transfer.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from forwarder.decisions.call_tracker import CallTracker
 from forwarder.decisions.context import RoundContext
 from forwarder.decisions.endpoint_table import EndpointTable
@@ -106,11 +104,11 @@
                 self.key_queues.by_key[message.key].in_flight += 1
 
 
-def _learned_fields(record: Any, names: tuple[str, ...]) -> LearnedFields:
+def _learned_fields(record: object, names: tuple[str, ...]) -> LearnedFields:
     return {name: getattr(record, name) for name in names}
 
 
-def _restore_fields(record: Any, names: tuple[str, ...], fields: LearnedFields) -> None:
+def _restore_fields(record: object, names: tuple[str, ...], fields: LearnedFields) -> None:
     for name in names:
         if name in fields:
             setattr(record, name, fields[name])
--- a/forwarder/decisions/slow_start.py
+++ b/forwarder/decisions/slow_start.py
@@ -78,7 +78,7 @@
             endpoint.slow_start_jitter = self.residual_jitter()
 
     def exclude(self, endpoint: Endpoint) -> None:
-        """Ejects an endpoint that an extension found to be an outlier: it gets no calls until it is readmitted."""
+        """Ejects an endpoint that an extension considers an outlier; it gets no calls until it is readmitted."""
         endpoint.excluded = True
         if not self.is_active(endpoint):
             endpoint.ejected_at_us = self.context.now_us
--- a/forwarder/protocol/settings_format.py
+++ b/forwarder/protocol/settings_format.py
@@ -28,14 +28,11 @@
     allowed = facts.get("allowed", {})
     contract = facts.get("contract", {})
     family = facts.get("family_info", {})
-    classes = _parse_classes(facts)
-    kinds = _parse_kinds(facts, family)
-    tenants = _parse_tenants(facts)
     return Settings(
+        classes=_parse_classes(facts),
+        kinds=_parse_kinds(facts, family),
+        tenants=_parse_tenants(facts),
         slots=require_field(family, "slots", int),
-        classes=classes,
-        kinds=kinds,
-        tenants=tenants,
         zone_fees=dict(zip(facts.get("zones", []), family.get("carriage") or [], strict=False)),
         forwarders=int(facts.get("balancers", 1)),
         max_open_messages=int(allowed.get("max_open", 1_000_000)),
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1109,7 +1109,7 @@
         [
             EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]),
             MessageRecovered(
-                "m", 10, d.message_classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
+                "m", 10, d.message_table.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
             ),
         ],
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -316,7 +316,7 @@
     after = sends(new.handle(2 * S, [end(first, Outcome.DELIVERED)]))
     assert [s.message_id for s in after] == ["b"]
     assert {s.message_id for s in sends(new.handle(4 * S, [TimerFired("look")]))} <= {"x", "y"}
-    assert new.calls_in_flight == len(new.attempts) > 1
+    assert new.calls_in_flight == len(new.calls.attempts) > 1
 
 
 def test_what_the_platform_refuses_of_an_upgrade_is_logged_once_and_left_out(
