--- a/forwarder/membership/settings.py
+++ b/forwarder/membership/settings.py
@@ -12,7 +12,7 @@
 from forwarder.membership.suspicion import MIN_LOG_SIZE
 from forwarder.membership.timing import Timing
 from forwarder.membership.view import SocketAddress
-from forwarder.simulator.adapter import MalformedInputError
+from forwarder.protocol.checked_fields import MalformedInputError
 from forwarder.units import SECOND_US
 
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -23,10 +23,10 @@
 from forwarder.discovery.watch import EndpointListWatch, Notifier
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime import intake as intake_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from forwarder.storage.store import PendingNotice
 from tests.sockets import PATIENCE, SETTINGS, message
