--- a/forwarder/discovery/endpoint_list_watch.py
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -11,9 +11,9 @@
 
 from forwarder.config.config import Address, EndpointList, parse_endpoint_list
 from forwarder.discovery.client import DiscoveryClient
+from forwarder.protocol.checked_fields import MalformedInputError
 from forwarder.protocol.http1 import BadResponseError, ResponseReader
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.simulator.adapter import MalformedInputError
 
 LIST_PATH = "/discovery/hosts"
 NO_VERSION = -1
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,9 +24,9 @@
 from forwarder.endpoints.connection import EndpointConnection
 from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
 from forwarder.endpoints.pool import ConnectionPool
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from forwarder.storage.store import MOST_ENDED, AcceptedMessage, MessageStore
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, Skewed, always, hang, message
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -24,10 +24,10 @@
 from forwarder.discovery.notifier import Notifier
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime import intake as intake_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from forwarder.storage.store import PendingNotice
 from tests.sockets import PATIENCE, SETTINGS, message
