--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -44,7 +44,7 @@
         self.earliest_ns = self.returned_ns
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, as the base class does."""
+        """Returns what is ready, as the base class does."""
         previous_ns = self.returned_ns
         blind_since_ns = self._selector.blind_since_ns
         began_ns = time.monotonic_ns()
@@ -57,7 +57,7 @@
 
 
 def earliest_ns(began_ns: int, previous_ns: int, returned_ns: int, timeout_s: float | None) -> int:
-    """Return the earliest arrival of what a poll reports.
+    """Returns the earliest arrival of what a poll reports.
 
     Args:
         began_ns: when the poll began.
@@ -74,12 +74,12 @@
 
 
 def event_loop() -> asyncio.SelectorEventLoop:
-    """Return the event loop that a forwarder runs on."""
+    """Returns the event loop that a forwarder runs on."""
     return asyncio.SelectorEventLoop(TimedSelector())
 
 
 def waited_us() -> int:
-    """Return how long what is read now may have waited in the kernel, in microseconds.
+    """Returns how long what is read now may have waited in the kernel, in microseconds.
 
     It is 0 on an event loop that cannot tell.
     """
@@ -98,11 +98,11 @@
 
     @classmethod
     def of(cls, sock: socket.socket) -> PatientSocket:
-        """Take the place of a plain socket, which has no descriptor any more then."""
+        """Takes the place of a plain socket, which has no descriptor any more then."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
     def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
-        """Read into a buffer, as the base class does.
+        """Reads into a buffer, as the base class does.
 
         Raises:
             BlockingIOError: nothing can be read now.
@@ -114,7 +114,7 @@
             raise _to_be_retried(error) from None
 
     def send(self, data: ReadableBuffer, flags: int = 0) -> int:
-        """Send from a buffer, as the base class does.
+        """Sends from a buffer, as the base class does.
 
         Raises:
             BlockingIOError: nothing can be sent now.
@@ -127,5 +127,5 @@
 
 
 def _to_be_retried(error: OSError) -> OSError:
-    """Return a transient error in the form by which the event loop knows it."""
+    """Returns a transient error in the form by which the event loop knows it."""
     return BlockingIOError(errno.EAGAIN, str(error)) if error.errno in TRANSIENT_ERRORS else error
--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -41,7 +41,7 @@
         """A connection's descriptor is free."""
 
     def handle(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Answer a request, now or later."""
+        """Answers a request, now or later."""
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -81,7 +81,7 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve the client; called by the event loop."""
+        """Begins to serve the client; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connection_opened(self)
@@ -89,14 +89,14 @@
             self._restore(self._handed_over)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Withdraw the current request; called by the event loop."""
+        """Withdraws the current request; called by the event loop."""
         self.server.connection_ended(self)
         self.waiting.clear()
         self._withdraw()
         self.parser.release()
 
     def eof_received(self) -> bool:
-        """Withdraw the current request: a client that ends its side does not wait; called by the event loop.
+        """Withdraws the current request: a client that ends its side does not wait; called by the event loop.
 
         What it may still read is a rejection.
         """
@@ -108,15 +108,15 @@
         return False
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where to put what is read; called by the event loop."""
+        """Returns where to put what is read; called by the event loop."""
         return self.server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Read from the buffer; called by the event loop."""
+        """Reads from the buffer; called by the event loop."""
         self.data_received(bytes(self.server.read_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Read requests, and begin to answer them."""
+        """Reads requests, and begins to answer them."""
         self.last_used_us = self.server.clock()
         arrived_us = self._earliest_arrival_us()
         if self.parser.is_broken:
@@ -128,11 +128,11 @@
         self._answer_next()
 
     def pause_writing(self) -> None:
-        """Stop reading from a client that does not read its answers, so that they do not pile up."""
+        """Stops reading from a client that does not read its answers, so that they do not pile up."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
-        """Go on with a client that has read its answers; called by the event loop."""
+        """Goes on with a client that has read its answers; called by the event loop."""
         self.writing_paused = False
         self.last_used_us = self.server.clock()
         self._answer_next()
@@ -140,21 +140,21 @@
     # State
 
     def is_idle(self) -> bool:
-        """Return whether it is between requests."""
+        """Returns whether it is between requests."""
         return self.current_request is None and self.parser.partial is None and not self.waiting
 
     def is_closed(self) -> bool:
-        """Return whether it is closed, or about to be."""
+        """Returns whether it is closed, or about to be."""
         return self.transport is None or self.transport.is_closing()
 
     def has_unsent_answers(self) -> bool:
-        """Return whether the client has not taken all of its answers yet."""
+        """Returns whether the client has not taken all of its answers yet."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     # Answering
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        """Answer the current request, and go on with the next in the event loop's next turn.
+        """Answers the current request, and goes on with the next in the event loop's next turn.
 
         Args:
             status: the status.
@@ -181,12 +181,12 @@
             loop.call_soon(self._answer_next)
 
     def answer_waiting(self) -> None:
-        """Go on with what was read already, without waiting for the event loop's next turn."""
+        """Goes on with what was read already, without waiting for the event loop's next turn."""
         while self.current_request is None and self.waiting and not self.writing_paused:
             self._answer_next()
 
     def answer_unread(self, status: HTTPStatus, text: str, arrived_us: int) -> None:
-        """Answer a request that is partly read; nothing more is read from the connection."""
+        """Answers a request that is partly read; nothing more is read from the connection."""
         self.parser.abandon()
         self.current_request = ClientRequest(arrived_us, keep_alive=False)
         self.answer(status, text)
@@ -194,7 +194,7 @@
     # Closing
 
     def close(self, reason: str = "on demand") -> None:
-        """Close it once its answers have been sent. `reason` is counted and logged."""
+        """Closes it once its answers have been sent. `reason` is counted and logged."""
         if self.is_closed():
             return
         if self.current_request is not None and not self.server.closed:
@@ -205,13 +205,13 @@
         self.transport.close()
 
     def abort(self, reason: str = "on demand") -> None:
-        """Close it at once; answers that are not sent yet are lost."""
+        """Closes it at once; answers that are not sent yet are lost."""
         if self.transport is not None:
             self._note_closing(reason)
             self.transport.abort()
 
     def evict(self, reason: str) -> None:
-        """Close it to make room; a request that is partly read is rejected."""
+        """Closes it to make room; a request that is partly read is rejected."""
         if self.parser.partial is not None:
             self.answer_unread(HTTPStatus.SERVICE_UNAVAILABLE, reason, self.last_used_us)
         self.close(reason)
@@ -219,7 +219,7 @@
     # Hand-over to another process
 
     def hand_over(self) -> ClientRecord | None:
-        """Return what another process needs to go on with this connection; None where it cannot."""
+        """Returns what another process needs to go on with this connection; None where it cannot."""
         assert self.transport is not None
         partial = self.parser.partial
         if (
@@ -257,7 +257,7 @@
     # Internal steps
 
     def _earliest_arrival_us(self) -> int:
-        """Return when what is read now may have arrived, at the earliest."""
+        """Returns when what is read now may have arrived, at the earliest."""
         arrived_us = self.last_used_us - waited_us()
         if arrived_us <= self._watched_since_us or self._unread_since_us > self._watched_since_us:
             arrived_us = min(arrived_us, self._unread_since_us)
@@ -272,7 +272,7 @@
             self._limit_reading(self.transport)
 
     def _limit_reading(self, transport: asyncio.Transport) -> None:
-        """Read no further while too many requests wait, or their answers are not read."""
+        """Reads no further while too many requests wait, or their answers are not read."""
         if self.writing_paused or len(self.waiting) >= MAX_PIPELINED_REQUESTS:
             if transport.is_reading():
                 self._unread_since_us = self.server.clock()
@@ -314,7 +314,7 @@
 
 
 def disconnected(waiting: Mapping[str, ClientConnection]) -> list[str]:
-    """Return the ids of those messages that wait for an answer whose client has ended its side or the connection.
+    """Returns the ids of those messages that wait for an answer whose client has ended its side or the connection.
 
     The end may lie in the kernel unread: after an event loop that stood still, a request and its client's end are both
     there. One system call for all; where it fails, a message is accepted that its client may have given up, which does
--- a/forwarder/clients/drain.py
+++ b/forwarder/clients/drain.py
@@ -28,14 +28,14 @@
         return self.server.draining
 
     def start(self) -> None:
-        """Fail the health check and close each connection after its next answer; idle ones after a delay."""
+        """Fails the health check and closes each connection after its next answer; idle ones after a delay."""
         if self._closing is None:
             self.server.draining = True
             self._closing = self.supervisor.repeat("drain", CLOSE_INTERVAL_S, self.server.close_idle_connections)
             self._closing.arm(DRAIN_DELAY_S)
 
     def stop(self) -> None:
-        """Serve clients again."""
+        """Serves clients again."""
         self.server.draining = False
         if self._closing is not None:
             self._closing.cancel()
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -49,11 +49,11 @@
     """A socket, or what asyncio gives in the place of one."""
 
     def setsockopt(self, level: int, option: int, value: bytes, /) -> object:
-        """Set an option of the socket."""
+        """Sets an option of the socket."""
 
 
 async def bind(address: Address, timeout_s: float = BIND_TIMEOUT_S) -> socket.socket:
-    """Return a socket that is bound to an address, and does not listen yet.
+    """Returns a socket that is bound to an address, and does not listen yet.
 
     Failures are retried for some time: the process before may still have the address, or no socket may be had.
 
@@ -78,19 +78,19 @@
 
 
 def fileno(transport: asyncio.BaseTransport | None) -> int:
-    """Return the descriptor of a connection that is open."""
+    """Returns the descriptor of a connection that is open."""
     assert transport is not None
     return int(transport.get_extra_info("socket").fileno())
 
 
 def descriptor(transport: asyncio.BaseTransport | None) -> int:
-    """Return the descriptor of a connection; -1 where it has none, or none any more."""
+    """Returns the descriptor of a connection; -1 where it has none, or none any more."""
     sock = None if transport is None else transport.get_extra_info("socket")
     return -1 if sock is None else int(sock.fileno())
 
 
 def reset_on_close(sock: SocketOptions, reset: bool) -> None:
-    """Choose whether closing a connection resets it, also as this process dies.
+    """Chooses whether closing a connection resets it, also as this process dies.
 
     A reset drops what is in the send buffer. Without it the kernel goes on to send that after the close.
     """
@@ -98,7 +98,7 @@
 
 
 def unread(transports: Iterable[asyncio.BaseTransport | None]) -> set[int]:
-    """Return the descriptors of those connections on which bytes or an end wait in the kernel.
+    """Returns the descriptors of those connections on which bytes or an end wait in the kernel.
 
     One system call for all; where the kernel cannot tell, all count as such.
     """
@@ -111,7 +111,7 @@
 
 
 def unlimited_slots() -> int:
-    """Return as many free slots as one turn of the event loop can use."""
+    """Returns as many free slots as one turn of the event loop can use."""
     return MAX_ACCEPTS
 
 
@@ -148,22 +148,22 @@
         self._resume()
 
     def address(self) -> Address:
-        """Return the address on which it listens."""
+        """Returns the address on which it listens."""
         return Address(*self.sock.getsockname()[:2])
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stops listening."""
         if self.sock.fileno() >= 0:
             asyncio.get_running_loop().remove_reader(self.sock)
             self.sock.close()
 
     async def attach(self, sock: PatientSocket, accept_delay_us: int) -> None:
-        """Serve a connection that was accepted."""
+        """Serves a connection that was accepted."""
         loop = asyncio.get_running_loop()
         try:
             await loop.connect_accepted_socket(lambda: self.make_protocol(accept_delay_us), sock)
         except OSError as error:
-            log.info("a connection was lost as it was taken on: %s", error)
+            log.info("connection lost before it was served: reason=%s", error)
             sock.close()
         finally:
             del self.attaching[sock]
@@ -173,7 +173,7 @@
             asyncio.get_running_loop().add_reader(self.sock, self._accept)
 
     def _pause(self, pause_s: float) -> None:
-        """Accept nothing for some time; connections wait in the kernel."""
+        """Accepts nothing for some time; connections wait in the kernel."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.sock)
         if self._paused_since_s is None:
@@ -206,11 +206,11 @@
         if self.on_shortage is not None:
             self.on_shortage(error)
         else:
-            log.error("cannot accept: %s", error)
+            log.error("cannot accept: reason=%s", error)
         self._pause(FAILURE_PAUSE_S)
 
     def _accept_delay_us(self) -> int:
-        """Return how long the connections that are accepted now may have waited."""
+        """Returns how long the connections that are accepted now may have waited."""
         paused_s = 0.0
         if self._paused_since_s is not None:
             paused_s = asyncio.get_running_loop().time() - self._paused_since_s
--- a/forwarder/clients/request_parser.py
+++ b/forwarder/clients/request_parser.py
@@ -40,12 +40,12 @@
         self._complete: list[ClientRequest] = []
 
     def release(self) -> None:
-        """Drop what refers back to this parser and its owner, so that they are freed without the cyclic collector."""
+        """Drops what refers back to this parser and its owner, so that they are freed without the cyclic collector."""
         del self._parser
         del self._on_expect_continue
 
     def feed(self, data: bytes, arrived_us: int) -> list[ClientRequest]:
-        """Read the next bytes of the connection.
+        """Reads the next bytes of the connection.
 
         Args:
             data: the bytes.
@@ -73,25 +73,25 @@
         return complete
 
     def abandon(self) -> None:
-        """Read no more from this connection: the request that is partly read will not be completed."""
+        """Reads no more from this connection: the request that is partly read will not be completed."""
         self.is_broken = True
         self.partial = None
 
     # Called by httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request; called by the parser."""
+        """Begins a request; called by the parser."""
         self.partial = ClientRequest(self._arrived_us)
         self._header_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the path; called by the parser."""
+        """Adds a part of the path; called by the parser."""
         self._count_header_bytes(len(url))
         if self.partial is not None:
             self.partial.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; called by the parser."""
+        """Adds a header; called by the parser."""
         self._count_header_bytes(len(name) + len(value))
         if self.partial is None:
             return
@@ -102,7 +102,7 @@
         headers[lower_name] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        """Check the stated length of the body; called by the parser."""
+        """Checks the stated length of the body; called by the parser."""
         if self.partial is None:
             return
         length = self.partial.headers.get("content-length", "0")
@@ -112,7 +112,7 @@
             self._on_expect_continue()
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body; called by the parser."""
+        """Adds a part of the body; called by the parser."""
         if self.partial is None:
             return
         if len(self.partial.body) + len(body) > MAX_BODY_BYTES:
@@ -120,7 +120,7 @@
         self.partial.body += body
 
     def on_message_complete(self) -> None:
-        """Complete a request; called by the parser."""
+        """Completes a request; called by the parser."""
         if self.partial is None:
             return
         self.partial.method = self._parser.get_method().decode("latin-1")
@@ -135,7 +135,7 @@
 
 
 def _unreadable(error: httptools.HttpParserError | BadRequestError) -> BadRequestError:
-    """Return what the client is told; an error of a callback comes as the context of the parser's own."""
+    """Returns what the client is told; an error of a callback comes as the context of the parser's own."""
     cause = error.__context__ if isinstance(error.__context__, BadRequestError) else error
     if isinstance(cause, BadRequestError):
         return cause
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import logging
 import socket
 from collections.abc import Callable, Iterable
 from http import HTTPStatus
@@ -27,7 +26,6 @@
 FLUSH_POLL_INTERVAL_S = 0.01
 BACKLOG = 512
 HEALTH_PATH = "/up"
-log = logging.getLogger("forwarder.server")
 
 SubmissionHandler = Callable[[Submission, ClientConnection], None]
 
@@ -73,7 +71,7 @@
         self.listener: Listener | None = None
 
     def listen(self, sock: socket.socket) -> None:
-        """Begin to accept connections on a bound socket."""
+        """Begins to accept connections on a bound socket."""
         self.listener = Listener(
             sock,
             BACKLOG,
@@ -84,7 +82,7 @@
         self.supervisor.repeat("sweep of clients", SWEEP_INTERVAL_S, self.sweep)
 
     async def adopt(self, sock: socket.socket, handed_over: ClientRecord | None) -> None:
-        """Go on with a client's connection of the process before.
+        """Goes on with a client's connection of the process before.
 
         Raises:
             OSError: the connection cannot be used.
@@ -96,7 +94,7 @@
     # Requests
 
     def handle(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Answer a request, or hand on the message that it submits."""
+        """Answers a request, or hands on the message that it submits."""
         if request.error is not None:
             connection.answer(request.error.status, request.error.text)
         elif request.route == HEALTH_PATH:
@@ -124,7 +122,7 @@
     # The bound on connections
 
     def free_slots(self) -> int:
-        """Return how many connections may be accepted now.
+        """Returns how many connections may be accepted now.
 
         All that hold a descriptor count, those that are closing too: what is closed gives its descriptor back in the
         event loop's next turn, and until then a burst would find none.
@@ -135,7 +133,7 @@
         return self.max_connections + MAX_OVERSHOOT - len(self.connections) - attaching
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Add a connection. One beyond the bound costs another, or itself where none can be closed.
+        """Adds a connection. One beyond the bound costs another, or itself where none can be closed.
 
         One whose request waits unread stays: nothing more is accepted until others have gone.
         """
@@ -149,16 +147,16 @@
             candidate.evict("too many clients")
 
     def connection_closing(self, connection: ClientConnection) -> None:
-        """Note that a connection is closed here."""
+        """Notes that a connection is closed here."""
         self.closing.add(connection)
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """Forget a connection whose descriptor is free."""
+        """Forgets a connection whose descriptor is free."""
         self.connections.discard(connection)
         self.closing.discard(connection)
 
     def evict_for_descriptors(self, error: OSError) -> None:
-        """Close some idle connections where no descriptor is to be had: without one nothing can be accepted or sent."""
+        """Closes some idle connections where no descriptor is to be had: without one nothing is accepted or sent."""
         self.reasons.note(Subject.REFUSAL, f"cannot accept: {error.strerror}")
         for _ in range(SHORTAGE_EVICTIONS):
             candidate = self._eviction_candidate()
@@ -170,7 +168,7 @@
         return len(self.connections) - len(self.closing) > self.max_connections
 
     def _eviction_candidate(self, new: ClientConnection | None = None) -> ClientConnection | None:
-        """Return the connection to close first, other than `new`; None where none can be closed.
+        """Returns the connection to close first, other than `new`; None where none can be closed.
 
         First comes one that is silent or in the middle of its first request, and not quite new; then the one between
         requests that has been idle for longest; then the oldest without a request. None that waits for an answer, and
@@ -183,14 +181,14 @@
 
     @staticmethod
     def _unread(connections: Iterable[ClientConnection]) -> set[ClientConnection]:
-        """Return those with bytes, or an end, that wait in the kernel: closed now, a request might be lost."""
+        """Returns those with bytes, or an end, that wait in the kernel: closed now, a request might be lost."""
         by_descriptor = {descriptor(each.transport): each for each in connections if not each.is_closed()}
         return {by_descriptor[number] for number in unread(each.transport for each in by_descriptor.values())}
 
     # Closing
 
     def sweep(self) -> None:
-        """Close connections of peers that send nothing, or a part of a request, or do not read their answers."""
+        """Closes connections of peers that send nothing, or a part of a request, or do not read their answers."""
         stalled_before_us = self.clock() - STALL_TIMEOUT_US
         silent = [each for each in self.connections if _is_silent(each, stalled_before_us)]
         unread_connections = self._unread(silent)
@@ -199,7 +197,7 @@
             _close_if_stalled(connection, stalled_before_us)
 
     def close_idle_connections(self) -> None:
-        """Close connections between requests; one that is new may have its first request on the way."""
+        """Closes connections between requests; one that is new may have its first request on the way."""
         new_since_us = self.clock() - NEW_CONNECTION_US
         idle = [
             each
@@ -212,7 +210,7 @@
                 connection.close("sent away between requests")
 
     async def flush(self) -> None:
-        """Answer the requests that were read, and give the answers a moment to leave, before the process ends."""
+        """Answers the requests that were read, and gives the answers a moment to leave, before the process ends."""
         for connection in list(self.connections):
             connection.answer_waiting()
         loop = asyncio.get_running_loop()
@@ -221,7 +219,7 @@
             await asyncio.sleep(FLUSH_POLL_INTERVAL_S)
 
     def close(self) -> None:
-        """Close all connections, as the process ends."""
+        """Closes all connections, as the process ends."""
         self.closed = True
         if self.listener is not None:
             self.listener.close()
@@ -230,7 +228,7 @@
 
 
 def _is_evictable(connection: ClientConnection) -> bool:
-    """Return whether it waits for no answer, and is not closed already."""
+    """Returns whether it waits for no answer, and is not closed already."""
     in_first_request = connection.current_request is None and not connection.has_sent_request
     return (
         connection.transport is not None
@@ -241,19 +239,19 @@
 
 
 def _eviction_rank(connection: ClientConnection, new_since_us: int) -> tuple[int, int]:
-    """Return a key that sorts connections by how soon they are closed to make room, the first at the front."""
+    """Returns a key that sorts connections by how soon they are closed to make room, the first at the front."""
     if connection.has_sent_request:
         return 1, connection.last_used_us
     return (0 if connection.opened_us < new_since_us else 2), connection.last_used_us
 
 
 def _is_silent(connection: ClientConnection, since_us: int) -> bool:
-    """Return whether it was opened before a time, and has sent no complete request yet."""
+    """Returns whether it was opened before a time, and has sent no complete request yet."""
     return not connection.has_sent_request and connection.opened_us < since_us
 
 
 def _close_if_stalled(connection: ClientConnection, since_us: int) -> None:
-    """Close a connection whose client has not gone on since a time with what it has begun."""
+    """Closes a connection whose client has not gone on since a time with what it has begun."""
     partial = connection.parser.partial
     if (connection.writing_paused or connection.is_closed()) and connection.last_used_us < since_us:
         connection.abort("its answers stay unread")  # an orderly close would wait for ever for them to be read
--- a/forwarder/clients/submission.py
+++ b/forwarder/clients/submission.py
@@ -69,7 +69,7 @@
 
 
 def parse_submission(request: ClientRequest, settings: Settings) -> Submission:
-    """Read the message that a request submits.
+    """Reads the message that a request submits.
 
     Raises:
         BadRequestError: the request is not a valid submission.
@@ -134,7 +134,7 @@
 
 
 def _is_printable(text: str, max_length: int) -> bool:
-    """Return whether a header's value can be stored, and passed on as it came."""
+    """Returns whether a header's value can be stored, and passed on as it came."""
     return len(text) <= max_length and text.isascii() and text.isprintable()
 
 
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -24,12 +24,12 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to use the connection; called by the event loop."""
+        """Begins to use the connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of an answer; called by the event loop."""
+        """Reads a part of an answer; called by the event loop."""
         try:
             self.reader.feed(data)
         except BadResponseError as error:
@@ -40,14 +40,14 @@
             self._end_request(None)
 
     def eof_received(self) -> bool:
-        """Read discovery's end of the connection, which may complete an answer; called by the event loop."""
+        """Reads discovery's end of the connection, which may complete an answer; called by the event loop."""
         self.reader.end()
         if self.reader.complete:
             self._end_request(None)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the request that has no answer; called by the event loop."""
+        """Fails the request that has no answer; called by the event loop."""
         self.transport = None
         self._end_request(ConnectionResetError("the connection ended"))
         self.reader.release()
@@ -55,7 +55,7 @@
     # Requests
 
     async def request(self, data: bytes) -> ResponseReader:
-        """Write a request and wait for the answer.
+        """Writes a request and waits for the answer.
 
         Cancelled, it leaves the connection in the middle of an answer: it must be closed then.
 
@@ -80,17 +80,17 @@
         return self.reader
 
     def is_usable(self) -> bool:
-        """Return whether a request may be made on it."""
+        """Returns whether a request may be made on it."""
         return self.transport is not None and not self.transport.is_closing()
 
     def has_unread_answer(self) -> bool:
-        """Return whether a part of an answer has come that whoever made the request has not seen yet."""
+        """Returns whether a part of an answer has come that whoever made the request has not seen yet."""
         if self.answer is None:
             return False
         return self.answer.done() or (self.is_usable() and bool(unread([self.transport])))
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -118,11 +118,11 @@
         self.channel = DiscoveryChannel()
 
     def close(self) -> None:
-        """Close the connection; the next request opens another."""
+        """Closes the connection; the next request opens another."""
         self.channel.close()
 
     async def request(self, method: str, path: str, timeout_s: float, body: bytes = b"") -> ResponseReader:
-        """Make a request and wait for the answer; cancelled or failed, it closes the connection.
+        """Makes a request and waits for the answer; cancelled or failed, it closes the connection.
 
         Returns:
             The reader that holds the answer, until the next request.
@@ -157,7 +157,7 @@
         _, self.channel = await loop.create_connection(DiscoveryChannel, self.address.host, self.address.port)
 
     async def _try_connect(self) -> bool:
-        """Connect; return False where this machine could not, for a moment.
+        """Connects; returns False where this machine could not, for a moment.
 
         Raises:
             OSError: discovery cannot be reached.
--- a/forwarder/discovery/endpoint_list_watch.py
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -56,16 +56,16 @@
         self._polled: EndpointList | None = None
 
     def has_unread_list(self) -> bool:
-        """Return whether discovery has answered something that is not handed on yet."""
+        """Returns whether discovery has answered something that is not handed on yet."""
         return self.client.channel.has_unread_answer()
 
     def subscribe(self) -> None:
-        """Begin to follow the list, unless that is under way."""
+        """Begins to follow the list, unless that is under way."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def change_address(self, address: Address) -> None:
-        """Follow the list at a new address of discovery, at once and from the version that is known."""
+        """Follows the list at a new address of discovery, at once and from the version that is known."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -93,16 +93,16 @@
                 await asyncio.sleep(MIN_POLL_INTERVAL_S)
 
     async def _poll(self) -> None:
-        """Poll once, for `_polled`: the answer, or None where none can be had."""
+        """Polls once, for `_polled`: the answer, or None where none can be had."""
         self._polled = None
         path, timeout_s = self._next_poll()
         try:
             self._polled = _read_list(await self.client.request("GET", path, timeout_s))
         except (OSError, BadResponseError, MalformedInputError, ValueError) as error:
-            log.warning("the list cannot be had: %s", error or type(error).__name__)
+            log.warning("cannot poll the endpoint list: reason=%s", error or type(error).__name__)
 
     def _next_poll(self) -> tuple[str, float]:
-        """Return the path of the next poll, and its time-out in seconds."""
+        """Returns the path of the next poll, and its time-out in seconds."""
         if self.version < 0:  # version 0 is that of a list that never changed
             return LIST_PATH, ANSWER_TIMEOUT_S
         hold_ms = POLL_HOLD_MS if self.is_current else FIRST_POLL_HOLD_MS
@@ -115,7 +115,7 @@
 
 
 def _read_list(answer: ResponseReader) -> EndpointList:
-    """Return the list that an answer holds.
+    """Returns the list that an answer holds.
 
     Raises:
         BadResponseError: the answer has another status than 200.
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -27,7 +27,7 @@
     """Where notices are kept until they are acknowledged."""
 
     def pending_notices(self) -> Mapping[str, PendingNotice]:
-        """Return the notices that may be posted now, by message id."""
+        """Returns the notices that may be posted now, by message id."""
 
     def acknowledge_notices(self, message_ids: list[str]) -> None:
         """The platform has acknowledged the notices of these messages."""
@@ -50,13 +50,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def wake(self) -> None:
-        """Post what is pending as soon as possible."""
+        """Posts what is pending as soon as possible."""
         self._wanted.set()
         if self._task is None:
             self._task = self.supervisor.keep("notices", self._run)
 
     def change_address(self, address: Address) -> None:
-        """Post to a new address from now on; a post that is under way is cut off and made again."""
+        """Posts to a new address from now on; a post that is under way is cut off and made again."""
         self.client.close()
         self.client = DiscoveryClient(address)
 
@@ -72,7 +72,7 @@
                     await self._post(body)
                 except (OSError, BadResponseError) as error:
                     if failures % FAILURES_PER_WARNING == 0:
-                        log.warning("notices not accepted, trying again: %s", error or type(error).__name__)
+                        log.warning("notices not accepted, retrying: reason=%s", error or type(error).__name__)
                     await asyncio.sleep(RETRY_PAUSES_S[min(failures, len(RETRY_PAUSES_S) - 1)])
                     failures += 1
                     continue
@@ -86,7 +86,7 @@
 
 
 def render_notices(pending: Sequence[tuple[str, PendingNotice]]) -> tuple[bytes, list[str]]:
-    """Render as many notices as one post holds, one JSON object a line.
+    """Renders as many notices as one post holds, one JSON object a line.
 
     Returns:
         The body of the post, and the ids of the messages whose notices it holds.
--- a/forwarder/endpoints/call.py
+++ b/forwarder/endpoints/call.py
@@ -78,7 +78,7 @@
     """The messages whose attempts have not ended, by id."""
 
     def cancel_timers(self) -> None:
-        """Stop waiting for the time-out, and for an answer that has stalled."""
+        """Stops waiting for the time-out, and for an answer that has stalled."""
         for timer in (self.timeout_timer, self.stall_timer):
             if timer is not None:
                 timer.cancel()
--- a/forwarder/endpoints/call_outcome.py
+++ b/forwarder/endpoints/call_outcome.py
@@ -22,8 +22,8 @@
 log = logging.getLogger("forwarder.client")
 
 
-def result_of_answer(reader: ResponseReader) -> CallResult:
-    """Return the result that a complete answer's status stands for, for all messages of its call."""
+def result_of_answer(reader: ResponseReader, endpoint: int) -> CallResult:
+    """Returns the result that a complete answer's status stands for, for all messages of its call."""
     status = reader.status
     if status == 200:
         return CallResult(Outcome.DELIVERED)
@@ -34,14 +34,14 @@
     if status in (410, 504):
         return CallResult(Outcome.NOT_SENT, is_final=status == 410)
     if status != 500:
-        log.warning("a target answered %d", status)
+        log.warning("unexpected status: endpoint=%d status=%d", endpoint, status)
     return CallResult(Outcome.FAILED)
 
 
 def results_of_batch(
     reader: ResponseReader, items: Iterable[CallItem], endpoint: int
 ) -> list[tuple[CallItem, CallResult]]:
-    """Return the result of each message from the body of a complete answer to a batch call.
+    """Returns the result of each message from the body of a complete answer to a batch call.
 
     A message that the answer does not mention has failed: it may have run.
     """
@@ -56,7 +56,7 @@
 
 
 def outcome_of_broken_answer(call: EndpointCall, reader: ResponseReader) -> Outcome:
-    """Return the outcome of a call whose answer is cut, malformed or missing.
+    """Returns the outcome of a call whose answer is cut, malformed or missing.
 
     A first line with status 200 is a delivery though the rest is cut. Of a batch call only the complete answer counts.
     Nothing else that is cut or malformed is believed, not even a rejection: the call may have run.
@@ -79,5 +79,5 @@
     try:
         return {entry["id"]: entry["state"] for entry in json.loads(body)}
     except (ValueError, TypeError, KeyError) as error:
-        log.warning("target %d: bad batch answer: %r", endpoint, error)
+        log.warning("malformed batch answer: endpoint=%d reason=%r", endpoint, error)
         return {}
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -48,7 +48,7 @@
         """Who is told what becomes of calls."""
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keep a connection whose call is answered for the next one."""
+        """Keeps a connection whose call is answered for the next one."""
 
     def connection_ended(self, connection: EndpointConnection) -> None:
         """A connection is closed and can be forgotten."""
@@ -80,7 +80,7 @@
         self._unread = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to use the connection; called by the event loop."""
+        """Begins to use the connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         transport.set_write_buffer_limits(0)  # so that resume_writing says that the last byte was handed over
         self.transport = transport
@@ -93,17 +93,17 @@
                 self._read(bytes(self.received))
 
     def resume_writing(self) -> None:
-        """Note that the last byte of a call was handed to the socket; called by the event loop."""
+        """Notes that the last byte of a call was handed to the socket; called by the event loop."""
         if self.current_call is not None:
             self.current_call.written = True
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of an answer; called by the event loop."""
+        """Reads a part of an answer; called by the event loop."""
         self.received += data
         self._read(data)
 
     def eof_received(self) -> bool:
-        """Read the endpoint's end of the connection, which may complete an answer; called by the event loop."""
+        """Reads the endpoint's end of the connection, which may complete an answer; called by the event loop."""
         if self.current_call is not None:
             self.reader.end()
             if self.reader.complete:
@@ -111,17 +111,17 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the call in flight, if there is one; called by the event loop."""
+        """Ends the call in flight, if there is one; called by the event loop."""
         self.owner.connection_ended(self)
         self.settle()
         self.reader.release()
 
     def is_closing(self) -> bool:
-        """Return whether the connection is closed, or about to be."""
+        """Returns whether the connection is closed, or about to be."""
         return self.transport is None or self.transport.is_closing()
 
     def send(self, call: EndpointCall, request: bytes) -> bool:
-        """Write the request of a call.
+        """Writes the request of a call.
 
         Returns:
             False where the connection was dead already, or something has come on it that nothing asked for. Then no
@@ -143,7 +143,7 @@
         return True
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting for the answer to the call in flight.
+        """Stops waiting for the answer to the call in flight.
 
         Its sending side is closed now, and the connection a little later. The call ends with the connection and not
         before: an answer that crosses was written by the endpoint, so the Retry-After that it holds counts.
@@ -160,7 +160,7 @@
         call.timeout_timer = asyncio.get_running_loop().call_later(GIVEN_UP_S, self.close, reason)
 
     def settle(self) -> None:
-        """End the call of a connection that is closed, or about to be; what has come counts, read or not."""
+        """Ends the call of a connection that is closed, or about to be; what has come counts, read or not."""
         if self.current_call is not None and (data := read_pending(self.transport)):
             self._read(data)
         call = self.current_call
@@ -170,7 +170,7 @@
             self.owner.in_flight.connection_broke(call, self.reader, self.given_up)
 
     def close(self, reason: str = "on demand") -> None:
-        """Close the connection at once, by a reset if a call is in flight. `reason` is counted and logged."""
+        """Closes the connection at once, by a reset if a call is in flight. `reason` is counted and logged."""
         if self.transport is None:
             return
         peer = str(self.transport.get_extra_info("peername"))
@@ -187,7 +187,7 @@
         try:
             self.reader.feed(data)
         except BadResponseError as error:
-            log.warning("target %d: bad answer: %s", call.endpoint, error)
+            log.warning("malformed answer: endpoint=%d reason=%s", call.endpoint, error)
             self.current_call = None
             self.owner.in_flight.answer_ended(call, self.reader, broken=True)
             self.close("bad answer")
@@ -208,7 +208,7 @@
             self.close("not kept alive by the endpoint")
 
     def _has_unread(self) -> bool:
-        """Return whether bytes or an end may wait in the kernel.
+        """Returns whether bytes or an end may wait in the kernel.
 
         Read after a call is written, they would be taken for its answer, or for the end of a call that never arrived.
         """
@@ -222,7 +222,7 @@
 
 
 def read_pending(transport: asyncio.Transport | None) -> bytes:
-    """Return what waits in the kernel on a connection; nothing where it cannot be read any more."""
+    """Returns what waits in the kernel on a connection; nothing where it cannot be read any more."""
     sock = None if transport is None else transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return b""
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -36,11 +36,11 @@
         self._newest_number = max(self.names, default=0)
 
     def apply_settings(self, kinds: Iterable[DestinationKind]) -> None:
-        """Use the kinds of new settings from now on."""
+        """Uses the kinds of new settings from now on."""
         self.kinds = {kind.name: kind for kind in kinds}
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Follow a list: all of it, or the changes since the version before."""
+        """Follows a list: all of it, or the changes since the version before."""
         if endpoint_list.is_complete:
             self._unlisted.update(dict.fromkeys(name for name in self.endpoints if name in self.numbers))
             self.endpoints = {}
@@ -55,7 +55,7 @@
                 self._unlisted[endpoint.name] = None
 
     def number(self, name: str, keep: Container[str] = ()) -> int:
-        """Return the number of an endpoint; a new name gets a new number.
+        """Returns the number of an endpoint; a new name gets a new number.
 
         Where too many are known, the one that left the list first is forgotten, but none of `keep`.
         """
@@ -70,11 +70,11 @@
         return self.numbers[name]
 
     def entries(self, endpoints: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
-        """Return endpoints in the form that the decisions read; `keep` as for `number`."""
+        """Returns endpoints in the form that the decisions read; `keep` as for `number`."""
         return tuple(endpoint.entry(self.number(endpoint.name, keep)) for endpoint in endpoints)
 
     def serving(self, disabled: Container[str]) -> dict[int, Address]:
-        """Return the addresses of those that may get new calls, without those that operators have disabled."""
+        """Returns the addresses of those that may get new calls, without those that operators have disabled."""
         return {
             self.number(endpoint.name, disabled): endpoint.address
             for endpoint in self.endpoints.values()
@@ -82,15 +82,15 @@
         }
 
     def endpoint(self, number: int) -> ListedEndpoint | None:
-        """Return the endpoint of that number, if it is listed."""
+        """Returns the endpoint of that number, if it is listed."""
         return self.endpoints.get(self.names.get(number, ""))
 
     def kind(self, endpoint: ListedEndpoint) -> DestinationKind:
-        """Return the settings for an endpoint's kind; the defaults where they do not name it."""
+        """Returns the settings for an endpoint's kind; the defaults where they do not name it."""
         return self.kinds.get(str(endpoint.raw.get("class")), DestinationKind(""))
 
     def limit_scope(self, endpoint: ListedEndpoint) -> LimitScopeKey:
-        """Return what shares a Retry-After with an endpoint: all of its destination, or itself alone."""
+        """Returns what shares a Retry-After with an endpoint: all of its destination, or itself alone."""
         has_own_scope = self.kind(endpoint).separate_routes
         return LimitScopeKey(endpoint.destination, self.number(endpoint.name) if has_own_scope else ALL_ENDPOINTS)
 
--- a/forwarder/endpoints/idle_connections.py
+++ b/forwarder/endpoints/idle_connections.py
@@ -30,7 +30,7 @@
         self.sweeping: Repeating | None = None
 
     def add(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keep a connection, or close it where enough are kept."""
+        """Keeps a connection, or closes it where enough are kept."""
         idle = self.by_endpoint.setdefault(endpoint, [])
         if self.timeout_us <= 0 or len(idle) >= MAX_IDLE_PER_ENDPOINT:
             connection.close("enough idle ones are kept")
@@ -41,23 +41,23 @@
             self.sweeping = self.supervisor.repeat("sweep of idle connections", SWEEP_INTERVAL_S, self._sweep)
 
     def pop(self, endpoint: int) -> EndpointConnection | None:
-        """Take out the connection to an endpoint that was used last; None where there is none."""
+        """Takes out the connection to an endpoint that was used last; None where there is none."""
         idle = self.by_endpoint.get(endpoint)
         return idle.pop() if idle else None
 
     def remove(self, connection: EndpointConnection) -> None:
-        """Forget a connection, if it is among them."""
+        """Forgets a connection, if it is among them."""
         for idle in self.by_endpoint.values():
             if connection in idle:
                 idle.remove(connection)
 
     def close_all_to(self, endpoint: int, reason: str) -> None:
-        """Close all connections to an endpoint."""
+        """Closes all connections to an endpoint."""
         for connection in self.by_endpoint.pop(endpoint, []):
             connection.close(reason)
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; return whether there was one."""
+        """Closes the connection that has been idle for longest; returns whether there was one."""
         idle = [
             (connection.idle_since_us, index, endpoint)
             for endpoint, connections in self.by_endpoint.items()
@@ -70,7 +70,7 @@
         return True
 
     def _sweep(self) -> None:
-        """Close connections that have been idle for too long; stop when none is left."""
+        """Closes connections that have been idle for too long; stops when none is left."""
         oldest_us = self.clock() - self.timeout_us
         for endpoint, idle in list(self.by_endpoint.items()):
             for connection in idle:
--- a/forwarder/endpoints/in_flight_calls.py
+++ b/forwarder/endpoints/in_flight_calls.py
@@ -40,18 +40,18 @@
         self.by_attempt: dict[AttemptKey, EndpointCall] = {}
 
     def add(self, call: EndpointCall) -> None:
-        """Take over a call with all of its messages."""
+        """Takes over a call with all of its messages."""
         self.count += 1
         for item in call.items:
             call.open_items[item.id] = item
             self.by_attempt[item.attempt_key] = call
 
     def calls(self) -> Iterable[EndpointCall]:
-        """Return each call once."""
+        """Returns each call once."""
         return {id(call): call for call in self.by_attempt.values()}.values()
 
     def start_timeout(self, call: EndpointCall) -> None:
-        """Start the time-out of a call anew, for those of its messages that are open.
+        """Starts the time-out of a call anew, for those of its messages that are open.
 
         A call is given up by closing its connection, for all its messages or for none: while it carries one that has
         ended here, that one may not be sent again, nor the next of its key. So all wait for the last of them, but not
@@ -69,11 +69,11 @@
             call.timeout_timer = loop.call_later(delay_s + TIMER_MARGIN_S, self.timed_out, call)
 
     def timed_out(self, call: EndpointCall) -> None:
-        """Give up a call whose time is over."""
+        """Gives up a call whose time is over."""
         self._give_up(call, list(call.open_items.values()), Outcome.TIMED_OUT)
 
     def cancel(self, message_id: str, attempt: int) -> None:
-        """Give up an attempt, if it has not ended."""
+        """Gives up an attempt, if it has not ended."""
         call = self.by_attempt.get(AttemptKey(message_id, attempt))
         if call is not None and message_id in call.open_items:
             self._give_up(call, [call.open_items[message_id]], Outcome.CANCELED)
@@ -99,7 +99,7 @@
             for item, result in results_of_batch(reader, list(call.open_items.values()), call.endpoint):
                 self.end_item(call, item, result, report)
         else:
-            self.finish(call, result_of_answer(reader), report)
+            self.finish(call, result_of_answer(reader, call.endpoint), report)
 
     def connection_broke(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
         """The connection of a call has ended before its answer was complete, by itself or as the call was given up.
@@ -113,7 +113,7 @@
             self.finish(call, CallResult(given_up if call.written else Outcome.NO_CONNECTION))
 
     def finish(self, call: EndpointCall, result: CallResult, report: LoadReport | None = None) -> None:
-        """End a call with the same result for all messages that are open."""
+        """Ends a call with the same result for all messages that are open."""
         for item in list(call.open_items.values()):
             self.end_item(call, item, result, report)
         self._detach(call)
@@ -121,7 +121,7 @@
     def end_item(
         self, call: EndpointCall, item: CallItem, result: CallResult, report: LoadReport | None = None
     ) -> None:
-        """End the attempt of one message."""
+        """Ends the attempt of one message."""
         del call.open_items[item.id]
         self.by_attempt.pop(item.attempt_key, None)
         if result.retry_after_us:
@@ -142,7 +142,7 @@
         )
 
     def _is_final(self, item: CallItem, result: CallResult) -> bool:
-        """Return whether a message is surely over.
+        """Returns whether a message is surely over.
 
         Its time began when its client sent it, a little before it was read here: a delivery that is heard at the end of
         that time may have come too late to count, and its message still needs an end.
@@ -152,7 +152,7 @@
         return result.is_final
 
     def _give_up(self, call: EndpointCall, items: list[CallItem], outcome: Outcome) -> None:
-        """Stop waiting for some messages of a call.
+        """Stops waiting for some messages of a call.
 
         With none left its connection is closed: a late answer must not be taken for the next call's.
         """
@@ -168,7 +168,7 @@
 
     @staticmethod
     def _detach(call: EndpointCall) -> None:
-        """Stop the timers of a call that has ended, and close the connection that it was on."""
+        """Stops the timers of a call that has ended, and closes the connection that it was on."""
         call.cancel_timers()
         if call.connection is not None:
             connection = call.connection
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -91,13 +91,13 @@
         return self.idle.timeout_us
 
     def apply_settings(self, report_fields: tuple[str, ...], idle_timeout_us: int, connect_timeout_us: int) -> None:
-        """Use new settings from now on."""
+        """Uses new settings from now on."""
         self.in_flight.report_fields = report_fields
         self.idle.timeout_us = max(0, (idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US) - IDLE_MARGIN_US)
         self.connect_timeout_us = connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US
 
     def update_addresses(self, addresses: dict[int, Address]) -> None:
-        """Use a new list of endpoints. One that has left it gets no new call and keeps no idle connection."""
+        """Uses a new list of endpoints. One that has left it gets no new call and keeps no idle connection."""
         for endpoint, old_address in self.addresses.items():
             if addresses.get(endpoint) != old_address:
                 self.close_idle(endpoint, "not listed any more")
@@ -106,7 +106,7 @@
     # Calls
 
     def start(self, call: EndpointCall) -> None:
-        """Send a call, on an idle connection or on a new one."""
+        """Sends a call, on an idle connection or on a new one."""
         self.in_flight.add(call)
         self.in_flight.start_timeout(call)
         address = self.addresses.get(call.endpoint)
@@ -125,11 +125,11 @@
         task.add_done_callback(self._connecting.discard)
 
     def cancel(self, message_id: str, attempt: int) -> None:
-        """Give up an attempt, if it has not ended."""
+        """Gives up an attempt, if it has not ended."""
         self.in_flight.cancel(message_id, attempt)
 
     def finish(self, call: EndpointCall, result: CallResult) -> None:
-        """End a call with the same result for all messages that are open."""
+        """Ends a call with the same result for all messages that are open."""
         self.in_flight.finish(call, result)
 
     def _send_on_idle(self, call: EndpointCall) -> bool:
@@ -139,7 +139,7 @@
         return False
 
     async def _connect_guarded(self, call: EndpointCall, address: Address) -> None:
-        """Connect and send a call; an unexpected error ends the call, so that its slot is free."""
+        """Connects and sends a call; an unexpected error ends the call, so that its slot is free."""
         if not await self.supervisor.guarded("dial", self._connect_and_send(call, address)):
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE if call.connection is None else Outcome.RESET))
 
@@ -172,7 +172,7 @@
         return Outcome.LOCAL_FAILURE
 
     def _end_denied(self, call: EndpointCall, address: Address) -> None:
-        """End the attempts of those messages of a call that may not be sent now."""
+        """Ends the attempts of those messages of a call that may not be sent now."""
         now_us = self.clock()
         is_listed = self.addresses.get(call.endpoint) == address
         route = RouteFacts(is_listed, self.retry_after.until_us(call.limit_scope))
@@ -196,30 +196,30 @@
     # Connections
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keep a connection for the next call to its endpoint, or close it where enough are kept."""
+        """Keeps a connection for the next call to its endpoint, or closes it where enough are kept."""
         if endpoint in self.addresses:
             self.idle.add(connection, endpoint)
         else:
             connection.close("enough idle ones are kept")
 
     def close_idle(self, endpoint: int, reason: str = "on demand") -> None:
-        """Close all idle connections to an endpoint."""
+        """Closes all idle connections to an endpoint."""
         self.idle.close_all_to(endpoint, reason)
 
     def connection_ended(self, connection: EndpointConnection) -> None:
-        """Forget a connection that is closed."""
+        """Forgets a connection that is closed."""
         self.connections.discard(connection)
         self.idle.remove(connection)
 
     def close(self) -> None:
-        """Close all connections, as the process ends."""
+        """Closes all connections, as the process ends."""
         for connection in list(self.connections):
             connection.close("the process ends")
 
     # Hand-over to another process
 
     def settle(self) -> None:
-        """End the calls whose connections are given up or closing now, not in the event loop's next turn.
+        """Ends the calls whose connections are given up or closing now, not in the event loop's next turn.
 
         After a hand-over the next turn never comes.
         """
@@ -229,7 +229,7 @@
             connection.settle()
 
     def hand_over(self) -> tuple[PoolRecord, list[EndpointConnection]]:
-        """Return what is in flight and what is idle, and the connections that go along.
+        """Returns what is in flight and what is idle, and the connections that go along.
 
         A call whose last byte is not written yet goes without its connection: it will never run.
         """
@@ -244,7 +244,7 @@
         return PoolRecord(tuple(calls), tuple(idle), self.retry_after.entries()), connections
 
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, received: bytes) -> None:
-        """Go on waiting for the answer to a call of the process before.
+        """Goes on waiting for the answer to a call of the process before.
 
         Args:
             call: the call.
@@ -263,7 +263,7 @@
         self.in_flight.start_timeout(call)
 
     async def adopt_idle(self, endpoint: int, sock: socket.socket, idle_since_us: int) -> None:
-        """Keep an idle connection of the process before.
+        """Keeps an idle connection of the process before.
 
         Raises:
             OSError: the connection cannot be used.
@@ -282,7 +282,7 @@
 
 
 def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> CallRecord:
-    """Return what another process needs to wait for a call's answer; its connection is added to `connections`."""
+    """Returns what another process needs to wait for a call's answer; its connection is added to `connections`."""
     index = NO_CONNECTION
     if call.connection is not None and call.written and not call.connection.is_closing():
         index = len(connections)
--- a/forwarder/endpoints/request_rendering.py
+++ b/forwarder/endpoints/request_rendering.py
@@ -14,7 +14,7 @@
 
 
 def render_call(call: EndpointCall, address: Address, now_us: int) -> bytes:
-    """Return the bytes of a request that carries the open messages of a call."""
+    """Returns the bytes of a request that carries the open messages of a call."""
     host = f"{address.host}:{address.port}"
     items = list(call.open_items.values())
     time_left = f"{max(1, (call.timeout_at_us - now_us) // 1000) / 1000:.3f}"
@@ -26,7 +26,7 @@
 
 
 def fits_in_batch(items: Sequence[CallItem], added: CallItem) -> bool:
-    """Return whether the body of a batch call stays within what endpoints accept with one more message."""
+    """Returns whether the body of a batch call stays within what endpoints accept with one more message."""
     return sum(map(_batched_size, [*items, added])) <= MAX_BODY_BYTES
 
 
--- a/forwarder/endpoints/retry_after.py
+++ b/forwarder/endpoints/retry_after.py
@@ -21,7 +21,7 @@
         self._until_us: dict[LimitScopeKey, int] = {}
 
     def note(self, scope: LimitScopeKey, retry_after_us: int) -> None:
-        """Record that a scope is to be left alone from now on, also by calls that are not written yet.
+        """Records that a scope is to be left alone from now on, also by calls that are not written yet.
 
         An earlier request to wait for longer stays in force.
         """
@@ -31,13 +31,13 @@
         self._until_us[scope] = max(now_us + retry_after_us, self.until_us(scope))
 
     def until_us(self, scope: LimitScopeKey) -> int:
-        """Return until when a scope is to be left alone; 0 where it never asked for that."""
+        """Returns until when a scope is to be left alone; 0 where it never asked for that."""
         return self._until_us.get(scope, 0)
 
     def entries(self) -> tuple[tuple[LimitScopeKey, int], ...]:
-        """Return each scope with the time until which it is to be left alone."""
+        """Returns each scope with the time until which it is to be left alone."""
         return tuple(self._until_us.items())
 
     def restore(self, entries: Iterable[tuple[tuple[int, int], int]]) -> None:
-        """Replace all entries by those of the process before, as `entries` returned them."""
+        """Replaces all entries by those of the process before, as `entries` returned them."""
         self._until_us = {LimitScopeKey(*scope): until_us for scope, until_us in entries}
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -47,7 +47,7 @@
         self.renew()
 
     def renew(self) -> None:
-        """Begin with the next answer."""
+        """Begins with the next answer."""
         self.parser = httptools.HttpResponseParser(self)
         self.status = 0
         self.headers: Headers = {}
@@ -59,7 +59,7 @@
         self._body_parts: list[bytes] = []
 
     def release(self) -> None:
-        """Drop the parser, which refers back to this reader, so that both are freed without the cyclic collector."""
+        """Drops the parser, which refers back to this reader, so that both are freed without the cyclic collector."""
         del self.parser
 
     @property
@@ -68,7 +68,7 @@
         return b"".join(self._body_parts)
 
     def feed(self, data: bytes) -> None:
-        """Read the next bytes of the connection.
+        """Reads the next bytes of the connection.
 
         Raises:
             BadResponseError: they are not HTTP, or the answer is too large.
@@ -92,28 +92,28 @@
             self.keep_alive = False
 
     def says_ok(self) -> bool:
-        """Return whether the first line is complete and has status 200, whatever is wrong with the rest."""
+        """Returns whether the first line is complete and has status 200, whatever is wrong with the rest."""
         return self.status == 200 or FIRST_LINE_OK.match(self._first_bytes) is not None
 
     # Called by the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header; called by the parser."""
+        """Adds a header; called by the parser."""
         self._size += len(name) + len(value)
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Note the status; called by the parser."""
+        """Notes the status; called by the parser."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Add a part of the body; called by the parser."""
+        """Adds a part of the body; called by the parser."""
         self._size += len(body)
         if self._size <= self.max_bytes:
             self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is complete, unless it is an interim one; called by the parser."""
+        """Notes that the answer is complete, unless it is an interim one; called by the parser."""
         if 100 <= self.status < 200:
             self.status = 0
             self.headers = {}
@@ -123,7 +123,7 @@
 
 
 def parse_destination(addressing: str) -> int | None:
-    """Return the number that the `dest` of an X-Addressing header names, or None where it names none."""
+    """Returns the number that the `dest` of an X-Addressing header names, or None where it names none."""
     parts = addressing.replace(",", ";").split(";")
     dest = dict(part.strip().partition("=")[::2] for part in parts).get("dest", "")
     is_number = dest.isascii() and dest.isdigit() and len(dest) <= MAX_DESTINATION_DIGITS
@@ -131,7 +131,7 @@
 
 
 def parse_retry_after_us(headers: Headers) -> int | None:
-    """Return the Retry-After of an answer in microseconds, 0 without one, or None where it is malformed."""
+    """Returns the Retry-After of an answer in microseconds, 0 without one, or None where it is malformed."""
     try:
         retry_after_us = -int(-float(headers.get("x-ratelimit-wait-ms", "0")) * 1000 // 1)
     except (ValueError, OverflowError):
@@ -140,7 +140,7 @@
 
 
 def parse_load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
-    """Return the load report of an answer, or None where there is none or it is malformed.
+    """Returns the load report of an answer, or None where there is none or it is malformed.
 
     Args:
         headers: the headers of the answer.
@@ -159,7 +159,7 @@
 
 
 def render_request(method: str, path: str, host: str, headers: Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Return the bytes of a request."""
+    """Returns the bytes of a request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in headers)]
     if method != "GET":
         lines.append(f"Content-Length: {len(body)}")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -576,7 +576,7 @@
         while (await node.hand_in("m"))[0] != 202:
             await asyncio.sleep(0.05)
         await peer.got(1)
-        assert sum("the list cannot be had" in line for line in node.log) == 2
+        assert sum("cannot poll the endpoint list" in line for line in node.log) == 2
 
     play(scene, tmp_path)
 
