--- a/forwarder/decisions/fleet_messages.py
+++ b/forwarder/decisions/fleet_messages.py
@@ -1,7 +1,4 @@
-"""What membership and the Dispatcher's parts say to each other: events in, actions out.
-
-Times are in microseconds of this forwarder's own clock.
-"""
+"""Events and actions between membership and the decisions. Times are in microseconds of this forwarder's clock."""
 
 from __future__ import annotations
 
@@ -14,17 +11,21 @@
 
 
 class QuorumState(Enum):
-    """How sure a forwarder is of who is up."""
+    """How sure a forwarder is of who is up; the values are read by operators."""
 
-    AGREED = "agreed"  # all that can be up are there, or have left by their own word
-    UNSURE = "unsure"  # more than half are there
-    CUT_OFF = "cut off"  # not more than half are
-    ALONE = "alone"  # nobody is heard
+    AGREED = "agreed"
+    """All that can be up are alive, or have left by their own word."""
+    UNSURE = "unsure"
+    """More than half are alive."""
+    CUT_OFF = "cut off"
+    """Not more than half are."""
+    ALONE = "alone"
+    """Nobody is heard."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What membership tells: who is there, this forwarder among them, and who has left by its own word."""
+    """Who is alive, this forwarder among them, and who has left by its own word."""
 
     alive: frozenset[str]
     left: frozenset[str] = frozenset()
@@ -36,53 +37,53 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetViewChanged(ExtensionEvent):
-    """Membership's view has been looked at."""
+    """Membership has a new view, or the old one is a second older."""
 
     view: FleetView
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one other forwarder has seen of a target: in an outage since then (-1: never), and back since (-1: it is
-    not), or served by it then.
-    """
+    """What one other forwarder has observed of an endpoint."""
 
     observer: str
     ejected_at_us: int
+    """Since when it failed there; -1 if it never did, and it was only served by it."""
     recovering_since_us: int = -1
+    """Since when it is recovering there, or when it served; -1 if it is not."""
 
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived(ExtensionEvent):
-    """All that others say and that is not too old; of told waits only those that are new."""
+    """All that others tell and that is not too old; of Retry-After waits only those that are new."""
 
     observations: Mapping[int, tuple[Observation, ...]] = field(default_factory=dict)
-    """By target, one of each that says something of it."""
+    """By endpoint, one of each forwarder that tells something of it."""
     retry_afters: tuple[tuple[tuple[int, int], int], ...] = ()
     """Destination and which of its routes (-1: all), and until when."""
     holders: Mapping[int, frozenset[str]] = field(default_factory=dict)
-    """Who else holds messages for which cold target."""
+    """Who else holds messages for which endpoint in slow start."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersQueried(ExtensionEvent):
-    """The others have answered what a forwarder without a folder asks first, or the time for it is up."""
+    """The others have answered what a forwarder without its folder asks first, or the time for it is up."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceEjection(ExtensionAction):
-    """Seen by this forwarder itself: a target in an outage since then, or back from it (-1: not). Since -1: it was
-    served by one that others take to be out.
-    """
+    """This forwarder itself has seen an endpoint fail, or recover, or serve though others have ejected it."""
 
     endpoint: int
     ejected_at_us: int
+    """-1: it has served."""
     recovering_since_us: int
+    """-1: it is not."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceRetryAfter(ExtensionAction):
-    """A destination (or one route of it) has told this forwarder to wait until then."""
+    """A destination, or one route of it, has told this forwarder to wait until then."""
 
     limit_scope: tuple[int, int]
     until_us: int
@@ -90,6 +91,6 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceHolding(ExtensionAction):
-    """The cold targets for which this forwarder holds messages: all of them, whatever was told before."""
+    """The endpoints in slow start for which this forwarder holds messages: all, whatever was told before."""
 
     endpoints: frozenset[int]
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -20,7 +20,9 @@
     Observation,
     PeersQueried,
 )
-from forwarder.decisions.fleet_quota import FleetQuota, GossipExtension, SlowStartSlots
+from forwarder.decisions.fleet_quota import FleetQuota
+from forwarder.decisions.gossip_extension import GossipExtension
+from forwarder.decisions.slow_start_slots import SlowStartSlots
 from forwarder.membership.gossip_store import (
     MAX_AGES_US,
     GossipRecord,
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -23,16 +23,12 @@
     Observation,
     PeersQueried,
 )
-from forwarder.decisions.fleet_quota import (
-    MAX_HOLDERS,
-    MAX_SUSPECTED_SHARE,
-    FleetQuota,
-    GossipExtension,
-    SlowStartSlots,
-)
+from forwarder.decisions.fleet_quota import FleetQuota
+from forwarder.decisions.gossip_extension import MAX_SUSPECTED_SHARE, GossipExtension
 from forwarder.decisions.hold_reason import HoldReason
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, UNSAFE_RETRY_ERROR_RATE
+from forwarder.decisions.slow_start_slots import MAX_HOLDERS, SlowStartSlots
 from forwarder.membership.gossip_store import rendezvous_order
 from tests.scripts import MS, S, ask, end, sends, settings
 
