--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -140,7 +140,7 @@
 
     async def _connect_guarded(self, call: EndpointCall, address: Address) -> None:
         """Connects and sends a call; an unexpected error ends the call, so that its slot is free."""
-        if not await self.supervisor.guarded("dial", self._connect_and_send(call, address)):
+        if not await self.supervisor.guarded("connect", self._connect_and_send(call, address)):
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE if call.connection is None else Outcome.RESET))
 
     async def _connect_and_send(self, call: EndpointCall, address: Address) -> None:
--- /dev/null
+++ b/tests/clients/test_request_parser.py
@@ -0,0 +1,110 @@
+"""Requests as they come in pieces, without a connection."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+import pytest
+
+from forwarder.clients.request_parser import MAX_HEADER_BYTES, RequestParser
+from forwarder.protocol.http1 import MAX_BODY_BYTES
+from tests.sockets import message
+
+
+def make_parser(continued: list[str] | None = None) -> RequestParser:
+    """A parser that adds a line to `continued` where a client waits for leave to go on."""
+    calls = [] if continued is None else continued
+    return RequestParser(lambda: calls.append("continue"))
+
+
+@pytest.mark.parametrize("size", [1, 7, 1000])
+def test_a_request_is_complete_with_its_last_byte(size: int) -> None:
+    parser = make_parser()
+    data = message("m", body=b"hello")
+    pieces = [data[start : start + size] for start in range(0, len(data), size)]
+
+    found = [parser.feed(piece, 1000 + number) for number, piece in enumerate(pieces)]
+
+    assert [len(requests) for requests in found] == [0] * (len(pieces) - 1) + [1]
+    (request,) = found[-1]
+    assert (request.method, request.route, bytes(request.body)) == ("POST", "/order", b"hello")
+    assert request.headers["x-correlation-id"] == "m"
+    assert request.arrived_us == 1000
+    assert request.keep_alive
+    assert request.error is None
+
+
+def test_requests_of_one_read_come_in_their_order() -> None:
+    requests = make_parser().feed(message("a") + message("b"), 0)
+
+    assert [request.headers["x-correlation-id"] for request in requests] == ["a", "b"]
+
+
+def test_the_bytes_of_a_partial_request_are_kept_for_a_hand_over() -> None:
+    parser = make_parser()
+    data = message("m")
+
+    parser.feed(data[:30], 0)
+    parser.feed(data[30:50], 0)
+
+    assert parser.partial is not None
+    assert bytes(parser.partial_bytes) == data[:50]
+    assert len(parser.feed(data[50:], 0)) == 1
+    assert parser.partial is None
+    assert not parser.partial_bytes
+
+
+def test_a_partial_request_that_shared_a_read_has_no_bytes_for_a_hand_over() -> None:
+    parser = make_parser()
+
+    parser.feed(message("a") + message("b")[:30], 0)
+    parser.feed(message("b")[30:40], 0)
+
+    assert parser.partial is not None
+    assert not parser.partial_bytes
+
+
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"no request\r\n\r\n", HTTPStatus.BAD_REQUEST),
+        (b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEADER_BYTES + b"\r\n\r\n", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
+        (
+            b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1),
+            HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+        ),
+    ],
+)
+def test_what_cannot_be_read_is_the_last_request(data: bytes, status: HTTPStatus) -> None:
+    parser = make_parser()
+
+    complete, unreadable = parser.feed(message("a") + data, 0)
+
+    assert complete.error is None
+    assert unreadable.error is not None
+    assert unreadable.error.status is status
+    assert not unreadable.method
+    assert not unreadable.keep_alive
+    assert parser.is_broken
+    assert parser.partial is None
+
+
+def test_a_header_that_may_not_be_repeated_is_an_error_of_its_request_alone() -> None:
+    parser = make_parser()
+    repeated = b"POST /order HTTP/1.1\r\nX-Time-Left: 1\r\nX-Time-Left: 2\r\nContent-Length: 0\r\n\r\n"
+
+    first, second = parser.feed(repeated + message("b"), 0)
+
+    assert first.error is not None
+    assert second.error is None
+    assert not parser.is_broken
+
+
+def test_leave_to_go_on_is_asked_for_before_the_body() -> None:
+    continued: list[str] = []
+    parser = make_parser(continued)
+    data = message("m", Expect="100-continue")
+
+    parser.feed(data[:-1], 0)
+
+    assert continued == ["continue"]
--- /dev/null
+++ b/tests/endpoints/test_idle_connections.py
@@ -0,0 +1,78 @@
+"""Which idle connections are kept, and which are closed."""
+
+from __future__ import annotations
+
+import asyncio
+
+from forwarder.endpoints.connection import EndpointConnection
+from forwarder.endpoints.idle_connections import MAX_IDLE_PER_ENDPOINT, IdleConnections
+from forwarder.runtime.supervisor import Supervisor
+from tests.endpoints.peers import HalfWrittenTransport, make_pool
+
+
+class ClosableTransport(HalfWrittenTransport):
+    """A transport that knows whether it was closed."""
+
+    closed = False
+
+    def abort(self) -> None:
+        self.closed = True
+
+    def is_closing(self) -> bool:
+        return self.closed
+
+
+def make_connection() -> EndpointConnection:
+    connection = EndpointConnection(make_pool([]))
+    connection.connection_made(ClosableTransport())
+    return connection
+
+
+def make_idle_connections(now_us: list[int]) -> IdleConnections:
+    idle = IdleConnections(lambda: now_us[0], Supervisor())
+    idle.timeout_us = 1_000_000
+    return idle
+
+
+def test_the_connection_that_was_used_last_is_taken_first() -> None:
+    async def scene() -> None:
+        idle = make_idle_connections([0])
+        first, second = make_connection(), make_connection()
+
+        idle.add(first, 1)
+        idle.add(second, 1)
+
+        assert [idle.pop(1), idle.pop(1), idle.pop(1), idle.pop(2)] == [second, first, None, None]
+
+    asyncio.run(scene())
+
+
+def test_no_more_than_a_few_are_kept_for_each_endpoint() -> None:
+    async def scene() -> None:
+        idle = make_idle_connections([0])
+        connections = [make_connection() for _ in range(MAX_IDLE_PER_ENDPOINT + 1)]
+
+        for connection in connections:
+            idle.add(connection, 1)
+
+        assert [connection.is_closing() for connection in connections] == [False] * MAX_IDLE_PER_ENDPOINT + [True]
+
+    asyncio.run(scene())
+
+
+def test_the_one_that_has_been_idle_for_longest_makes_room() -> None:
+    async def scene() -> None:
+        now_us = [0]
+        idle = make_idle_connections(now_us)
+        oldest, newer = make_connection(), make_connection()
+        idle.add(oldest, 2)
+        now_us[0] = 10
+        idle.add(newer, 1)
+
+        assert idle.close_longest_idle()
+        assert oldest.is_closing()
+        assert not newer.is_closing()
+        assert idle.close_longest_idle()
+        assert not idle.close_longest_idle()
+
+    asyncio.run(scene())
