--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -17,7 +17,8 @@
 from pathlib import Path
 
 from forwarder.decisions.settings import MessageClass
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 from tests.sockets import ROOT, Node, Platform
 
 SAFE = MessageClass("status", 10**6, 3_600_000_000)
@@ -27,15 +28,15 @@
 
 def fill(state: Path, held: int) -> None:
     """So many messages are held for a destination that nobody serves, and twice as many are over."""
-    store, due = MessageStore(state, DISK_MB * 1_000_000).own(), time.time_ns() // 1000 + 3_600_000_000
+    store, due = MessageStore(state, DISK_MB * 1_000_000).take_ownership(), time.time_ns() // 1000 + 3_600_000_000
     for n in range(3 * held):
         name = f"m{n}"
-        if store.has_room(400):
-            store.take(AcceptedMessage(name, SAFE, 7, due, None, None, b"x" * 300))
-            store.attempt(store.messages[name], 0, 50, "s9")
-            store.outcome(store.messages[name], 0, False)
+        if store.has_capacity_for(400):
+            store.accept(AcceptedMessage(name, SAFE, 7, due, None, None, b"x" * 300))
+            store.record_attempt(store.messages[name], 0, 50, "s9")
+            store.record_outcome(store.messages[name], 0, False)
         if n % 3 and name in store.messages:
-            store.over(name)
+            store.end_message(name)
         store.flush()
     store.close()
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -19,7 +19,8 @@
 from statistics import median
 
 from forwarder.decisions.settings import MessageClass
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 SAFE = MessageClass("safe", 10**6, 10**7)
 LIMIT = 200_000_000
@@ -34,12 +35,12 @@
     """Messages, each with an attempt, until the files are that large; a fifth of them are over. Returns how many are
     held.
     """
-    store, n = MessageStore(folder, LIMIT).own(), 0
-    while store.size < size:
-        store.take(taken(n))
-        store.attempt(store.messages[f"message-{n:08d}"], 0, 50, "s1")
+    store, n = MessageStore(folder, LIMIT).take_ownership(), 0
+    while store.recovery_bytes < size:
+        store.accept(taken(n))
+        store.record_attempt(store.messages[f"message-{n:08d}"], 0, 50, "s1")
         if n % 5 == 4:
-            store.over(f"message-{n - 2:08d}")
+            store.end_message(f"message-{n - 2:08d}")
         n += 1
         if n % 20 == 0:
             store.flush()
@@ -87,14 +88,14 @@
         longest, each, disk, cpu = [], [], [], []
         for _ in range(runs):
             with tempfile.TemporaryDirectory() as folder:
-                store, times, most = MessageStore(Path(folder), LIMIT).own(), [], 0
+                store, times, most = MessageStore(Path(folder), LIMIT).take_ownership(), [], 0
                 began_cpu = time.process_time()
                 for n in range(held + 20_000):
                     began = time.perf_counter()
-                    store.take(taken(n))
-                    store.attempt(store.messages[f"message-{n:08d}"], 0, 50, "s1")
+                    store.accept(taken(n))
+                    store.record_attempt(store.messages[f"message-{n:08d}"], 0, 50, "s1")
                     if n >= held:
-                        store.over(f"message-{n - held:08d}")
+                        store.end_message(f"message-{n - held:08d}")
                     store.flush()
                     times.append(time.perf_counter() - began)
                     if n % 500 == 0:
--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -18,8 +18,7 @@
 from forwarder.config.config import Config, ConfigError, ConfigUnreadableError, load_config
 from forwarder.runtime.engine import Engine, ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
-from forwarder.storage.identity import ForeignStateError
-from forwarder.storage.journal import NewerFormatError
+from forwarder.storage.errors import ForeignStateError, NewerFormatError
 
 READ_PATIENCE_S = 20.0  # a start has to be ready within 30 s
 READ_AGAIN_S = 0.2
--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -47,23 +47,25 @@
     def offline(self, name: str) -> str:
         """Leave an endpoint out from now on: when this returns, nothing more can leave for it."""
         self._check_listed(name)
-        if name not in self.engine.store.bans:
-            self.engine.store.ban(name, self.engine.clock())
-            self.engine.carry_out(EndpointDisabled(self.engine.number(name), self.engine.store.bans[name]))
+        if name not in self.engine.store.disabled_endpoints:
+            self.engine.store.disable_endpoint(name, self.engine.clock())
+            self.engine.carry_out(
+                EndpointDisabled(self.engine.number(name), self.engine.store.disabled_endpoints[name])
+            )
             log.info("maintenance: %s is left out", name)
         return f"{name} is left out"
 
     def online(self, name: str) -> str:
         """Use an endpoint again that was left out."""
         self._check_listed(name)
-        if name in self.engine.store.bans:
-            self.engine.store.ban(name, -1)
+        if name in self.engine.store.disabled_endpoints:
+            self.engine.store.enable_endpoint(name)
             self.engine.carry_out(EndpointEnabled(self.engine.number(name)))
             log.info("maintenance: %s is used again", name)
         return f"{name} is used"
 
     def _check_listed(self, name: str) -> None:
-        if name not in self.engine.store.names and name not in self.engine.store.bans:
+        if name not in self.engine.store.known_endpoints and name not in self.engine.store.disabled_endpoints:
             raise CommandRefusedError("no endpoint of that id was ever listed")
 
     def journal(self) -> str:
@@ -72,12 +74,12 @@
         return "; ".join(
             text
             for text in (
-                "sound" if not kept.found.damaged else kept.damage(),
-                f"{kept.found.torn} bytes of a torn tail cut",
-                f"start {who.starts} of {who.id}: {self.engine.start.value}" if who else "",
-                f"{kept.size} bytes",
-                f"{kept.aside} bytes of damaged files set aside",
-                "cannot be written" if kept.failed else "",
+                "sound" if not kept.recovered.is_damaged else kept.describe_damage(),
+                f"{kept.recovered.torn_bytes} bytes of a torn tail cut",
+                f"start {who.start_count} of {who.folder_id}: {self.engine.start.value}" if who else "",
+                f"{kept.recovery_bytes} bytes",
+                f"{kept.set_aside_bytes} bytes of damaged files set aside",
+                "cannot be written" if kept.write_failed else "",
             )
             if text
         )
@@ -87,7 +89,7 @@
         return (
             f"violations: {self.engine.reasons.summary(Subject.VIOLATION)}; held back: "
             f"{self.engine.reasons.summary(Subject.HELD_BACK)}; failures: {self.engine.supervisor.summary()}; "
-            f"journal: {'cannot be written' if self.engine.store.failed else 'written'}, "
+            f"journal: {'cannot be written' if self.engine.store.write_failed else 'written'}, "
             f"{self.engine.store.write_failures} failures"
         )
 
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -16,7 +16,7 @@
 from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadResponseError, ResponseReader, render_request
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.simulator.adapter import MalformedInputError
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 
 FIRST_HOLD_MS = 1  # a start's first question is answered with what discovery holds, be it news or not
 FIRST_LIST_US = 2_000_000  # discovery answers a call that does not wait within 2 s (PROTOCOL, Figures), or not at all
@@ -280,6 +280,6 @@
 
 def line(name: str, owed: PendingNotice) -> bytes:
     told: dict[str, str | int] = {"id": name, "state": owed.state}
-    if owed.after_ms > 0:
-        told["after_ms"] = owed.after_ms
+    if owed.retry_after_ms > 0:
+        told["after_ms"] = owed.retry_after_ms
     return json.dumps(told, separators=(",", ":")).encode() + b"\n"
--- /dev/null
+++ b/forwarder/errors.py
@@ -0,0 +1,7 @@
+"""The base class of the forwarder's own errors."""
+
+from __future__ import annotations
+
+
+class ForwarderError(Exception):
+    """An error that the forwarder raises itself; its text says what went wrong and where."""
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -216,7 +216,7 @@
             s.believe_us,
             s.detect_us,
             s.told_us,
-            self.lease.read(s.settle_us - s.detect_us),
+            self.lease.read_end_us(s.settle_us - s.detect_us),
         )
         if self.settings.news:
             self.news = GossipBridge(engine, self.shares, self.settings.told_us, self.settings.ask_us)
@@ -251,7 +251,7 @@
 
     def act(self, actions: Iterable[Action]) -> None:
         if self.shares is not None and self.lease is not None:
-            self.lease.keep(self.shares.leased_until)
+            self.lease.renew(self.shares.leased_until)
         if self.news is not None and self.protocol is not None:
             self.news.act(self.now(), actions)
             if self.protocol.out:
@@ -277,7 +277,7 @@
                     raise
             await asyncio.sleep(0.05)
         identity = self.engine.identity
-        life = identity.starts if identity is not None else 1
+        life = identity.start_count if identity is not None else 1
         ident = secrets.token_hex(4)
         self.protocol = Protocol(
             self.engine.config.name,
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -103,7 +103,7 @@
                         now,
                         frozenset(self.engine.targets.names[t] for t in a.endpoints if t in self.engine.targets.names),
                     )
-        if self.engine.store.bans != self.bans:
+        if self.engine.store.disabled_endpoints != self.bans:
             self.say_bans(now)
 
     def say_outage(self, now: int, name: str, a: AnnounceEjection) -> None:
@@ -139,7 +139,7 @@
 
     def say_bans(self, now: int, anew: bool = False) -> None:
         """Told when they change, and now and then: a forwarder that loses its folder hears of them from others."""
-        bans, clock = dict(self.engine.store.bans), self.engine.clock()
+        bans, clock = dict(self.engine.store.disabled_endpoints), self.engine.clock()
         for name, since in sorted(bans.items()):
             if anew or self.bans.get(name) != since:
                 self.say(now, RecordKind.BAN, name, clock - since, urgent=not anew)
@@ -190,9 +190,9 @@
         """Endpoints that this forwarder had left out, as the others remember, are left out again."""
         store, found = self.engine.store, 0
         for fact in self.board.remembered(now, RecordKind.BAN):
-            if fact.subject not in store.bans:
+            if fact.subject not in store.disabled_endpoints:
                 since = self.engine.clock() - (now - fact.born) - fact.value
-                store.ban(fact.subject, since)
+                store.disable_endpoint(fact.subject, since)
                 self.engine.carry_out(EndpointDisabled(self.engine.number(fact.subject), since))
                 log.warning("maintenance: %s is left out again, as others remember", fact.subject)
                 found += 1
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -36,7 +36,8 @@
 from forwarder.runtime.invariants import Denial, Invariants
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 SECOND = 1_000_000
 MOST_REFUSED_BY = 1000  # destinations, classes and gates of refusals that are counted apart
@@ -90,7 +91,7 @@
             if isinstance(action, RejectMessage | FailMessage) and action.message_id in arriving:
                 self.supervisor.guard("refusal", partial(self.turn_away, *arriving.pop(action.message_id), action))
         for handed, _ in arriving.values():
-            self.store.take(
+            self.store.accept(
                 AcceptedMessage(
                     handed.id,
                     handed.cls,
@@ -114,21 +115,23 @@
                 self._prepare_send(action, now, departures)
             case RejectMessage() if action.message_id in self.store.messages:
                 self._log_refused(action, now)
-                self.store.owe(action.message_id, "returned", -(-action.retry_after_us // 1000))
+                self.store.add_pending_notice(action.message_id, "returned", -(-action.retry_after_us // 1000))
             case FailMessage() if action.message_id in self.store.messages:
-                self.store.owe(action.message_id, "failed", 0)
+                self.store.add_pending_notice(action.message_id, "failed", 0)
             case CloseIdleConnections() | CancelAttempt():
                 departures.steps.append(action)
             case EjectionChanged() if action.endpoint in self.targets.names:
-                self.store.outage(self.targets.names[action.endpoint], action.ejected_at_us, action.recovering_since_us)
+                self.store.record_ejection(
+                    self.targets.names[action.endpoint], action.ejected_at_us, action.recovering_since_us
+                )
             case KeyBackoffStarted():
-                self.store.rest(action.key, action.until_us, now)
+                self.store.back_off_key(action.key, action.until_us, now)
 
     def _undo(self, action: Action) -> None:
         """A step has failed: a message whose call was not made is held again."""
         if isinstance(action, SendAttempt):
             m = self.store.messages.get(action.message_id)
-            number = 0 if m is None else max(m.out, default=m.attempts)
+            number = 0 if m is None else max(m.in_flight, default=m.attempts)
             self.post(AttemptEnded(action.message_id, number, action.endpoint, Outcome.LOCAL_FAILURE, 0))
 
     def _prepare_send(self, a: SendAttempt, now: int, departures: Departures) -> None:
@@ -144,7 +147,7 @@
             m.attempts += 1
             self.post(AttemptEnded(m.id, number, a.endpoint, Outcome.NOT_SENT, 0))
             return
-        self.store.attempt(m, number, now, target.name)
+        self.store.record_attempt(m, number, now, target.name)
         item = CallItem(
             m.id,
             number,
@@ -165,7 +168,7 @@
         """A line with the reason, one a second at most; it tells how many had none."""
         self.refused += 1
         m = self.store.messages[a.message_id]
-        key = (m.destination, m.cls.name, a.hold_reason.value if a.hold_reason else "nothing")
+        key = (m.destination, m.message_class.name, a.hold_reason.value if a.hold_reason else "nothing")
         if key in self.refused_by or len(self.refused_by) < MOST_REFUSED_BY:
             self.refused_by[key] = self.refused_by.get(key, 0) + 1
         if now - self.refused_us >= SECOND:
@@ -212,7 +215,7 @@
         departures.steps = [step for step in departures.steps if not isinstance(step, EndpointCall) or step.items]
         for name, (handed, door) in departures.accepted.items():
             self.rules.may_accept(name, written=False)
-            self.store.forget(name)
+            self.store.undo_accept(name)
             self.post(MessageWithdrawn(name))
             self.refuse(handed, door, "cannot be recorded")
         departures.accepted = {}
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -68,8 +68,8 @@
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage import identity
 from forwarder.storage.clock import AnchoredClock
-from forwarder.storage.journal import may_resend
-from forwarder.storage.store import MessageStore, PendingNotice
+from forwarder.storage.messages import PendingNotice, may_resend_after_loss
+from forwarder.storage.store import MessageStore
 
 ROUND_US = 5_000  # least time between rounds: what goes to one target in one round travels together
 FREEZE_S = 2.8  # so long after SIGTERM nothing new is sent, and what is out is waited for
@@ -150,10 +150,10 @@
 class Syncer(Protocol):
     """Makes what was written outlast a power cut."""
 
-    def after(self, done: Callable[[], None], wrote: bool) -> None:
+    def call_when_synced(self, done: Callable[[], None], wrote: bool) -> None:
         """Call it when all that is written now is synced; at once if nothing was written since and nothing waits."""
 
-    def barrier(self) -> bool:
+    def sync_now(self) -> bool:
         """Sync here and now, and let go all that waits. Whether that worked."""
 
 
@@ -207,7 +207,7 @@
         told = handed.told if handed is not None else {}
         self.clock = clock or AnchoredClock(config.state, told.get("clock"))
         s = on_sockets(config.settings)
-        self.identity, self.start = identity.claim(config.state, config.name)
+        self.identity, self.start = identity.claim_folder(config.state, config.name)
         self.store = MessageStore(
             config.state,
             config.disk_bytes,
@@ -274,45 +274,53 @@
         known, kept = self.config.known, self.store
         told = self.handover.told if self.handover is not None else {"pool": {"calls": []}}
         out = {(name, number) for call in told["pool"]["calls"] for name, number, _ in call["items"]}
-        if kept.seq >= known.seq:  # `known` may be older than what this forwarder was told of drains
-            known = EndpointList(kept.seq, True, tuple(parse_endpoint(raw) for raw in kept.hosts.values()))
-        kept.note_names(h.name for h in known.hosts)
+        if kept.endpoint_list_version >= known.seq:  # `known` may be older than what this forwarder was told of drains
+            known = EndpointList(
+                kept.endpoint_list_version, True, tuple(parse_endpoint(raw) for raw in kept.endpoints.values())
+            )
+        kept.record_known_endpoints(h.name for h in known.hosts)
         self.take_list(known)
-        self.events += [EndpointDisabled(self.number(name), since) for name, since in kept.bans.items()]
+        self.events += [EndpointDisabled(self.number(name), since) for name, since in kept.disabled_endpoints.items()]
         self.events.append(
-            EndpointListReceived(EndpointListKind.SAVED, self.targets.entries(known.hosts, self.store.bans))
+            EndpointListReceived(
+                EndpointListKind.SAVED, self.targets.entries(known.hosts, self.store.disabled_endpoints)
+            )
         )
         if self.handover is None:
             self.events.append(EndpointListAwaited(self.clock() + FIRST_LIST_US))
-        for name, (since, back) in kept.outages.items():
+        for name, (since, back) in kept.ejections.items():
             if name in self.targets.numbers:
                 self.events.append(EjectionRecovered(self.targets.numbers[name], since, back))
         self.give_up_doubtful()
         for m in kept.messages.values():
-            lost = [number for number in m.out if (m.id, number) not in out]
+            lost = [number for number in m.in_flight if (m.id, number) not in out]
             for number in lost:
-                kept.outcome(m, number, True)  # its outcome is not known: it may have run
+                kept.record_outcome(m, number, True)  # its outcome is not known: it may have run
             self.events.append(
                 MessageRecovered(
                     m.id,
                     m.destination,
-                    m.cls,
+                    m.message_class,
                     m.due_us,
                     m.key,
                     m.tenant,
                     m.attempts,
-                    m.ran_at_us,
-                    self.number(m.ran_on) if m.ran_on else -1,
+                    m.maybe_ran_at_us,
+                    self.number(m.maybe_ran_on) if m.maybe_ran_on else -1,
                     bool(lost),
-                    m.held_back,
+                    m.local_failure_count,
                 )
             )
         self.events += [
-            PendingNoticeRecovered(name, owed.key) for name, owed in kept.owed.items() if owed.key is not None
+            PendingNoticeRecovered(name, owed.key)
+            for name, owed in kept.pending_notices.items()
+            if owed.key is not None
         ]
-        self.events += [KeyBackoffRecovered(key, until) for key, until in kept.rests.items() if until > self.clock()]
-        if kept.messages or kept.owed:
-            log.info("took up %d messages and %d owed ends again", len(kept.messages), len(kept.owed))
+        self.events += [
+            KeyBackoffRecovered(key, until) for key, until in kept.key_backoffs.items() if until > self.clock()
+        ]
+        if kept.messages or kept.pending_notices:
+            log.info("took up %d messages and %d owed ends again", len(kept.messages), len(kept.pending_notices))
         if "memory" in told:
             self.events.append(HandoverReceived(learned_state_from_stored(told["memory"])))
         return known.seq if known.hosts else -1
@@ -322,18 +330,18 @@
         alone too.
         """
         kept = self.store
-        for m in [m for m in kept.messages.values() if m.doubtful and not may_resend(m.cls)]:
-            kept.owe(m.id, "failed", 0)
-        for name in kept.touched:
-            kept.owe_stranger(name)
+        for m in [m for m in kept.messages.values() if m.is_doubtful and not may_resend_after_loss(m.message_class)]:
+            kept.add_pending_notice(m.id, "failed", 0)
+        for name in kept.orphaned_ids:
+            kept.add_orphan_notice(name, "failed")
 
     async def run(self) -> None:
-        self.clock.keep()
-        self.store.own()
-        self.identity = identity.begin(
+        self.clock.store_anchor()
+        self.store.take_ownership()
+        self.identity = identity.record_start(
             self.identity, self.config.state, self.config.name, self.store.salt, self.store.durable
         )
-        log.info("start %d of %s: %s", self.identity.starts, self.identity.id, self.start.value)
+        log.info("start %d of %s: %s", self.identity.start_count, self.identity.folder_id, self.start.value)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         log.info(
             "descriptors: %d configured, %d allowed (hard limit %d), %d open; at most %d clients, "
@@ -428,7 +436,7 @@
         self.server.settings = s
         self.targets.tune(s.kinds)
         self.pool.tune(self.config.report_fields, s.idle_timeout_us, s.connect_timeout_us)
-        entries = self.targets.entries(self.targets.hosts.values(), self.store.bans)
+        entries = self.targets.entries(self.targets.hosts.values(), self.store.disabled_endpoints)
         self.events += [SettingsChanged(s), EndpointListReceived(EndpointListKind.WHOLE, entries)]
         self.round()
 
@@ -444,9 +452,9 @@
             self.state_s = now
             self.log_state()
         self.store.retry()
-        self.store.step()
-        self.clock.keep()
-        if self.store.owed:
+        self.store.write_snapshot_step()
+        self.clock.store_anchor()
+        if self.store.pending_notices:
             self.notices.kick()
         if now - self.reasons_s > REASONS_LOG_S:
             self.reasons_s = now
@@ -461,7 +469,7 @@
         old = self.clock() - OVERDUE_US
         for m in [m for m in self.store.messages.values() if m.due_us < old and not self.frozen]:
             log.error("message %s was left without an end", m.id)
-            self.store.owe(m.id, "failed", 0)
+            self.store.add_pending_notice(m.id, "failed", 0)
             if m.key is not None:  # the next of its key waits until the platform has heard of it
                 self.post(PendingNoticeRecovered(m.id, m.key))
             self.post(MessageWithdrawn(m.id))
@@ -477,17 +485,17 @@
             sum(len(line.messages) for line in lines),
             len(lines),
             self.pool.out,
-            len(store.owed),
-            len(store.bans),
+            len(store.pending_notices),
+            len(store.disabled_endpoints),
             len(self.server.doors),
             len(self.pool.all),
             open_descriptors(),
             self.rounds,
             time.process_time(),
-            store.size // 1000,
-            store.live // 1000,
+            store.recovery_bytes // 1000,
+            store.message_bytes // 1000,
             store.compactions,
-            "" if not store.found.damaged else f"; as found: {store.damage()}",
+            "" if not store.recovered.is_damaged else f"; as found: {store.describe_damage()}",
         )
         log.info(
             "state: closed for clients: %s; violations: %d (%s)",
@@ -534,7 +542,9 @@
             return
         held = len(self.store.messages) + len(self.arriving)
         size = len(handed.body) + sum(len(h.body) for h, _ in self.arriving.values())
-        room = self.store.has_room(size) and self.clock.kept  # without its anchor a restart would not know their time
+        room = (
+            self.store.has_capacity_for(size) and self.clock.is_anchored
+        )  # without its anchor a restart would not know their time
         if self.frozen or held >= self.config.settings.max_open_messages or not room:
             if self.clock() - self.full_us > FULL_LOG_US and not self.frozen:
                 self.full_us = self.clock()
@@ -577,9 +587,11 @@
                 self.effects.calls_made,
             )
         if told.hosts or told.whole:
-            entries = self.targets.entries(told.hosts, self.store.bans)
+            entries = self.targets.entries(told.hosts, self.store.disabled_endpoints)
             self.take_list(told)
-            self.store.list(told.seq, {h.name: h.raw for h in self.targets.hosts.values()}, self.clock())
+            self.store.record_endpoint_list(
+                told.seq, {h.name: h.raw for h in self.targets.hosts.values()}, self.clock()
+            )
         else:
             entries = ()
         kind = EndpointListKind.WHOLE if told.whole else EndpointListKind.CHANGES
@@ -593,12 +605,12 @@
 
     def serving(self) -> None:
         """What the pool may call: the last check before the wire."""
-        self.pool.serving(self.targets.serving(self.store.bans))
+        self.pool.serving(self.targets.serving(self.store.disabled_endpoints))
         for part in self.parts:
             part.served(self.pool.where)
 
     def number(self, name: str) -> int:
-        return self.targets.number(name, self.store.bans)
+        return self.targets.number(name, self.store.disabled_endpoints)
 
     # Rounds
 
@@ -650,12 +662,12 @@
         departures = self.effects.prepare(now, actions, arriving)
         for a in actions:
             self.supervisor.guard(type(a).__name__, partial(self.heed, a, now))
-        wrote = bool(self.store.pending)
+        wrote = self.store.has_unwritten_records
         written = self.store.flush()
         if self.syncer is None:
             self.release(departures, written)
         else:
-            self.syncer.after(partial(self.release, departures, True), wrote)
+            self.syncer.call_when_synced(partial(self.release, departures, True), wrote)
         for part in self.parts:
             self.supervisor.guard(part.name, partial(part.act, actions))
 
@@ -672,7 +684,7 @@
     def release(self, departures: Departures, written: bool) -> None:
         """What a round's records precede leaves."""
         self.effects.release(departures, written)
-        if self.store.owed:
+        if self.store.pending_notices:
             self.notices.kick()
 
     def turn_away(self, handed: Submission, door: ClientConnection, a: RejectMessage | FailMessage) -> None:
@@ -694,15 +706,15 @@
         if m is None:
             return
         if event.outcome is Outcome.DELIVERED and event.is_final:
-            self.store.over(m.id)
+            self.store.end_message(m.id)
         elif event.is_final:
             # A target says that it is over. Should that be wrong, it would be lost; a notice does no harm.
-            self.store.owe(m.id, "returned" if m.ran_at_us < 0 else "failed", 0)
+            self.store.add_pending_notice(m.id, "returned" if m.maybe_ran_at_us < 0 else "failed", 0)
         elif event.outcome is Outcome.LOCAL_FAILURE:
-            self.store.held(m, event.attempt)
+            self.store.record_local_failure(m, event.attempt)
         else:
             self.reasons.note(Subject.RETRY, event.outcome.value, m.id)
-            self.store.outcome(m, event.attempt, event.outcome not in NEVER_RAN)
+            self.store.record_outcome(m, event.attempt, event.outcome not in NEVER_RAN)
 
     def set_timer(self, at_us: int, token: str) -> None:
         asyncio.get_running_loop().call_later(max(0, at_us - self.clock()) / SECOND, self.timer, at_us, token)
@@ -719,14 +731,16 @@
     def owed_ends(self) -> dict[str, PendingNotice]:
         """Those that may be told now."""
         now = self.clock()
-        return {name: owed for name, owed in self.store.owed.items() if self.rules.may_notify(name, now) is None}
+        return {
+            name: owed for name, owed in self.store.pending_notices.items() if self.rules.may_notify(name, now) is None
+        }
 
     def acknowledged(self, names: list[str]) -> None:
         for name in names:
-            end = self.store.owed.get(name)
+            end = self.store.pending_notices.get(name)
             if end is not None and end.key is not None:
                 self.post(NoticeAcknowledged(name, end.key))
-            self.store.told(name)
+            self.store.acknowledge_notice(name)
         self.store.flush()
 
     # Operators' calls: what they decide is in operators.py
@@ -737,7 +751,7 @@
         self.serving()
         self.events.append(event)
         self.round()
-        if self.syncer is not None and not self.syncer.barrier():
+        if self.syncer is not None and not self.syncer.sync_now():
             raise CommandRefusedError("done, but the journal cannot be synced: a power cut would undo it")
 
     def send_away(self) -> None:
@@ -752,7 +766,7 @@
         if self.leaving_s or self.closed:
             return
         self.settle()
-        if self.syncer is not None and not self.syncer.barrier():
+        if self.syncer is not None and not self.syncer.sync_now():
             return  # calls and answers wait here: they cannot be handed over
         self.store.retry()
         if self.rules.may_hand_over() is not None:
@@ -793,17 +807,20 @@
             if self.arriving or self.events:
                 self.round()
             if self.syncer is not None:
-                self.syncer.barrier()
+                self.syncer.sync_now()
             self.frozen = True
             for part in self.parts:
                 self.supervisor.guard(part.name, part.cut)
         nothing = not (
-            self.store.messages or self.store.owed or self.arriving or any(part.busy() for part in self.parts)
+            self.store.messages
+            or self.store.pending_notices
+            or self.arriving
+            or any(part.busy() for part in self.parts)
         )
-        if nothing or passed >= EXIT_S or (self.frozen and not self.pool.out and not self.store.owed):
+        if nothing or passed >= EXIT_S or (self.frozen and not self.pool.out and not self.store.pending_notices):
             log.info(
                 "stopped: %d messages and %d owed ends stay in the journal",
                 len(self.store.messages),
-                len(self.store.owed),
+                len(self.store.pending_notices),
             )
             self.done.set()
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -42,7 +42,7 @@
     listener = engine.server.listener
     assert listener is not None
     told = {
-        "clock": engine.clock.base,
+        "clock": engine.clock.offset_ns,
         "numbers": engine.targets.numbers,
         "destinations": [*engine.targets.destinations],
         "memory": learned_state_to_stored(engine.dispatcher.learned_state()),
--- a/forwarder/runtime/invariants.py
+++ b/forwarder/runtime/invariants.py
@@ -14,7 +14,8 @@
 
 from forwarder.decisions.settings import Effect
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 
 class Denial(enum.Enum):
@@ -91,21 +92,23 @@
             return Denial.ENDED if self.store.knows(attempt.message) else Denial.NEVER_TAKEN_ON
         if attempt.message in others_out:
             return Denial.STILL_OUT
-        if message.cls.effect is Effect.ONCE and self._may_have_run(message, attempt.number):
+        if message.message_class.effect is Effect.ONCE and self._may_have_run(message, attempt.number):
             return Denial.MAY_HAVE_RUN
         return None
 
     @staticmethod
     def _may_have_run(message: AcceptedMessage, number: int) -> bool:
         """Whether an attempt other than this one has run, as far as anyone knows."""
-        return message.ran_at_us >= 0 or any(other != number for other in message.out)
+        return message.maybe_ran_at_us >= 0 or any(other != number for other in message.in_flight)
 
     def may_go_unrecorded(self, message: str) -> bool:
         """Whether a call may leave though its attempt cannot be written: after a restart it may be made again. The next
         of its key would have to wait for it then, so one that keeps an order may not.
         """
         taken = self.store.messages.get(message)
-        return taken is not None and taken.cls.effect is Effect.REPEATABLE and not taken.cls.in_order
+        return (
+            taken is not None and taken.message_class.effect is Effect.REPEATABLE and not taken.message_class.in_order
+        )
 
     def may_accept(self, message: str, written: bool) -> Denial | None:
         """Whether a client may be told that its message is taken on."""
@@ -123,11 +126,11 @@
         if message in self.store.messages:
             self._denied("notice", Denial.STILL_OUT, message)
             return Denial.STILL_OUT
-        return None if self.store.may_tell(message, now_us) else Denial.NOT_RECORDED
+        return None if self.store.may_notify(message, now_us) else Denial.NOT_RECORDED
 
     def may_hand_over(self) -> Denial | None:
         """Whether another process may go on from the journal: it would not know of what is not on record."""
-        if not self.store.failed:
+        if not self.store.write_failed:
             return None
         self._denied("hand-over", Denial.NOT_RECORDED, "")
         return Denial.NOT_RECORDED
--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -27,7 +27,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from forwarder.storage.journal_files import close
+from forwarder.storage.file_io import close_descriptor
 
 ASK, TAKEN, YOURS = b"take over 1\n", b"taken\n", b"yours\n"
 HEAD = struct.Struct("<II")  # bytes of JSON, descriptors
@@ -62,7 +62,7 @@
         """Close what nobody has taken out."""
         self.link.close()
         while self.fds:
-            close(self.fds.popitem()[1])
+            close_descriptor(self.fds.popitem()[1])
 
 
 class Ownership:
@@ -148,7 +148,7 @@
         if lock < 0:
             return None
         handover.link.close()
-        close(self.fd)
+        close_descriptor(self.fd)
         self.fd = lock
         return made
 
--- a/forwarder/storage/journal_files.py
+++ b/forwarder/storage/journal_files.py
@@ -1,118 +1,141 @@
-"""The files of a folder's state: their generations, the journal that is written to, and snapshots written in steps.
+"""The files of a state folder: the journal that is written to, closed journals, and snapshots.
 
-What the files mean is in journal.py, what they hold in store.py. With `durable` everything is synced before
-it takes another's place, and the folder after; nothing older is removed before that.
+Where `durable` is set, a file is synced before it takes another's place, and the folder after; nothing older is removed
+before that.
 """
 
 from __future__ import annotations
 
 import errno
 import os
-import zlib
 from collections.abc import Iterator
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
-
-from forwarder.storage import journal
-
-BLOCK = 512
-MOST_ASIDE = 2  # damaged files kept of earlier starts, beside those of this one
-NEW_JOURNAL, NEW_SNAPSHOT = "journal.new", "snapshot.new"
-Line = tuple[Any, ...]
-
-
-class Writing:
-    """A snapshot that is being written. `contents` are its lines and bodies, asked for as they are written."""
-
-    def __init__(self, fd: int, generation: int, salt: int, contents: Iterator[tuple[Line, bytes]]) -> None:
-        self.fd, self.generation, self.salt, self.contents = fd, generation, salt, contents
-        self.size, self.check, self.number = 0, 0, 0
-        self.head = journal.header(salt, generation)
-
-    def more(self, most: int, durable: bool) -> bool:
-        """Write about so many bytes more. Whether it is whole now. Raises OSError."""
-        parts, size, done = [self.head], 0, False
-        self.head = b""
-        while size < most and not done:
-            got = next(self.contents, None)
-            if got is None:
-                done = True
-                break
-            parts.append(self._record(*got))
-            size += len(parts[-1])
-        data = b"".join(parts)
-        self.check = zlib.crc32(data, self.check)
-        if done:
-            data += self._record((journal.SEALED, self.number + 1, self.check))
-        write(self.fd, data)
-        self.size += len(data)
-        if durable:
-            os.fdatasync(self.fd)
-        return done
-
-    def _record(self, line: Line, body: bytes = b"") -> bytes:
-        self.number += 1
-        return journal.record(self.salt, self.number, line, body)
+
+from forwarder.storage.file_io import close_descriptor, disk_bytes, sync_data, sync_folder, write_all
+from forwarder.storage.file_names import (
+    CLOSED_JOURNAL_PREFIX,
+    DAMAGED_MARK,
+    JOURNAL,
+    NEW_JOURNAL,
+    NEW_SNAPSHOT,
+    SNAPSHOT_PREFIX,
+    closed_journal_name,
+    generation_of,
+    snapshot_name,
+)
+from forwarder.storage.record_format import BLANK_MARKER, MARKER, encode_file_header
+from forwarder.storage.recovery import RecoveredJournal
+from forwarder.storage.schema import StoredRecord
+from forwarder.storage.snapshot_writer import SnapshotWriter
+
+MAX_FILES_SET_ASIDE = 2
+"""Damaged files of earlier starts and of this one that are kept; all of this one are."""
+REPLACE_STEP_BYTES = 1 << 20
 
 
 class JournalFiles:
-    """One folder. Until `own` it is only read."""
+    """The files of one folder; nothing is written before `take_ownership`."""
+
+    def __init__(self, folder: Path, max_bytes: int) -> None:
+        """Looks at the folder, which need not be there yet.
+
+        Args:
+            folder: the state folder.
+            max_bytes: what all its files together may take.
 
-    def __init__(self, folder: Path, most: int) -> None:
-        self.folder, self.most = folder, most
+        Raises:
+            OSError: the folder cannot be read.
+        """
+        self.folder = folder
+        self.max_bytes = max_bytes
         self.durable = False
-        self.fd, self.size, self.generation = -1, 0, 1
-        self.snapshot = 0
+        """Whether what replaces other files is synced first."""
+        self.fd = -1
+        """The journal's descriptor; -1 while it is not open."""
+        self.journal_bytes = 0
+        self.generation = 1
+        """The journal's generation."""
+        self.snapshot_generation = 0
         """The generation of the newest snapshot; 0 for none."""
-        self.sizes: dict[str, int] = {}
-        """Bytes of snapshots and closed journals, by name."""
-        self.writing: Writing | None = None
-        self.put_aside = False
-        """Whether what was found damaged is set aside."""
-        self.aside = sum(self._blocks(path) for path in self._set_aside())
+        self.other_file_bytes: dict[str, int] = {}
+        """The sizes of snapshots and closed journals, by name."""
+        self.snapshot_writer: SnapshotWriter | None = None
+        """The snapshot that is being written."""
+        self.are_damaged_set_aside = False
+        self.set_aside_bytes = sum(disk_bytes(path) for path in self._files_set_aside())
 
     def names(self) -> list[str]:
+        """Returns the names of all files in the folder.
+
+        Raises:
+            OSError: the folder cannot be read.
+        """
         return [path.name for path in self.folder.iterdir()] if self.folder.is_dir() else []
 
     def read(self, name: str) -> bytes:
-        """Raises OSError, also where the name is a link: what it leads to is not this folder's."""
+        """Returns a file's bytes.
+
+        Raises:
+            OSError: it cannot be read, or is a symbolic link, which leads out of the folder.
+        """
         fd = os.open(self.folder / name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW)
         with open(fd, "rb") as file:
             return file.read()
 
-    # Owning
+    # Taking ownership
+
+    def take_ownership(self, recovered: RecoveredJournal, salt: int) -> None:
+        """Opens the journal where it ended, or begins one; from here on this process alone writes to the folder.
 
-    def own(self, found: journal.RecoveredJournal, salt: int) -> None:
-        """From here on this process alone writes here. What is damaged is set aside; the journal is opened where it
-        ended, or begun. Raises OSError; it may be called again then, until it has succeeded.
+        Damaged files are set aside. After an error it may be called again.
+
+        Args:
+            recovered: what the folder held.
+            salt: the folder's salt.
+
+        Raises:
+            OSError: the folder cannot be written.
         """
-        self.generation, self.snapshot = found.generation, found.snapshot
+        self.generation = recovered.journal_generation
+        self.snapshot_generation = recovered.snapshot_generation
         self.folder.mkdir(parents=True, exist_ok=True)
         self._unlink(NEW_SNAPSHOT)
-        for name in self.names():
-            if name.startswith((journal.SNAPSHOT, f"{journal.JOURNAL}-")) and ".bad-" not in name:
-                self.sizes[name] = self._path(name).stat().st_size
-        if not self.put_aside:
-            self._put_aside(found.bad)
-            self.put_aside = True
-        self.drop_older(keep=1)
-        if self.fd >= 0:  # of an attempt before
-            close(self.fd)
-            self.fd = -1
-        if journal.JOURNAL in found.scans:
-            self.fd = os.open(self._path(journal.JOURNAL), os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
-            # Of a damaged one nothing is cut: should it not be possible to write it anew, no more is lost than is.
-            self.size = os.fstat(self.fd).st_size if journal.JOURNAL in found.bad else found.last.size
-            os.ftruncate(self.fd, self.size)
-            os.lseek(self.fd, self.size, os.SEEK_SET)
-        if not self.size:  # a new one that is there already says so until it is in its place
+        self._note_other_files()
+        if not self.are_damaged_set_aside:
+            self._set_aside(recovered.damaged_files)
+            self.are_damaged_set_aside = True
+        self.remove_older_generations(keep=1)
+        self._close_journal()  # of a call before that failed
+        if JOURNAL in recovered.scans:
+            self._open_journal(recovered)
+        if not self.journal_bytes:
+            # A new journal that is there already stays until this one is in its place: it tells a start that the old
+            # one was being replaced.
             self._begin_journal(self.generation, salt)
             return
         self._unlink(NEW_JOURNAL)
         if self.durable:
             sync_folder(self.folder)
 
+    def _note_other_files(self) -> None:
+        for name in self.names():
+            if name.startswith((SNAPSHOT_PREFIX, CLOSED_JOURNAL_PREFIX)) and DAMAGED_MARK not in name:
+                self.other_file_bytes[name] = self._path(name).stat().st_size
+
+    def _open_journal(self, recovered: RecoveredJournal) -> None:
+        """Opens the journal and cuts its torn tail off.
+
+        Of a damaged one nothing is cut off: if it cannot be written anew, no more is lost than is.
+        """
+        self.fd = os.open(self._path(JOURNAL), os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
+        if JOURNAL in recovered.damaged_files:
+            self.journal_bytes = os.fstat(self.fd).st_size
+        else:
+            self.journal_bytes = recovered.last_scan.sound_bytes
+        os.ftruncate(self.fd, self.journal_bytes)
+        os.lseek(self.fd, self.journal_bytes, os.SEEK_SET)
+
     def _path(self, name: str) -> Path:
         return self.folder / name
 
@@ -120,167 +143,204 @@
         with suppress(FileNotFoundError):
             os.unlink(self._path(name))
 
-    def _fresh(self, name: str) -> int:
+    def _create(self, name: str) -> int:
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW
         return os.open(self._path(name), flags, 0o600)
 
-    def _begin_journal(self, generation: int, salt: int, close_as: str = "") -> None:
-        """A new journal in the old one's place; the old one is kept under that name, if one is given."""
-        fd, head = self._fresh(NEW_JOURNAL), journal.header(salt, generation)
+    def _begin_journal(self, generation: int, salt: int, old_name: str = "") -> None:
+        """Puts a new journal in the old one's place.
+
+        Args:
+            generation: the new one's.
+            salt: the folder's salt.
+            old_name: what the old one is called from now on; if empty, it is not kept.
+
+        Raises:
+            OSError: the old one may have been renamed, but is still written to.
+        """
+        fd = self._create(NEW_JOURNAL)
+        header = encode_file_header(salt, generation)
         try:
-            write(fd, head)
+            write_all(fd, header)
             if self.durable:
-                os.fdatasync(fd)
-            if close_as:
-                os.replace(self._path(journal.JOURNAL), self._path(close_as))
-                self.sizes[close_as] = self.size
-            os.replace(self._path(NEW_JOURNAL), self._path(journal.JOURNAL))
+                sync_data(fd)
+            if old_name:
+                os.replace(self._path(JOURNAL), self._path(old_name))
+                self.other_file_bytes[old_name] = self.journal_bytes
+            os.replace(self._path(NEW_JOURNAL), self._path(JOURNAL))
             if self.durable:
                 sync_folder(self.folder)
         except OSError:
-            close(fd)
+            close_descriptor(fd)
             raise
-        old, self.fd, self.size, self.generation = self.fd, fd, len(head), generation
-        if old >= 0:
-            close(old)
+        self._close_journal()
+        self.fd = fd
+        self.journal_bytes = len(header)
+        self.generation = generation
 
     # Damaged files
 
-    def _set_aside(self) -> list[Path]:
-        """Damaged files of earlier starts, the oldest first."""
-        return sorted(self.folder.glob("*.bad-*"), key=lambda path: path.stat().st_mtime_ns)
-
-    def _put_aside(self, bad: list[str]) -> None:
-        """Keep damaged files for people; of earlier ones so many that their number stays bounded. Raises OSError."""
-        old = self._set_aside()
-        for path in old[: max(0, len(old) - max(0, MOST_ASIDE - len(bad)))] if bad else []:
-            os.unlink(path)
-        taken = {path.name for path in old}
-        for name in bad:
-            to = next(f"{name}.bad-{n}" for n in range(1, len(taken) + 2) if f"{name}.bad-{n}" not in taken)
-            try:  # it keeps its own name until all is written anew
-                os.link(self._path(name), self._path(to), follow_symlinks=False)
-            except OSError:  # a folder in its place, or no links here
-                os.replace(self._path(name), self._path(to))
-        self.aside = sum(self._blocks(path) for path in self._set_aside())
-
-    @staticmethod
-    def _blocks(path: Path) -> int:
-        """What a file takes of the disk: every file counts in whole blocks."""
-        return -(-path.stat().st_size // BLOCK) * BLOCK
+    def _files_set_aside(self) -> list[Path]:
+        """Returns the damaged files of earlier starts, the oldest first."""
+        return sorted(self.folder.glob(f"*{DAMAGED_MARK}*"), key=lambda path: path.stat().st_mtime_ns)
+
+    def _set_aside(self, damaged_files: list[str]) -> None:
+        """Keeps damaged files under other names, and removes the oldest of earlier ones.
+
+        Raises:
+            OSError: one cannot be renamed or removed.
+        """
+        earlier = self._files_set_aside()
+        if damaged_files:
+            kept = max(0, MAX_FILES_SET_ASIDE - len(damaged_files))
+            for path in earlier[: max(0, len(earlier) - kept)]:
+                os.unlink(path)
+        used_names = {path.name for path in earlier}
+        for name in damaged_files:
+            self._set_one_aside(name, used_names)
+        self.set_aside_bytes = sum(disk_bytes(path) for path in self._files_set_aside())
+
+    def _set_one_aside(self, name: str, used_names: set[str]) -> None:
+        candidates = (f"{name}{DAMAGED_MARK}{number}" for number in range(1, len(used_names) + 2))
+        new_name = next(candidate for candidate in candidates if candidate not in used_names)
+        try:  # it keeps its own name too until all is written anew
+            os.link(self._path(name), self._path(new_name), follow_symlinks=False)
+        except OSError:  # a folder in its place, or a file system without hard links
+            os.replace(self._path(name), self._path(new_name))
 
     # Writing
 
     def append(self, data: bytes) -> None:
-        """To the journal: as a whole, or not at all. Raises OSError, and then nothing of it counts, whether or not what
-        was written can be cut off again.
+        """Appends records to the journal, as a whole or not at all.
+
+        Raises:
+            OSError: nothing of it counts, whether or not what was written could be cut off again.
         """
         if self.fd < 0:
             raise OSError(errno.EBADF, "no journal could be opened yet")
         try:
-            write(self.fd, journal.NO_MARK + data[len(journal.MARK) :])
-            if os.pwrite(self.fd, journal.MARK, self.size) < len(journal.MARK):
+            write_all(self.fd, BLANK_MARKER + data[len(MARKER) :])
+            if os.pwrite(self.fd, MARKER, self.journal_bytes) < len(MARKER):
                 raise OSError(errno.EIO, "half a marker was written")
         except OSError:
-            with suppress(OSError):  # a folder that has become read-only: the tail is torn, and told by its check
-                os.ftruncate(self.fd, self.size)
-                os.lseek(self.fd, self.size, os.SEEK_SET)
+            with suppress(OSError):  # on a folder that has become read-only the blank marker tells the tail as torn
+                os.ftruncate(self.fd, self.journal_bytes)
+                os.lseek(self.fd, self.journal_bytes, os.SEEK_SET)
             raise
-        self.size += len(data)
+        self.journal_bytes += len(data)
+
+    def used_bytes(self) -> int:
+        """Returns the size of all files, those that are set aside among them."""
+        writing_bytes = self.snapshot_writer.size_bytes if self.snapshot_writer else 0
+        return self.journal_bytes + sum(self.other_file_bytes.values()) + self.set_aside_bytes + writing_bytes
 
-    def used(self) -> int:
-        """Bytes of all files, those that are set aside too."""
-        return self.size + sum(self.sizes.values()) + self.aside + (self.writing.size if self.writing else 0)
+    def recovery_bytes(self) -> int:
+        """Returns the size of what a start reads: the newest snapshot and all journals since."""
+        return self.journal_bytes + sum(
+            size for name, size in self.other_file_bytes.items() if generation_of(name) >= self.snapshot_generation
+        )
 
-    def since(self) -> int:
-        """Bytes that a start reads: the newest snapshot and all journals since."""
-        return self.size + sum(size for name, size in self.sizes.items() if _generation(name) >= self.snapshot)
+    def begin_snapshot(self, last_records: bytes, salt: int, records: Iterator[StoredRecord]) -> None:
+        """Closes the journal, goes on in the next generation's, and begins that generation's snapshot.
 
-    def begin(self, last: bytes, salt: int, contents: Iterator[tuple[Line, bytes]]) -> None:
-        """Close the journal with its last record, go on in the next, and begin a snapshot. Raises OSError."""
-        self.append(last)
+        Args:
+            last_records: what the journal that is closed ends with.
+            salt: the folder's salt.
+            records: what the snapshot holds.
+
+        Raises:
+            OSError: the files may lack the last records.
+        """
+        self.append(last_records)
         if self.durable:
-            os.fdatasync(self.fd)
-        self._begin_journal(self.generation + 1, salt, journal.closed_name(self.generation))
-        self.writing = Writing(self._fresh(NEW_SNAPSHOT), self.generation, salt, contents)
+            sync_data(self.fd)
+        self._begin_journal(self.generation + 1, salt, closed_journal_name(self.generation))
+        self.snapshot_writer = SnapshotWriter(self._create(NEW_SNAPSHOT), self.generation, salt, records)
+
+    def write_snapshot_step(self, step_bytes: int) -> bool:
+        """Writes so many bytes more of the snapshot; once it is complete, generations before the last are removed.
 
-    def step(self, most: int) -> bool:
-        """Write so many bytes more of the snapshot; once it is whole it counts, and what came before the last one is
-        removed. Whether it does. Raises OSError.
+        Returns:
+            Whether it is complete.
+
+        Raises:
+            OSError: it cannot be written.
         """
-        assert self.writing is not None
-        if not self.writing.more(most, self.durable):
+        assert self.snapshot_writer is not None
+        if not self.snapshot_writer.write_step(step_bytes, self.durable):
             return False
-        self._publish(self.writing)
+        self._publish(self.snapshot_writer)
         if self.durable:
             sync_folder(self.folder)
-        self.drop_older(keep=1)
+        self.remove_older_generations(keep=1)
         return True
 
-    def _publish(self, done: Writing) -> None:
-        name = journal.snapshot_name(done.generation)
+    def _publish(self, snapshot: SnapshotWriter) -> None:
+        """Gives a complete snapshot its name, from which on it counts."""
+        name = snapshot_name(snapshot.generation)
         os.replace(self._path(NEW_SNAPSHOT), self._path(name))
-        self.sizes[name], self.snapshot, self.writing = done.size, done.generation, None
-        close(done.fd)
-
-    def renew(self, salt: int, contents: Iterator[tuple[Line, bytes]]) -> None:
-        """All in one go: a snapshot and a journal that hold nothing of the files before, which are removed. Raises
-        OSError; then the files before count as they did, but where `snapshot` has changed: the new one counts already,
-        and only the journal to go on with is missing.
-        """
-        self.abandon()
-        whole = self.writing = Writing(self._fresh(NEW_SNAPSHOT), self.generation + 1, salt, contents)
-        while not whole.more(1 << 20, self.durable):
-            pass
-        close(self._fresh(NEW_JOURNAL))  # it tells a journal that is being replaced from one that was set back
-        self._publish(whole)
-        self._begin_journal(whole.generation, salt)
-        self.drop_older(keep=0)
-
-    def abandon(self) -> None:
-        """Give up a snapshot that is not whole. What cannot be removed is written over by the next one."""
-        if self.writing is not None:
-            close(self.writing.fd)
-            self.writing = None
-            with suppress(OSError):
-                self._unlink(NEW_SNAPSHOT)
-
-    def drop_older(self, keep: int = 0) -> None:
-        """Remove what came before the newest snapshot; or before so many snapshots more."""
-        snapshots = sorted(_generation(name) for name in self.sizes if name.startswith(journal.SNAPSHOT))
-        least = snapshots[-1 - keep] if keep < len(snapshots) else 0 if keep else self.snapshot
-        for name in [name for name in self.sizes if _generation(name) < least]:
-            self._unlink(name)
-            del self.sizes[name]
+        self.other_file_bytes[name] = snapshot.size_bytes
+        self.snapshot_generation = snapshot.generation
+        self.snapshot_writer = None
+        close_descriptor(snapshot.fd)
 
-    def close(self) -> None:
-        self.abandon()
-        if self.fd >= 0:
-            close(self.fd)
-            self.fd = -1
+    def replace_all(self, salt: int, records: Iterator[StoredRecord]) -> None:
+        """Writes a whole snapshot and begins an empty journal, in place of all files there are.
 
+        Args:
+            salt: the folder's salt.
+            records: what the snapshot holds.
 
-def _generation(name: str) -> int:
-    return int(name.rpartition("-")[2])
+        Raises:
+            OSError: the files before count as they did; but if `snapshot_generation` has changed, the new snapshot
+                counts already, and only the journal to go on with is missing.
+        """
+        self.abandon_snapshot()
+        snapshot = SnapshotWriter(self._create(NEW_SNAPSHOT), self.generation + 1, salt, records)
+        self.snapshot_writer = snapshot
+        while not snapshot.write_step(REPLACE_STEP_BYTES, self.durable):
+            pass
+        # It tells a start that the journal was being replaced, and not set back to an older copy.
+        close_descriptor(self._create(NEW_JOURNAL))
+        self._publish(snapshot)
+        self._begin_journal(snapshot.generation, salt)
+        self.remove_older_generations()
+
+    def abandon_snapshot(self) -> None:
+        """Gives up a snapshot that is not complete; what cannot be removed is written over by the next one."""
+        if self.snapshot_writer is None:
+            return
+        close_descriptor(self.snapshot_writer.fd)
+        self.snapshot_writer = None
+        with suppress(OSError):
+            self._unlink(NEW_SNAPSHOT)
 
+    def remove_older_generations(self, keep: int = 0) -> None:
+        """Removes what is older than the newest snapshot.
 
-def write(fd: int, data: bytes) -> None:
-    """All of it. Raises OSError."""
-    view = memoryview(data)
-    while view:
-        view = view[os.write(fd, view) :]
+        Args:
+            keep: how many generations before it are kept.
 
+        Raises:
+            OSError: a file cannot be removed.
+        """
+        oldest_kept = self._oldest_kept_generation(keep)
+        for name in [name for name in self.other_file_bytes if generation_of(name) < oldest_kept]:
+            self._unlink(name)
+            del self.other_file_bytes[name]
 
-def close(fd: int) -> None:
-    """Linux frees a descriptor whatever close says; what it says of earlier writes is heard at the next sync."""
-    with suppress(OSError):
-        os.close(fd)
+    def _oldest_kept_generation(self, keep: int) -> int:
+        snapshots = sorted(generation_of(name) for name in self.other_file_bytes if name.startswith(SNAPSHOT_PREFIX))
+        if keep < len(snapshots):
+            return snapshots[-1 - keep]
+        return 0 if keep else self.snapshot_generation
 
+    def close(self) -> None:
+        """Closes the journal, and gives up a snapshot that is not complete."""
+        self.abandon_snapshot()
+        self._close_journal()
 
-def sync_folder(path: Path) -> None:
-    """A name that was given outlasts a power cut only once its folder is synced. Raises OSError."""
-    folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-    try:
-        os.fsync(folder)
-    finally:
-        os.close(folder)
+    def _close_journal(self) -> None:
+        if self.fd >= 0:
+            close_descriptor(self.fd)
+            self.fd = -1
--- a/forwarder/storage/lease.py
+++ b/forwarder/storage/lease.py
@@ -1,11 +1,11 @@
-"""How long nobody can have taken this forwarder's part of what all share, kept over a restart in a file of its own.
+"""How long no other forwarder can have taken this one's quota share, kept over a restart in the file `lease`.
 
 The end stands on the machine's clock since its boot, which nobody sets and which goes on while no process is up, beside
 the id of that boot: after another boot, or on another machine, it says nothing. A file that was lost, damaged or set
-back to an older copy tells no end or an earlier one, which is on the safe side.
+back to an older copy has no end or an earlier one, which is on the safe side.
 
-The line always has the same length and is written over in place. A file that is cut to nothing and written again each
-second makes the file system write it out at once, and the loop waits for the disk, half a second and more.
+The line always has the same length and is written over in place: a file that is truncated and written again each second
+makes the file system write it out at once, and the event loop would wait for the disk.
 """
 
 from __future__ import annotations
@@ -17,65 +17,86 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from forwarder.storage.journal_files import close
+from forwarder.storage.file_io import close_descriptor
 
-FILE = "lease"
-RENEW_US = 500_000
-"""An end that is so much later than the one in the file is written; an earlier one at once."""
-BOOT_ID_READS, BOOT_ID_PAUSE_S = 5, 0.02
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+LEASE_FILE = "lease"
+RENEW_INTERVAL_US = 500_000
+"""An end that is later than the one in the file is written once it is later by this much; an earlier one at once."""
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
+BOOT_ID_READ_ATTEMPTS = 5
+BOOT_ID_READ_PAUSE_S = 0.02
 log = logging.getLogger("forwarder.lease")
 
 
-def since_boot() -> int:
-    """In microseconds."""
+def time_since_boot_us() -> int:
+    """Returns the time since the machine's boot, the time it was suspended included."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-def boot_id() -> str:
-    """Empty where the machine does not tell: then no lease outlasts a process. A read that fails for a moment is made
-    again: another answer than the last would stand for another boot.
+def read_boot_id() -> str:
+    """Returns the id of the machine's boot; empty if the machine has none.
+
+    A read that fails is made again, since another answer would stand for another boot.
     """
-    for _ in range(BOOT_ID_READS):
+    for _ in range(BOOT_ID_READ_ATTEMPTS):
         try:
-            return BOOT_ID.read_text().strip()
+            return BOOT_ID_FILE.read_text().strip()
         except FileNotFoundError:
             break
         except OSError:
-            time.sleep(BOOT_ID_PAUSE_S)
+            time.sleep(BOOT_ID_READ_PAUSE_S)
     return ""
 
 
 class Lease:
-    """One folder's. Ends are told and heard by `clock`, in microseconds."""
+    """The lease of one folder. Its ends are on the caller's clock, in microseconds."""
 
     def __init__(self, folder: Path, clock: Callable[[], int]) -> None:
-        self.path, self.clock, self.boot = folder / FILE, clock, boot_id()
-        self.until, self.failed, self.fd = 0, False, -1
-
-    def read(self, longest_us: int) -> int:
-        """When the lease of the life before ends; 0 where there is none. One longer than can have been is none."""
+        """Opens nothing yet.
+
+        Args:
+            folder: the state folder.
+            clock: returns the time in microseconds.
+        """
+        self.path = folder / LEASE_FILE
+        self.clock = clock
+        self.boot_id = read_boot_id()
+        self.end_us = 0
+        """The end that was last written."""
+        self.write_failed = False
+        self.fd = -1
+
+    def read_end_us(self, max_remaining_us: int) -> int:
+        """Returns when the lease of the process before ends.
+
+        Args:
+            max_remaining_us: a lease that remains for longer than this cannot be right.
+
+        Returns:
+            Its end; 0 if there is none that counts.
+        """
         try:
-            check, boot, end = self.path.read_bytes().split()
-            if int(check, 16) != zlib.crc32(boot + end) or not self.boot or boot.decode() != self.boot:
+            checksum, boot_id, end = self.path.read_bytes().split()
+            if int(checksum, 16) != zlib.crc32(boot_id + end) or not self.boot_id or boot_id.decode() != self.boot_id:
                 return 0
-            left = int(end) - since_boot()
+            remaining_us = int(end) - time_since_boot_us()
         except (OSError, ValueError):
             return 0
-        return self.clock() + left if 0 < left <= longest_us else 0
+        return self.clock() + remaining_us if 0 < remaining_us <= max_remaining_us else 0
 
-    def keep(self, until: int) -> None:
-        """Write the end, if it has changed by enough. A file that cannot be written costs the lease, and no more."""
-        if not self.boot or self.until <= until < self.until + RENEW_US:
+    def renew(self, end_us: int) -> None:
+        """Writes the end, if it has changed by enough. A file that cannot be written costs the lease, and no more."""
+        if not self.boot_id or self.end_us <= end_us < self.end_us + RENEW_INTERVAL_US:
             return
-        self.until = until
-        boot, end = self.boot.encode(), b"%020d" % max(0, until - self.clock() + since_boot())
+        self.end_us = end_us
+        boot_id = self.boot_id.encode()
+        end = b"%020d" % max(0, end_us - self.clock() + time_since_boot_us())
         try:
-            self._write(b"%08x %s %s\n" % (zlib.crc32(boot + end), boot, end))
+            self._write(b"%08x %s %s\n" % (zlib.crc32(boot_id + end), boot_id, end))
         except OSError as error:
-            if not self.failed:
+            if not self.write_failed:
                 log.error("the lease cannot be written: %s", error)
-            self.failed = True
+            self.write_failed = True
 
     def _write(self, line: bytes) -> None:
         if self.fd < 0:
@@ -85,6 +106,7 @@
         os.pwrite(self.fd, line, 0)
 
     def close(self) -> None:
+        """Closes the file."""
         if self.fd >= 0:
-            close(self.fd)
+            close_descriptor(self.fd)
             self.fd = -1
--- /dev/null
+++ b/forwarder/storage/replay.py
@@ -0,0 +1,68 @@
+"""Builds the state from the records of a recovered journal."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+
+from forwarder.decisions.settings import MessageClass
+from forwarder.storage.recovery import RecoveredJournal
+from forwarder.storage.schema import AttemptEndedRecord, AttemptStartedRecord, StoredRecord, decode_record
+from forwarder.storage.state import StoredState
+
+log = logging.getLogger("forwarder.store")
+
+
+class Replay:
+    """The state as a start finds it."""
+
+    def __init__(self, recovered: RecoveredJournal, known_classes: Mapping[str, MessageClass]) -> None:
+        """Reads all records; those of an unknown form are passed over.
+
+        Args:
+            recovered: the files of the folder, as they were read.
+            known_classes: message classes by name, for journals that have only the name of one.
+        """
+        self.recovered = recovered
+        self.known_classes = known_classes
+        self.state = StoredState()
+        self.records_read = 0
+        self.orphaned_ids: set[str] = set()
+        """Ids that records tell of whose message itself is lost."""
+        self._read_records()
+        self._log_damage()
+
+    def describe_damage(self) -> str:
+        """Returns what is wrong with the journal as it was found, in words; empty if nothing is."""
+        doubtful = sum(message.is_doubtful for message in self.state.messages.values())
+        return self.recovered.describe_damage(doubtful, len(self.orphaned_ids))
+
+    def _read_records(self) -> None:
+        for scanned in self.recovered.records():
+            self.records_read += 1
+            if scanned.is_after_loss:
+                self.state.mark_all_doubtful()
+            try:
+                record = decode_record(scanned.line, scanned.body, self.known_classes)
+                self._note_orphan(record)
+                self.state.apply(record)
+            except (ValueError, KeyError, TypeError) as error:
+                log.error("journal: a record of unknown form is passed over: %r", error)
+        if self.recovered.is_tail_lost:
+            self.state.mark_all_doubtful()
+        # Of some of them later records have told more.
+        self.orphaned_ids -= self.state.ended_ids.keys()
+        self.orphaned_ids -= self.state.messages.keys()
+        self.orphaned_ids -= self.state.pending_notices.keys()
+
+    def _note_orphan(self, record: StoredRecord) -> None:
+        if not self.recovered.is_damaged or not isinstance(record, AttemptStartedRecord | AttemptEndedRecord):
+            return
+        if not self.state.knows(record.message_id):
+            self.orphaned_ids.add(record.message_id)
+
+    def _log_damage(self) -> None:
+        if self.recovered.is_damaged:
+            log.error("journal: %s", self.describe_damage())
+        elif self.recovered.torn_bytes:
+            log.warning("journal: cut %d bytes of a torn tail", self.recovered.torn_bytes)
--- /dev/null
+++ b/forwarder/storage/state.py
@@ -0,0 +1,220 @@
+"""The state that the stored records build up, in memory."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Iterator
+from typing import Any
+
+from forwarder.storage.capacity import LISTED_ENDPOINT_BYTES, StateSizes
+from forwarder.storage.messages import AcceptedMessage, Ejection, PendingNotice
+from forwarder.storage.schema import (
+    AttemptEndedRecord,
+    AttemptStartedRecord,
+    EjectionRecord,
+    EndedMessagesRecord,
+    EndpointDisabledRecord,
+    EndpointFields,
+    EndpointListRecord,
+    KeyBackoffRecord,
+    KnownEndpointsRecord,
+    LocalFailureRecord,
+    MessageAcceptedRecord,
+    MessageEndedRecord,
+    NoticeAcknowledgedRecord,
+    NoticePendingRecord,
+    StoredRecord,
+    endpoint_name,
+)
+from forwarder.units import SECOND_US
+
+EJECTION_KEPT_US = 3600 * SECOND_US
+"""How long an ejection is remembered: an endpoint may leave the list while ejected and come back."""
+MAX_KNOWN_ENDPOINTS = 2000
+MAX_KEY_BACKOFFS = 256
+"""With more of them, those that are over are dropped."""
+MAX_ENDED_IDS = 8192
+"""More than a minute's at full load: an id that is not known any more would be accepted again."""
+NAMES_PER_RECORD = 1000
+"""Ids or endpoint names in one record of a snapshot."""
+
+
+class StoredState:
+    """All that outlasts the process in the journal. Changed by records, and by the store before it writes them."""
+
+    def __init__(self) -> None:
+        """Begins with nothing."""
+        self.messages: dict[str, AcceptedMessage] = {}
+        self.ended_ids: dict[str, None] = {}
+        """Ids of messages that have ended, the oldest first."""
+        self.pending_notices: dict[str, PendingNotice] = {}
+        self.ejections: dict[str, Ejection] = {}
+        self.endpoints: dict[str, EndpointFields] = {}
+        """The newest endpoint list, by name."""
+        self.endpoint_list_version = -1
+        """-1: there is no list."""
+        self.known_endpoints: dict[str, None] = {}
+        """Names of all that were ever listed, those listed longest ago first."""
+        self.disabled_endpoints: dict[str, int] = {}
+        """Since when operators have them disabled, by name."""
+        self.key_backoffs: dict[str, int] = {}
+        """Until when the next message of a key waits; some are over."""
+        self.sizes = StateSizes()
+        self._appliers: dict[type[StoredRecord], Callable[[Any], None]] = {
+            MessageAcceptedRecord: self._apply_message_accepted,
+            AttemptStartedRecord: self._apply_attempt_started,
+            AttemptEndedRecord: self._apply_attempt_ended,
+            LocalFailureRecord: self._apply_local_failure,
+            KeyBackoffRecord: self._apply_key_backoff,
+            MessageEndedRecord: self._apply_message_ended,
+            EndedMessagesRecord: self._apply_ended_messages,
+            NoticePendingRecord: self._apply_notice_pending,
+            NoticeAcknowledgedRecord: self._apply_notice_acknowledged,
+            EndpointListRecord: self._apply_endpoint_list,
+            KnownEndpointsRecord: self._apply_known_endpoints,
+            EndpointDisabledRecord: self._apply_endpoint_disabled,
+            EjectionRecord: self._apply_ejection,
+        }
+
+    def apply(self, record: StoredRecord) -> None:
+        """Changes the state by one record; those of a message that is not there any more change nothing."""
+        self._appliers[type(record)](record)
+
+    def knows(self, message_id: str) -> bool:
+        """Returns whether a message of that id was accepted, whether or not it has ended."""
+        return message_id in self.messages or message_id in self.ended_ids
+
+    def mark_all_doubtful(self) -> None:
+        """Marks all messages as doubtful: records were lost after they were accepted."""
+        for message in self.messages.values():
+            message.is_doubtful = True
+
+    def discard_message(self, message_id: str) -> None:
+        """Removes a message as if it had never been accepted."""
+        message = self.messages.pop(message_id, None)
+        if message is not None:
+            self.sizes.remove_message(message)
+
+    def drop_old_ejections(self, now_us: int) -> None:
+        """Forgets the ejections that are over since long."""
+        oldest_us = now_us - EJECTION_KEPT_US
+        self.ejections = {name: ejection for name, ejection in self.ejections.items() if max(ejection) > oldest_us}
+
+    def drop_ended_backoffs(self, now_us: int) -> None:
+        """Forgets the key backoffs that are over, once there are many."""
+        if len(self.key_backoffs) >= MAX_KEY_BACKOFFS:
+            self.key_backoffs = {key: until_us for key, until_us in self.key_backoffs.items() if until_us > now_us}
+
+    def max_snapshot_bytes(self) -> int:
+        """Returns an upper estimate of the size of a snapshot."""
+        return self.sizes.max_snapshot_bytes(
+            len(self.pending_notices), len(self.ejections), len(self.known_endpoints) + len(self.disabled_endpoints)
+        )
+
+    def snapshot_records(self, messages: Iterable[AcceptedMessage]) -> Iterator[StoredRecord]:
+        """Yields all that a snapshot holds.
+
+        The state may change while the records are asked for. What has ended meanwhile is left out; all other changes
+        are in the journal of the snapshot's generation.
+
+        Args:
+            messages: the messages that the snapshot is to hold.
+        """
+        yield EndpointListRecord(self.endpoint_list_version, [*self.endpoints.values()])
+        yield from (KnownEndpointsRecord(names) for names in _split(self.known_endpoints))
+        yield from (EndpointDisabledRecord(*disabled) for disabled in [*self.disabled_endpoints.items()])
+        yield from (EjectionRecord(name, *ejection) for name, ejection in [*self.ejections.items()])
+        yield from (KeyBackoffRecord(*backoff) for backoff in [*self.key_backoffs.items()])
+        yield from (EndedMessagesRecord(message_ids) for message_ids in _split(self.ended_ids))
+        yield from (MessageAcceptedRecord(message) for message in messages if message.id in self.messages)
+        for message_id, notice in [*self.pending_notices.items()]:
+            if message_id in self.pending_notices:
+                yield NoticePendingRecord(message_id, *notice)
+
+    def _apply_message_accepted(self, record: MessageAcceptedRecord) -> None:
+        message = record.message
+        earlier = self.messages.get(message.id)  # a snapshot may have it too
+        if earlier is not None:
+            self.sizes.remove_message(earlier)
+        self.messages[message.id] = message
+        self.sizes.add_message(message)
+
+    def _apply_attempt_started(self, record: AttemptStartedRecord) -> None:
+        message = self.messages.get(record.message_id)
+        if message is not None:
+            message.start_attempt(record.attempt, record.started_us, record.endpoint)
+
+    def _apply_attempt_ended(self, record: AttemptEndedRecord) -> None:
+        message = self.messages.get(record.message_id)
+        if message is not None:
+            message.end_attempt(record.attempt, record.may_have_run)
+
+    def _apply_local_failure(self, record: LocalFailureRecord) -> None:
+        message = self.messages.get(record.message_id)
+        if message is not None:
+            message.fail_attempt_locally(record.attempt)
+
+    def _apply_key_backoff(self, record: KeyBackoffRecord) -> None:
+        self.key_backoffs[record.key] = max(record.until_us, self.key_backoffs.get(record.key, 0))
+
+    def _apply_message_ended(self, record: MessageEndedRecord) -> None:
+        self._end_message(record.message_id)
+
+    def _apply_ended_messages(self, record: EndedMessagesRecord) -> None:
+        self._add_ended_ids(record.message_ids)
+
+    def _apply_notice_pending(self, record: NoticePendingRecord) -> None:
+        self._end_message(record.message_id)
+        notice = PendingNotice(record.state, record.retry_after_ms, record.key)
+        self.pending_notices[record.message_id] = notice
+
+    def _apply_notice_acknowledged(self, record: NoticeAcknowledgedRecord) -> None:
+        self.pending_notices.pop(record.message_id, None)
+
+    def _apply_endpoint_list(self, record: EndpointListRecord) -> None:
+        self.endpoint_list_version = record.version
+        self.endpoints = {endpoint_name(endpoint): endpoint for endpoint in record.endpoints}
+        self.sizes.endpoint_list_bytes = LISTED_ENDPOINT_BYTES * len(self.endpoints)
+        self._add_known_endpoints(self.endpoints)
+
+    def _apply_known_endpoints(self, record: KnownEndpointsRecord) -> None:
+        self._add_known_endpoints(record.endpoints)
+
+    def _apply_endpoint_disabled(self, record: EndpointDisabledRecord) -> None:
+        if record.since_us < 0:
+            self.disabled_endpoints.pop(record.endpoint, None)
+        else:
+            self.disabled_endpoints[record.endpoint] = record.since_us
+
+    def _apply_ejection(self, record: EjectionRecord) -> None:
+        if record.ejected_at_us < 0:
+            self.ejections.pop(record.endpoint, None)
+        else:
+            self.ejections[record.endpoint] = Ejection(record.ejected_at_us, record.recovering_since_us)
+
+    def _end_message(self, message_id: str) -> None:
+        self.discard_message(message_id)
+        self._add_ended_ids([message_id])  # also without its message: a snapshot may have been written after its end
+
+    def _add_ended_ids(self, message_ids: list[str]) -> None:
+        """Remembers ids, so that their messages are not accepted, and sent, a second time."""
+        for message_id in message_ids:
+            if message_id not in self.ended_ids:
+                self.ended_ids[message_id] = None
+                self.sizes.add_ended_id(message_id)
+        while len(self.ended_ids) > MAX_ENDED_IDS:
+            oldest = next(iter(self.ended_ids))
+            del self.ended_ids[oldest]
+            self.sizes.remove_ended_id(oldest)
+
+    def _add_known_endpoints(self, names: Iterable[str]) -> None:
+        for name in names:
+            self.known_endpoints.pop(name, None)
+            self.known_endpoints[name] = None
+        while len(self.known_endpoints) > MAX_KNOWN_ENDPOINTS:
+            del self.known_endpoints[next(iter(self.known_endpoints))]
+
+
+def _split(names: Iterable[str]) -> list[list[str]]:
+    """Returns the names in lists that are short enough for one record each."""
+    all_names = [*names]
+    return [all_names[first : first + NAMES_PER_RECORD] for first in range(0, len(all_names), NAMES_PER_RECORD)]
--- a/forwarder/storage/state_check.py
+++ b/forwarder/storage/state_check.py
@@ -1,6 +1,7 @@
-"""Looks at a forwarder's folder, also one in use: python -m forwarder state check|show DIR. Reads only.
+"""Looks at a forwarder's state folder, also one in use: python -m forwarder state check|show DIR. Reads only.
 
-JSON, or lines for people with --human. Exit status: 0 sound, 1 damaged, 2 unreadable.
+Prints JSON, or lines for people with --human. The words of the output are the ones that operators know from the pages.
+Exit status: 0 sound, 1 damaged, 2 unreadable.
 """
 
 from __future__ import annotations
@@ -9,122 +10,192 @@
 import json
 import logging
 import sys
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from contextlib import suppress
-from dataclasses import asdict
+from dataclasses import dataclass
+from enum import IntEnum
 from pathlib import Path
-from typing import Any
+from typing import TypeAlias
 
-from forwarder.storage import identity
-from forwarder.storage.journal import NewerFormatError, may_resend
+from forwarder.storage.errors import NewerFormatError
+from forwarder.storage.file_names import DAMAGED_MARK
+from forwarder.storage.identity import is_identity_corrupt, read_identity
+from forwarder.storage.messages import AcceptedMessage, may_resend_after_loss
+from forwarder.storage.schema import Identity, encode_identity
 from forwarder.storage.store import MessageStore
 
-SOUND, DAMAGED, UNREADABLE = 0, 1, 2
-TRIES = 5
+READ_ATTEMPTS = 5
+Report: TypeAlias = dict[str, object]
+"""What is printed, in the order in which it is printed."""
 
 
-def settled(folder: Path, salt: int | None) -> MessageStore:
-    """The state of a folder whose files were not replaced while they were read: one in use is read again, a few times.
-    Raises OSError and NewerFormat.
+class Verdict(IntEnum):
+    """What is found of a folder; the values are the exit status."""
+
+    SOUND = 0
+    DAMAGED = 1
+    UNREADABLE = 2
+
+
+@dataclass(frozen=True, slots=True)
+class FolderCheck:
+    """What a start would find in a folder."""
+
+    verdict: Verdict
+    report: Report
+    store: MessageStore | None = None
+    """The state itself; None if it is unreadable."""
+
+
+def read_unchanging(folder: Path, salt: int | None) -> MessageStore:
+    """Returns the state of a folder whose files were not replaced while they were read.
+
+    A folder in use is read again, a few times.
+
+    Args:
+        folder: the state folder.
+        salt: its salt, if its identity tells it.
+
+    Raises:
+        OSError: it cannot be read.
+        NewerFormatError: it is of a version that this program does not know.
     """
-    for _ in range(TRIES - 1):
-        before = sorted(path.name for path in folder.iterdir())
+    for _ in range(READ_ATTEMPTS - 1):
+        names_before = _file_names(folder)
         with suppress(OSError):
             store = MessageStore(folder, sys.maxsize, salt=salt)
-            if sorted(path.name for path in folder.iterdir()) == before:
+            if _file_names(folder) == names_before:
                 return store
     return MessageStore(folder, sys.maxsize, salt=salt)
 
 
-def check(folder: Path) -> tuple[int, dict[str, Any], MessageStore | None]:
-    """What a start would find in the folder: exit status, what to tell, and the state itself."""
+def check_folder(folder: Path) -> FolderCheck:
+    """Returns what a start would find in the folder.
+
+    Raises:
+        OSError: the identity cannot be read.
+    """
     if not folder.is_dir():
-        return UNREADABLE, {"verdict": "unreadable", "why": f"{folder} is no folder"}, None
-    known = identity.read(folder)
+        return _unreadable(f"{folder} is no folder")
+    identity = read_identity(folder)
     try:
-        store = settled(folder, None if known is None else known.salt)
+        store = read_unchanging(folder, None if identity is None else identity.salt)
     except (OSError, NewerFormatError) as error:
-        return UNREADABLE, {"verdict": "unreadable", "why": str(error)}, None
-    found = store.found
-    broken_identity = known is None and (folder / identity.FILE).exists()
-    status = DAMAGED if found.damaged or broken_identity else SOUND
-    told = {
-        "verdict": "damaged" if status else "sound",
-        "identity": "damaged" if broken_identity else None if known is None else asdict(known),
-        "version": found.version,
-        "files": [*found.scans],
-        "bad": found.bad,
-        "missing_files": found.gaps,
-        "records": store.records,
-        "torn_bytes": found.torn,
-        "damaged": [list(region) for region in found.regions],
-        "missing_records": found.missing,
-        "more_missing_at_end": found.tail_lost,
-        "saved": {
-            "messages": len(store.messages),
-            "owed": len(store.owed),
-            "ended": len(store.ended),
-            "bans": len(store.bans),
-            "outages": len(store.outages),
-            "hosts": len(store.hosts),
-        },
-        "lost": {
-            "in_doubt": sorted(m.id for m in store.messages.values() if m.doubtful),
-            "never_sent_again": sorted(m.id for m in store.messages.values() if m.doubtful and not may_resend(m.cls)),
-            "known_by_id_alone": sorted(store.touched),
-        },
-        "set_aside": sorted(path.name for path in folder.glob("*.bad-*")),
+        return _unreadable(str(error))
+    is_corrupt = is_identity_corrupt(folder, identity)
+    verdict = Verdict.DAMAGED if store.recovered.is_damaged or is_corrupt else Verdict.SOUND
+    report: Report = {
+        "verdict": verdict.name.lower(),
+        "identity": "damaged" if is_corrupt else _show_identity(identity),
+        **_show_files(store),
+        "saved": _count_saved(store),
+        "lost": _list_lost(store),
+        "set_aside": sorted(path.name for path in folder.glob(f"*{DAMAGED_MARK}*")),
     }
-    return status, told, store
+    return FolderCheck(verdict, report, store)
 
 
-def show(store: MessageStore) -> dict[str, Any]:
-    """The state itself."""
+def show_state(store: MessageStore) -> Report:
+    """Returns the state itself."""
     return {
-        "messages": [
-            {
-                "id": m.id,
-                "class": m.cls.name,
-                "destination": m.destination,
-                "due_us": m.due_us,
-                "key": m.key,
-                "attempts": m.attempts,
-                "ran_at_us": m.ran_at_us,
-                "ran_on": m.ran_on,
-                "bytes": len(m.body),
-                "out": {str(n): list(sent) for n, sent in m.out.items()},
-                "doubtful": m.doubtful,
-            }
-            for m in store.messages.values()
-        ],
-        "owed": {name: owed._asdict() for name, owed in store.owed.items()},
-        "bans": store.bans,
-        "outages": {h: list(o) for h, o in store.outages.items()},
-        "list": {"seq": store.seq, "hosts": store.hosts},
+        "messages": [_show_message(message) for message in store.messages.values()],
+        "owed": {
+            message_id: {"state": notice.state, "after_ms": notice.retry_after_ms, "key": notice.key}
+            for message_id, notice in store.pending_notices.items()
+        },
+        "bans": store.disabled_endpoints,
+        "outages": {name: list(ejection) for name, ejection in store.ejections.items()},
+        "list": {"seq": store.endpoint_list_version, "hosts": store.endpoints},
     }
 
 
-def human(told: dict[str, Any], indent: str = "") -> list[str]:
-    """The same, a line each."""
+def human_lines(report: Mapping[str, object], indent: str = "") -> list[str]:
+    """Returns a report as lines for people."""
     lines = []
-    for key, value in told.items():
+    for key, value in report.items():
         if isinstance(value, dict):
-            lines += [f"{indent}{key}:", *human(value, indent + "  ")]
+            lines += [f"{indent}{key}:", *human_lines(value, indent + "  ")]
         else:
             lines.append(f"{indent}{key}: {value}")
     return lines
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Returns the exit status."""
+    """Runs the command with these arguments, and returns its exit status."""
     parser = argparse.ArgumentParser(prog="python -m forwarder state")
     parser.add_argument("what", choices=["check", "show"])
     parser.add_argument("folder", type=Path, metavar="DIR")
     parser.add_argument("--human", action="store_true", help="lines in place of JSON")
-    asked = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     logging.disable(logging.CRITICAL)
-    status, told, store = check(asked.folder)
-    if asked.what == "show" and store is not None:
-        told |= show(store)
-    print("\n".join(human(told)) if asked.human else json.dumps(told, indent=1))
-    return status
+    check = check_folder(options.folder)
+    report = check.report
+    if options.what == "show" and check.store is not None:
+        report = report | show_state(check.store)
+    print("\n".join(human_lines(report)) if options.human else json.dumps(report, indent=1))
+    return check.verdict
+
+
+def _file_names(folder: Path) -> list[str]:
+    return sorted(path.name for path in folder.iterdir())
+
+
+def _unreadable(reason: str) -> FolderCheck:
+    return FolderCheck(Verdict.UNREADABLE, {"verdict": "unreadable", "why": reason})
+
+
+def _show_identity(identity: Identity | None) -> Report | None:
+    return None if identity is None else encode_identity(identity)
+
+
+def _show_files(store: MessageStore) -> Report:
+    recovered = store.recovered
+    return {
+        "version": recovered.version,
+        "files": [*recovered.scans],
+        "bad": recovered.damaged_files,
+        "missing_files": recovered.missing_files,
+        "records": store.replay.records_read,
+        "torn_bytes": recovered.torn_bytes,
+        "damaged": [list(damaged) for damaged in recovered.damaged_ranges],
+        "missing_records": recovered.missing_records,
+        "more_missing_at_end": recovered.is_tail_lost,
+    }
+
+
+def _count_saved(store: MessageStore) -> Report:
+    return {
+        "messages": len(store.messages),
+        "owed": len(store.pending_notices),
+        "ended": len(store.ended_ids),
+        "bans": len(store.disabled_endpoints),
+        "outages": len(store.ejections),
+        "hosts": len(store.endpoints),
+    }
+
+
+def _list_lost(store: MessageStore) -> Report:
+    doubtful = [message for message in store.messages.values() if message.is_doubtful]
+    return {
+        "in_doubt": sorted(message.id for message in doubtful),
+        "never_sent_again": sorted(
+            message.id for message in doubtful if not may_resend_after_loss(message.message_class)
+        ),
+        "known_by_id_alone": sorted(store.orphaned_ids),
+    }
+
+
+def _show_message(message: AcceptedMessage) -> Report:
+    return {
+        "id": message.id,
+        "class": message.message_class.name,
+        "destination": message.destination,
+        "due_us": message.due_us,
+        "key": message.key,
+        "attempts": message.attempts,
+        "ran_at_us": message.maybe_ran_at_us,
+        "ran_on": message.maybe_ran_on,
+        "bytes": len(message.body),
+        "out": {str(number): list(attempt) for number, attempt in message.in_flight.items()},
+        "doubtful": message.is_doubtful,
+    }
--- a/lab/single.py
+++ b/lab/single.py
@@ -314,13 +314,13 @@
 
     def _begin(self, engine: Engine) -> None:
         self.engine = engine
-        engine.store.own()
+        engine.store.take_ownership()
         engine.round()
         engine.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make(self, handed: HandoverState | None = None) -> Engine:
         engine = Engine(self.config, Any, AdminServer(), Any, handed, clock=self)  # type: ignore[arg-type]
-        engine.store.monotonic_s = lambda: self.now_us / SECOND
+        engine.store.writer.monotonic_s = lambda: self.now_us / SECOND
         engine.schedule = lambda: None  # type: ignore[method-assign]
         engine.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
         self.calls = Calls(engine, self.oracle)
@@ -376,7 +376,7 @@
         for name in self.calls.overdue():
             self.calls.end(name, Outcome.TIMED_OUT)
         self.engine.store.retry()
-        self.engine.store.step()
+        self.engine.store.write_snapshot_step()
         self.engine.round()
         self.engine.end_overdue()
 
@@ -389,7 +389,7 @@
     def left_without_end(self) -> list[str]:
         """Messages that were taken on, are past their time, and have no end that is told or waits to be."""
         old_us = self.now_us - LATE_US
-        owed = self.engine.store.owed
+        owed = self.engine.store.pending_notices
         return [name for name in self.oracle.unended() if self.oracle.fates[name].due_us < old_us and name not in owed]
 
     def notify(self, heard: bool) -> None:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from forwarder.storage import journal_files as module
-from forwarder.storage.durability import DurabilityExtension, DurabilityExtensionFactory, Syncer
+from forwarder.storage import file_io, journal_files
+from forwarder.storage.durability import Durability, DurabilityExtension, DurabilityExtensionFactory, Syncer
 from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
 from tests.test_journal import MB, taken
@@ -119,17 +119,23 @@
             (to / name).write_bytes(data)
 
 
+def use_os(monkeypatch: pytest.MonkeyPatch, disk: Any) -> None:
+    """Lets the modules that write the journal use this in place of `os`, or `os` again."""
+    for module in (file_io, journal_files):
+        monkeypatch.setattr(module, "os", disk)
+
+
 def life(store: MessageStore, promised: Callable[[], None], chance: random.Random) -> Iterator[None]:
     """Messages taken on, called and ended; after each round a sync, and what it promises."""
     for n in range(60):
-        store.take(taken(f"m{n}"))
+        store.accept(taken(f"m{n}"))
         if n % 3:
-            store.attempt(store.messages[f"m{n}"], 0, 50, "s1")
+            store.record_attempt(store.messages[f"m{n}"], 0, 50, "s1")
         if n % 5 == 4:
-            store.over(f"m{n - 2}")
+            store.end_message(f"m{n - 2}")
         if n % 20 == 13:
             store.compact()
-        if n % 20 in (3, 8) and store.files.writing is None:
+        if n % 20 in (3, 8) and store.files.snapshot_writer is None:
             store.begin_snapshot()
         store.flush()
         if chance.random() < 0.7:
@@ -146,34 +152,38 @@
         folder = tmp_path / f"life{n}"
         folder.mkdir()
         disk = Disk(folder, chance)
-        monkeypatch.setattr(module, "os", disk)
+        use_os(monkeypatch, disk)
         store = MessageStore(folder, MB, salt=7)
         store.durable = True
         sure: list[tuple[set[str], dict[str, set[int]]]] = []
 
         def promised(disk: Disk = disk, store: MessageStore = store, sure: Any = sure) -> None:
             disk.fdatasync(store.fd)
-            sure.append(({*store.messages, *store.ended}, {m.id: {*m.out} for m in store.messages.values()}))
+            sure.append(({*store.messages, *store.ended_ids}, {m.id: {*m.in_flight} for m in store.messages.values()}))
 
         disk.dies_at = chance.randrange(5, 400)
         try:
-            store.own()
+            store.take_ownership()
             disk.fdatasync(store.fd)
             for _ in life(store, promised, chance):
                 pass
         except Died:
             pass
-        monkeypatch.setattr(module, "os", os)
+        use_os(monkeypatch, os)
         disk.after_the_cut(tmp_path / f"disk{n}")
         back = MessageStore(tmp_path / f"disk{n}", MB, salt=7)
         if sure:
             names, attempts = sure[-1]
-            assert all(back.knows(name) or name in back.owed for name in names), (seed, n)
+            assert all(back.knows(name) or name in back.pending_notices for name in names), (seed, n)
             for name, numbers in attempts.items():
                 m = back.messages.get(name)
-                assert m is None or m.doubtful or numbers <= {*m.out} or m.ran_at_us >= 0, (seed, n, name)
-        back.own()
-        back.take(taken("afterwards"))
+                assert m is None or m.is_doubtful or numbers <= {*m.in_flight} or m.maybe_ran_at_us >= 0, (
+                    seed,
+                    n,
+                    name,
+                )
+        back.take_ownership()
+        back.accept(taken("afterwards"))
         back.flush()
         assert MessageStore(tmp_path / f"disk{n}", MB, salt=7).knows("afterwards")
 
@@ -187,20 +197,20 @@
         folder = tmp_path / str(dies_at)
         folder.mkdir()
         disk = Disk(folder, random.Random(dies_at))
-        monkeypatch.setattr(module, "os", disk)
+        use_os(monkeypatch, disk)
         store, written = MessageStore(folder, MB, salt=7), set[str]()
         disk.dies_at = dies_at
         try:
-            for _ in life(store.own(), lambda: None, disk.chance):
-                written = {*store.messages, *store.ended}
+            for _ in life(store.take_ownership(), lambda: None, disk.chance):
+                written = {*store.messages, *store.ended_ids}
         except Died:
             pass
-        monkeypatch.setattr(module, "os", os)
+        use_os(monkeypatch, os)
         for again in ("afterwards", "and again"):
             back = MessageStore(folder, MB, salt=7)
-            assert not back.found.damaged and all(back.knows(name) for name in written), dies_at
-            assert not any(m.doubtful for m in back.messages.values())
-            back.own().take(taken(again))
+            assert not back.recovered.is_damaged and all(back.knows(name) for name in written), dies_at
+            assert not any(m.is_doubtful for m in back.messages.values())
+            back.take_ownership().accept(taken(again))
             back.close()
             written.add(again)
 
@@ -212,11 +222,11 @@
         folder = tmp_path / f"life{n}"
         folder.mkdir()
         disk = Disk(folder, random.Random(n))
-        monkeypatch.setattr(module, "os", disk)
-        store = MessageStore(folder, MB, salt=7).own()
+        use_os(monkeypatch, disk)
+        store = MessageStore(folder, MB, salt=7).take_ownership()
         for _ in life(store, lambda: None, disk.chance):
             pass
-        monkeypatch.setattr(module, "os", os)
+        use_os(monkeypatch, os)
         disk.after_the_cut(tmp_path / f"disk{n}")
         lost += len({*store.messages} - {*MessageStore(tmp_path / f"disk{n}", MB, salt=7).messages})
     assert lost > 50
@@ -241,7 +251,7 @@
 
 def syncing(tmp_path: Path, scene: Callable[[MessageStore, Syncer, Slow], Any]) -> None:
     async def played() -> None:
-        store = MessageStore(tmp_path, MB).own()
+        store = MessageStore(tmp_path, MB).take_ownership()
         store.durable = True
         slow = Slow()
         async with asyncio.timeout(PATIENCE):
@@ -259,43 +269,43 @@
 def test_one_sync_serves_all_that_came_while_another_ran_and_in_order(tmp_path: Path) -> None:
     async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[int] = []
-        syncer.after(lambda: done.append(0))
+        syncer.call_when_synced(lambda: done.append(0))
         await asyncio.to_thread(slow.begun.acquire)
         for n in range(1, 50):
-            syncer.after(lambda n=n: done.append(n))  # type: ignore[misc]
+            syncer.call_when_synced(lambda n=n: done.append(n))  # type: ignore[misc]
         assert done == []
         slow.go.release()
         await until(lambda: done == [0])
         slow.go.release()
         await until(lambda: done == [*range(50)])
-        assert syncer.syncs == 2
-        assert syncer.most_waiting >= 49
+        assert syncer.sync_count == 2
+        assert syncer.max_waiting >= 49
 
     syncing(tmp_path, scene)
 
 
 def test_a_failed_sync_is_not_tried_again_on_the_same_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
+    monkeypatch.setattr("forwarder.storage.durability.REWRITE_RETRY_S", 0.01)
 
     async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
-        store.take(taken("a"))
+        store.accept(taken("a"))
         store.flush()
         slow.fails, inode = True, os.fstat(store.fd).st_ino
         slow.go.release()
-        syncer.after(lambda: done.append("a"))
+        syncer.call_when_synced(lambda: done.append("a"))
         compacted = store.compact
         monkeypatch.setattr(store, "compact", lambda: False)  # the new file cannot be had either
-        await until(lambda: syncer.failures >= 3)
+        await until(lambda: syncer.failure_count >= 3)
         assert done == []
-        assert syncer.broken
-        assert not syncer.barrier()
+        assert syncer.sync_failed
+        assert not syncer.sync_now()
         monkeypatch.setattr(store, "compact", compacted)
         await until(lambda: done == ["a"])
         assert os.fstat(store.fd).st_ino != inode
-        assert not syncer.broken
+        assert not syncer.sync_failed
         assert MessageStore(tmp_path, MB).knows("a")
-        assert syncer.syncs == 1
+        assert syncer.sync_count == 1
 
     syncing(tmp_path, scene)
 
@@ -305,35 +315,35 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
 ) -> None:
     """The disk is full at a round's records; or the sync of a journal that is being closed fails."""
-    monkeypatch.setattr("forwarder.storage.durability.AGAIN_S", 0.01)
+    monkeypatch.setattr("forwarder.storage.durability.REWRITE_RETRY_S", 0.01)
 
     async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
         disk = Disk(tmp_path, random.Random(1))
-        monkeypatch.setattr(module, "os", disk)
+        use_os(monkeypatch, disk)
         disk.fails = {what: 1, "open": 10**6}  # nor can it be written anew
-        store.take(taken("a"))
+        store.accept(taken("a"))
         store.begin_snapshot() if what == "fdatasync" else store.flush()
-        assert store.failed
+        assert store.write_failed
         for _ in range(3):
             slow.go.release()
-        syncer.after(lambda: done.append("a"))
-        await until(lambda: syncer.failures >= 3)
+        syncer.call_when_synced(lambda: done.append("a"))
+        await until(lambda: syncer.failure_count >= 3)
         assert done == []
-        assert not syncer.barrier()
+        assert not syncer.sync_now()
         assert "nothing is let go" in part_of(syncer).state()
         disk.fails = {}
         await until(lambda: done == ["a"])
-        monkeypatch.setattr(module, "os", os)
+        use_os(monkeypatch, os)
         assert MessageStore(tmp_path, MB).knows("a")
-        assert not store.failed
+        assert not store.write_failed
 
     syncing(tmp_path, scene)
 
 
 def part_of(syncer: Syncer) -> DurabilityExtension:
     part = DurabilityExtension.__new__(DurabilityExtension)
-    part.told, part.syncer = DurabilityExtensionFactory("data", 1.0), syncer
+    part.settings, part.syncer = DurabilityExtensionFactory(Durability.DATA, 1.0), syncer
     return part
 
 
@@ -342,19 +352,19 @@
 ) -> None:
     async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[int] = []
-        syncer.after(lambda: done.append(1))
+        syncer.call_when_synced(lambda: done.append(1))
         await asyncio.to_thread(slow.begun.acquire)
         for _ in range(3):
             slow.go.release()
-        assert syncer.barrier()
+        assert syncer.sync_now()
         assert done == [1]
-        await until(lambda: not syncer.busy)
+        await until(lambda: not syncer.is_syncing)
         assert done == [1], "once"
         monkeypatch.setattr(store, "compact", lambda: pytest.fail("the journal is another process's by then"))
         slow.fails = True
         slow.go.release()
         syncer.close()
-        syncer.after(lambda: done.append(2))
+        syncer.call_when_synced(lambda: done.append(2))
         await asyncio.sleep(0.02)
         assert done == [1]
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,7 +34,7 @@
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings as settings_of
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 from tests import test_node as real
 from tests.scripts import ENTRIES, MS, S, ask, end, finals, sends, settings
 from tests.sockets import (
@@ -77,7 +77,7 @@
     async def start(self) -> Scene:
         config = load_config({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
         self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
-        self.engine.store.own()
+        self.engine.store.take_ownership()
         self.engine.round()
         self.engine.server.listen(self.engine.clients)
         return self
@@ -222,7 +222,7 @@
         at.take("late", cls, due_us=due)
         at.take("next", cls, due_us=due + DUE_US)
         await peer.got(1 if cls == "turn" else 2)
-        while "late" not in at.engine.store.owed:
+        while "late" not in at.engine.store.pending_notices:
             await asyncio.sleep(0.005)
         await platform.until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         sent = [r.headers["x-correlation-id"] for r in peer.requests]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,7 @@
 from forwarder.decisions.fleet_messages import FleetView, FleetViewChanged, QuorumState
 from forwarder.decisions.fleet_quota import FleetQuota, FleetQuotaExtension
 from forwarder.membership.extension import divided
-from forwarder.storage.lease import RENEW_US, Lease
+from forwarder.storage.lease import RENEW_INTERVAL_US, Lease
 from tests.scripts import S, settings, started
 
 SETTLE, BELIEVE, DETECT, TOLD = 30 * S, 90 * S, 9 * S, 9 * S
@@ -223,14 +223,14 @@
     now = [100 * S]
 
     def kept() -> int:
-        return Lease(tmp_path, lambda: now[0]).read(20 * S)
+        return Lease(tmp_path, lambda: now[0]).read_end_us(20 * S)
 
     lease, boot = Lease(tmp_path, lambda: now[0]), [50 * S]
-    monkeypatch.setattr("forwarder.storage.lease.since_boot", lambda: boot[0])
+    monkeypatch.setattr("forwarder.storage.lease.time_since_boot_us", lambda: boot[0])
     assert kept() == 0
-    lease.keep(110 * S)
+    lease.renew(110 * S)
     assert kept() == 110 * S
-    lease.keep(110 * S + RENEW_US - 1)
+    lease.renew(110 * S + RENEW_INTERVAL_US - 1)
     assert kept() == 110 * S, "not written for so little"
     boot[0], now[0] = 57 * S, 4000 * S  # the wall clock has jumped: three seconds are left all the same
     assert kept() == 4003 * S
@@ -244,16 +244,16 @@
         (tmp_path / "lease").write_bytes(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
         assert kept() == 0, at
     (tmp_path / "lease").write_bytes(data)
-    monkeypatch.setattr("forwarder.storage.lease.boot_id", lambda: "another")
+    monkeypatch.setattr("forwarder.storage.lease.read_boot_id", lambda: "another")
     assert kept() == 0
-    monkeypatch.setattr("forwarder.storage.lease.boot_id", lambda: "")
+    monkeypatch.setattr("forwarder.storage.lease.read_boot_id", lambda: "")
     assert kept() == 0
     (tmp_path / "lease").unlink()
     (tmp_path / "lease").mkdir()
     monkeypatch.undo()
     broken = Lease(tmp_path, lambda: now[0])
-    broken.keep(5000 * S)
-    assert broken.failed is bool(broken.boot)
+    broken.renew(5000 * S)
+    assert broken.write_failed is bool(broken.boot_id)
 
 
 def test_the_dispatcher_divides_by_the_size_and_as_ever_without_the_part() -> None:
@@ -291,7 +291,7 @@
     """Cut and written anew each second, it made the loop wait for the disk."""
     (tmp_path / "lease").write_bytes(b"x" * 200)  # of something else
     lease = Lease(tmp_path, lambda: 0)
-    lease.keep(10 * S)
+    lease.renew(10 * S)
     seen = (tmp_path / "lease").stat()
 
     def refused(*args: object) -> None:
@@ -300,10 +300,10 @@
     for call in ("open", "ftruncate", "truncate", "replace"):
         monkeypatch.setattr(f"os.{call}", refused)
     for n in range(5):
-        lease.keep((11 + 1000 * n) * S)
+        lease.renew((11 + 1000 * n) * S)
     monkeypatch.undo()
     after = (tmp_path / "lease").stat()
     assert (after.st_ino, after.st_size) == (seen.st_ino, seen.st_size)
     assert len((tmp_path / "lease").read_bytes()) < 100
-    assert Lease(tmp_path, lambda: 0).read(10**12) > 4000 * S
+    assert Lease(tmp_path, lambda: 0).read_end_us(10**12) > 4000 * S
     lease.close()
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -258,8 +258,8 @@
         (
             (
                 "runtime/effects.py",
-                "        self.store.attempt(m, number, now, target.name)\n",
-                "        m.out[number] = (now, target.name); m.attempts = number + 1\n",
+                "        self.store.record_attempt(m, number, now, target.name)\n",
+                "        m.in_flight[number] = (now, target.name); m.attempts = number + 1\n",
             ),
         ),
         "duplicate",
@@ -289,7 +289,13 @@
         (Fault(at_s=1.5, kind="limit", share=1.0, times=0.25),),
     ),
     "the message's record before its 202": (
-        (("storage/store.py", "        self.pending.append(self._record(self._line(m), m.body))\n", ""),),
+        (
+            (
+                "storage/store.py",
+                "        self._change(MessageAcceptedRecord(message))\n",
+                "        self.state.apply(MessageAcceptedRecord(message))\n",
+            ),
+        ),
         "lost",
         (),
     ),
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,7 +24,9 @@
 from forwarder.runtime.ownership import Ownership
 from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
-from forwarder.storage.store import MOST_ENDED, AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.state import MAX_ENDED_IDS
+from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, Skewed, always, hang, message
 
 ORDER = parse_settings(SETTINGS).classes[0]
@@ -35,59 +37,59 @@
 
 
 def test_store_gives_back_what_it_was_told_also_after_compacting(tmp_path: Path) -> None:
-    store = MessageStore(tmp_path, 3_000_000).own()
+    store = MessageStore(tmp_path, 3_000_000).take_ownership()
     for name in "abcd":
-        store.take(taken(name))
+        store.accept(taken(name))
     a, b = store.messages["a"], store.messages["b"]
-    store.attempt(a, 0, 50, "s1")
-    store.outcome(a, 0, True)
-    store.attempt(a, 1, 60, "s2")
-    store.attempt(b, 0, 70, "s1")
-    store.outcome(b, 0, False)
-    store.over("c")
-    store.owe("d", "returned", 500)
-    store.list(41, {"s1": {"host": "s1", "health": "draining"}}, 10)
-    store.outage("s1", 5, -1)
+    store.record_attempt(a, 0, 50, "s1")
+    store.record_outcome(a, 0, True)
+    store.record_attempt(a, 1, 60, "s2")
+    store.record_attempt(b, 0, 70, "s1")
+    store.record_outcome(b, 0, False)
+    store.end_message("c")
+    store.add_pending_notice("d", "returned", 500)
+    store.record_endpoint_list(41, {"s1": {"host": "s1", "health": "draining"}}, 10)
+    store.record_ejection("s1", 5, -1)
     for _ in range(2):
         store.flush()
-        back = MessageStore(tmp_path, 3_000_000).own()
+        back = MessageStore(tmp_path, 3_000_000).take_ownership()
         assert list(back.messages) == ["a", "b"]
         assert back.messages == store.messages
-        assert (a.attempts, a.ran_at_us, a.ran_on, a.out) == (2, 50, "s1", {1: (60, "s2")})
-        assert (back.messages["b"].attempts, back.messages["b"].ran_at_us) == (1, -1)
-        assert back.owed == {"d": ("returned", 500, "k-d")}
-        assert back.outages == {"s1": (5, -1)}
-        assert list(back.ended) == ["c", "d"]
+        assert (a.attempts, a.maybe_ran_at_us, a.maybe_ran_on, a.in_flight) == (2, 50, "s1", {1: (60, "s2")})
+        assert (back.messages["b"].attempts, back.messages["b"].maybe_ran_at_us) == (1, -1)
+        assert back.pending_notices == {"d": ("returned", 500, "k-d")}
+        assert back.ejections == {"s1": (5, -1)}
+        assert list(back.ended_ids) == ["c", "d"]
         assert back.knows("c")
         assert not back.knows("e")
-        assert (back.seq, back.hosts) == (41, store.hosts)
-        assert back.live == store.live
+        assert (back.endpoint_list_version, back.endpoints) == (41, store.endpoints)
+        assert back.message_bytes == store.message_bytes
         assert store.compact()
 
 
 def test_store_bounds_its_files_under_steady_traffic(tmp_path: Path) -> None:
-    store = MessageStore(tmp_path, 1_000_000).own()
+    store = MessageStore(tmp_path, 1_000_000).take_ownership()
     for n in range(4000):
-        store.take(taken(f"m{n}", 2000))
+        store.accept(taken(f"m{n}", 2000))
         store.flush()
-        store.over(f"m{n}")
+        store.end_message(f"m{n}")
         store.flush()
-        assert store.size < 1_000_000
-    assert MessageStore(tmp_path, 1_000_000).own().messages == {}
+        assert store.recovery_bytes < 1_000_000
+    assert MessageStore(tmp_path, 1_000_000).take_ownership().messages == {}
 
 
 def test_store_forgets_the_oldest_ids_and_keeps_to_its_size(tmp_path: Path) -> None:
-    store = MessageStore(tmp_path, 1_000_000).own()
-    for n in range(MOST_ENDED + 1000):
-        store.take(taken(f"{n:016x}"))
-        store.over(f"{n:016x}")
+    store = MessageStore(tmp_path, 1_000_000).take_ownership()
+    for n in range(MAX_ENDED_IDS + 1000):
+        store.accept(taken(f"{n:016x}"))
+        store.end_message(f"{n:016x}")
         store.flush()
-        assert store.size < 1_000_000
-    back = MessageStore(tmp_path, 1_000_000).own()
-    assert len(back.ended) == MOST_ENDED
-    assert back.knows(f"{MOST_ENDED + 999:016x}")
+        assert store.recovery_bytes < 1_000_000
+    back = MessageStore(tmp_path, 1_000_000).take_ownership()
+    assert len(back.ended_ids) == MAX_ENDED_IDS
+    assert back.knows(f"{MAX_ENDED_IDS + 999:016x}")
     assert not back.knows(f"{999:016x}")
-    assert back.has_room(60_000)
+    assert back.has_capacity_for(60_000)
 
 
 def pool(ends: list[AttemptEnded], idle_us: int = 5_000_000) -> ConnectionPool:
@@ -559,8 +561,8 @@
         )
         config = load_config({"LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path)})
         engine = Engine(config, Ownership(tmp_path), AdminServer(), await bind(Address("127.0.0.1", 0)))
-        engine.clock.keep()
-        engine.store.own()
+        engine.clock.store_anchor()
+        engine.store.take_ownership()
         door = ClientConnection(engine.server)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = socket.create_connection(listener.getsockname())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -3,15 +3,13 @@
 from __future__ import annotations
 
 import asyncio
-import inspect
-import re
 from pathlib import Path
 
 import pytest
 
 from forwarder.runtime import engine
 from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, StartupPhase, StartupProgress
-from forwarder.storage.store import MessageStore
+from forwarder.storage.schema import KINDS, JournalClosedRecord, SnapshotSealedRecord
 from tests.sockets import OK, ROOT, Node, Peer, Platform, always, hang
 
 S = 1_000_000
@@ -94,7 +92,7 @@
 
 def test_the_page_of_surviving_state_names_every_kind_of_record() -> None:
     page = (ROOT / "docs/state.md").read_text()
-    kinds = set(re.findall(r'"(\w+)": self\._\w+', inspect.getsource(MessageStore.replay)))
+    kinds = {word for record, word in KINDS.items() if record not in (JournalClosedRecord, SnapshotSealedRecord)}
     assert len(kinds) == 13
     assert all(f"`{kind}`" in page for kind in kinds)
     assert all(f"| {phase.value} |" in page for phase in StartupPhase)
--- a/tests/test_store_random.py
+++ b/tests/test_store_random.py
@@ -13,8 +13,9 @@
 import pytest
 
 from forwarder.decisions.settings import Effect, MessageClass
-from forwarder.storage import store as store_module
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage import journal_writer
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "close")
 FAILING = (None, None, ("write",), ("write", "open"), ("replace",), ("unlink",), ("pwrite",), ("write", "ftruncate"))
@@ -77,47 +78,49 @@
         self.over: set[str] = set()
 
     def check(self, store: MessageStore) -> None:
-        assert not store.found.damaged
+        assert not store.recovered.is_damaged
         assert not self.refused & store.messages.keys()
         assert all(store.knows(name) for name in self.promised)
         held = self.promised - self.over
         assert held <= store.messages.keys()
-        assert not any(m.doubtful for m in store.messages.values())
+        assert not any(m.is_doubtful for m in store.messages.values())
         assert [name for name in store.messages if name in held] == [name for name in self.taken if name in held]
 
     def round(self, store: MessageStore) -> None:
-        new = [self.take(store) for _ in range(self.chance.choice((0, 0, 1, 3))) if store.has_room(200)]
+        new = [self.take(store) for _ in range(self.chance.choice((0, 0, 1, 3))) if store.has_capacity_for(200)]
         for m in [m for m in store.messages.values() if m.id not in new]:
             self.go_on(store, m)
-        for name in [name for name in store.owed if store.may_tell(name, 0) and self.chance.random() < 0.3]:
-            store.told(name)
+        for name in [
+            name for name in store.pending_notices if store.may_notify(name, 0) and self.chance.random() < 0.3
+        ]:
+            store.acknowledge_notice(name)
         if store.flush():
             self.promised.update(new)
         else:
             self.refused.update(new)
             for name in new:
-                store.forget(name)
+                store.undo_accept(name)
         if self.chance.random() < 0.3:
             store.retry()
-            store.step()
+            store.write_snapshot_step()
 
     def take(self, store: MessageStore) -> str:
         name, body = next(self.names), b"x" * self.chance.randrange(5, 400)
-        store.take(AcceptedMessage(name, self.chance.choice(CLASSES), 1, 1, "key", None, body))
+        store.accept(AcceptedMessage(name, self.chance.choice(CLASSES), 1, 1, "key", None, body))
         self.taken.append(name)
         return name
 
     def go_on(self, store: MessageStore, m: AcceptedMessage) -> None:
         what = self.chance.random()
         if what < 0.2:
-            store.attempt(m, m.attempts, 5, "host")
-        elif what < 0.3 and m.out:
-            store.outcome(m, next(iter(m.out)), self.chance.random() < 0.5)
+            store.record_attempt(m, m.attempts, 5, "host")
+        elif what < 0.3 and m.in_flight:
+            store.record_outcome(m, next(iter(m.in_flight)), self.chance.random() < 0.5)
         elif what < 0.38:
-            store.over(m.id)
+            store.end_message(m.id)
             self.over.add(m.id)
         elif what < 0.45:
-            store.owe(m.id, "failed", 0)
+            store.add_pending_notice(m.id, "failed", 0)
             self.over.add(m.id)
 
 
@@ -125,8 +128,8 @@
 def test_what_was_promised_is_found_and_what_was_refused_is_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: int
 ) -> None:
-    monkeypatch.setattr(store_module, "LEAST_COMPACT", 3000)
-    monkeypatch.setattr(store_module, "STEP", 800)
+    monkeypatch.setattr(journal_writer, "MIN_COMPACTION_BYTES", 3000)
+    monkeypatch.setattr(journal_writer, "SNAPSHOT_STEP_BYTES", 800)
     clock_s = itertools.count(0.0, 0.02)
     disk = Disk(random.Random(first))
     for name in CALLS:
@@ -136,12 +139,12 @@
         disk.chance = model.chance
         for _ in range(model.chance.randrange(2, 6)):
             store = MessageStore(model.folder, 3_000_000)
-            store.monotonic_s = lambda: next(clock_s)
+            store.writer.monotonic_s = lambda: next(clock_s)
             model.check(store)
             try:
                 disk.turn()
                 disk.kill = model.chance.choice(KILLS)
-                store.own()
+                store.take_ownership()
                 for _ in range(model.chance.randrange(5, 120)):
                     if model.chance.random() < 0.06:
                         disk.turn()
@@ -157,26 +160,30 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Attempts that this machine could not make, and that a snapshot had left out, counted as tries once more came."""
-    monkeypatch.setattr(store_module, "STEP", 300)
-    store = MessageStore(tmp_path, 3_000_000).own()
+    monkeypatch.setattr(journal_writer, "SNAPSHOT_STEP_BYTES", 300)
+    store = MessageStore(tmp_path, 3_000_000).take_ownership()
     held = [AcceptedMessage(f"m{n}", CLASSES[0], 1, 1, None, None, b"x" * 200) for n in range(20)]
     for m in held:
-        store.take(m)
+        store.accept(m)
 
     def not_made() -> None:
         for m in held:
-            store.attempt(m, m.attempts, 5, "host")
-            store.held(m, m.attempts - 1)
+            store.record_attempt(m, m.attempts, 5, "host")
+            store.record_local_failure(m, m.attempts - 1)
         store.flush()
 
     not_made()
     store.begin_snapshot()
-    while store.files.writing is not None:
+    while store.files.snapshot_writer is not None:
         not_made()
     for m in held:
-        store.attempt(m, m.attempts, 5, "host")
-        store.outcome(m, m.attempts - 1, False)
+        store.record_attempt(m, m.attempts, 5, "host")
+        store.record_outcome(m, m.attempts - 1, False)
     store.flush()
     found = MessageStore(tmp_path, 3_000_000).messages
     assert store.compactions == 1
-    assert {m.attempts - m.held_back for m in held} == {m.attempts - m.held_back for m in found.values()} == {1}
+    assert (
+        {m.attempts - m.local_failure_count for m in held}
+        == {m.attempts - m.local_failure_count for m in found.values()}
+        == {1}
+    )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -24,7 +24,8 @@
 from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
-from forwarder.storage.store import AcceptedMessage, MessageStore, PendingNotice
+from forwarder.storage.messages import AcceptedMessage, PendingNotice
+from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, message
 from tests.test_node import folder_nodes, play, target
 
@@ -47,12 +48,12 @@
         "tenant": m.tenant,
         "body": m.body,
         "attempts": m.attempts,
-        "held": m.held,
-        "ran_at_us": m.ran_at_us,
-        "ran_on": m.ran_on,
-        "out": m.out,
+        "held": m.local_failures,
+        "ran_at_us": m.maybe_ran_at_us,
+        "ran_on": m.maybe_ran_on,
+        "out": m.in_flight,
         "idempotency_key": m.idempotency_key,
-        "doubtful": m.doubtful,
+        "doubtful": m.is_doubtful,
     }
 
 
@@ -73,7 +74,12 @@
 
 def test_a_snapshot_and_every_kind_of_record_are_read_field_by_field(tmp_path: Path) -> None:
     store = MessageStore(copied("records", tmp_path), MB)
-    assert (store.found.version, store.salt, store.found.damaged, store.found.torn) == (3, 1234, False, 0)
+    assert (store.recovered.version, store.salt, store.recovered.is_damaged, store.recovered.torn_bytes) == (
+        3,
+        1234,
+        False,
+        0,
+    )
     assert {name: fields(m) for name, m in store.messages.items()} == {
         "tried": PLAIN
         | {
@@ -88,16 +94,20 @@
         "once": PLAIN | {"body": b"body of once\n\0", "key": "k-once", "attempts": 1},
         "safe": PLAIN | {"body": b"body of safe\n\0", "attempts": 1, "held": {0}, "idempotency_key": "idem"},
     }
-    assert [m.cls for m in store.messages.values()] == [
+    assert [m.message_class for m in store.messages.values()] == [
         MessageClass("keyed", 10**6, 10**7, Effect.KEYED, Scope.ZONE, 30_000_000, False, 2.5, 0.5),
         MessageClass("once", 10**6, 10**7, Effect.ONCE, in_order=True),
         MessageClass("safe", 10**6, 10**7),
     ]
-    assert store.owed == {"owed": PendingNotice("returned", 500, "k-owed")}
-    assert list(store.ended) == ["over", "owed", "told"]
-    assert (store.seq, list(store.hosts), store.hosts["s2"]["dial"]) == (41, ["s1", "s2"], "127.0.0.1:9")
-    assert (store.bans, store.outages) == ({"s2": 77}, {"s1": (5, -1), "s2": (6, 7)})
-    assert (store.rests, list(store.names)) == ({"k-once": 12345}, ["s1", "s2", "s3"])
+    assert store.pending_notices == {"owed": PendingNotice("returned", 500, "k-owed")}
+    assert list(store.ended_ids) == ["over", "owed", "told"]
+    assert (store.endpoint_list_version, list(store.endpoints), store.endpoints["s2"]["dial"]) == (
+        41,
+        ["s1", "s2"],
+        "127.0.0.1:9",
+    )
+    assert (store.disabled_endpoints, store.ejections) == ({"s2": 77}, {"s1": (5, -1), "s2": (6, 7)})
+    assert (store.key_backoffs, list(store.known_endpoints)) == ({"k-once": 12345}, ["s1", "s2", "s3"])
 
 
 @pytest.mark.parametrize(
@@ -113,7 +123,7 @@
     folder = copied(f"version{version}", tmp_path)
     for read_as in (version, 3):
         store = MessageStore(folder, MB)
-        assert (store.found.version, store.found.damaged) == (read_as, False)
+        assert (store.recovered.version, store.recovered.is_damaged) == (read_as, False)
         assert {name: fields(m) for name, m in store.messages.items()} == {
             "old": PLAIN
             | {
@@ -127,19 +137,22 @@
                 "idempotency_key": idempotency_key,
             }
         }
-        assert store.messages["old"].cls == cls
-        assert store.owed == {"end": PendingNotice("failed", 0, None)}
-        assert (store.bans, store.outages) == ({"s1": 5}, {"s2": (7, -1)})
-        store.own().close()
+        assert store.messages["old"].message_class == cls
+        assert store.pending_notices == {"end": PendingNotice("failed", 0, None)}
+        assert (store.disabled_endpoints, store.ejections) == ({"s1": 5}, {"s2": (7, -1)})
+        store.take_ownership().close()
 
 
 def test_what_a_killed_process_left_is_read_field_by_field(tmp_path: Path) -> None:
     folder, numbers = copied("killed", tmp_path), TOLD["numbers"]
     store = MessageStore(folder, MB)
-    assert not store.found.damaged
-    assert not store.found.torn
+    assert not store.recovered.is_damaged
+    assert not store.recovered.torn_bytes
     at = {c["attempts"][0][0]: c["sent_us"] for c in TOLD["memory"]["calls"]}
-    assert {name: (m.cls.name, m.destination, m.key, m.attempts, m.out) for name, m in store.messages.items()} == {
+    assert {
+        name: (m.message_class.name, m.destination, m.key, m.attempts, m.in_flight)
+        for name, m in store.messages.items()
+    } == {
         "out": ("turn", 7, "claim", 1, {0: (at["out"], "s1")}),
         "behind": ("turn", 7, "claim", 0, {}),
         "rests": ("turn", 11, "other", 0, {}),
@@ -147,30 +160,30 @@
     }
     assert store.messages["out"].body == b"body of out"
     assert store.messages["out"].tenant == "acme"
-    assert store.owed == {
+    assert store.pending_notices == {
         "waits": PendingNotice("returned", 3000, "key-waits"),
         "failed": PendingNotice("failed", 0, "key-failed"),
         "reset": PendingNotice("failed", 0, "other"),
         "unreached": PendingNotice("returned", 1000, "key-unreached"),
     }
-    assert list(store.ended) == ["done", "done-again", "waits", "failed", "reset", "unreached"]
-    assert set(store.bans) == {"s6"}
-    assert set(store.outages) == {"s4", "s5", "s7"}
-    assert store.rests == TOLD["memory"]["rests"]
-    assert set(store.names) == set(numbers)
-    found = identity.read(folder)
+    assert list(store.ended_ids) == ["done", "done-again", "waits", "failed", "reset", "unreached"]
+    assert set(store.disabled_endpoints) == {"s6"}
+    assert set(store.ejections) == {"s4", "s5", "s7"}
+    assert store.key_backoffs == TOLD["memory"]["rests"]
+    assert set(store.known_endpoints) == set(numbers)
+    found = identity.read_identity(folder)
     told = json.loads((folder / "identity").read_bytes().partition(b" ")[2])
     assert found is not None
-    assert (found.name, found.id, found.starts, found.salt) == (
+    assert (found.forwarder_name, found.folder_id, found.start_count, found.salt) == (
         told["name"],
         told["id"],
         told["starts"],
         store.salt,
     )
-    anchor = clock.Anchor.read(folder)
+    anchor = clock.read_anchor(folder)
     told = json.loads((folder / "clock").read_bytes().partition(b" ")[2])
     assert anchor is not None
-    assert (anchor.boot, anchor.monotonic_ns, anchor.clock_ns) == (
+    assert (anchor.boot_id, anchor.monotonic_ns, anchor.clock_ns) == (
         told["boot"],
         told["monotonic_ns"],
         told["clock_ns"],
@@ -181,23 +194,23 @@
 def test_small_files_are_written_as_they_were(tmp_path: Path) -> None:
     folder = copied("killed", tmp_path)
     before = {name: (folder / name).read_bytes() for name in ("identity", "clock")}
-    found, anchor = identity.read(folder), clock.Anchor.read(folder)
+    found, anchor = identity.read_identity(folder), clock.read_anchor(folder)
     assert found is not None
     assert anchor is not None
-    found.write(folder)
-    anchor.write(folder)
+    identity.write_identity(folder, found)
+    clock.write_anchor(folder, anchor)
     assert {name: (folder / name).read_bytes() for name in before} == before
 
 
 def test_a_lease_is_read_and_written_as_it_was(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     folder, facts = copied("lease", tmp_path), json.loads((DATA / "lease.json").read_text())
-    monkeypatch.setattr(lease, "boot_id", lambda: facts["boot_id"])
-    monkeypatch.setattr(lease, "since_boot", lambda: facts["since_boot_us"])
+    monkeypatch.setattr(lease, "read_boot_id", lambda: facts["boot_id"])
+    monkeypatch.setattr(lease, "time_since_boot_us", lambda: facts["since_boot_us"])
     kept = lease.Lease(folder, lambda: int(facts["clock_us"]))
-    assert kept.read(10**9) == facts["until_us"]
+    assert kept.read_end_us(10**9) == facts["until_us"]
     line = (folder / "lease").read_bytes()
     (folder / "lease").unlink()
-    kept.keep(facts["until_us"])
+    kept.renew(facts["until_us"])
     assert (folder / "lease").read_bytes() == line
 
 
