--- a/forwarder/storage/journal_files.py
+++ b/forwarder/storage/journal_files.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-import errno
 import os
 from collections.abc import Iterator
 from contextlib import suppress
 from pathlib import Path
 
-from forwarder.storage.file_io import close_descriptor, disk_bytes, sync_data, sync_folder, write_all
+from forwarder.storage.damaged_files import DamagedFiles
+from forwarder.storage.file_io import close_descriptor, sync_data, sync_folder, write_all
 from forwarder.storage.file_names import (
     CLOSED_JOURNAL_PREFIX,
     DAMAGED_MARK,
@@ -24,13 +24,12 @@
     generation_of,
     snapshot_name,
 )
-from forwarder.storage.record_format import BLANK_MARKER, MARKER, encode_file_header
+from forwarder.storage.journal_file import JournalFile
+from forwarder.storage.record_format import encode_file_header
 from forwarder.storage.recovery import RecoveredJournal
 from forwarder.storage.schema import StoredRecord
 from forwarder.storage.snapshot_writer import SnapshotWriter
 
-MAX_FILES_SET_ASIDE = 2
-"""Damaged files of earlier starts and of this one that are kept; all of this one are."""
 REPLACE_STEP_BYTES = 1 << 20
 
 
@@ -51,9 +50,7 @@
         self.max_bytes = max_bytes
         self.durable = False
         """Whether what replaces other files is synced first."""
-        self.fd = -1
-        """The journal's descriptor; -1 while it is not open."""
-        self.journal_bytes = 0
+        self.journal = JournalFile()
         self.generation = 1
         """The journal's generation."""
         self.snapshot_generation = 0
@@ -62,8 +59,7 @@
         """The sizes of snapshots and closed journals, by name."""
         self.snapshot_writer: SnapshotWriter | None = None
         """The snapshot that is being written."""
-        self.are_damaged_set_aside = False
-        self.set_aside_bytes = sum(disk_bytes(path) for path in self._files_set_aside())
+        self.damaged = DamagedFiles(folder)
 
     def names(self) -> list[str]:
         """Returns the names of all files in the folder.
@@ -102,14 +98,14 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self._unlink(NEW_SNAPSHOT)
         self._note_other_files()
-        if not self.are_damaged_set_aside:
-            self._set_aside(recovered.damaged_files)
-            self.are_damaged_set_aside = True
+        self.damaged.set_aside(recovered.damaged_files)
         self.remove_older_generations(keep=1)
-        self._close_journal()  # of a call before that failed
+        self.journal.close()  # of a call before that failed
         if JOURNAL in recovered.scans:
-            self._open_journal(recovered)
-        if not self.journal_bytes:
+            # Of a damaged one nothing is cut off: if it cannot be written anew, no more is lost than is.
+            is_damaged = JOURNAL in recovered.damaged_files
+            self.journal.open(self._path(JOURNAL), None if is_damaged else recovered.last_scan.sound_bytes)
+        if not self.journal.size_bytes:
             # A new journal that is there already stays until this one is in its place: it tells a start that the old
             # one was being replaced.
             self._begin_journal(self.generation, salt)
@@ -123,19 +119,6 @@
             if name.startswith((SNAPSHOT_PREFIX, CLOSED_JOURNAL_PREFIX)) and DAMAGED_MARK not in name:
                 self.other_file_bytes[name] = self._path(name).stat().st_size
 
-    def _open_journal(self, recovered: RecoveredJournal) -> None:
-        """Opens the journal and cuts its torn tail off.
-
-        Of a damaged one nothing is cut off: if it cannot be written anew, no more is lost than is.
-        """
-        self.fd = os.open(self._path(JOURNAL), os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
-        if JOURNAL in recovered.damaged_files:
-            self.journal_bytes = os.fstat(self.fd).st_size
-        else:
-            self.journal_bytes = recovered.last_scan.sound_bytes
-        os.ftruncate(self.fd, self.journal_bytes)
-        os.lseek(self.fd, self.journal_bytes, os.SEEK_SET)
-
     def _path(self, name: str) -> Path:
         return self.folder / name
 
@@ -166,77 +149,26 @@
                 sync_data(fd)
             if old_name:
                 os.replace(self._path(JOURNAL), self._path(old_name))
-                self.other_file_bytes[old_name] = self.journal_bytes
+                self.other_file_bytes[old_name] = self.journal.size_bytes
             os.replace(self._path(NEW_JOURNAL), self._path(JOURNAL))
             if self.durable:
                 sync_folder(self.folder)
         except OSError:
             close_descriptor(fd)
             raise
-        self._close_journal()
-        self.fd = fd
-        self.journal_bytes = len(header)
+        self.journal.replace(fd, len(header))
         self.generation = generation
 
-    # Damaged files
-
-    def _files_set_aside(self) -> list[Path]:
-        """Returns the damaged files of earlier starts, the oldest first."""
-        return sorted(self.folder.glob(f"*{DAMAGED_MARK}*"), key=lambda path: path.stat().st_mtime_ns)
-
-    def _set_aside(self, damaged_files: list[str]) -> None:
-        """Keeps damaged files under other names, and removes the oldest of earlier ones.
-
-        Raises:
-            OSError: one cannot be renamed or removed.
-        """
-        earlier = self._files_set_aside()
-        if damaged_files:
-            kept = max(0, MAX_FILES_SET_ASIDE - len(damaged_files))
-            for path in earlier[: max(0, len(earlier) - kept)]:
-                os.unlink(path)
-        used_names = {path.name for path in earlier}
-        for name in damaged_files:
-            self._set_one_aside(name, used_names)
-        self.set_aside_bytes = sum(disk_bytes(path) for path in self._files_set_aside())
-
-    def _set_one_aside(self, name: str, used_names: set[str]) -> None:
-        candidates = (f"{name}{DAMAGED_MARK}{number}" for number in range(1, len(used_names) + 2))
-        new_name = next(candidate for candidate in candidates if candidate not in used_names)
-        try:  # it keeps its own name too until all is written anew
-            os.link(self._path(name), self._path(new_name), follow_symlinks=False)
-        except OSError:  # a folder in its place, or a file system without hard links
-            os.replace(self._path(name), self._path(new_name))
-
     # Writing
 
-    def append(self, data: bytes) -> None:
-        """Appends records to the journal, as a whole or not at all.
-
-        Raises:
-            OSError: nothing of it counts, whether or not what was written could be cut off again.
-        """
-        if self.fd < 0:
-            raise OSError(errno.EBADF, "no journal could be opened yet")
-        try:
-            write_all(self.fd, BLANK_MARKER + data[len(MARKER) :])
-            if os.pwrite(self.fd, MARKER, self.journal_bytes) < len(MARKER):
-                raise OSError(errno.EIO, "half a marker was written")
-        except OSError:
-            with suppress(OSError):  # on a folder that has become read-only the blank marker tells the tail as torn
-                os.ftruncate(self.fd, self.journal_bytes)
-                os.lseek(self.fd, self.journal_bytes, os.SEEK_SET)
-            raise
-        self.journal_bytes += len(data)
-
     def used_bytes(self) -> int:
         """Returns the size of all files, those that are set aside among them."""
         writing_bytes = self.snapshot_writer.size_bytes if self.snapshot_writer else 0
-        return self.journal_bytes + sum(self.other_file_bytes.values()) + self.set_aside_bytes + writing_bytes
+        return self.journal.size_bytes + sum(self.other_file_bytes.values()) + self.damaged.size_bytes + writing_bytes
 
     def recovery_bytes(self) -> int:
         """Returns the size of what a start reads: the newest snapshot and all journals since."""
-        return self.journal_bytes + sum(
+        return self.journal.size_bytes + sum(
             size for name, size in self.other_file_bytes.items() if generation_of(name) >= self.snapshot_generation
         )
 
@@ -251,9 +183,9 @@
         Raises:
             OSError: the files may lack the last records.
         """
-        self.append(last_records)
+        self.journal.append(last_records)
         if self.durable:
-            sync_data(self.fd)
+            self.journal.sync()
         self._begin_journal(self.generation + 1, salt, closed_journal_name(self.generation))
         self.snapshot_writer = SnapshotWriter(self._create(NEW_SNAPSHOT), self.generation, salt, records)
 
@@ -338,9 +270,4 @@
     def close(self) -> None:
         """Closes the journal, and gives up a snapshot that is not complete."""
         self.abandon_snapshot()
-        self._close_journal()
-
-    def _close_journal(self) -> None:
-        if self.fd >= 0:
-            close_descriptor(self.fd)
-            self.fd = -1
+        self.journal.close()
--- a/forwarder/storage/journal_writer.py
+++ b/forwarder/storage/journal_writer.py
@@ -207,7 +207,7 @@
             if is_compacted or self.write_failed:
                 return is_compacted
         try:
-            self.files.append(data)
+            self.files.journal.append(data)
         except OSError as error:
             # A full disk must not end the process: what was accepted is delivered, new work is rejected.
             self.note_failure(error)
--- a/forwarder/storage/replay.py
+++ b/forwarder/storage/replay.py
@@ -50,7 +50,7 @@
                 log.error("journal: a record of unknown form is passed over: %r", error)
         if self.recovered.is_tail_lost:
             self.state.mark_all_doubtful()
-        # Of some of them later records have told more.
+        # Later records may hold the message, or its end.
         self.orphaned_ids -= self.state.ended_ids.keys()
         self.orphaned_ids -= self.state.messages.keys()
         self.orphaned_ids -= self.state.pending_notices.keys()
--- a/forwarder/storage/scan.py
+++ b/forwarder/storage/scan.py
@@ -90,7 +90,9 @@
         return _scan_version1(data)
     scan = JournalScan(salt=salt)
     if header is not None:
-        scan.version, scan.generation, scan.salt = header.version, header.generation, header.salt
+        scan.version = header.version
+        scan.generation = header.generation
+        scan.salt = header.salt
         scan.has_header = True
     if not _is_header_intact(data, header):
         if len(data) < HEADER_BYTES and MAGIC.startswith(data[: len(MAGIC)]):
@@ -203,7 +205,7 @@
 
 
 def _scan_version1(data: bytes) -> JournalScan:
-    """Reads up to the first record that is not complete: what follows cannot be told from a torn tail."""
+    """Reads up to the first record that is not complete: what follows cannot be distinguished from a torn tail."""
     scan = JournalScan(version=1)
     offset = 0
     while (frame := decode_version1_frame(data, offset, len(scan.records) + 1)) is not None:
--- a/forwarder/storage/schema.py
+++ b/forwarder/storage/schema.py
@@ -24,7 +24,7 @@
 """A record's line, ready for JSON."""
 JsonArray: TypeAlias = "list[Any]"
 """A line as JSON gives it back."""
-EndpointFields: TypeAlias = "dict[str, Any]"
+EndpointFields: TypeAlias = dict[str, object]
 """One endpoint of the list as discovery described it: a JSON object whose form is discovery's."""
 
 NOT_SET_US = -1
@@ -218,7 +218,9 @@
     Raises:
         KeyError, TypeError: it has none.
     """
-    name: str = endpoint["host"]
+    name = endpoint["host"]
+    if not isinstance(name, str):
+        raise TypeError(f"{name!r} is no endpoint's name")
     return name
 
 
--- a/forwarder/storage/state.py
+++ b/forwarder/storage/state.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Iterator
-from typing import Any
+from collections.abc import Iterable, Iterator
 
 from forwarder.storage.capacity import LISTED_ENDPOINT_BYTES, StateSizes
 from forwarder.storage.messages import AcceptedMessage, Ejection, PendingNotice
@@ -59,25 +58,36 @@
         self.key_backoffs: dict[str, int] = {}
         """Until when the next message of a key waits; some are over."""
         self.sizes = StateSizes()
-        self._appliers: dict[type[StoredRecord], Callable[[Any], None]] = {
-            MessageAcceptedRecord: self._apply_message_accepted,
-            AttemptStartedRecord: self._apply_attempt_started,
-            AttemptEndedRecord: self._apply_attempt_ended,
-            LocalFailureRecord: self._apply_local_failure,
-            KeyBackoffRecord: self._apply_key_backoff,
-            MessageEndedRecord: self._apply_message_ended,
-            EndedMessagesRecord: self._apply_ended_messages,
-            NoticePendingRecord: self._apply_notice_pending,
-            NoticeAcknowledgedRecord: self._apply_notice_acknowledged,
-            EndpointListRecord: self._apply_endpoint_list,
-            KnownEndpointsRecord: self._apply_known_endpoints,
-            EndpointDisabledRecord: self._apply_endpoint_disabled,
-            EjectionRecord: self._apply_ejection,
-        }
 
     def apply(self, record: StoredRecord) -> None:
         """Changes the state by one record; those of a message that is not there any more change nothing."""
-        self._appliers[type(record)](record)
+        match record:
+            case MessageAcceptedRecord():
+                self._apply_message_accepted(record)
+            case AttemptStartedRecord():
+                self._apply_attempt_started(record)
+            case AttemptEndedRecord():
+                self._apply_attempt_ended(record)
+            case MessageEndedRecord():
+                self._apply_message_ended(record)
+            case NoticePendingRecord():
+                self._apply_notice_pending(record)
+            case NoticeAcknowledgedRecord():
+                self._apply_notice_acknowledged(record)
+            case LocalFailureRecord():
+                self._apply_local_failure(record)
+            case KeyBackoffRecord():
+                self._apply_key_backoff(record)
+            case EndedMessagesRecord():
+                self._apply_ended_messages(record)
+            case EndpointListRecord():
+                self._apply_endpoint_list(record)
+            case KnownEndpointsRecord():
+                self._apply_known_endpoints(record)
+            case EndpointDisabledRecord():
+                self._apply_endpoint_disabled(record)
+            case EjectionRecord():
+                self._apply_ejection(record)
 
     def knows(self, message_id: str) -> bool:
         """Returns whether a message of that id was accepted, whether or not it has ended."""
--- a/forwarder/storage/store.py
+++ b/forwarder/storage/store.py
@@ -153,12 +153,12 @@
     # Changes of the state
 
     def accept(self, message: AcceptedMessage) -> None:
-        """Adds a message. Its client may be told so once `flush` has written the record."""
+        """Adds a message. Its client may be answered once `flush` has written the record."""
         self.writer.unrecorded.accepted_ids.add(message.id)
         self._change(MessageAcceptedRecord(message))
 
     def undo_accept(self, message_id: str) -> None:
-        """Removes a message whose acceptance could not be written and whose client was told so."""
+        """Removes a message whose acceptance could not be written: its client is answered that it is rejected."""
         self.writer.unrecorded.accepted_ids.discard(message_id)
         self.state.discard_message(message_id)
 
@@ -263,7 +263,7 @@
     @property
     def fd(self) -> int:
         """The descriptor of the journal that is written to."""
-        return self.files.fd
+        return self.files.journal.fd
 
     @property
     def recovery_bytes(self) -> int:
@@ -278,7 +278,7 @@
     @property
     def set_aside_bytes(self) -> int:
         """What damaged files take that are kept for people."""
-        return self.files.set_aside_bytes
+        return self.files.damaged.size_bytes
 
     @property
     def durable(self) -> bool:
@@ -287,6 +287,7 @@
 
     @durable.setter
     def durable(self, durable: bool) -> None:
+        """Sets it."""
         self.files.durable = durable
 
     @property
--- a/lab/single.py
+++ b/lab/single.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import json
-import os
 import socket
 from collections.abc import Callable
 from dataclasses import asdict, dataclass, field
@@ -406,10 +405,7 @@
 
     def let_go(self) -> None:
         """The journal's descriptor goes with the process."""
-        files = self.engine.store.files
-        if files.fd >= 0:
-            os.close(files.fd)
-            files.fd = -1
+        self.engine.store.files.journal.close()
 
     def kill(self) -> None:
         """SIGKILL: calls that are out may run on, and clients without an answer have none to come."""
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from forwarder.storage import file_io, journal_files
+from forwarder.storage import damaged_files, file_io, journal_file, journal_files
 from forwarder.storage.durability import Durability, DurabilityExtension, DurabilityExtensionFactory, Syncer
 from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
@@ -121,7 +121,7 @@
 
 def use_os(monkeypatch: pytest.MonkeyPatch, disk: Any) -> None:
     """Lets the modules that write the journal use this in place of `os`, or `os` again."""
-    for module in (file_io, journal_files):
+    for module in (damaged_files, file_io, journal_file, journal_files):
         monkeypatch.setattr(module, "os", disk)
 
 
