--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -28,7 +28,7 @@
 from forwarder.admin.server import CommandTable
 from forwarder.config.config import Config
 from forwarder.config.extensions_file import ExtensionTable
-from forwarder.runtime.engine import BaseExtension, Engine
+from forwarder.runtime.extension import BaseExtension, ExtensionHost
 from forwarder.storage.store import MessageStore
 
 REWRITE_RETRY_S = 0.5
@@ -54,7 +54,7 @@
     descriptors: int = 0
     """How many descriptors the extension needs."""
 
-    def __call__(self, engine: Engine) -> DurabilityExtension:
+    def __call__(self, engine: ExtensionHost) -> DurabilityExtension:
         """Makes the extension for one engine."""
         return DurabilityExtension(engine, self)
 
@@ -68,7 +68,7 @@
     value = table.take("durability", None)
     values = [durability.value for durability in Durability]
     if value not in values:
-        raise table.wrong("durability", f"is {value!r}, not one of {', '.join(values)}")
+        raise table.error("durability", f"is {value!r}, not one of {', '.join(values)}")
     return DurabilityExtensionFactory(Durability(value), table.number("interval_s", 1.0, 0.01, 3600.0))
 
 
@@ -214,14 +214,14 @@
 
     name = "journal"
 
-    def __init__(self, engine: Engine, settings: DurabilityExtensionFactory) -> None:
+    def __init__(self, engine: ExtensionHost, settings: DurabilityExtensionFactory) -> None:
         """Makes the store sync what replaces other files, if anything is to be synced."""
         self.engine = engine
         self.settings = settings
         self.syncer: Syncer | None = None
         self.timer: asyncio.TimerHandle | None = None
         engine.store.durable = settings.durability is not Durability.NONE
-        self.calls: CommandTable = {}
+        self.commands: CommandTable = {}
 
     async def open(self) -> None:
         """Syncs what the start has written, and begins."""
@@ -230,7 +230,7 @@
         self.syncer = Syncer(self.engine.store)
         self.syncer.sync_now()
         if self.settings.durability is Durability.DATA:
-            self.engine.syncer = self.syncer
+            self.engine.use_syncer(self.syncer)
         else:
             self.tick()
 
@@ -241,14 +241,14 @@
             self.syncer.call_when_synced(lambda: None)
         self.timer = asyncio.get_running_loop().call_later(self.settings.interval_s, self.tick)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends the intervals, and syncs a last time."""
         if self.timer is not None:
             self.timer.cancel()
         if self.syncer is not None:
             self.syncer.close()
 
-    def state(self) -> str:
+    def describe_state(self) -> str:
         """Returns what is shown to operators."""
         level = self.settings.durability.value
         syncer = self.syncer
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -331,7 +331,7 @@
         await until(lambda: syncer.failure_count >= 3)
         assert done == []
         assert not syncer.sync_now()
-        assert "nothing is let go" in part_of(syncer).state()
+        assert "nothing is let go" in part_of(syncer).describe_state()
         disk.fails = {}
         await until(lambda: done == ["a"])
         use_os(monkeypatch, os)
