--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -173,7 +173,7 @@
         """`JOIN`: ends the drain."""
         self._check_not_stopping()
         log.info("drain: back to work")
-        self.runtime.drain.join()
+        self.runtime.drain.stop()
         for extension in self.runtime.extensions:
             extension.stop_draining()
         return "joined"
--- a/forwarder/runtime/pending_notices.py
+++ b/forwarder/runtime/pending_notices.py
@@ -22,7 +22,7 @@
         self.clock = clock
         self.post = post
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         """Returns the notices that may be sent now, by message id."""
         now_us = self.clock()
         return {
@@ -31,7 +31,7 @@
             if self.invariants.may_notify(name, now_us) is None
         }
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         """Records that the platform has acknowledged the notices of these messages."""
         for name in names:
             end = self.store.pending_notices.get(name)
--- a/forwarder/runtime/reload.py
+++ b/forwarder/runtime/reload.py
@@ -67,8 +67,8 @@
             loaded.settings.max_attempts,
         )
         if loaded.discovery != before.discovery:
-            runtime.watch.move(loaded.discovery)
-            runtime.notices.move(loaded.discovery)
+            runtime.watch.change_address(loaded.discovery)
+            runtime.notices.change_address(loaded.discovery)
         if loaded.settings != before.settings and not runtime.run_state.is_frozen:
             runtime.loop.run_round()  # what came under the old settings is accepted under them
             self._apply_settings(socket_settings(loaded.settings))
@@ -76,10 +76,10 @@
     def _apply_settings(self, settings: Settings) -> None:
         runtime = self.runtime
         runtime.server.settings = settings
-        runtime.endpoint_table.tune(settings.kinds)
-        runtime.pool.tune(runtime.config.report_fields, settings.idle_timeout_us, settings.connect_timeout_us)
+        runtime.endpoint_table.apply_settings(settings.kinds)
+        runtime.pool.apply_settings(runtime.config.report_fields, settings.idle_timeout_us, settings.connect_timeout_us)
         entries = runtime.endpoint_table.entries(
-            runtime.endpoint_table.hosts.values(), runtime.store.disabled_endpoints
+            runtime.endpoint_table.endpoints.values(), runtime.store.disabled_endpoints
         )
         runtime.loop.events += [SettingsChanged(settings), EndpointListReceived(EndpointListKind.WHOLE, entries)]
         runtime.loop.run_round()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,17 +12,21 @@
 import pytest
 
 from forwarder.admin.server import AdminServer
+from forwarder.clients.client_connection import ClientConnection
 from forwarder.clients.listener import bind
-from forwarder.clients.server import ClientConnection, ClientServer, Submission
+from forwarder.clients.server import ClientServer
+from forwarder.clients.submission import Submission
 from forwarder.config.config import Address, EndpointList, load_config, parse_endpoint_list
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import AttemptEnded, EndpointEntry, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
+from forwarder.endpoints.connection import EndpointConnection
 from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
-from forwarder.endpoints.pool import CallItem, ConnectionPool, EndpointCall, EndpointConnection
+from forwarder.endpoints.pool import ConnectionPool
+from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings
 from forwarder.storage.clock import Clock
 from forwarder.storage.messages import AcceptedMessage
 from forwarder.storage.state import MAX_ENDED_IDS
@@ -97,7 +101,9 @@
 
 
 def call(clock: Clock, name: str, left_us: int = 5_000_000) -> EndpointCall:
-    return EndpointCall(1, (7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us, clock() + left_us)])
+    return EndpointCall(
+        1, LimitScopeKey(7, -1), clock(), [CallItem(name, 0, None, b"x", clock() + left_us, clock() + left_us)]
+    )
 
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
@@ -105,13 +111,13 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
-        p.serving({})
+        p.update_addresses({})
         await peer.until(lambda: peer.closed == 1)
         assert not peer.requests
         assert [e.outcome for e in ends] == [Outcome.NOT_SENT]
-        assert p.out == 0
+        assert p.calls_in_flight == 0
 
     asyncio.run(scene())
 
@@ -121,7 +127,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
@@ -147,8 +153,12 @@
 
         peer = await Peer(accept).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
-        p.start(EndpointCall(1, (7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]))
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
+        p.start(
+            EndpointCall(
+                1, LimitScopeKey(7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]
+            )
+        )
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.retry_after_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
@@ -184,11 +194,11 @@
     table = EndpointTable((), {}, ())
     table.numbers = counted = CountedNames()
     names = [f"s{n}" for n in range(3200)]
-    table.take(listed(1, names, whole=True))
+    table.apply(listed(1, names, whole=True))
     assert len(table.serving(())) == len(names)
     for n in range(20):
-        table.take(listed(2 + n, [names[n]], health="draining"))
-        table.entries(table.hosts.values())
+        table.apply(listed(2 + n, [names[n]], health="draining"))
+        table.entries(table.endpoints.values())
     assert len(table.serving(())) == len(names) - 20
     assert counted.scans == 0
 
@@ -197,10 +207,10 @@
     table = EndpointTable((), {}, ())
     kept = table.number("banned")
     for n in range(3000):
-        table.take(listed(2 * n, [f"s{n}"]))
-        table.entries(table.hosts.values(), {"banned"})
-        table.take(listed(2 * n + 1, [f"s{n}"], health="removed"))
-    table.take(listed(6001, ["s2999"]))
+        table.apply(listed(2 * n, [f"s{n}"]))
+        table.entries(table.endpoints.values(), {"banned"})
+        table.apply(listed(2 * n + 1, [f"s{n}"], health="removed"))
+    table.apply(listed(6001, ["s2999"]))
     assert len(table.numbers) <= MAX_ENDPOINTS
     assert len(table.names) == len(table.numbers)
     assert table.number("banned", {"banned"}) == kept
@@ -215,12 +225,12 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends, 1_000_000)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m"))
         await peer.until(lambda: peer.closed == 1)
         assert [e.outcome for e in ends] == [Outcome.DELIVERED]
-        assert not p.idle
-        assert not p.sweeping
+        assert not p.idle.by_endpoint
+        assert not p.idle.sweeping
 
     asyncio.run(scene())
 
@@ -266,11 +276,11 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for _ in range(2):
             connection = EndpointConnection(p)
             connection.connection_made(Dead())
-            p.keep(connection, 1)
+            p.keep_idle(connection, 1)
         p.start(call(Clock(), "m"))
         async with asyncio.timeout(20):
             while not ends:
@@ -286,17 +296,17 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", 9)})
+        p.update_addresses({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
             connection = EndpointConnection(p)
             connection.connection_made(HalfWritten())
-            p.keep(connection, 1)
+            p.keep_idle(connection, 1)
             p.start(call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
         assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
-        p.idle.clear()
+        p.idle.by_endpoint.clear()
 
     asyncio.run(scene())
 
@@ -306,28 +316,28 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 150_000))
         await peer.got(1)
-        assert p.out == 1
+        assert p.calls_in_flight == 1
         assert not ends
         while not ends:
             await asyncio.sleep(0.01)
         assert ends[0].outcome is Outcome.TIMED_OUT
         assert not ends[0].is_final
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.01)
-        assert p.out == 0
-        assert not p.calls
-        assert not p.idle
+        assert p.calls_in_flight == 0
+        assert not p.in_flight.by_attempt
+        assert not p.idle.by_endpoint
         p.start(call(Clock(), "n"))
         await peer.got(2)
         p.cancel("n", 0)
         while len(ends) < 2:  # told as its connection is gone
             await asyncio.sleep(0.01)
         assert ends[1].outcome is Outcome.CANCELED
-        assert p.out == 0
-        assert not p.all
+        assert p.calls_in_flight == 0
+        assert not p.connections
         p.close()
 
     asyncio.run(scene())
@@ -354,14 +364,14 @@
 
         peer = await Peer(quiet).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
         assert [(e.outcome, e.is_final) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
-        assert p.out == 0
-        assert not p.calls
+        assert p.calls_in_flight == 0
+        assert not p.in_flight.by_attempt
         p.close()
 
     asyncio.run(scene())
@@ -382,9 +392,11 @@
 
         peer = await Peer(answer).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
-            EndpointCall(1, (7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"])
+            EndpointCall(
+                1, LimitScopeKey(7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"]
+            )
         )
         async with asyncio.timeout(PATIENCE):
             while len(ends) < 2:
@@ -398,7 +410,7 @@
             ("c", Outcome.REJECTED),
         ]
         assert ends[2].retry_after_us == 700_000
-        assert not p.idle.get(1)
+        assert not p.idle.by_endpoint.get(1)
         p.close()
 
     asyncio.run(scene())
@@ -416,13 +428,13 @@
 
         peer = await Peer(pieces).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
         assert (ends[0].outcome, ends[0].retry_after_us) == (Outcome.REJECTED, 700_000)
-        assert len(p.idle[1]) == 1
+        assert len(p.idle.by_endpoint[1]) == 1
         p.close()
 
     asyncio.run(scene())
@@ -442,11 +454,11 @@
 
         peer = await Peer(slow).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
             EndpointCall(
                 1,
-                (7, -1),
+                LimitScopeKey(7, -1),
                 now,
                 [
                     CallItem("short", 0, None, b"x", now + 100_000, now + 60 * 10**6),
@@ -458,7 +470,7 @@
         await asyncio.sleep(0.2)
         assert not ends
         free.set()
-        while p.out:
+        while p.calls_in_flight:
             await asyncio.sleep(0.01)
         assert [(e.message_id, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
         p.close()
@@ -473,11 +485,11 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
         p, now = pool(ends), Clock()()
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(
             EndpointCall(
                 1,
-                (7, -1),
+                LimitScopeKey(7, -1),
                 now,
                 [
                     CallItem("due", 0, None, b"x", now + 100_000, now + 200_000),
@@ -488,7 +500,7 @@
         while not ends:
             await asyncio.sleep(0.01)
         assert {(e.message_id, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
-        while p.all:
+        while p.connections:
             await asyncio.sleep(0.01)
         p.close()
 
@@ -500,7 +512,7 @@
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
         p = pool(ends)
-        p.serving({1: Address("127.0.0.1", peer.port)})
+        p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
             p.start(call(Clock(), f"m{n}"))
             while len(ends) <= n:
@@ -519,13 +531,13 @@
         gone = asyncio.Event()
 
         def hand_in(handed: Submission, door: ClientConnection) -> None:
-            door.left = gone.set
+            door.on_withdrawn = gone.set
             came.put_nowait(handed)
 
         server = ClientServer(parse_settings(SETTINGS), Clock(), 10, hand_in)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(message("m"))
         assert (await came.get()).id == "m"
@@ -597,13 +609,13 @@
         server = ClientServer(parse_settings(SETTINGS), clock, 10, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         client = await asyncio.open_connection("127.0.0.1", port)
         client[1].write(b"GET /up HTTP/1.1\r\n\r\n")
         await client[0].readuntil(b"up\n")
         peer = await asyncio.open_connection("127.0.0.1", port)
         peer[1].write(sent)
-        while len(server.doors) < 2 or (sent and all(d.reading is None for d in server.doors)):
+        while len(server.connections) < 2 or (sent and all(d.parser.partial is None for d in server.connections)):
             await asyncio.sleep(0.01)
         clock.skew = 2_100_000
         async with asyncio.timeout(20):
@@ -621,7 +633,7 @@
         server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
-        port = server.listener.where().port
+        port = server.listener.address().port
         first, *others = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         async with asyncio.timeout(20):
             assert await first[0].read() == b""
