--- a/forwarder/storage/record_format.py
+++ b/forwarder/storage/record_format.py
@@ -37,6 +37,7 @@
 VERSION1_FRAME_HEAD = struct.Struct("<II")
 """Payload length, checksum."""
 MAX_PAYLOAD_BYTES = 1 << 21
+LINE_ENCODER = json.JSONEncoder(separators=(",", ":"))
 
 
 class FileHeader(NamedTuple):
@@ -86,7 +87,7 @@
 
 def encode_line(line: StoredLine) -> bytes:
     """Returns a record's line as it is stored."""
-    return json.dumps(line, separators=(",", ":")).encode()
+    return LINE_ENCODER.encode(line).encode()
 
 
 def encode_record_frame(salt: int, number: int, line: StoredLine, body: bytes = b"") -> bytes:
