--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -19,8 +19,7 @@
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.extension import ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
-from forwarder.storage.identity import ForeignStateError
-from forwarder.storage.journal import NewerFormatError
+from forwarder.storage.errors import ForeignStateError, NewerFormatError
 
 START_PATIENCE_S = 20.0
 """What fails for a moment is tried again for so long: a start has to be ready within 30 s."""
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -99,7 +99,7 @@
             settings.believe_us,
             settings.detect_us,
             settings.notify_us,
-            leased_until=self._lease.read(settings.settle_us - settings.detect_us),
+            leased_until=self._lease.read_end_us(settings.settle_us - settings.detect_us),
         )
         if settings.gossip_enabled:
             self.gossip = GossipBridge(host, self.quota, settings.notify_us, settings.query_us)
@@ -124,7 +124,7 @@
         self.protocol = MembershipProtocol(
             self.host.config.name,
             (settings.advertise.host, settings.advertise.port),
-            start_number=identity.starts if identity is not None else 1,
+            start_number=identity.start_count if identity is not None else 1,
             process_id=secrets.token_hex(4),
             timing=settings.timing,
             seed=secrets.randbits(32),
@@ -279,7 +279,7 @@
     def apply_actions(self, actions: Iterable[Action]) -> None:
         """Keeps the lease, and tells the others what a round has observed."""
         if self.quota is not None and self._lease is not None:
-            self._lease.keep(self.quota.leased_until)
+            self._lease.renew(self.quota.leased_until)
         if self.gossip is not None and self.protocol is not None:
             self.gossip.apply_actions(self.now_us(), actions)
             if self.protocol.state.outbox:
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -39,7 +39,8 @@
 from forwarder.runtime.invariants import Denial, Invariants
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 from forwarder.units import SECOND_US
 
 MAX_REJECTION_COUNTS = 1000
@@ -103,15 +104,15 @@
         if message is None:
             return
         if event.outcome is Outcome.DELIVERED and event.is_final:
-            self.store.over(message.id)
+            self.store.end_message(message.id)
         elif event.is_final:
             # An endpoint says that it is over. Should that be wrong, it would be lost; a notice does no harm.
-            self.store.owe(message.id, "returned" if message.ran_at_us < 0 else "failed", 0)
+            self.store.add_pending_notice(message.id, "returned" if message.maybe_ran_at_us < 0 else "failed", 0)
         elif event.outcome is Outcome.LOCAL_FAILURE:
-            self.store.held(message, event.attempt)
+            self.store.record_local_failure(message, event.attempt)
         else:
             self.reasons.note(Subject.RETRY, event.outcome.value, message.id)
-            self.store.outcome(message, event.attempt, event.outcome not in NEVER_RAN)
+            self.store.record_outcome(message, event.attempt, event.outcome not in NEVER_RAN)
 
     def prepare(self, now: int, actions: Iterable[Action], pending: PendingSubmissions) -> Departures:
         """Records what a round has decided. Nothing leaves yet, but rejections of what was never accepted.
@@ -127,7 +128,7 @@
                 reject = partial(self.reject_submission, *pending.pop(action.message_id), action)
                 self.supervisor.guard("refusal", reject)
         for submission, _ in pending.values():
-            self.store.take(
+            self.store.accept(
                 AcceptedMessage(
                     submission.id,
                     submission.message_class,
@@ -151,23 +152,23 @@
                 self._prepare_send(action, now, departures)
             case RejectMessage() if action.message_id in self.store.messages:
                 self._log_rejection(action, now)
-                self.store.owe(action.message_id, "returned", -(-action.retry_after_us // 1000))
+                self.store.add_pending_notice(action.message_id, "returned", -(-action.retry_after_us // 1000))
             case FailMessage() if action.message_id in self.store.messages:
-                self.store.owe(action.message_id, "failed", 0)
+                self.store.add_pending_notice(action.message_id, "failed", 0)
             case CloseIdleConnections() | CancelAttempt():
                 departures.steps.append(action)
             case EjectionChanged() if action.endpoint in self.endpoint_table.names:
-                self.store.outage(
+                self.store.record_ejection(
                     self.endpoint_table.names[action.endpoint], action.ejected_at_us, action.recovering_since_us
                 )
             case KeyBackoffStarted():
-                self.store.rest(action.key, action.until_us, now)
+                self.store.back_off_key(action.key, action.until_us, now)
 
     def _undo(self, action: Action) -> None:
         """Tells the decisions that a step has failed: a message whose call was not made is held again."""
         if isinstance(action, SendAttempt):
             message = self.store.messages.get(action.message_id)
-            number = 0 if message is None else max(message.out, default=message.attempts)
+            number = 0 if message is None else max(message.in_flight, default=message.attempts)
             self.post(AttemptEnded(action.message_id, number, action.endpoint, Outcome.LOCAL_FAILURE, 0))
 
     def _prepare_send(self, action: SendAttempt, now: int, departures: Departures) -> None:
@@ -189,7 +190,7 @@
             message.attempts += 1
             self.post(AttemptEnded(message.id, number, action.endpoint, Outcome.NOT_SENT, 0))
             return
-        self.store.attempt(message, number, now, target.name)
+        self.store.record_attempt(message, number, now, target.name)
         item = CallItem(
             message.id,
             number,
@@ -216,7 +217,7 @@
         self._unlogged_rejections += 1
         message = self.store.messages[action.message_id]
         reason = action.hold_reason.value if action.hold_reason else "nothing"
-        key = (message.destination, message.cls.name, reason)
+        key = (message.destination, message.message_class.name, reason)
         if key in self.rejected_by or len(self.rejected_by) < MAX_REJECTION_COUNTS:
             self.rejected_by[key] = self.rejected_by.get(key, 0) + 1
         if now - self._rejection_logged_us >= SECOND_US:
@@ -264,7 +265,7 @@
         departures.steps = [step for step in departures.steps if not isinstance(step, EndpointCall) or step.items]
         for message_id, (submission, client) in departures.accepted.items():
             self.invariants.may_accept(message_id, is_recorded=False)
-            self.store.forget(message_id)
+            self.store.undo_accept(message_id)
             self.post(MessageWithdrawn(message_id))
             self.reject_unavailable(submission, client, "cannot be recorded")
         departures.accepted = {}
--- a/forwarder/runtime/endpoint_list.py
+++ b/forwarder/runtime/endpoint_list.py
@@ -31,10 +31,10 @@
             self._has_first_list = True
             self._log_first_list(endpoint_list)
         if endpoint_list.endpoints or endpoint_list.is_complete:
-            entries = runtime.endpoint_table.entries(endpoint_list.endpoints, runtime.store.bans)
+            entries = runtime.endpoint_table.entries(endpoint_list.endpoints, runtime.store.disabled_endpoints)
             self.apply(endpoint_list)
             listed = {endpoint.name: endpoint.raw for endpoint in runtime.endpoint_table.endpoints.values()}
-            runtime.store.list(endpoint_list.version, listed, runtime.clock())
+            runtime.store.record_endpoint_list(endpoint_list.version, listed, runtime.clock())
         else:
             entries = ()
         kind = EndpointListKind.WHOLE if endpoint_list.is_complete else EndpointListKind.CHANGES
@@ -58,6 +58,6 @@
     def publish_serving(self) -> None:
         """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
         runtime = self.runtime
-        runtime.pool.update_addresses(runtime.endpoint_table.serving(runtime.store.bans))
+        runtime.pool.update_addresses(runtime.endpoint_table.serving(runtime.store.disabled_endpoints))
         for extension in runtime.extensions:
             extension.update_endpoints(runtime.pool.addresses)
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -98,7 +98,7 @@
     endpoint_connections = [table.add(fileno(connection.transport)) for connection in connections]
     admin_listeners, admin_connections = _describe_admin(runtime, table)
     description = HandoverDescription(
-        clock_base_ns=runtime.clock.base,
+        clock_base_ns=runtime.clock.offset_ns,
         endpoint_numbers=runtime.endpoint_table.numbers,
         destinations=[*runtime.endpoint_table.destinations],
         learned_state=runtime.dispatcher.learned_state(),
--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -27,7 +27,7 @@
 from typing import TypeVar
 
 from forwarder.runtime.handover_format import HandoverDescription, decode_description, encode_description
-from forwarder.storage.journal_files import close
+from forwarder.storage.file_io import close_descriptor
 
 ASK = b"take over 1\n"
 TAKEN = b"taken\n"
@@ -78,7 +78,7 @@
         """Closes the connection, and the descriptors that nobody has taken out."""
         self.link.close()
         while self._descriptors:
-            close(self._descriptors.popitem()[1])
+            close_descriptor(self._descriptors.popitem()[1])
 
 
 MakeServer = Callable[[HandoverState | None], Awaitable[Made]]
@@ -208,7 +208,7 @@
         if lock == NOT_OPEN:
             return None
         handover.link.close()
-        close(self._lock)
+        close_descriptor(self._lock)
         self._lock = lock
         return made
 
--- a/forwarder/runtime/shutdown.py
+++ b/forwarder/runtime/shutdown.py
@@ -46,7 +46,7 @@
             log.info(
                 "stopped: %d messages and %d owed ends stay in the journal",
                 len(runtime.store.messages),
-                len(runtime.store.owed),
+                len(runtime.store.pending_notices),
             )
             self.done.set()
 
@@ -62,7 +62,7 @@
     def _has_nothing_left(self) -> bool:
         """Returns whether all is over, or, once the process is frozen, all that could still end."""
         runtime = self.runtime
-        if runtime.store.owed:
+        if runtime.store.pending_notices:
             return False
         if runtime.run_state.is_frozen and not runtime.pool.calls_in_flight:
             return True
--- a/lab/single.py
+++ b/lab/single.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import json
-import os
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -331,13 +330,13 @@
 
     def _begin(self, engine: Engine) -> None:
         self.engine = engine
-        engine.store.own()
+        engine.store.take_ownership()
         engine.loop.run_round()
         engine.loop.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make(self, handed: HandoverState | None = None) -> Engine:
         engine = Engine(self.config, Any, AdminServer(), Any, handed, clock=self)  # type: ignore[arg-type]
-        engine.store.monotonic_s = lambda: self.now_us / SECOND
+        engine.store.writer.monotonic_s = lambda: self.now_us / SECOND
         engine.loop.schedule = lambda: None  # type: ignore[method-assign]
         engine.loop.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
         self.calls = Calls(engine, self.oracle)
@@ -393,7 +392,7 @@
         for name in self.calls.overdue():
             self.calls.end(name, Outcome.TIMED_OUT)
         self.engine.store.retry()
-        self.engine.store.step()
+        self.engine.store.write_snapshot_step()
         self.engine.loop.run_round()
         self.engine.checks.end_overdue_messages()
 
@@ -406,7 +405,7 @@
     def left_without_end(self) -> list[str]:
         """Messages that were taken on, are past their time, and have no end that is told or waits to be."""
         old_us = self.now_us - LATE_US
-        owed = self.engine.store.owed
+        owed = self.engine.store.pending_notices
         return [name for name in self.oracle.unended() if self.oracle.fates[name].due_us < old_us and name not in owed]
 
     def notify(self, heard: bool) -> None:
@@ -423,10 +422,7 @@
 
     def let_go(self) -> None:
         """The journal's descriptor goes with the process."""
-        files = self.engine.store.files
-        if files.fd >= 0:
-            os.close(files.fd)
-            files.fd = -1
+        self.engine.store.files.journal.close()
 
     def kill(self) -> None:
         """SIGKILL: calls that are out may run on, and clients without an answer have none to come."""
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -28,7 +28,7 @@
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.storage.clock import Clock
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 from tests.sockets import PATIENCE, SETTINGS, message
 
 NOW_US = 1_000_000_000
