--- /dev/null
+++ b/tests/runtime/test_reload.py
@@ -0,0 +1,99 @@
+"""SIGHUP: the new settings hold at once, or nothing of the file is taken."""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+import functools
+import json
+import operator
+import signal
+from pathlib import Path
+from typing import Any
+
+from tests.sockets import OK, PATIENCE, SETTINGS, Node, Platform, always, hang
+from tests.test_node import ids, node_on, play, target
+
+
+async def reload(node: Node, word: str) -> None:
+    """Sends SIGHUP, and waits for the log line that tells how it went."""
+    before = len(node.log)
+    node.process.send_signal(signal.SIGHUP)
+    async with asyncio.timeout(PATIENCE):
+        while not any(word in line for line in node.log[before:]):
+            await asyncio.sleep(0.01)
+
+
+STRICT = {"name": "strict", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once"}
+
+
+def test_new_settings_hold_at_once_and_messages_under_way_keep_their_class(tmp_path: Path) -> None:
+    async def scene(platform: Platform, folder: Path) -> None:
+        peer, other = await target(platform, hang), await target(platform, hang, "s2", block=8)
+        node = await node_on(folder, platform)
+        assert (await node.hand_in("old", "status"))[0] == 202
+        await peer.got(1)
+        node.configure(settings={**SETTINGS, "services": [STRICT, {**STRICT, "name": "order"}]})
+        await reload(node, "classes strict, order,")
+        assert (await node.hand_in("gone", "status"))[0] == 404
+        assert (await node.hand_in("new", "strict", dest=8))[0] == 202
+        await other.got(1)
+        before = len(peer.requests)
+        await node.restart()
+        assert (await platform.notice("new"))["state"] == "failed"
+        await peer.got(before + 1)  # it may still be repeated
+        assert set(ids(peer)) == {"old"}
+        assert len(other.requests) == 1
+
+    play(scene, tmp_path)
+
+
+def without(document: Any, *path: Any) -> Any:
+    """Returns a copy that lacks the key at this path."""
+    changed = copy.deepcopy(document)
+    parent = functools.reduce(operator.getitem, path[:-1], changed)
+    del parent[path[-1]]
+    return changed
+
+
+def changed(document: Any, value: Any, *path: Any) -> Any:
+    """Returns a copy with another value at this path."""
+    changed = copy.deepcopy(document)
+    parent = functools.reduce(operator.getitem, path[:-1], changed)
+    parent[path[-1]] = value
+    return changed
+
+
+def test_a_reload_of_a_broken_file_changes_nothing(tmp_path: Path) -> None:
+    async def scene(platform: Platform, folder: Path) -> None:
+        peer = await target(platform, always(OK))
+        node = await node_on(folder, platform)
+        path = folder / "config.json"
+        good = json.loads(path.read_text())
+        better = {
+            **good,
+            "discovery": "127.0.0.1:9",
+            "settings": {**SETTINGS, "services": [STRICT, *SETTINGS["services"][1:]]},
+        }
+        broken = ["", "{", "[]", "null", json.dumps(better)[:-40]]
+        broken += [json.dumps(without(better, key)) for key in good]
+        broken += [json.dumps(without(better, "settings", key)) for key in SETTINGS]
+        broken += [json.dumps(without(better, "settings", "services", 0, key)) for key in STRICT]
+        broken += [json.dumps(without(better, "settings", "allowed", "max_attempts"))]
+        broken += [json.dumps(changed(better, [], "settings", "services"))]
+        for value in (0, -1, None, "6", True, [], float("nan")):
+            broken.append(json.dumps(changed(better, value, "settings", "allowed", "max_attempts")))
+            broken.append(json.dumps(changed(better, value, "settings", "services", 0, "deadline_us")))
+        for text in broken:
+            path.write_text(text)
+            await reload(node, "left as it was")
+        assert (await node.hand_in("m", "strict"))[0] == 404
+        assert (await node.hand_in("n", "order"))[0] == 202
+        await peer.got(1)
+        await platform.change("s1", "draining")
+        await platform.until(lambda: any(f"from={platform.seq}" in r.path for r in platform.requests))
+        path.write_text(json.dumps(better))
+        await reload(node, "classes strict,")
+        assert (await node.hand_in("m", "strict"))[0] == 202
+
+    play(scene, tmp_path)
