--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -18,7 +18,8 @@
 from functools import partial
 from http import HTTPStatus
 
-from forwarder.clients.server import ClientConnection, Submission
+from forwarder.clients.client_connection import ClientConnection
+from forwarder.clients.submission import Submission
 from forwarder.decisions.actions import (
     Action,
     CancelAttempt,
@@ -31,8 +32,10 @@
 )
 from forwarder.decisions.events import AttemptEnded, Event, MessageWithdrawn
 from forwarder.decisions.outcomes import NEVER_RAN, Outcome
+from forwarder.endpoints.call import CallItem, CallResult, EndpointCall
 from forwarder.endpoints.endpoint_table import EndpointTable
-from forwarder.endpoints.pool import CallItem, CallResult, ConnectionPool, EndpointCall, fits
+from forwarder.endpoints.pool import ConnectionPool
+from forwarder.endpoints.request_rendering import fits_in_batch
 from forwarder.runtime.invariants import Denial, Invariants
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
@@ -127,7 +130,7 @@
             self.store.take(
                 AcceptedMessage(
                     submission.id,
-                    submission.cls,
+                    submission.message_class,
                     submission.destination,
                     submission.due_us,
                     submission.key,
@@ -174,7 +177,7 @@
             self.post(AttemptEnded(action.message_id, 0, action.endpoint, Outcome.NOT_SENT, 0, is_final=True))
             return
         number = message.attempts
-        target = self.endpoint_table.host(action.endpoint)
+        target = self.endpoint_table.endpoint(action.endpoint)
         if target is None or target.destination != message.destination:
             # A message that reaches an endpoint of another destination cannot be called back.
             log.error(
@@ -198,8 +201,12 @@
             action.send_before_us,
         )
         call = departures.forming.get(action.endpoint)
-        if call is None or len(call.items) >= self.endpoint_table.kind(target).max_batch or not fits(call.items, item):
-            call = EndpointCall(action.endpoint, self.endpoint_table.place(target), now, [])
+        if (
+            call is None
+            or len(call.items) >= self.endpoint_table.kind(target).max_batch
+            or not fits_in_batch(call.items, item)
+        ):
+            call = EndpointCall(action.endpoint, self.endpoint_table.limit_scope(target), now, [])
             departures.forming[action.endpoint] = call
             departures.steps.append(call)
         call.items.append(item)
@@ -267,5 +274,5 @@
         if item.id not in accepted and self.invariants.may_send_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
-        self.post(AttemptEnded(item.id, item.attempt, call.target, Outcome.LOCAL_FAILURE, 0))
+        self.post(AttemptEnded(item.id, item.attempt, call.endpoint, Outcome.LOCAL_FAILURE, 0))
         return False
--- a/forwarder/runtime/endpoint_list.py
+++ b/forwarder/runtime/endpoint_list.py
@@ -33,7 +33,7 @@
         if endpoint_list.endpoints or endpoint_list.is_complete:
             entries = runtime.endpoint_table.entries(endpoint_list.endpoints, runtime.store.bans)
             self.apply(endpoint_list)
-            listed = {endpoint.name: endpoint.raw for endpoint in runtime.endpoint_table.hosts.values()}
+            listed = {endpoint.name: endpoint.raw for endpoint in runtime.endpoint_table.endpoints.values()}
             runtime.store.list(endpoint_list.version, listed, runtime.clock())
         else:
             entries = ()
@@ -52,12 +52,12 @@
 
     def apply(self, endpoint_list: EndpointList) -> None:
         """Follows a list, whole or in part, without telling the decisions."""
-        self.runtime.endpoint_table.take(endpoint_list)
+        self.runtime.endpoint_table.apply(endpoint_list)
         self.publish_serving()
 
     def publish_serving(self) -> None:
         """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
         runtime = self.runtime
-        runtime.pool.serving(runtime.endpoint_table.serving(runtime.store.bans))
+        runtime.pool.update_addresses(runtime.endpoint_table.serving(runtime.store.bans))
         for extension in runtime.extensions:
-            extension.update_endpoints(runtime.pool.where)
+            extension.update_endpoints(runtime.pool.addresses)
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -52,7 +52,7 @@
         runtime.store.step()
         runtime.clock.keep()
         if runtime.store.owed:
-            runtime.notices.kick()
+            runtime.notices.wake()
         if now_s - self._reasons_logged_s > REASONS_LOG_INTERVAL_S:
             self._reasons_logged_s = now_s
             runtime.reasons.report()
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -16,8 +16,8 @@
 
 from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
 from tests.runtime.test_handover import released, upgraded
+from tests.scenes import ids, node_on, play, target
 from tests.sockets import OK, PATIENCE, Platform, always, hang
-from tests.test_node import ids, node_on, play, target
 
 
 def ask_owner(folder: Path) -> socket.socket:
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
+from tests.scenes import ids, node_on, play, target
 from tests.sockets import OK, PATIENCE, SETTINGS, Node, Platform, always, hang
-from tests.test_node import ids, node_on, play, target
 
 
 async def reload(node: Node, word: str) -> None:
