--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from forwarder.config.config import Address, ConfigError, parse_address
-from forwarder.simulator.adapter import MalformedInputError
+from forwarder.protocol.checked_fields import MalformedInputError
 
 
 class ExtensionTable:
--- a/tests/lab/test_forwarder_config.py
+++ b/tests/lab/test_forwarder_config.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from forwarder.simulator.adapter import parse_settings
+from forwarder.protocol.settings_format import parse_settings
 from lab import plan, scenario
 from lab.forwarder_config import make_settings
 from tests.sockets import ROOT
