--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -95,14 +95,14 @@
     async def _make_engine(handover: HandoverState | None) -> Engine:
         if handover is None:
             # The address before the journal: where another forwarder serves, nothing may be sent.
-            clients = await bind(config.listen)
+            client_socket = await bind(config.listen)
             return await retry_unreadable_journal(
-                lambda: Engine(config, ownership, admin, clients, extensions=extensions)
+                lambda: Engine(config, ownership, admin, client_socket, extensions=extensions)
             )
-        clients = handover.socket(handover.description.client_listener)
-        if clients.getsockname()[:2] != astuple(config.listen):
-            clients = await bind(config.listen)
-        return Engine(config, ownership, admin, clients, handover, extensions)
+        client_socket = handover.socket(handover.description.client_listener)
+        if client_socket.getsockname()[:2] != astuple(config.listen):
+            client_socket = await bind(config.listen)
+        return Engine(config, ownership, admin, client_socket, handover, extensions)
 
     engine = await ownership.obtain(_make_engine)
     loop.add_signal_handler(signal.SIGTERM, engine.shutdown.start)
--- a/forwarder/runtime/context.py
+++ b/forwarder/runtime/context.py
@@ -23,7 +23,7 @@
     """The forwarder's collaborators. `Engine` builds them, and is the one implementation."""
 
     ownership: Ownership
-    clients: socket.socket
+    client_socket: socket.socket
     """The socket that clients connect to."""
     handover: HandoverState | None
     """What the process before handed over; None where this one started alone."""
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -63,7 +63,7 @@
         config: Config,
         ownership: Ownership,
         admin: AdminServer,
-        clients: socket.socket,
+        client_socket: socket.socket,
         handover: HandoverState | None = None,
         extensions: Sequence[ExtensionFactory] = (),
         clock: AnchoredClock | None = None,
@@ -78,7 +78,7 @@
         self.config = config
         self.ownership = ownership
         self.admin = admin
-        self.clients = clients
+        self.client_socket = client_socket
         self.handover = handover
         description = HandoverDescription() if handover is None else handover.description
         self.clock = clock or AnchoredClock(config.state_folder, description.clock_base_ns)
@@ -243,7 +243,7 @@
         self.admin.commands = self.commands.table()  # operators who are handed over have called one that serves
         if self.handover is not None:
             await adopt_clients(self, self.handover)
-        self.server.listen(self.clients)
+        self.server.listen(self.client_socket)
         for extension in self.extensions:
             await extension.open()
         admin_listening = self.supervisor.keep("control", self._listen_for_operators)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -87,7 +87,7 @@
         self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
         self.engine.store.own()
         self.engine.loop.run_round()
-        self.engine.server.listen(self.engine.clients)
+        self.engine.server.listen(self.engine.client_socket)
         return self
 
     @property
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -592,7 +592,7 @@
         engine.loop.run_round()
         assert list(engine.store.messages) == ([] if gone else ["m"])
         engine.pool.close()
-        engine.clients.close()
+        engine.client_socket.close()
         client.close()
 
     asyncio.run(scene())
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -269,7 +269,7 @@
             (HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered", {}),
             (HTTPStatus.SERVICE_UNAVAILABLE, "full", {"Retry_After": "0.812"}),
         ]
-        engine.clients.close()
+        engine.client_socket.close()
 
     run(scene)
 
