--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -62,7 +62,7 @@
             return
         for extension in runtime.extensions:
             extension.abort()
-        log.info("handed over: %d messages, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
+        log.info("handed over: held=%d calls=%d", len(runtime.store.messages), runtime.pool.calls_in_flight)
         os._exit(0)  # not one callback more: it would read what is meant for the other process
 
     def settle(self) -> None:
--- a/forwarder/runtime/shutdown.py
+++ b/forwarder/runtime/shutdown.py
@@ -30,7 +30,7 @@
         if runtime.run_state.is_stopping:
             return
         runtime.run_state.stopping_since_s = time.monotonic()
-        log.info("stopping: %d messages held, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
+        log.info("stopping: held=%d calls=%d", len(runtime.store.messages), runtime.pool.calls_in_flight)
         runtime.start_draining()
         runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(DRAIN_DELAY_S)
 
@@ -44,7 +44,7 @@
             self._freeze()
         if passed_s >= EXIT_S or self._has_nothing_left():
             log.info(
-                "stopped: %d messages and %d owed ends stay in the journal",
+                "stopped: the journal keeps held=%d pending_notices=%d",
                 len(runtime.store.messages),
                 len(runtime.store.owed),
             )
--- a/forwarder/runtime/state_log.py
+++ b/forwarder/runtime/state_log.py
@@ -44,9 +44,9 @@
     store = runtime.store
     key_queues = runtime.dispatcher.key_queues.by_key.values()
     log.info(
-        "state: %d held, %d of them in turn by %d keys; %d calls out, %d ends owed, %d left out; "
-        "%d clients, %d connections, %d descriptors; %d rounds, %.1f s of CPU; "
-        "journal %d KB, %d KB live, %d compactions%s",
+        "state: held=%d queued_by_key=%d key_queues=%d calls=%d pending_notices=%d disabled_endpoints=%d "
+        "clients=%d endpoint_connections=%d descriptors=%d rounds=%d cpu_s=%.1f "
+        "journal_kb=%d live_kb=%d compactions=%d%s",
         len(store.messages),
         sum(len(queue.messages) for queue in key_queues),
         len(key_queues),
--- a/tests/runtime/test_incident_descriptors.py
+++ b/tests/runtime/test_incident_pre_production.py
@@ -1,4 +1,7 @@
-"""The faults of the incident of 2026-12-02, played on the real program. See docs/incidents/."""
+"""The faults of the incident of 2026-12-02, played on the real program.
+
+See docs/incidents/2026-12-02-pre-production-faults.md.
+"""
 
 from __future__ import annotations
 
