--- a/benchmarks/accept.py
+++ b/benchmarks/accept.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one run has measured. Times in milliseconds."""
+    """The figures of one run. Times in milliseconds."""
 
     median: float
     p99: float
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one run has measured."""
+    """The figures of one run."""
 
     median_ms: float
     """To the 202, of messages one after another."""
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,96 +12,169 @@
 import argparse
 import asyncio
 import re
-import statistics
 import tempfile
 import time
 import tracemalloc
-from dataclasses import replace
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
 from datetime import datetime
 from pathlib import Path
 
+from benchmarks.summary import format_range, percentile
 from forwarder.membership import failure_detector
 from forwarder.membership.codec import Codec, Datagram, member_row
 from forwarder.membership.gossip_store import GossipStore, RecordKind
 from forwarder.membership.protocol import MembershipProtocol
 from forwarder.membership.timing import Timing
 from forwarder.membership.view import INCARNATIONS_PER_START, MemberRecord, MemberState, Source
-from forwarder.units import SECOND_US as SECOND
+from forwarder.units import SECOND_US
 from lab import plan, run
-from lab import scenario as lab_scenario
+from lab.scenario import Fleet as FleetSize
+from lab.scenario import Load, Scenario, Time
 from tests.members_sim import KEY, Fleet
 from tests.sockets import ROOT
 
-MOST_JOINING = 300
-"""Larger fleets begin as if they had met already: that a thousand join at once is not what is measured."""
+MAX_JOINING = 300
+"""Larger fleets begin as if they had met already: a thousand that join at once are another question."""
+AGREE_TIMEOUT_US = 120 * SECOND_US
+SETTLE_US = 3 * SECOND_US
+DIGITS = 2
 
 
-def settled(size: int, seed: int, timing: Timing | None = None) -> Fleet:
+def settled_fleet(size: int, seed: int, timing: Timing | None = None) -> Fleet:
+    """Return a fleet whose members agree on who is there."""
     fleet = Fleet(size, seed, timing)
-    if size > MOST_JOINING:
-        news = [p.view.members[p.view.name].record for p in fleet.members.values()]
-        for p in fleet.members.values():
-            for one in news:
-                if one.name != p.view.name:
-                    p.view.apply(one, Source.MERGED, fleet.now)
-    fleet.until_agreed(120 * SECOND, SECOND)
-    fleet.run(3 * SECOND)
+    if size > MAX_JOINING:
+        records = [member.view.members[member.view.name].record for member in fleet.members.values()]
+        for member in fleet.members.values():
+            for record in records:
+                if record.name != member.view.name:
+                    member.view.apply(record, Source.MERGED, fleet.now)
+    fleet.until_agreed(AGREE_TIMEOUT_US, SECOND_US)
+    fleet.run(SETTLE_US)
     return fleet
 
 
-def spread(values: list[float]) -> str:
-    if not values:
-        return "-"
-    values = sorted(values)
-    return f"{statistics.median(values):.2f} ({values[0]:.2f} to {values[-1]:.2f})"
+def _range(values: list[float]) -> str:
+    return format_range(values, DIGITS)
+
+
+# Deaths
+
+
+@dataclass(slots=True)
+class KnownAfter:
+    """Seconds from deaths until they were known."""
+
+    first_s: list[float] = field(default_factory=list)
+    p99_s: list[float] = field(default_factory=list)
+    last_s: list[float] = field(default_factory=list)
+    missing: int = 0
+    """Members that never knew."""
+
+    def add(self, knew_after_s: list[float]) -> None:
+        """Add one death, by when each member knew of it."""
+        self.first_s.append(min(knew_after_s))
+        self.p99_s.append(percentile(knew_after_s, 99))
+        self.last_s.append(max(knew_after_s))
 
 
 def deaths(sizes: list[int], seeds: int) -> None:
     """From a silent death to the first that knows, the 99th percentile of all, and the last."""
     for size in sizes:
-        first, most, last = [], [], []
+        known = KnownAfter()
         for seed in range(seeds):
-            fleet = settled(size, seed)
+            fleet = settled_fleet(size, seed)
             fleet.knew.clear()
-            died = fleet.now
+            died_us = fleet.now
             fleet.stop(size - 1)
-            fleet.until_agreed(120 * SECOND)
-            knew = sorted((at - died) / SECOND for at in fleet.knew[size - 1])
-            first.append(knew[0])
-            most.append(knew[min(len(knew) - 1, len(knew) * 99 // 100)])
-            last.append(knew[-1])
-        print(f"deaths, {size} members: first {spread(first)} s, 99% {spread(most)}, last {spread(last)}", flush=True)
+            fleet.until_agreed(AGREE_TIMEOUT_US)
+            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.knew[size - 1]])
+        print(
+            f"deaths, {size} members: first {_range(known.first_s)} s, 99% {_range(known.p99_s)}, "
+            f"last {_range(known.last_s)}",
+            flush=True,
+        )
+
+
+# False failures
+
+MAX_HEALTH_MULTIPLIER = failure_detector.MAX_HEALTH_MULTIPLIER
+WITHOUT_LIFEGUARD = replace(Timing(), max_suspicion_factor=1.0, confirmations=0, stall_us=1 << 60)
+STOPS = 10
+STOP_INTERVAL_US = 6 * SECOND_US
+STOPPED_SHARE = 10
+"""One in so many members is stopped."""
+
+
+@dataclass(frozen=True, slots=True)
+class Disturbance:
+    """What a fleet suffers."""
+
+    loss: float
+    """Share of the datagrams that are lost."""
+    stops: bool
+    """A tenth of the members is stopped for 1 to 5 s, again and again."""
+
+    def __str__(self) -> str:
+        return f"{self.loss:.0%} lost, {'a tenth stops' if self.stops else 'none stops'}"
+
+
+DISTURBANCES = (
+    Disturbance(0.0, False),
+    Disturbance(0.05, False),
+    Disturbance(0.2, False),
+    Disturbance(0.0, True),
+)
+
+
+@dataclass(slots=True)
+class FalseFailures:
+    """Members that were declared failed and had not ended."""
+
+    count: int = 0
+    not_stopped: int = 0
+    """Of them, those that were never stopped either."""
+    hours: float = 0.0
 
 
 def loss(sizes: list[int], seeds: int) -> None:
-    """False failures in an hour: with loss, and with a tenth stopped for 1 to 5 s again and again, with Lifeguard's
-    additions and without.
-    """
-    plain = replace(Timing(), max_suspicion_factor=1.0, confirmations=0, stall_us=1 << 60)
+    """False failures in an hour: with loss and with stops, with Lifeguard's additions and without."""
     for size in sizes:
-        for name, timing, aware in (("with", Timing(), 8), ("without", plain, 0)):
-            failure_detector.MAX_HEALTH_MULTIPLIER = aware
-            for lost, stops in ((0.0, False), (0.05, False), (0.2, False), (0.0, True)):
-                count, hours, others = 0, 0.0, 0
+        for name, timing, multiplier in (("with", Timing(), MAX_HEALTH_MULTIPLIER), ("without", WITHOUT_LIFEGUARD, 0)):
+            failure_detector.MAX_HEALTH_MULTIPLIER = multiplier
+            for disturbance in DISTURBANCES:
+                found = FalseFailures()
                 for seed in range(seeds):
-                    fleet = settled(size, seed, timing)
-                    fleet.false.clear()
-                    began, fleet.loss = fleet.now, lost
-                    for _ in range(10):
-                        for n in range(size // 10 if stops else 0):
-                            fleet.pause(n, fleet.random.randrange(1, 6) * SECOND)
-                        fleet.run(6 * SECOND)
-                    struck = size // 10 if stops else 0
-                    count += len({(at // SECOND, m) for at, _, m in fleet.false})
-                    others += len({(at // SECOND, m) for at, _, m in fleet.false if m >= struck})
-                    hours += (fleet.now - began) / SECOND / 3600
+                    _count_false_failures(settled_fleet(size, seed, timing), size, disturbance, found)
                 print(
-                    f"false failures, {size} members, {name} Lifeguard, {lost:.0%} lost, "
-                    f"{'a tenth stops' if stops else 'none stops'}: {count / hours:.0f} an hour, "
-                    f"{others / hours:.0f} of such as were not stopped",
+                    f"false failures, {size} members, {name} Lifeguard, {disturbance}: "
+                    f"{found.count / found.hours:.0f} an hour, "
+                    f"{found.not_stopped / found.hours:.0f} of such as were not stopped",
                     flush=True,
                 )
-        failure_detector.MAX_HEALTH_MULTIPLIER = 8
+        failure_detector.MAX_HEALTH_MULTIPLIER = MAX_HEALTH_MULTIPLIER
+
+
+def _count_false_failures(fleet: Fleet, size: int, disturbance: Disturbance, found: FalseFailures) -> None:
+    fleet.false.clear()
+    began_us = fleet.now
+    fleet.loss = disturbance.loss
+    stopped = size // STOPPED_SHARE if disturbance.stops else 0
+    for _ in range(STOPS):
+        for number in range(stopped):
+            fleet.pause(number, fleet.random.randrange(1, 6) * SECOND_US)
+        fleet.run(STOP_INTERVAL_US)
+    failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false}
+    found.count += len(failures)
+    found.not_stopped += sum(member >= stopped for _, member in failures)
+    found.hours += (fleet.now - began_us) / SECOND_US / 3600
+
+
+# Traffic and agreement
+
+TRAFFIC_S = 10
+SPLIT_US = 30 * SECOND_US
 
 
 def traffic(sizes: list[int], seeds: int) -> None:
@@ -109,154 +182,201 @@
     for size in sizes:
         rates = []
         for seed in range(seeds):
-            fleet = settled(size, seed)
-            fleet.run(10 * SECOND)
+            fleet = settled_fleet(size, seed)
+            fleet.run(TRAFFIC_S * SECOND_US)
             before = sum(fleet.sent.values())
-            fleet.run(10 * SECOND)
-            rates.append((sum(fleet.sent.values()) - before) / size / 10)
-        print(f"traffic, {size} members: {spread(rates)} datagrams a second each", flush=True)
+            fleet.run(TRAFFIC_S * SECOND_US)
+            rates.append((sum(fleet.sent.values()) - before) / size / TRAFFIC_S)
+        print(f"traffic, {size} members: {_range(rates)} datagrams a second each", flush=True)
 
 
 def split(sizes: list[int], seeds: int) -> None:
     """From healing until all agree, after 30 s in halves; and from the start of all at once."""
     for size in sizes:
-        heal, start = [], []
+        healed_s = []
+        started_s = []
         for seed in range(seeds):
             fleet = Fleet(size, seed)
-            start.append(fleet.until_agreed(120 * SECOND) / SECOND)
+            started_s.append(fleet.until_agreed(AGREE_TIMEOUT_US) / SECOND_US)
             fleet.split(set(range(size // 2)), set(range(size // 2, size)))
-            fleet.run(30 * SECOND)
+            fleet.run(SPLIT_US)
             fleet.heal()
-            heal.append(fleet.until_agreed(120 * SECOND) / SECOND)
+            healed_s.append(fleet.until_agreed(AGREE_TIMEOUT_US) / SECOND_US)
         print(
-            f"split, {size} members: agree {spread(start)} s after a common start, {spread(heal)} s after healing",
+            f"split, {size} members: agree {_range(started_s)} s after a common start, "
+            f"{_range(healed_s)} s after healing",
             flush=True,
         )
 
 
+# Cost
+
+COST_S = 60
+GOSSIP_RECORDS = 50
+PEER_ADDRESS = ("h1", 1)
+
+
 def cost(sizes: list[int], seeds: int) -> None:
-    """One forwarder in a quiet fleet for a minute: its own share of a core, and the memory of its view and board."""
+    """One forwarder in a quiet fleet for a minute: its share of a core, and the memory of its view and gossip store."""
     for size in sizes:
-        shares, memory = [], []
+        core_percents = []
+        memory_mb = []
         for seed in range(seeds):
             tracemalloc.start()
-            p, codec = (
-                MembershipProtocol("n0", ("h0", 1), 1, "i" * 8, Timing(), seed, 0, [("h1", 1)]),
-                Codec("c", [KEY]),
-            )
-            p.state.gossip_store = GossipStore("n0")
-            for n in range(1, size):
-                p.view.apply(
-                    MemberRecord(
-                        f"n{n}",
-                        (f"127.0.{n >> 8}.{n & 255}", 3200),
-                        INCARNATIONS_PER_START + 1,
-                        MemberState.ALIVE,
-                        f"{n:08x}",
-                        version="0.1.0",
-                    ),
-                    Source.MERGED,
-                    0,
-                )
-            for n in range(50):
-                p.state.gossip_store.add_own(0, RecordKind.EJECTED, f"endpoint-{n}")
-            memory.append(tracemalloc.get_traced_memory()[0] / 1e6)
+            member = LoneMember(size, seed)
+            memory_mb.append(tracemalloc.get_traced_memory()[0] / 1e6)
             tracemalloc.stop()
-            shares.append(_minute(p, codec, size) / 60)
-        print(f"cost, {size} members: {spread([100 * s for s in shares])} % of a core, {spread(memory)} MB", flush=True)
-
+            core_percents.append(100 * member.play(COST_S) / COST_S)
+        print(
+            f"cost, {size} members: {_range(core_percents)} % of a core, {_range(memory_mb)} MB",
+            flush=True,
+        )
 
-def _minute(p: MembershipProtocol, codec: Codec, size: int) -> float:
-    """Processor time for its own part of a minute: probes that are answered, and as many probes of others."""
-    others: dict[str, Codec] = {}
-    spent, now, asked_at = 0.0, 0, 0
 
-    def heard(name: str, kind: str, seq: int) -> bytes:
-        body = Datagram(
-            kind, name, 1, f"{int(name[1:]):08x}", 0, seq, members=[member_row(p.view.members[name].record)]
-        )
-        return others.setdefault(name, Codec("c", [KEY])).seal(body)
-
-    while now < 60 * SECOND:
-        now = max(now + 1, min(p.next_step_us(), now + p.state.timing.period_us))
-        began = time.process_time()
-        p.tick(now)
-        sent = [(where, codec.seal(body), body) for where, body in p.state.outbox]
-        spent += time.process_time() - began
-        p.state.outbox = []
-        names = {m.record.address: name for name, m in p.view.members.items()}
-        coming = [
-            heard(names[where], "ack", body.request_number)
-            for where, _, body in sent
-            if body.kind == "ping" and where in names
+class LoneMember:
+    """One real member, whose peers are played."""
+
+    def __init__(self, size: int, seed: int) -> None:
+        self.size = size
+        self.protocol = MembershipProtocol("n0", ("h0", 1), 1, "i" * 8, Timing(), seed, 0, [PEER_ADDRESS])
+        self.codec = Codec("c", [KEY])
+        self.peer_codecs: dict[str, Codec] = {}
+        self.protocol.state.gossip_store = GossipStore("n0")
+        for number in range(1, size):
+            self.protocol.view.apply(_peer_record(number), Source.MERGED, 0)
+        for number in range(GOSSIP_RECORDS):
+            self.protocol.state.gossip_store.add_own(0, RecordKind.EJECTED, f"endpoint-{number}")
+
+    def play(self, seconds: int) -> float:
+        """Return the processor time of its own part: probes that are answered, and as many probes of others."""
+        protocol = self.protocol
+        period_us = protocol.state.timing.period_us
+        cpu_s = 0.0
+        now_us = 0
+        next_probe_us = 0
+        while now_us < seconds * SECOND_US:
+            now_us = max(now_us + 1, min(protocol.next_step_us(), now_us + period_us))
+            began_s = time.process_time()
+            protocol.tick(now_us)
+            sent = self._seal_outbox()
+            cpu_s += time.process_time() - began_s
+            inbound = self._answers(sent)
+            if now_us >= next_probe_us:
+                next_probe_us += period_us
+                inbound.append(self._sealed_by_peer(f"n{protocol.state.random.randrange(1, self.size)}", "ping", 1))
+            began_s = time.process_time()
+            for data in inbound:
+                protocol.receive(now_us, PEER_ADDRESS, self.codec.open(data))
+            self._seal_outbox()
+            cpu_s += time.process_time() - began_s
+        return cpu_s
+
+    def _seal_outbox(self) -> list[tuple[tuple[str, int], Datagram]]:
+        """Seal all that is to be sent, as a forwarder does, and return it with its addresses."""
+        outbox = self.protocol.state.outbox
+        for _, datagram in outbox:
+            self.codec.seal(datagram)
+        self.protocol.state.outbox = []
+        return list(outbox)
+
+    def _answers(self, sent: list[tuple[tuple[str, int], Datagram]]) -> list[bytes]:
+        names = {member.record.address: name for name, member in self.protocol.view.members.items()}
+        return [
+            self._sealed_by_peer(names[address], "ack", datagram.request_number)
+            for address, datagram in sent
+            if datagram.kind == "ping" and address in names
         ]
-        if now >= asked_at:
-            asked_at += p.state.timing.period_us
-            coming.append(heard(f"n{p.state.random.randrange(1, size)}", "ping", 1))
-        began = time.process_time()
-        for data in coming:
-            p.receive(now, ("h1", 1), codec.open(data))
-        for _, body in p.state.outbox:
-            codec.seal(body)
-        spent += time.process_time() - began
-        p.state.outbox = []
-    return spent
+
+    def _sealed_by_peer(self, name: str, kind: str, request_number: int) -> bytes:
+        record = self.protocol.view.members[name].record
+        datagram = Datagram(kind, name, 1, f"{int(name[1:]):08x}", 0, request_number, members=[member_row(record)])
+        return self.peer_codecs.setdefault(name, Codec("c", [KEY])).seal(datagram)
+
+
+def _peer_record(number: int) -> MemberRecord:
+    return MemberRecord(
+        f"n{number}",
+        (f"127.0.{number >> 8}.{number & 255}", 3200),
+        INCARNATIONS_PER_START + 1,
+        MemberState.ALIVE,
+        f"{number:08x}",
+        version="0.1.0",
+    )
+
+
+# Real processes
+
+MEET_S = 8.0
+KNOWN_WITHIN_S = 10.0
+LOG_TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
 
 def real(sizes: list[int], seeds: int) -> None:
     """From SIGKILL to the first process that says `failed` in its log, and to the last; `seeds` deaths."""
     for size in sizes:
-        first, last, missing = asyncio.run(_struck(size, seeds))
+        known = asyncio.run(_kill_members(size, seeds))
         print(
-            f"real, {size} processes, {seeds} deaths: first {spread(first)} s, last {spread(last)}, {missing} never",
+            f"real, {size} processes, {seeds} deaths: first {_range(known.first_s)} s, "
+            f"last {_range(known.last_s)}, {known.missing} never",
             flush=True,
         )
 
 
-async def _struck(size: int, deaths: int) -> tuple[list[float], list[float], int]:
-    told = lab_scenario.Scenario(
+async def _kill_members(size: int, deaths: int) -> KnownAfter:
+    scenario = Scenario(
         "real",
-        fleet=lab_scenario.Fleet(nodes=size, endpoints=6, destinations=3),
-        load=lab_scenario.Load(per_node_s=0.5),
-        time=lab_scenario.Time(1.0, 600.0, 1.0),
+        fleet=FleetSize(nodes=size, endpoints=6, destinations=3),
+        load=Load(per_node_s=0.5),
+        time=Time(1.0, 600.0, 1.0),
     )
-    first, last, missing = [], [], 0
+    extensions = (ROOT / "lab/parts/members.toml").read_text()
+    known = KnownAfter()
     with tempfile.TemporaryDirectory() as folder:
         (Path(folder) / "nodes").mkdir()
-        play = run.Run(plan.make(told), Path(folder), ROOT, (ROOT / "lab/parts/members.toml").read_text())
+        played = run.Run(plan.make(scenario), Path(folder), ROOT, extensions)
         try:
-            await play.open()
-            await asyncio.sleep(8.0)
-            for n in range(deaths):
+            await played.open()
+            await asyncio.sleep(MEET_S)
+            forwarders = played.testbed.forwarders
+            survivors = [forwarders[f"n{number}"] for number in range(size - deaths)]
+            for death in range(deaths):
+                victim = f"n{size - 1 - death}"
                 died = datetime.now()
-                await play.testbed.forwarders[f"n{size - 1 - n}"].kill_and_wait()
-                await asyncio.sleep(10.0)
-                knew = [
-                    (at - died).total_seconds()
-                    for k in range(size - deaths)
-                    if (at := _said(play.testbed.forwarders[f"n{k}"].log_path, f"n{size - 1 - n}")) is not None
-                ]
-                first.append(min(knew))
-                last.append(max(knew))
-                missing += size - deaths - len(knew)
+                await forwarders[victim].kill_and_wait()
+                await asyncio.sleep(KNOWN_WITHIN_S)
+                times = [_time_of_failure(survivor.read_log(), victim) for survivor in survivors]
+                knew_after_s = [(at - died).total_seconds() for at in times if at is not None]
+                known.add(knew_after_s)
+                known.missing += len(survivors) - len(knew_after_s)
         finally:
-            await play.close()
-    return first, last, missing
+            await played.close()
+    return known
+
+
+def _time_of_failure(log: str, name: str) -> datetime | None:
+    """Return when a forwarder's log says that a member has failed."""
+    found = re.search(rf"^(\S+ \S+) .*member {name} at \S+ is failed", log, re.M)
+    return None if found is None else datetime.strptime(found[1], LOG_TIME_FORMAT)
 
 
-def _said(log: Path, name: str) -> datetime | None:
-    found = re.search(rf"^(\S+ \S+) .*member {name} at \S+ is failed", log.read_text(), re.M)
-    return None if found is None else datetime.strptime(found[1], "%Y-%m-%d %H:%M:%S,%f")
+BENCHMARKS: dict[str, Callable[[list[int], int], None]] = {
+    "deaths": deaths,
+    "loss": loss,
+    "traffic": traffic,
+    "split": split,
+    "cost": cost,
+    "real": real,
+}
 
 
 def main() -> None:
+    """Play the benchmark that the command line names."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.members", description=__doc__.splitlines()[0])
-    todo = {"deaths": deaths, "loss": loss, "traffic": traffic, "split": split, "cost": cost, "real": real}
-    parser.add_argument("what", choices=todo)
+    parser.add_argument("what", choices=BENCHMARKS)
     parser.add_argument("--sizes", type=int, nargs="+", default=[12, 40])
     parser.add_argument("--seeds", type=int, default=5)
-    asked = parser.parse_args()
-    todo[asked.what](asked.sizes, asked.seeds)
+    arguments = parser.parse_args()
+    BENCHMARKS[arguments.what](arguments.sizes, arguments.seeds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/summary.py
+++ b/benchmarks/summary.py
@@ -1,4 +1,4 @@
-"""How the benchmarks print what they have measured."""
+"""How the benchmarks print their figures."""
 
 from __future__ import annotations
 
