--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -31,7 +31,7 @@
 from lab import plan, run
 from lab.scenario import Fleet as FleetSize
 from lab.scenario import Load, Scenario, Time
-from tests.members_sim import KEY, Fleet
+from tests.membership.simulation import KEY, Fleet
 from tests.sockets import ROOT
 
 MAX_JOINING = 300
--- a/forwarder/discovery/watch.py
+++ b/forwarder/discovery/watch.py
@@ -12,8 +12,14 @@
 
 from forwarder.clients.listener import unread
 from forwarder.config.config import Address, EndpointList, parse_endpoint_list
-from forwarder.endpoints.pool import LOCAL_ERRORS
-from forwarder.protocol.http1 import MOST_BODY, MOST_LIST, BadResponseError, ResponseReader, render_request
+from forwarder.endpoints.local_errors import LOCAL_ERRORS
+from forwarder.protocol.http1 import (
+    MAX_BODY_BYTES,
+    MAX_ENDPOINT_LIST_BYTES,
+    BadResponseError,
+    ResponseReader,
+    render_request,
+)
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.simulator.adapter import MalformedInputError
 from forwarder.storage.store import PendingNotice
@@ -35,7 +41,7 @@
 # the forwarder has not read what discovery wrote, it goes by an older list, and a drain's grace is short
 NOTICE_PAUSES_S = (0.05, 0.1)  # a post that failed is made again after these: see above
 MOST_NOTICES = 500  # lines in one post
-MOST_POST = MOST_BODY  # and its bytes
+MOST_POST = MAX_BODY_BYTES  # and its bytes
 log = logging.getLogger("forwarder.discovery")
 
 
@@ -43,7 +49,7 @@
     """One connection for one request after another."""
 
     def __init__(self) -> None:
-        self.reader = ResponseReader(MOST_LIST)
+        self.reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[None] | None = None
 
@@ -170,7 +176,7 @@
         self.supervisor = supervisor or Supervisor()
         self.task: asyncio.Task[None] | None = None
 
-    def behind(self) -> bool:
+    def has_unread_list(self) -> bool:
         """Whether discovery has told something that is not heeded yet."""
         return self.client.channel.behind()
 
@@ -178,7 +184,7 @@
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.follow())
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Discovery has a new address: follow the list there at once, from the version that is known."""
         if self.task is not None:
             self.task.cancel()
@@ -221,9 +227,9 @@
 class PendingNoticeSource(Protocol):
     """Where owed ends are kept until they are acknowledged."""
 
-    def owed_ends(self) -> Mapping[str, PendingNotice]: ...
+    def pending_notices(self) -> Mapping[str, PendingNotice]: ...
 
-    def acknowledged(self, names: list[str]) -> None: ...
+    def acknowledge_notices(self, names: list[str]) -> None: ...
 
 
 class Notifier:
@@ -234,12 +240,12 @@
         self.wanted = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         self.wanted.set()
         if self.task is None:
             self.task = self.supervisor.keep("notices", self.run)
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Post to a new address from now on; a post that is on its way is cut off and made again."""
         self.client.close()
         self.client = DiscoveryClient(where)
@@ -250,7 +256,7 @@
         while True:
             await self.wanted.wait()
             self.wanted.clear()
-            while owed := list(self.book.owed_ends().items())[:MOST_NOTICES]:
+            while owed := list(self.book.pending_notices().items())[:MOST_NOTICES]:
                 body, owed = post_body(owed)
                 try:
                     answer = await self.client.ask("POST", "/v1/notices", POST_S, body)
@@ -263,7 +269,7 @@
                     failures += 1
                     continue
                 failures = 0
-                self.book.acknowledged([name for name, _ in owed])
+                self.book.acknowledge_notices([name for name, _ in owed])
 
 
 def post_body(owed: list[tuple[str, PendingNotice]]) -> tuple[bytes, list[tuple[str, PendingNotice]]]:
--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -104,7 +104,7 @@
 
         After the process stood still, a drain may lie unread beside the events that would send to the drained endpoint.
         """
-        if self._deferred_rounds < MAX_DEFERRED_ROUNDS and self.watch.behind():
+        if self._deferred_rounds < MAX_DEFERRED_ROUNDS and self.watch.has_unread_list():
             self._deferred_rounds += 1
             asyncio.get_running_loop().call_soon(self._run_scheduled_round)
             return
@@ -179,7 +179,7 @@
         """Lets leave what the round's records precede."""
         self.effects.release(departures, is_recorded)
         if self.store.owed:
-            self.notices.kick()
+            self.notices.wake()
 
     def sync_barrier(self) -> bool:
         """Syncs what is written, and releases what waits for it. Returns whether that worked, or is not asked for."""
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -17,7 +17,7 @@
 from forwarder.admin.server import AdminServer, CommandRefusedError
 from forwarder.clients.drain import ClientDrain
 from forwarder.clients.listener import bind
-from forwarder.clients.server import OVERSHOOT, ClientServer
+from forwarder.clients.server import MAX_OVERSHOOT, ClientServer
 from forwarder.config.config import Config, EndpointList
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import Event
@@ -147,7 +147,7 @@
         The rest is for files, discovery and the listener.
         """
         descriptors = min(self.config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        client_connections = descriptors // 2 - OVERSHOOT - extension_descriptors
+        client_connections = descriptors // 2 - MAX_OVERSHOOT - extension_descriptors
         self.server = ClientServer(
             settings,
             self.clock,
@@ -206,7 +206,7 @@
 
     def start_draining(self) -> None:
         """Sends clients away; what was accepted goes on."""
-        self.drain.leave()
+        self.drain.start()
         for extension in self.extensions:
             extension.start_draining()
 
@@ -224,7 +224,7 @@
         if self.handover is not None:
             await adopt_calls(self, self.handover)
         self.loop.run_round()
-        self.notices.kick()
+        self.notices.wake()
         self.admin.commands = self.commands.table()  # operators who are handed over have called one that serves
         if self.handover is not None:
             await adopt_clients(self, self.handover)
@@ -250,8 +250,8 @@
             soft_limit,
             hard_limit,
             open_descriptors(),
-            self.server.most,
-            self.pool.most,
+            self.server.max_connections,
+            self.pool.max_connections,
         )
 
     async def _listen_for_operators(self) -> None:
@@ -269,7 +269,7 @@
         self.run_state.is_closed = True
         for extension in self.extensions:
             self.supervisor.guard(extension.name, extension.abort)
-        await self.supervisor.guarded("answers at the end", self.server.finish())
+        await self.supervisor.guarded("answers at the end", self.server.flush())
         for name, close in (
             ("server", self.server.close),
             ("control", self.admin.close),
--- a/forwarder/runtime/shutdown.py
+++ b/forwarder/runtime/shutdown.py
@@ -6,7 +6,7 @@
 import logging
 import time
 
-from forwarder.clients.drain import LATE_S
+from forwarder.clients.drain import DRAIN_DELAY_S
 from forwarder.runtime.context import Runtime
 
 FREEZE_S = 2.8
@@ -30,9 +30,9 @@
         if runtime.run_state.is_stopping:
             return
         runtime.run_state.stopping_since_s = time.monotonic()
-        log.info("stopping: %d messages held, %d calls out", len(runtime.store.messages), runtime.pool.out)
+        log.info("stopping: %d messages held, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
         runtime.start_draining()
-        runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(LATE_S)
+        runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(DRAIN_DELAY_S)
 
     def _check(self) -> None:
         """Freezes the process when that is due, and looks whether it may end."""
@@ -64,7 +64,7 @@
         runtime = self.runtime
         if runtime.store.owed:
             return False
-        if runtime.run_state.is_frozen and not runtime.pool.out:
+        if runtime.run_state.is_frozen and not runtime.pool.calls_in_flight:
             return True
         is_busy = any(extension.is_busy() for extension in runtime.extensions)
         return not (runtime.store.messages or runtime.intake.pending or is_busy)
