--- a/lab/rules.py
+++ b/lab/rules.py
@@ -255,11 +255,7 @@
     PROTOCOL, "Clients to forwarders": after 429 or 503 its client may hand it in elsewhere.
     """
     message = state.messages.get(event.id)
-    if message is None or message.was_given_up or message.refused_at_s is None:
-        return None
-    if event.first_s <= message.refused_at_s + state.grace_s:
-        return None
-    return _finding(Rule.LOST, event, f"forwarded {event.first_s - message.refused_at_s:.3f} s after it was refused")
+    return None if message is None else _check_not_over(state, event, message.refused_at_s, "it was refused")
 
 
 def check_not_noticed(state: ObservedState, event: Event) -> Finding | None:
@@ -268,11 +264,13 @@
     PROTOCOL, "The rules on sockets": a message that ends by a notice is over once the notice is answered.
     """
     message = state.messages.get(event.id)
-    if message is None or message.was_given_up or message.noticed_at_s is None:
-        return None
-    if event.first_s <= message.noticed_at_s + state.grace_s:
+    return None if message is None else _check_not_over(state, event, message.noticed_at_s, "its notice")
+
+
+def _check_not_over(state: ObservedState, event: Event, over_at_s: float | None, end: str) -> Finding | None:
+    if state.messages[event.id].was_given_up or over_at_s is None or event.first_s <= over_at_s + state.grace_s:
         return None
-    return _finding(Rule.LOST, event, f"forwarded {event.first_s - message.noticed_at_s:.3f} s after its notice")
+    return _finding(Rule.LOST, event, f"forwarded {event.first_s - over_at_s:.3f} s after {end}")
 
 
 def check_retry_after(state: ObservedState, event: Event) -> Finding | None:
--- a/tests/lab/events.py
+++ b/tests/lab/events.py
@@ -4,34 +4,55 @@
 
 from typing import Any
 
-from lab.event_log import Event
+from lab.event_log import Event, EventKind
 from lab.plan import REFUND_CLASS
 
 
-def ev(at_s: float, kind: str, ident: str = "", node: str = "n0", **more: Any) -> Event:
-    return Event(at_s, kind, ident, node, **more)
+def event(at_s: float, kind: EventKind, message_id: str = "", node: str = "n0", **more: Any) -> Event:
+    return Event(at_s, kind, message_id, node, **more)
 
 
-def handed(
-    at_s: float, ident: str, cls: str = REFUND_CLASS, key: str | None = "k", number: int = 0, **more: Any
+def submitted(
+    at_s: float, message_id: str, cls: str = REFUND_CLASS, key: str | None = "k", number: int = 0, **more: Any
 ) -> list[Event]:
     due = {"due_s": at_s + 5.0} | more
     return [
-        ev(at_s, "handed", ident, state=cls, key=key, number=number, destination=7, **due),
-        ev(at_s + 0.01, "answer", ident, status=202, number=number),
+        event(at_s, EventKind.SUBMITTED, message_id, state=cls, key=key, number=number, destination=7, **due),
+        event(at_s + 0.01, EventKind.SUBMIT_ANSWERED, message_id, status=202, number=number),
     ]
 
 
 def called(
-    at_s: float, ident: str, call: int, status: int | None = 200, party: str = "s-1", **more: Any
+    at_s: float, message_id: str, call: int, status: int | None = 200, party: str = "s-1", **more: Any
 ) -> list[Event]:
-    events = [ev(at_s, "call", ident, party=party, call=call, first_s=more.pop("first_s", at_s), destination=7)]
+    events = [
+        event(
+            at_s,
+            EventKind.CALL_RECEIVED,
+            message_id,
+            party=party,
+            call=call,
+            first_s=more.pop("first_s", at_s),
+            destination=7,
+        )
+    ]
     if status in (200, 500, None):
-        events.append(ev(at_s, "ran", ident, party=party, call=call))
+        events.append(event(at_s, EventKind.CALL_STARTED, message_id, party=party, call=call))
     if status is not None:
-        events.append(ev(at_s + 0.1, "answered", ident, party=party, call=call, status=status, destination=7, **more))
+        events.append(
+            event(
+                at_s + 0.1,
+                EventKind.CALL_ANSWERED,
+                message_id,
+                party=party,
+                call=call,
+                status=status,
+                destination=7,
+                **more,
+            )
+        )
     return events
 
 
-def fine(ident: str = "a", at_s: float = 0.0, call: int = 1, **more: Any) -> list[Event]:
-    return [*handed(at_s, ident, **more), *called(at_s + 0.1, ident, call)]
+def delivered(message_id: str = "a", at_s: float = 0.0, call: int = 1, **more: Any) -> list[Event]:
+    return [*submitted(at_s, message_id, **more), *called(at_s + 0.1, message_id, call)]
--- a/tests/lab/test_event_log.py
+++ b/tests/lab/test_event_log.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from lab.event_log import message_history
-from tests.lab.events import fine
+from tests.lab.events import delivered
 
 
 def test_the_history_of_a_message_has_all_its_ids() -> None:
-    events = [*fine("a", number=3), *fine("b", 2.0, 2, number=3), *fine("c", 3.0, 3, number=4)]
+    events = [*delivered("a", number=3), *delivered("b", 2.0, 2, number=3), *delivered("c", 3.0, 3, number=4)]
     assert {e.id for e in message_history(events, "b")} == {"a", "b"}
     assert message_history(events, "x") == []
--- a/tests/lab/test_metrics.py
+++ b/tests/lab/test_metrics.py
@@ -5,9 +5,9 @@
 import pytest
 
 from lab import metrics
-from lab.event_log import Event
+from lab.event_log import Event, EventKind
 from lab.plan import REFUND_CLASS, STATUS_CLASS
-from tests.lab.events import ev
+from tests.lab.events import event
 
 
 def events_with_service(shares: list[float]) -> list[Event]:
@@ -17,11 +17,11 @@
         for k in range(10):
             number, at = n * 10 + k, n * 0.5 + k * 0.05
             events += [
-                ev(at, "asked", number=number, state=STATUS_CLASS),
-                ev(at, "handed", f"m{number}", number=number, state=STATUS_CLASS, destination=7),
+                event(at, EventKind.MESSAGE_ARRIVED, number=number, state=STATUS_CLASS),
+                event(at, EventKind.SUBMITTED, f"m{number}", number=number, state=STATUS_CLASS, destination=7),
             ]
             if k < share * 10:
-                events.append(ev(at + 0.1, "answered", f"m{number}", status=200))
+                events.append(event(at + 0.1, EventKind.CALL_ANSWERED, f"m{number}", status=200))
     return events
 
 
@@ -53,9 +53,9 @@
     events = []
     for n, (cls, took, _) in enumerate(EARNED):
         events += [
-            ev(float(n), "asked", number=n, state=cls),
-            ev(float(n), "handed", f"m{n}", number=n, state=cls),
-            ev(n + took, "answered", f"m{n}", status=200),
+            event(float(n), EventKind.MESSAGE_ARRIVED, number=n, state=cls),
+            event(float(n), EventKind.SUBMITTED, f"m{n}", number=n, state=cls),
+            event(n + took, EventKind.CALL_ANSWERED, f"m{n}", status=200),
         ]
     s = metrics.ServiceLevel(sorted(events, key=lambda e: e.at_s))
     for n, (_, _, worth) in enumerate(EARNED):
@@ -63,28 +63,28 @@
 
 
 def test_the_worst_second_is_divided_by_the_steady_one() -> None:
-    events = [ev(n / 2, "listed") for n in range(20)] + [ev(10.5, "listed")] * 9
-    row = metrics.per_second(sorted(events, key=lambda e: e.at_s), "listed", 12.0)
+    events = [event(n / 2, EventKind.LIST_REQUESTED) for n in range(20)] + [event(10.5, EventKind.LIST_REQUESTED)] * 9
+    row = metrics.per_second(sorted(events, key=lambda e: e.at_s), EventKind.LIST_REQUESTED, 12.0)
     assert metrics.worst_over_steady(row, 2.0, 10.0) == pytest.approx(4.5)
     assert metrics.worst_over_steady([0] * 12, 2.0, 10.0) is None
 
 
 def test_the_steps_of_a_restart_are_measured_apart() -> None:
     seen = [
-        ev(1.0, "handed", "m"),
-        ev(2.0, "killed", node="n0"),
-        ev(2.0, "killed", node="n1"),
-        ev(2.5, "started", node="n0"),
-        ev(2.6, "started", node="n1"),
-        ev(2.9, "up", node="n0"),
-        ev(3.0, "noticed", node="n1"),
-        ev(3.1, "listed", node="n0", status=503),
-        ev(3.5, "listed", node="n2", status=200),
-        ev(3.7, "listed", node="n0", status=200),
-        ev(3.8, "up", node="n1"),
-        ev(4.0, "handed", "late", node="n1"),
-        ev(5.0, "answered", "m", status=200),
-        ev(6.0, "answered", "late", status=200),
+        event(1.0, EventKind.SUBMITTED, "m"),
+        event(2.0, EventKind.PROCESS_KILLED, node="n0"),
+        event(2.0, EventKind.PROCESS_KILLED, node="n1"),
+        event(2.5, EventKind.PROCESS_STARTED, node="n0"),
+        event(2.6, EventKind.PROCESS_STARTED, node="n1"),
+        event(2.9, EventKind.FORWARDER_READY, node="n0"),
+        event(3.0, EventKind.DEATH_NOTICED, node="n1"),
+        event(3.1, EventKind.LIST_REQUESTED, node="n0", status=503),
+        event(3.5, EventKind.LIST_REQUESTED, node="n2", status=200),
+        event(3.7, EventKind.LIST_REQUESTED, node="n0", status=200),
+        event(3.8, EventKind.FORWARDER_READY, node="n1"),
+        event(4.0, EventKind.SUBMITTED, "late", node="n1"),
+        event(5.0, EventKind.CALL_ANSWERED, "m", status=200),
+        event(6.0, EventKind.CALL_ANSWERED, "late", status=200),
     ]
     got = metrics.restart_steps(seen, 2.0)
     assert {name: value and round(value, 6) for name, value in got.items()} == {
