--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,10 +37,10 @@
 from forwarder.endpoints.connection import EndpointConnection
 from forwarder.endpoints.in_flight_calls import DELIVERY_MARGIN_US
 from forwarder.endpoints.pool import ConnectionPool
+from forwarder.protocol.settings_format import parse_settings as settings_of
 from forwarder.runtime import engine as engine_module
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from forwarder.simulator.adapter import parse_settings as settings_of
 from forwarder.storage.store import PendingNotice
 from forwarder.units import NEVER_US
 from tests import scenes as real
