--- a/lab/shim.py
+++ b/lab/shim.py
@@ -30,7 +30,7 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
-from typing import TYPE_CHECKING, Concatenate, ParamSpec, TypeVar
+from typing import TYPE_CHECKING, ClassVar, Concatenate, ParamSpec, TypeVar
 
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer, WriteableBuffer
@@ -156,9 +156,10 @@
         for call in FILE_CALLS:
             setattr(os, call, self._replacement(call, getattr(os, call)))
         io.open = builtins.open = self._failing_open(io.open)  # type: ignore[assignment]
-        socket.socket = self._failing_socket_class()  # type: ignore[misc]
-        select.epoll = _failing_epoll_class(self)  # type: ignore[misc, assignment]
-        select.poll = _failing_poll_class(self)  # type: ignore[misc, assignment]
+        FailingSocket.shim = FailingEpoll.shim = FailingPoll.shim = self
+        socket.socket = FailingSocket  # type: ignore[misc]
+        select.epoll = FailingEpoll  # type: ignore[misc, assignment]
+        select.poll = FailingPoll  # type: ignore[misc, assignment]
         real_time_ns = time.time_ns
         time.time_ns = lambda: real_time_ns() + int(self.current_control().clock_s * NS_PER_S)
         time.time = lambda: time.time_ns() / NS_PER_S
@@ -214,95 +215,88 @@
 
         return open_file
 
-    def _failing_socket_class(self) -> type[socket.socket]:
-        shim = self
 
-        class FailingSocket(socket.socket):
-            """A socket whose calls may fail."""
+class FailingSocket(socket.socket):
+    """A socket whose calls may fail."""
 
-            is_client = False
-            """The program made the connection itself."""
+    shim: ClassVar[Shim]
+    is_client = False
+    """The program made the connection itself."""
 
-            def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
-                if fileno is None and family in (-1, socket.AF_INET):
-                    shim.raise_if_failing("socket")
-                super().__init__(family, type, proto, fileno)
+    def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
+        if fileno is None and family in (-1, socket.AF_INET):
+            self.shim.raise_if_failing("socket")
+        super().__init__(family, type, proto, fileno)
 
-            def accept(self) -> tuple[socket.socket, Address]:
-                """Accept a connection."""
-                shim.raise_if_failing("accept")
-                return super().accept()
+    def accept(self) -> tuple[socket.socket, Address]:
+        """Accept a connection."""
+        self.shim.raise_if_failing("accept")
+        return super().accept()
 
-            def connect(self, address: Address) -> None:
-                """Connect to another party."""
-                if self.family == socket.AF_INET:
-                    shim.raise_if_failing("connect")
-                    self.is_client = True
-                super().connect(address)
+    def connect(self, address: Address) -> None:
+        """Connect to another party."""
+        if self.family == socket.AF_INET:
+            self.shim.raise_if_failing("connect")
+            self.is_client = True
+        super().connect(address)
 
-            def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
-                """Read into a buffer, perhaps a part."""
-                shim.raise_if_failing("recv" if self.is_client else "client-recv")
-                return super().recv_into(buffer, shim.shorten(nbytes or len(memoryview(buffer))), flags)
+    def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
+        """Read into a buffer, perhaps a part."""
+        self.shim.raise_if_failing("recv" if self.is_client else "client-recv")
+        return super().recv_into(buffer, self.shim.shorten(nbytes or len(memoryview(buffer))), flags)
 
-            def recv(self, bufsize: int, flags: int = 0) -> bytes:
-                """Read, perhaps a part."""
-                if self.is_client:
-                    shim.raise_if_failing("recv")
-                return super().recv(shim.shorten(bufsize), flags)
+    def recv(self, bufsize: int, flags: int = 0) -> bytes:
+        """Read, perhaps a part."""
+        if self.is_client:
+            self.shim.raise_if_failing("recv")
+        return super().recv(self.shim.shorten(bufsize), flags)
 
-            def send(self, data: ReadableBuffer, flags: int = 0) -> int:
-                """Write, perhaps a part."""
-                shim.raise_if_failing("send" if self.is_client else "client-send")
-                view = memoryview(data)
-                return super().send(view[: shim.shorten(len(view))], flags)
+    def send(self, data: ReadableBuffer, flags: int = 0) -> int:
+        """Write, perhaps a part."""
+        self.shim.raise_if_failing("send" if self.is_client else "client-send")
+        view = memoryview(data)
+        return super().send(view[: self.shim.shorten(len(view))], flags)
 
-        return FailingSocket
 
+class FailingEpoll:
+    """An epoll that may fail to watch a descriptor. The real class cannot be derived from."""
 
-def _failing_epoll_class(shim: Shim) -> type:
-    real = select.epoll
+    shim: ClassVar[Shim]
+    real_class: ClassVar[type[select.epoll]] = select.epoll
 
-    class FailingEpoll:
-        """An epoll that may fail to watch a descriptor. The real class cannot be derived from."""
+    def __init__(self) -> None:
+        self.real = self.real_class()
+        self.poll = self.real.poll
+        self.unregister = self.real.unregister
+        self.close = self.real.close
+        self.fileno = self.real.fileno
 
-        def __init__(self) -> None:
-            self.real = real()
-            self.poll = self.real.poll
-            self.unregister = self.real.unregister
-            self.close = self.real.close
-            self.fileno = self.real.fileno
+    def register(self, descriptor: int, events: int) -> None:
+        """Watch a descriptor."""
+        self.shim.raise_if_failing("epoll_ctl")
+        self.real.register(descriptor, events)
 
-        def register(self, descriptor: int, events: int) -> None:
-            """Watch a descriptor."""
-            shim.raise_if_failing("epoll_ctl")
-            self.real.register(descriptor, events)
+    def modify(self, descriptor: int, events: int) -> None:
+        """Watch a descriptor for something else."""
+        self.shim.raise_if_failing("epoll_ctl")
+        self.real.modify(descriptor, events)
 
-        def modify(self, descriptor: int, events: int) -> None:
-            """Watch a descriptor for something else."""
-            shim.raise_if_failing("epoll_ctl")
-            self.real.modify(descriptor, events)
 
-    return FailingEpoll
+class FailingPoll:
+    """A poll that may fail. The real class cannot be derived from."""
 
+    shim: ClassVar[Shim]
+    make_real = staticmethod(select.poll)
 
-def _failing_poll_class(shim: Shim) -> type:
-    real = select.poll
+    def __init__(self) -> None:
+        self.real = self.make_real()
+        self.register = self.real.register
+        self.unregister = self.real.unregister
 
-    class FailingPoll:
-        """A poll that may fail. The real class cannot be derived from."""
-
-        def __init__(self) -> None:
-            self.real = real()
-            self.register = self.real.register
-            self.unregister = self.real.unregister
-
-        def poll(self, timeout_ms: float | None = None) -> list[tuple[int, int]]:
-            """Look at the descriptors."""
-            shim.raise_if_failing("poll")
-            return self.real.poll(timeout_ms)
-
-    return FailingPoll
+    def poll(self, timeout_ms: float | None = None) -> list[tuple[int, int]]:
+        """Look at the descriptors."""
+        self.shim.raise_if_failing("poll")
+        return self.real.poll(timeout_ms)
 
 
 def module_name(program: Path) -> str:
