--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -123,7 +123,7 @@
     if address is None:
         return
     try:
-        admin.listen(await bind(address, patience_s=0))
+        admin.listen(await bind(address, timeout_s=0))
     except OSError as error:
         log.info("control address not free yet: %s", error)
 
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -14,7 +14,7 @@
 
 from forwarder.clients.listener import fileno
 from forwarder.decisions.outcomes import Outcome
-from forwarder.endpoints.pool import CallItem, CallResult, EndpointCall
+from forwarder.endpoints.call import CallItem, CallResult, EndpointCall, LimitScopeKey
 from forwarder.runtime.context import Runtime
 from forwarder.runtime.handover_format import (
     CallRecord,
@@ -62,7 +62,7 @@
             return
         for extension in runtime.extensions:
             extension.abort()
-        log.info("handed over: %d messages, %d calls out", len(runtime.store.messages), runtime.pool.out)
+        log.info("handed over: %d messages, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
         os._exit(0)  # not one callback more: it would read what is meant for the other process
 
     def settle(self) -> None:
@@ -70,7 +70,7 @@
         runtime = self.runtime
         runtime.pool.settle()
         runtime.loop.run_round()
-        for client in runtime.server.doors:
+        for client in runtime.server.connections:
             client.answer_waiting()
         if runtime.loop.has_work():
             runtime.loop.run_round()  # what the first one brought about
@@ -102,7 +102,7 @@
         endpoint_numbers=runtime.endpoint_table.numbers,
         destinations=[*runtime.endpoint_table.destinations],
         learned_state=runtime.dispatcher.learned_state(),
-        is_draining=runtime.drain.on,
+        is_draining=runtime.drain.is_draining,
         client_listener=client_listener,
         endpoint_connections=endpoint_connections,
         pool=pool,
@@ -118,7 +118,7 @@
     listeners = [found for where, found in runtime.admin.listeners.items() if where == runtime.config.admin]
     connections = runtime.admin.connections
     known = {fileno(connection.transport) for connection in connections}
-    accepted = [conn.fileno() for found in listeners for conn in found.coming if conn.fileno() not in known]
+    accepted = [conn.fileno() for found in listeners for conn in found.attaching if conn.fileno() not in known]
     waiting = [
         HandedAdminConnection(table.add(fileno(connection.transport)), connection.line)
         for connection in connections
@@ -135,11 +135,11 @@
     """
     server = runtime.server
     assert server.listener is not None
-    records = [(client, record) for client in server.doors if (record := client.hand_over()) is not None]
-    records.sort(key=lambda each: (not each[0].idle(), each[0].used_us), reverse=True)
-    free_sockets = runtime.config.max_sockets - len(server.doors) - len(runtime.pool.all) - SPARE_SOCKETS
-    known = {fileno(client.transport) for client in server.doors}
-    accepted = [conn.fileno() for conn in server.listener.coming if conn.fileno() not in known]
+    records = [(client, record) for client in server.connections if (record := client.hand_over()) is not None]
+    records.sort(key=lambda each: (not each[0].is_idle(), each[0].last_used_us), reverse=True)
+    free_sockets = runtime.config.max_sockets - len(server.connections) - len(runtime.pool.connections) - SPARE_SOCKETS
+    known = {fileno(client.transport) for client in server.connections}
+    accepted = [conn.fileno() for conn in server.listener.attaching if conn.fileno() not in known]
     handed = [
         HandedClient(table.add(fileno(client.transport)), record) for client, record in records[: max(0, free_sockets)]
     ]
@@ -149,7 +149,7 @@
 async def adopt_calls(runtime: Runtime, handover: HandoverState) -> None:
     """Goes on with the calls and endpoint connections of the process before."""
     description = handover.description
-    runtime.pool.waits = dict(description.pool.retry_after_until_us)
+    runtime.pool.retry_after.restore(description.pool.retry_after_until_us)
     for call in description.pool.calls:
         await _adopt_call(runtime, handover, call)
     for idle in description.pool.idle:
@@ -169,7 +169,9 @@
     sock = None
     if record.connection >= 0:
         sock = handover.socket(handover.description.endpoint_connections[record.connection])
-    call = EndpointCall(record.endpoint, record.limit_scope, record.sent_us, items, batched=record.batched)
+    call = EndpointCall(
+        record.endpoint, LimitScopeKey(*record.limit_scope), record.sent_us, items, batched=record.batched
+    )
     try:
         await runtime.pool.adopt(call, sock, record.received)
     except OSError as error:  # it was written: its outcome is not known any more
@@ -187,7 +189,7 @@
         await runtime.supervisor.guarded("hand-over of a client", runtime.server.adopt(sock, client.state))
     for number in description.admin_listeners:
         listener = runtime.admin.listen(handover.socket(number))
-        if listener.where() != runtime.config.admin:
+        if listener.address() != runtime.config.admin:
             asyncio.get_running_loop().call_later(OLD_ADMIN_ADDRESS_S, listener.close)
     for connection in description.admin_connections:
         sock = handover.socket(connection.descriptor)
--- a/tests/test_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -13,18 +13,18 @@
 import pytest
 
 from forwarder.__main__ import is_transient_read_error, retry_transient
-from forwarder.clients.listener import BIND_S
+from forwarder.clients.listener import BIND_TIMEOUT_S
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
 from forwarder.discovery.watch import NOTICE_PAUSES_S, EndpointListWatch, Notifier, post_body
-from forwarder.endpoints.pool import GIVEN_UP_S
-from forwarder.protocol.http1 import MOST_BODY
+from forwarder.endpoints.connection import GIVEN_UP_S
+from forwarder.protocol.http1 import MAX_BODY_BYTES
 from forwarder.runtime.ownership import LOCK_PATIENCE_S
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.clock import Anchor, base_ns
 from forwarder.storage.store import PendingNotice
 from lab.shim import FILE_CALLS, Failure
+from tests.scenes import folder_nodes, ids, play, target
 from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always
-from tests.test_node import folder_nodes, ids, play, target
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
 MESSAGES = 40
@@ -261,10 +261,10 @@
     def __init__(self) -> None:
         self.owed = {"m": PendingNotice("failed", 0, None)}
 
-    def owed_ends(self) -> dict[str, PendingNotice]:
+    def pending_notices(self) -> dict[str, PendingNotice]:
         return self.owed
 
-    def acknowledged(self, names: list[str]) -> None:
+    def acknowledge_notices(self, names: list[str]) -> None:
         for name in names:
             del self.owed[name]
 
@@ -284,7 +284,7 @@
             return await real(*args, **named)
 
         notices.client.ask = ask  # type: ignore[assignment, method-assign]
-        notices.kick()
+        notices.wake()
         await platform.notice("m")
         async with asyncio.timeout(PATIENCE):
             while book.owed:
@@ -304,7 +304,7 @@
     left = owed
     while left:
         body, told = post_body(left)
-        assert len(body) <= MOST_BODY
+        assert len(body) <= MAX_BODY_BYTES
         assert len(body.splitlines()) == len(told) > 0
         left = left[len(told) :]
 
@@ -347,7 +347,9 @@
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize(("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_PATIENCE_S + BIND_S + 1.0)])
+@pytest.mark.parametrize(
+    ("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_PATIENCE_S + BIND_TIMEOUT_S + 1.0)]
+)
 def test_an_upgrade_outlasts_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
     """Found by the soak: the process that had taken over ended as it closed its own lock, and all went with it; one
     that could not open the lock for longer took the address for free, and ended as it was not.
