--- a/tests/decisions/test_backoff.py
+++ b/tests/decisions/test_backoff.py
@@ -7,10 +7,13 @@
 from forwarder.decisions.actions import (
     SendAttempt,
 )
+from forwarder.decisions.backoff import BACKOFF_FACTOR, MAX_BACKOFF_US, MIN_BACKOFF_US, Backoff
 from forwarder.decisions.events import (
     TimerFired,
 )
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.records import LimitScope
+from tests.decisions.builders import DESTINATION, make_context
 from tests.decisions.fleets import ONE_ENDPOINT, call_times_of_a_failing_fleet, fleet, max_calls_within, run_timers
 from tests.scripts import MS, S, ask, end, sends, started
 
@@ -54,3 +57,40 @@
         back.append(now)
     assert min(back) >= 4005 * MS
     assert max_calls_within(back, 0, S) < 30
+
+
+def test_a_shorter_retry_after_does_not_end_a_longer_one() -> None:
+    backoff = Backoff(make_context())
+    scope = LimitScope(DESTINATION, 1.0)
+
+    backoff.apply_retry_after(scope, 2 * S)
+    backoff.apply_retry_after(scope, S)
+
+    assert scope.retry_after_until_us == 2 * S
+
+
+@pytest.mark.parametrize(("forwarders", "factor"), [(1, 1), (8, 1), (40, 5)])
+def test_the_backoff_grows_from_its_least_to_its_most_with_the_fleet(forwarders: int, factor: int) -> None:
+    backoff = Backoff(make_context(forwarders=forwarders))
+    scope = LimitScope(DESTINATION, 1.0)
+    lengths: list[int] = []
+    for _ in range(6):
+        backoff.lengthen(scope)
+        lengths.append(scope.backoff_us)
+
+    assert lengths[0] == factor * MIN_BACKOFF_US
+    assert lengths[1] == BACKOFF_FACTOR * lengths[0]
+    assert lengths[-1] == factor * MAX_BACKOFF_US
+
+
+def test_a_backoff_has_jitter_and_is_not_shortened() -> None:
+    backoff = Backoff(make_context())
+    scope = LimitScope(DESTINATION, 1.0, backoff_us=S)
+    ends: set[int] = set()
+    for _ in range(20):
+        backoff.start(scope)
+        ends.add(scope.backoff_until_us)
+
+    assert all(S / 2 <= end <= 1.5 * S for end in ends)
+    assert scope.backoff_until_us == max(ends)
+    assert len(ends) > 1
--- a/tests/decisions/test_endpoint_list_poll.py
+++ b/tests/decisions/test_endpoint_list_poll.py
@@ -2,15 +2,20 @@
 
 from __future__ import annotations
 
+import pytest
+
 from forwarder.decisions.actions import (
     RequestEndpointList,
 )
 from forwarder.decisions.dispatcher import Dispatcher
+from forwarder.decisions.endpoint_list_poll import MAX_POLL_BACKOFF_US, MIN_POLL_BACKOFF_US, EndpointListPoll
 from forwarder.decisions.events import (
     EndpointListKind,
     EndpointListReceived,
     TimerFired,
 )
+from forwarder.decisions.timer_queue import POLL_TIMER, TimerQueue
+from tests.decisions.builders import make_context
 from tests.decisions.fleets import ONE_ENDPOINT, fleet, max_calls_within
 from tests.scripts import MS, S, settings
 
@@ -47,3 +52,27 @@
     assert all(times[1] - times[0] >= S for times in asked), "each pause is longer"
     firsts = sorted(times[0] for times in asked)
     assert max_calls_within(firsts, 0, 50 * MS) <= 12
+
+
+def test_the_backoff_doubles_to_its_maximum_and_a_success_resets_it() -> None:
+    poll = EndpointListPoll(make_context(), TimerQueue())
+    lengths: list[int] = []
+    for _ in range(4):
+        lengths.append(poll.backoff_us)
+        poll.poll_failed()
+    poll.poll_succeeded()
+
+    assert lengths == [MIN_POLL_BACKOFF_US, 2 * MIN_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US]
+    assert poll.backoff_us == MIN_POLL_BACKOFF_US
+
+
+@pytest.mark.parametrize("is_polled", [True, False])
+def test_the_list_is_polled_at_the_start_only_where_it_has_to_be(is_polled: bool) -> None:
+    timers = TimerQueue()
+    context = make_context(poll_endpoint_list=is_polled)
+    poll = EndpointListPoll(context, timers)
+
+    context.due_destinations = timers.pop_due(0)
+
+    assert poll.is_due() is is_polled
+    assert (POLL_TIMER in context.due_destinations) is is_polled
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
+import pytest
+
 from forwarder.decisions.actions import (
     RejectMessage,
 )
-from forwarder.decisions.events import (
-    EndpointEntry,
-    EndpointListKind,
-    EndpointListReceived,
-    EndpointState,
-)
+from forwarder.decisions.endpoint_table import MAX_ENDPOINTS
+from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
+from forwarder.decisions.hold_reason import HoldReason
+from tests.decisions.builders import DESTINATION, make_context, make_endpoint_table
 from tests.decisions.fleets import ONE_ENDPOINT, run_timers
 from tests.scripts import MS, S, ask, sends, started
 
@@ -27,3 +27,46 @@
     dispatcher = started()
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.WHOLE, ())])
     assert not sends(dispatcher.handle(1, [ask("b"), ask("c", 11), ask("d", 12)]))
+
+
+def test_separate_routes_have_limit_scopes_of_their_own() -> None:
+    entries = [EndpointEntry(number, DESTINATION, kind=kind) for number, kind in enumerate(("plain", "plain", "ways"))]
+    table = make_endpoint_table(make_context(), *entries)
+
+    assert set(table.limit_scopes) == {(DESTINATION, -1), (DESTINATION, 2)}
+    assert table.endpoints[0].limit_scope is table.endpoints[1].limit_scope
+
+
+def test_a_disabled_endpoint_is_known_but_not_called() -> None:
+    table = make_endpoint_table(make_context())
+
+    table.disable(1, 5)
+
+    assert table.by_destination == {}
+    assert table.missing_reason(DESTINATION) is HoldReason.DISABLED
+
+
+@pytest.mark.parametrize(
+    ("state", "reason"), [(EndpointState.DRAINING, HoldReason.DRAINING), (None, HoldReason.UNLISTED)]
+)
+def test_the_reason_of_a_missing_endpoint_is_named(state: EndpointState | None, reason: HoldReason) -> None:
+    table = make_endpoint_table(make_context())
+    if state is None:
+        table.endpoints.clear()
+    entries = () if state is None else (EndpointEntry(1, DESTINATION, state=state),)
+
+    table.apply_list(EndpointListReceived(EndpointListKind.WHOLE, entries))
+
+    assert table.missing_reason(DESTINATION) is reason
+
+
+def test_endpoints_that_left_are_forgotten_when_there_are_too_many() -> None:
+    table = make_endpoint_table(make_context(), *(EndpointEntry(n, DESTINATION) for n in range(MAX_ENDPOINTS)))
+    in_use = table.endpoints[0]
+    in_use.in_flight = 1
+
+    table.apply_list(EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(MAX_ENDPOINTS, DESTINATION),)))
+
+    assert len(table.endpoints) == MAX_ENDPOINTS
+    assert {0, MAX_ENDPOINTS} <= table.endpoints.keys()
+    assert 1 not in table.endpoints
--- a/tests/decisions/test_idle_connections.py
+++ b/tests/decisions/test_idle_connections.py
@@ -17,7 +17,10 @@
     MessageWithdrawn,
     TimerFired,
 )
+from forwarder.decisions.idle_connections import MIN_TRUSTED_IDLE_US, IdleConnections
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.records import Call
+from tests.decisions.builders import make_context, make_endpoint
 from tests.decisions.fleets import LISTED, fleet
 from tests.scripts import MS, S, ask, end, sends
 
@@ -92,3 +95,49 @@
     dispatcher.handle(2200 * MS, [end(sends(again)[0], Outcome.DELIVERED, attempt=1)])
     actions = dispatcher.handle(4 * S, [ask("c", due=9 * S)])
     assert actions.index(CloseIdleConnections(1)) < actions.index(sends(actions)[0])
+
+
+def connections(idle_timeout_us: int = 5 * S, forwarders: int = 2) -> IdleConnections:
+    context = make_context(idle_timeout_us=idle_timeout_us, forwarders=forwarders)
+    made = IdleConnections(context)
+    made.apply_settings(context.settings)
+    made.trust_longest()
+    return made
+
+
+@pytest.mark.parametrize(
+    ("outcome", "is_lost"), [(Outcome.RESET, True), (Outcome.TIMED_OUT, True), (Outcome.FAILED, False)]
+)
+def test_a_call_that_breaks_on_an_idle_connection_shortens_the_trusted_time(outcome: Outcome, is_lost: bool) -> None:
+    idle_connections = connections()
+    call = Call(make_endpoint(), 0, connection_idle_us=2 * S)
+
+    assert idle_connections.was_lost(call, outcome) is is_lost
+    assert idle_connections.trusted_us == (S if is_lost else 5 * S)
+
+
+def test_a_success_after_a_single_refused_connection_halves_the_trusted_time_of_a_large_fleet() -> None:
+    idle_connections = connections(forwarders=40)
+    endpoint = make_endpoint()
+    endpoint.connect_failures = 1
+    for _ in range(20):
+        idle_connections.call_succeeded(endpoint)
+
+    assert idle_connections.trusted_us == MIN_TRUSTED_IDLE_US
+
+
+@pytest.mark.parametrize(("idle_us", "is_closed"), [(5 * S, False), (5 * S + 1, True)])
+def test_connections_are_closed_when_they_are_idle_for_longer_than_trusted(idle_us: int, is_closed: bool) -> None:
+    idle_connections = connections()
+
+    idle_connections.close_untrusted(make_endpoint(), idle_us)
+
+    assert idle_connections.context.actions == ([CloseIdleConnections(1)] if is_closed else [])
+
+
+def test_where_no_connection_is_kept_none_is_closed() -> None:
+    idle_connections = connections(idle_timeout_us=0)
+
+    idle_connections.close_untrusted(make_endpoint(), 100 * S)
+
+    assert idle_connections.context.actions == []
--- a/tests/decisions/test_key_queues.py
+++ b/tests/decisions/test_key_queues.py
@@ -3,13 +3,19 @@
 from __future__ import annotations
 
 from forwarder.decisions.actions import (
+    KeyBackoffStarted,
     SendAttempt,
 )
+from forwarder.decisions.context import RoundContext
 from forwarder.decisions.events import (
     MessageRecovered,
     MessageWithdrawn,
 )
+from forwarder.decisions.hold_reason import HoldReason
+from forwarder.decisions.key_queues import DISCARD_INTERVAL_US, KeyQueues
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.timer_queue import TimerQueue
+from tests.decisions.builders import DESTINATION, make_context, make_message
 from tests.decisions.fleets import CLASSES, ONE_ENDPOINT, run_timers
 from tests.scripts import MS, S, ask, end, finals, sends, started
 
@@ -40,3 +46,58 @@
     got = [t for t, a in run_timers(dispatcher, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
     assert got
     assert got[0] >= 300 * MS
+
+
+def queues_with(context: RoundContext, *message_ids: str) -> KeyQueues:
+    key_queues = KeyQueues(context, TimerQueue())
+    for number, message_id in enumerate(message_ids, 1):
+        key_queues.queue("k").messages.append(make_message(message_id, "turns", number, "k"))
+    return key_queues
+
+
+def test_only_the_first_message_of_a_key_may_go() -> None:
+    key_queues = queues_with(make_context(), "first", "second")
+    first, second = key_queues.by_key["k"].messages
+
+    assert key_queues.hold_reason(first) is None
+    assert key_queues.hold_reason(second) is HoldReason.KEY_ORDER
+
+
+def test_a_pending_notice_of_an_earlier_message_blocks_its_key() -> None:
+    context = make_context()
+    key_queues = queues_with(context, "first", "second")
+    first, second = key_queues.by_key["k"].messages
+    key_queues.await_notice(first)
+    key_queues.remove(first)
+    assert key_queues.hold_reason(second) is HoldReason.KEY_ORDER
+
+    context.due_destinations.clear()
+    key_queues.acknowledge_notice("k", "first")
+
+    assert key_queues.hold_reason(second) is None
+    assert context.due_destinations == {DESTINATION}
+
+
+def test_a_backoff_is_reported_once_and_holds_first_attempts_only() -> None:
+    context = make_context(key_backoff_us=300 * MS)
+    key_queues = queues_with(context, "first")
+    [message] = key_queues.by_key["k"].messages
+    key_queues.back_off("k")
+    key_queues.back_off("k")
+
+    assert context.actions == [KeyBackoffStarted("k", 300 * MS)]
+    assert key_queues.hold_reason(message) is HoldReason.KEY_BACKOFF
+    message.attempts = 1
+    assert key_queues.hold_reason(message) is None
+
+
+def test_unused_queues_are_discarded_once_their_backoff_is_over() -> None:
+    context = make_context()
+    key_queues = queues_with(context, "first")
+    key_queues.restore_backoff("short", DISCARD_INTERVAL_US)
+    key_queues.restore_backoff("long", 2 * DISCARD_INTERVAL_US)
+
+    context.now_us = DISCARD_INTERVAL_US
+    key_queues.discard_unused()
+
+    assert set(key_queues.by_key) == {"k", "long"}
--- a/tests/decisions/test_quota_pacing.py
+++ b/tests/decisions/test_quota_pacing.py
@@ -10,7 +10,11 @@
     LoadReport,
     TimerFired,
 )
+from forwarder.decisions.held_messages import HeldMessages
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.quota_pacing import MIN_QUOTA_OF_EVEN_SHARE, QuotaPacing
+from forwarder.decisions.records import LimitScope
+from tests.decisions.builders import DESTINATION, make_context, make_message
 from tests.decisions.fleets import ONE_ENDPOINT, fleet
 from tests.scripts import MS, S, ask, end, finals, sends, started
 
@@ -114,3 +118,45 @@
         now += 20 * MS
         actions = dispatcher.handle(now, [TimerFired("look")])
     assert sends(actions)
+
+
+def test_calls_are_an_interval_apart_at_our_share_of_the_limit() -> None:
+    pacing = QuotaPacing(make_context(forwarders=2), HeldMessages())
+    scope = LimitScope(DESTINATION, 1.0, limit_per_s=4.0, quota_share=0.5)
+
+    assert pacing.call_interval_us(scope) == pytest.approx(S / 2)
+    scope.limit_per_s = 0.0
+    assert pacing.call_interval_us(scope) == 0.0
+
+
+def test_a_call_puts_the_next_one_off_by_the_maximum_at_most() -> None:
+    context = make_context(now_us=5 * S, forwarders=2)
+    pacing = QuotaPacing(context, HeldMessages())
+    scope = LimitScope(DESTINATION, 1.0, limit_per_s=0.001, next_call_at_us=5 * S)
+
+    pacing.reserve_call(scope, max_interval_us=2.0 * S)
+
+    assert scope.next_call_at_us == 7 * S
+
+
+@pytest.mark.parametrize(("limit_left", "is_held", "sign"), [(0.9, True, 1), (0.9, False, 0), (0.1, False, -1)])
+def test_in_a_large_fleet_the_share_follows_what_is_left(limit_left: float, is_held: bool, sign: int) -> None:
+    held = HeldMessages()
+    if is_held:
+        held.add(make_message())
+    pacing = QuotaPacing(make_context(now_us=S, forwarders=40), held)
+    scope = LimitScope(DESTINATION, 1.0, quota_share=1 / 40)
+
+    pacing.apply_load_report(scope, LoadReport(limit_left, 100.0))
+
+    change = scope.quota_share - 1 / 40
+    assert (change > 0) - (change < 0) == sign
+
+
+def test_rejections_decrease_the_share_to_a_part_of_an_even_one() -> None:
+    pacing = QuotaPacing(make_context(forwarders=4), HeldMessages())
+    scope = LimitScope(DESTINATION, 1.0, quota_share=1.0)
+    for _ in range(100):
+        pacing.decrease_share(scope)
+
+    assert scope.quota_share == pytest.approx(MIN_QUOTA_OF_EVEN_SHARE / 4)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -10,6 +10,7 @@
     SendAttempt,
     SetTimer,
 )
+from forwarder.decisions.context import RoundContext
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import (
     EjectionRecovered,
@@ -18,6 +19,8 @@
     TimerFired,
 )
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, SLOT_JITTER_RANGE, SlowStart
+from tests.decisions.builders import DESTINATION, make_context, make_endpoint_table
 from tests.decisions.fleets import (
     LISTED,
     ONE_ENDPOINT,
@@ -91,3 +94,78 @@
     holders = number / 45  # where every forwarder holds one: far more than a target's traffic
     assert sum(counts) / len(counts) <= max(1.5 * SLOW_START_CALLS + 2, holders)
     assert len(set(first_call_times(number, 9))) > number / 2
+
+
+def slow_start_of(context: RoundContext) -> SlowStart:
+    return SlowStart(context, make_endpoint_table(context))
+
+
+def test_an_endpoint_is_ejected_by_its_error_rate_and_recovers_by_a_success() -> None:
+    context = make_context(now_us=S, slow_start_us=10 * S)
+    slow_start = slow_start_of(context)
+    endpoint = slow_start.endpoint_table.endpoints[1]
+
+    endpoint.error_rate = EJECTION_ERROR_RATE + 0.01
+    slow_start.update(endpoint, Outcome.FAILED)
+    assert context.actions == [LogLine("target 1 in outage: failed"), EjectionChanged(1, S)]
+    assert slow_start.is_active(endpoint)
+
+    context.now_us = 2 * S
+    endpoint.error_rate = 0.0
+    slow_start.update(endpoint, Outcome.DELIVERED)
+    assert context.actions[2:] == [EjectionChanged(1, S, 2 * S), LogLine("target 1 answers again: warming")]
+    assert slow_start.is_active(endpoint)
+
+    context.now_us = 12 * S
+    assert not slow_start.is_active(endpoint)
+
+
+def test_the_interval_shortens_along_the_recovery_ramp() -> None:
+    context = make_context(weights_reported=True, slow_start_us=10 * S, overload_window_us=60 * S)
+    slow_start = slow_start_of(context)
+    endpoint = slow_start.endpoint_table.endpoints[1]
+    endpoint.ejected_at_us = 0
+    endpoint.recovering_since_us = 0
+    intervals_us: list[float] = []
+    for now_us in (0, 5 * S, 10 * S):
+        context.now_us = now_us
+        intervals_us.append(slow_start.interval_us(endpoint))
+
+    assert intervals_us == sorted(intervals_us, reverse=True)
+    assert intervals_us[0] == pytest.approx(5 * intervals_us[2])  # slow_start_from is 0.2
+
+
+def test_an_excluded_endpoint_is_out_of_the_index_until_it_is_readmitted() -> None:
+    context = make_context(now_us=S)
+    slow_start = slow_start_of(context)
+    table = slow_start.endpoint_table
+    endpoint = table.endpoints[1]
+
+    slow_start.exclude(endpoint)
+    assert table.by_destination == {}
+
+    slow_start.readmit(endpoint)
+    assert table.by_destination == {DESTINATION: [endpoint]}
+    assert context.actions == [EjectionChanged(1, S), EjectionChanged(1, S, S)]
+
+
+def test_an_enabled_endpoint_begins_its_recovery_ramp() -> None:
+    context = make_context(now_us=S)
+    slow_start = slow_start_of(context)
+    slow_start.endpoint_table.disable(1, 0)
+
+    slow_start.enable(1)
+    slow_start.enable(1)
+
+    assert context.actions == [EjectionChanged(1, 0, S)]
+
+
+def test_jitter_is_one_in_the_mean_and_its_residual_a_part_of_it() -> None:
+    slow_start = slow_start_of(make_context())
+
+    factors = [slow_start.new_jitter() for _ in range(2000)]
+    residuals = [slow_start.residual_jitter() for _ in range(2000)]
+
+    assert SLOT_JITTER_RANGE[0] <= min(factors) <= max(factors) <= SLOT_JITTER_RANGE[1]
+    assert sum(factors) / len(factors) == pytest.approx(1.0, abs=0.05)
+    assert 0.0 <= min(residuals) <= max(residuals) <= SLOT_JITTER_RANGE[1]
--- a/tests/decisions/test_tenant_quotas.py
+++ b/tests/decisions/test_tenant_quotas.py
@@ -5,6 +5,8 @@
 import pytest
 
 from forwarder.decisions.outcomes import Outcome
+from forwarder.decisions.tenant_quotas import MIN_TENANT_BURST_MESSAGES, TenantQuotas
+from tests.decisions.builders import make_context
 from tests.decisions.fleets import fleet
 from tests.scripts import MS, S, ask, end, sends
 
@@ -24,3 +26,32 @@
         order += [s.message_id for s in late]
         now += 20 * MS
     assert max(order.index(f"fair{n}") for n in range(3)) <= 8
+
+
+def quotas(now_us: int = 0, **changes: object) -> TenantQuotas:
+    context = make_context(now_us, **changes)
+    made = TenantQuotas(context)
+    made.apply_settings(context.settings)
+    return made
+
+
+def test_a_tenant_is_over_quota_once_its_burst_is_spent() -> None:
+    tenant_quotas = quotas(forwarders=2)
+
+    over = [tenant_quotas.is_over_quota("small") for _ in range(int(MIN_TENANT_BURST_MESSAGES) + 1)]
+
+    assert over == [False] * int(MIN_TENANT_BURST_MESSAGES) + [True]
+
+
+@pytest.mark.parametrize("tenant", [None, "unknown"])
+def test_without_a_quota_nothing_is_counted(tenant: str | None) -> None:
+    tenant_quotas = quotas()
+
+    assert not any(tenant_quotas.is_over_quota(tenant) for _ in range(100))
+    assert tenant_quotas.buckets == {}
+
+
+def test_nothing_is_counted_where_messages_over_quota_are_worth_as_much() -> None:
+    tenant_quotas = quotas(over_quota_weight=1.0)
+
+    assert not any(tenant_quotas.is_over_quota("small") for _ in range(100))
