--- a/forwarder/decisions/events.py
+++ b/forwarder/decisions/events.py
@@ -29,7 +29,7 @@
     SERVING = "serving"
     DRAINING = "draining"
     """It finishes its calls and takes no new ones."""
-    GONE = "gone"
+    REMOVED = "removed"
 
 
 @dataclass(frozen=True, slots=True)
--- a/forwarder/protocol/settings_format.py
+++ b/forwarder/protocol/settings_format.py
@@ -12,7 +12,7 @@
 ENDPOINT_STATES = {
     "SERVING": EndpointState.SERVING,
     "DRAINING": EndpointState.DRAINING,
-    "DELETED": EndpointState.GONE,
+    "DELETED": EndpointState.REMOVED,
 }
 REPORTED_WEIGHT_SOURCES = ("nominal", "rough")
 """Sources of weights that are capacities."""
--- a/tests/decisions/test_call_learning.py
+++ b/tests/decisions/test_call_learning.py
@@ -48,7 +48,9 @@
     two forwarders either meets a limit so often that five refusals running still tell of more than that.
     """
     dispatcher = fleet(number)[0]
-    actions, now, load_report = dispatcher.handle(0, [ask("a", due=200 * S)]), 0, LoadReport(left, 30.0)
+    actions = dispatcher.handle(0, [ask("a", due=200 * S)])
+    now = 0
+    load_report = LoadReport(left, 30.0)
     refused = 0
     notes: list[str] = []
     while refused < 8:
--- a/tests/decisions/test_concurrency_window.py
+++ b/tests/decisions/test_concurrency_window.py
@@ -29,7 +29,9 @@
 
 def test_window_is_halved_by_a_rejection_and_a_destination_never_takes_all_slots() -> None:
     dispatcher = started(ONE_ENDPOINT)
-    out, most, now = sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(60)])), 0, 0
+    out = sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(60)]))
+    most = 0
+    now = 0
     while len(out) < 6 and now < 3 * S:
         now += 100 * MS
         out = out[1:] + sends(dispatcher.handle(now, [end(out[0], Outcome.DELIVERED)]))
--- a/tests/decisions/test_dispatcher_rules.py
+++ b/tests/decisions/test_dispatcher_rules.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from forwarder.decisions.dispatcher import Dispatcher
-from tests.scripts import Script, settings
+from tests.decisions.random_script import Script
+from tests.scripts import settings
 
 
 def play(seed: int, rounds: int = 900, **changes: object) -> Script:
@@ -19,8 +20,8 @@
 @given(st.integers(0, 10**6))
 def test_rules_hold_on_random_scripts(seed: int) -> None:
     script = play(seed)
-    assert script.sent
-    assert len(script.over) == len(script.asked)
+    assert script.sent_count
+    assert len(script.ended_at_us) == len(script.submitted)
 
 
 @profile(derandomize=True, max_examples=15, deadline=None)
@@ -31,6 +32,6 @@
 
 def test_scripts_reach_every_kind_of_answer() -> None:
     scripts = [play(seed) for seed in range(4)]
-    assert sum(s.delivered for s in scripts) > 50
-    assert sum(s.refused for s in scripts) > 50
-    assert sum(s.failed for s in scripts) > 5
+    assert sum(script.delivered_count for script in scripts) > 50
+    assert sum(script.rejected_count for script in scripts) > 50
+    assert sum(script.failed_count for script in scripts) > 5
--- a/tests/decisions/test_endpoint_list_poll.py
+++ b/tests/decisions/test_endpoint_list_poll.py
@@ -23,7 +23,8 @@
 def test_list_is_polled_at_the_start_and_after_failures_with_a_backoff() -> None:
     dispatcher = Dispatcher(settings(poll_endpoint_list=True), 1, 0)
     assert RequestEndpointList() in dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ONE_ENDPOINT)])
-    times, now = [], 0
+    times = []
+    now = 0
     for _ in range(3):
         dispatcher.handle(now, [EndpointListReceived(EndpointListKind.FAILED)])
         asked = now
--- a/tests/decisions/test_hold_times.py
+++ b/tests/decisions/test_hold_times.py
@@ -28,34 +28,34 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.records import Message
 from forwarder.decisions.settings import Settings
-from tests.scripts import ENTRIES, MS, S, Script, ask, end, sends, settings, started
+from tests.decisions.random_script import Script
+from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
 
 
 class HoldTimeScript(Script):
-    """Beside the dispatcher, keeps how long each message lay_us in the piles."""
+    """Sums up how long each message was held, beside the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher, known: Settings, seed: int) -> None:
-        self.held: dict[str, tuple[Message, int]] = {}
-        self.lay_us: dict[str, int] = {}
-        self.last = 0
+        self.held: dict[str, Message] = {}
+        self.held_for_us: dict[str, int] = {}
+        self.last_step_us = 0
         super().__init__(dispatcher, known, seed)
 
     def step(self, events: list[Event]) -> None:
-        before, passed = dict(self.held), self.now - self.last
+        before = self.held
+        elapsed_us = self.now_us - self.last_step_us
         super().step(events)
-        self.last = self.now
-        for name in before:
-            self.lay_us[name] = self.lay_us.get(name, 0) + passed
-        self.held = {m.id: (m, self.now) for pile in self.d.held.by_destination.values() for m in pile.values()}
-        for m, _ in self.held.values():
-            self.check(m)
-        for name, (m, _) in before.items():
-            if name not in self.held:
-                self.check(m)
+        self.last_step_us = self.now_us
+        for message_id in before:
+            self.held_for_us[message_id] = self.held_for_us.get(message_id, 0) + elapsed_us
+        by_destination = self.dispatcher.held.by_destination
+        self.held = {message.id: message for held in by_destination.values() for message in held.values()}
+        for message in (before | self.held).values():
+            self.check(message)
 
-    def check(self, m: Message) -> None:
-        open_now = 0 if m.hold_reason is None else self.now - m.held_since_us
-        assert sum(m.hold_times_us.values()) + open_now == self.lay_us.get(m.id, 0), m
+    def check(self, message: Message) -> None:
+        present_us = 0 if message.hold_reason is None else self.now_us - message.held_since_us
+        assert sum(message.hold_times_us.values()) + present_us == self.held_for_us.get(message.id, 0), message
 
 
 @profile(derandomize=True, max_examples=25, deadline=None)
@@ -64,8 +64,8 @@
     known = settings(forwarders=forwarders, notices_acknowledged=False)
     script = HoldTimeScript(Dispatcher(known, seed, 0), known, seed)
     script.run(500)
-    assert sum(script.lay_us.values()) > 0
-    assert sum(us for _, us in script.d.hold_times.totals()) == sum(script.lay_us.values())
+    assert sum(script.held_for_us.values()) > 0
+    assert sum(us for _, us in script.dispatcher.hold_times.totals()) == sum(script.held_for_us.values())
 
 
 def send_one(dispatcher: Dispatcher, name: str, now: int = 0, cls: str = "safe", **more: object) -> SendAttempt:
@@ -74,7 +74,7 @@
 
 
 def start_with_one_endpoint() -> Dispatcher:
-    """A single target, start_with_one_endpoint slot for each of eight."""
+    """A dispatcher with a single endpoint."""
     return started((EndpointEntry(1, 10, "north", "plain", weight=10.0),), weights_reported=True)
 
 
@@ -99,8 +99,10 @@
 
 def recover(dispatcher: Dispatcher) -> None:
     eject(dispatcher)
-    t = dispatcher.endpoints[1]
-    t.recovering_since_us, t.last_call_at_us, t.error_rate = dispatcher.now_us, dispatcher.now_us, 0.0
+    endpoint = dispatcher.endpoints[1]
+    endpoint.recovering_since_us = dispatcher.now_us
+    endpoint.last_call_at_us = dispatcher.now_us
+    endpoint.error_rate = 0.0
 
 
 def raise_error_rate(dispatcher: Dispatcher) -> None:
@@ -114,13 +116,11 @@
 
 
 def slow_down(dispatcher: Dispatcher) -> None:
-    place = dispatcher.limit_scopes[(10, -1)]
-    place.concurrency_window, place.expected_call_us, place.initial_call_us, place.learned_at_us = (
-        6.0,
-        1.5 * S,
-        0.2 * S,
-        0,
-    )
+    scope = dispatcher.limit_scopes[(10, -1)]
+    scope.concurrency_window = 6.0
+    scope.expected_call_us = 1.5 * S
+    scope.initial_call_us = 0.2 * S
+    scope.learned_at_us = 0
     for n in range(4):
         send_one(dispatcher, f"x{n}")
 
--- a/tests/decisions/test_idle_connections.py
+++ b/tests/decisions/test_idle_connections.py
@@ -32,7 +32,8 @@
     """Idle connections of all filled what a target accepts; two in three attempts got none.
     c43c08c6: none was kept for longer than 0.2 s, and nearly every call cost a handshake.
     """
-    dispatcher, now = fleet(number, idle_timeout_us=5 * S)[0], 0
+    dispatcher = fleet(number, idle_timeout_us=5 * S)[0]
+    now = 0
 
     def sent(actions: list[Action]) -> SendAttempt:
         nonlocal now
@@ -55,7 +56,8 @@
 
 def test_end_of_an_outage_does_not_shorten_the_trusted_idle_time() -> None:
     """After an outage of 5 s all closed their connections after 0.2 s for the rest of the day."""
-    dispatcher, now = fleet(60, idle_timeout_us=5 * S)[0], 0
+    dispatcher = fleet(60, idle_timeout_us=5 * S)[0]
+    now = 0
     actions = dispatcher.handle(now, [ask("a", due=200 * S)])
     for attempt, outcome in enumerate([Outcome.NO_CONNECTION] * 4 + [Outcome.DELIVERED]):
         while not sends(actions):
--- a/tests/decisions/test_quota_pacing.py
+++ b/tests/decisions/test_quota_pacing.py
@@ -49,7 +49,8 @@
                 k = tries[n, a.message_id] = tries.get((n, a.message_id), -1) + 1
                 used += 1
                 ok = used <= limit
-                delivered, refused = delivered + (ok and now > 5 * S), refused + (not ok and now > 5 * S)
+                delivered = delivered + (ok and now > 5 * S)
+                refused = refused + (not ok and now > 5 * S)
                 load_report = LoadReport(max(0.0, 1 - used / limit), float(limit))
                 event = end(a, Outcome.DELIVERED if ok else Outcome.REJECTED, k, 80 * MS, report=load_report)
                 ends.setdefault(n, []).append((now + 80 * MS, event))
@@ -81,7 +82,8 @@
     dispatcher.handle(100 * MS, [end(out, Outcome.DELIVERED, report=load_report)])
     out = sends(dispatcher.handle(200 * MS, [ask("b")]))[0]
     dispatcher.handle(300 * MS, [end(out, Outcome.DELIVERED, report=load_report)])
-    actions, now = dispatcher.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
+    actions = dispatcher.handle(400 * MS, [ask("c", due=6 * S)])
+    now = 400 * MS
     while not sends(actions) and now < 5 * S:
         now += 20 * MS
         actions = dispatcher.handle(now, [TimerFired("look")])
@@ -90,13 +92,16 @@
 
 def time_to_deliver_us(left: float) -> int:
     """How long one of 40 forwarders takes for six messages where their target tells what it has left."""
-    dispatcher, now, done = fleet(40)[0], 0, 0
+    dispatcher = fleet(40)[0]
+    now = 0
+    done = 0
     actions = dispatcher.handle(0, [ask(f"m{n}", due=60 * S) for n in range(6)])
     while done < 6:
         out = sends(actions)
         now += 80 * MS if out else 10 * MS
         events = [end(a, Outcome.DELIVERED, took=80 * MS, report=LoadReport(left, 40.0)) for a in out]
-        actions, done = dispatcher.handle(now, [*events, TimerFired("look")]), done + len(out)
+        actions = dispatcher.handle(now, [*events, TimerFired("look")])
+        done = done + len(out)
     return now
 
 
@@ -113,7 +118,8 @@
     dispatcher.handle(100 * MS, [end(out, Outcome.DELIVERED, report=LoadReport(0.0, limit))])
     out = sends(dispatcher.handle(200 * MS, [ask("b")]))[0]
     dispatcher.handle(300 * MS, [end(out, Outcome.DELIVERED, report=LoadReport(0.0, 0.0))])
-    actions, now = dispatcher.handle(400 * MS, [ask("c", due=6 * S)]), 400 * MS
+    actions = dispatcher.handle(400 * MS, [ask("c", due=6 * S)])
+    now = 400 * MS
     while not sends(actions) and not finals(actions) and now < 7 * S:
         now += 20 * MS
         actions = dispatcher.handle(now, [TimerFired("look")])
--- a/tests/decisions/test_release.py
+++ b/tests/decisions/test_release.py
@@ -29,7 +29,8 @@
 @pytest.mark.parametrize("cls", ["safe", "once"])
 def test_attempt_timeout_is_a_few_expected_calls(cls: str) -> None:
     """What has not answered by then has fallen quiet, and its slot is lost to the others."""
-    dispatcher, now = started(ONE_ENDPOINT), 0
+    dispatcher = started(ONE_ENDPOINT)
+    now = 0
     for n in range(30):
         send = sends(dispatcher.handle(now, [ask(f"m{n}", cls=cls, due=now + 8 * S)]))[0]
         now += 50 * MS
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -43,7 +43,11 @@
     send = sends(dispatcher.handle(0, [ask("a", cls="zoned", due=10 * S)]))[0]
     dispatcher.handle(
         5,
-        [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(send.endpoint, 10, state=EndpointState.GONE),))],
+        [
+            EndpointListReceived(
+                EndpointListKind.CHANGES, (EndpointEntry(send.endpoint, 10, state=EndpointState.REMOVED),)
+            )
+        ],
     )
     dispatcher.handle(50 * MS, [end(send, Outcome.FAILED)])
     later = [a for _, a in run_timers(dispatcher, 60 * MS, 4 * S)]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -44,7 +44,8 @@
 
 def test_ejection_is_stored_and_applies_again_when_recovered() -> None:
     dispatcher = started(ONE_ENDPOINT, weights_reported=True)
-    now, changes = 0, []
+    now = 0
+    changes = []
     out = sends(dispatcher.handle(0, [ask(f"m{n}", due=60 * S) for n in range(3)]))
     for _ in range(40):
         now += 100 * MS
