--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -19,8 +19,7 @@
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.extension import ExtensionFactory
 from forwarder.runtime.ownership import HandoverState, Ownership
-from forwarder.storage.identity import ForeignStateError
-from forwarder.storage.journal import NewerFormatError
+from forwarder.storage.errors import ForeignStateError, NewerFormatError
 
 START_PATIENCE_S = 20.0
 """What fails for a moment is tried again for so long: a start has to be ready within 30 s."""
@@ -95,14 +94,14 @@
     async def _make_engine(handover: HandoverState | None) -> Engine:
         if handover is None:
             # The address before the journal: where another forwarder serves, nothing may be sent.
-            clients = await bind(config.listen)
+            client_socket = await bind(config.listen)
             return await retry_unreadable_journal(
-                lambda: Engine(config, ownership, admin, clients, extensions=extensions)
+                lambda: Engine(config, ownership, admin, client_socket, extensions=extensions)
             )
-        clients = handover.socket(handover.description.client_listener)
-        if clients.getsockname()[:2] != astuple(config.listen):
-            clients = await bind(config.listen)
-        return Engine(config, ownership, admin, clients, handover, extensions)
+        client_socket = handover.socket(handover.description.client_listener)
+        if client_socket.getsockname()[:2] != astuple(config.listen):
+            client_socket = await bind(config.listen)
+        return Engine(config, ownership, admin, client_socket, handover, extensions)
 
     engine = await ownership.obtain(_make_engine)
     loop.add_signal_handler(signal.SIGTERM, engine.shutdown.start)
--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -51,9 +51,11 @@
         """`OFFLINE ID`: disables an endpoint. Once this returns, nothing more can leave for it."""
         self._check_listed(name)
         store = self.runtime.store
-        if name not in store.bans:
-            store.ban(name, self.runtime.clock())
-            self.runtime.apply_command(EndpointDisabled(self.runtime.endpoint_number(name), store.bans[name]))
+        if name not in store.disabled_endpoints:
+            store.disable_endpoint(name, self.runtime.clock())
+            self.runtime.apply_command(
+                EndpointDisabled(self.runtime.endpoint_number(name), store.disabled_endpoints[name])
+            )
             log.info("maintenance: %s is left out", name)
         return f"{name} is left out"
 
@@ -61,35 +63,37 @@
         """`ONLINE ID`: enables an endpoint again that was disabled."""
         self._check_listed(name)
         store = self.runtime.store
-        if name in store.bans:
-            store.ban(name, -1)
+        if name in store.disabled_endpoints:
+            store.enable_endpoint(name)
             self.runtime.apply_command(EndpointEnabled(self.runtime.endpoint_number(name)))
             log.info("maintenance: %s is used again", name)
         return f"{name} is used"
 
     def _check_listed(self, name: str) -> None:
-        if name not in self.runtime.store.names and name not in self.runtime.store.bans:
+        if name not in self.runtime.store.known_endpoints and name not in self.runtime.store.disabled_endpoints:
             raise CommandRefusedError("no endpoint of that id was ever listed")
 
     def journal(self) -> str:
         """`JOURNAL`: how the journal was found, and how it stands."""
         store = self.runtime.store
         identity = self.runtime.identity
-        start = f"start {identity.starts} of {identity.id}: {self.runtime.start_kind.value}" if identity else ""
+        start = (
+            f"start {identity.start_count} of {identity.folder_id}: {self.runtime.start_kind.value}" if identity else ""
+        )
         facts = (
-            store.damage() if store.found.damaged else "sound",
-            f"{store.found.torn} bytes of a torn tail cut",
+            store.describe_damage() if store.recovered.is_damaged else "sound",
+            f"{store.recovered.torn_bytes} bytes of a torn tail cut",
             start,
-            f"{store.size} bytes",
-            f"{store.aside} bytes of damaged files set aside",
-            "cannot be written" if store.failed else "",
+            f"{store.recovery_bytes} bytes",
+            f"{store.set_aside_bytes} bytes of damaged files set aside",
+            "cannot be written" if store.write_failed else "",
         )
         return "; ".join(fact for fact in facts if fact)
 
     def rules(self) -> str:
         """`RULES`: what was held back, which invariants were violated, and what has failed."""
         runtime = self.runtime
-        journal = "cannot be written" if runtime.store.failed else "written"
+        journal = "cannot be written" if runtime.store.write_failed else "written"
         return (
             f"violations: {runtime.reasons.summary(Subject.VIOLATION)}; held back: "
             f"{runtime.reasons.summary(Subject.HELD_BACK)}; failures: {runtime.supervisor.summary()}; "
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -12,7 +12,7 @@
 from forwarder.discovery.client import DiscoveryClient
 from forwarder.protocol.http1 import MAX_BODY_BYTES, BadResponseError
 from forwarder.runtime.supervisor import Supervisor
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 
 NOTICES_PATH = "/v1/notices"
 POST_TIMEOUT_S = 0.2  # short: a message without its end 0.3 s after its deadline counts as lost (PROTOCOL)
@@ -104,6 +104,6 @@
 
 def _render_notice(message_id: str, notice: PendingNotice) -> bytes:
     fields: dict[str, str | int] = {"id": message_id, "state": notice.state}
-    if notice.after_ms > 0:
-        fields["after_ms"] = notice.after_ms
+    if notice.retry_after_ms > 0:
+        fields["after_ms"] = notice.retry_after_ms
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -62,7 +62,7 @@
             return
         for extension in runtime.extensions:
             extension.abort()
-        log.info("handed over: %d messages, %d calls out", len(runtime.store.messages), runtime.pool.calls_in_flight)
+        log.info("handed over: held=%d calls=%d", len(runtime.store.messages), runtime.pool.calls_in_flight)
         os._exit(0)  # not one callback more: it would read what is meant for the other process
 
     def settle(self) -> None:
@@ -98,7 +98,7 @@
     endpoint_connections = [table.add(fileno(connection.transport)) for connection in connections]
     admin_listeners, admin_connections = _describe_admin(runtime, table)
     description = HandoverDescription(
-        clock_base_ns=runtime.clock.base,
+        clock_base_ns=runtime.clock.offset_ns,
         endpoint_numbers=runtime.endpoint_table.numbers,
         destinations=[*runtime.endpoint_table.destinations],
         learned_state=runtime.dispatcher.learned_state(),
--- a/forwarder/runtime/intake.py
+++ b/forwarder/runtime/intake.py
@@ -87,7 +87,7 @@
         held = len(self.store.messages) + len(self.pending)
         size = len(submission.body) + sum(len(pending.body) for pending, _ in self.pending.values())
         # Without the clock's anchor a restart would not know the messages' time.
-        can_record = self.store.has_room(size) and self.clock.kept
+        can_record = self.store.has_capacity_for(size) and self.clock.is_anchored
         if not self.run_state.is_frozen and held < self.settings.max_open_messages and can_record:
             return True
         if self.clock() - self._full_logged_us > FULL_LOG_INTERVAL_US and not self.run_state.is_frozen:
--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -21,7 +21,7 @@
 from forwarder.discovery.endpoint_list_watch import FIRST_LIST_TIMEOUT_US
 from forwarder.runtime.context import Runtime
 from forwarder.runtime.handover_format import HandoverDescription
-from forwarder.storage.journal import may_resend
+from forwarder.storage.messages import may_resend_after_loss
 from forwarder.storage.store import MessageStore
 
 NO_LIST_VERSION = -1
@@ -38,24 +38,28 @@
     events = runtime.loop.events
     description = HandoverDescription() if runtime.handover is None else runtime.handover.description
     saved_list = _newest_list(runtime)
-    store.note_names(endpoint.name for endpoint in saved_list.endpoints)
+    store.record_known_endpoints(endpoint.name for endpoint in saved_list.endpoints)
     runtime.apply_endpoint_list(saved_list)
-    events += [EndpointDisabled(runtime.endpoint_number(name), since_us) for name, since_us in store.bans.items()]
-    entries = runtime.endpoint_table.entries(saved_list.endpoints, store.bans)
+    events += [
+        EndpointDisabled(runtime.endpoint_number(name), since_us) for name, since_us in store.disabled_endpoints.items()
+    ]
+    entries = runtime.endpoint_table.entries(saved_list.endpoints, store.disabled_endpoints)
     events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
     if runtime.handover is None:
         events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_TIMEOUT_US))
-    for name, (ejected_at_us, recovering_since_us) in store.outages.items():
+    for name, (ejected_at_us, recovering_since_us) in store.ejections.items():
         if name in runtime.endpoint_table.numbers:
             events.append(EjectionRecovered(runtime.endpoint_table.numbers[name], ejected_at_us, recovering_since_us))
     fail_doubtful_messages(store)
     in_progress = {(item.message_id, item.number) for call in description.pool.calls for item in call.attempts}
     events += _recovered_messages(runtime, in_progress)
-    events += [PendingNoticeRecovered(name, end.key) for name, end in store.owed.items() if end.key is not None]
+    events += [
+        PendingNoticeRecovered(name, end.key) for name, end in store.pending_notices.items() if end.key is not None
+    ]
     now_us = runtime.clock()
-    events += [KeyBackoffRecovered(key, until_us) for key, until_us in store.rests.items() if until_us > now_us]
-    if store.messages or store.owed:
-        log.info("took up %d messages and %d owed ends again", len(store.messages), len(store.owed))
+    events += [KeyBackoffRecovered(key, until_us) for key, until_us in store.key_backoffs.items() if until_us > now_us]
+    if store.messages or store.pending_notices:
+        log.info("took up %d messages and %d owed ends again", len(store.messages), len(store.pending_notices))
     if description.learned_state is not None:
         events.append(HandoverReceived(description.learned_state))
     return saved_list.version if saved_list.endpoints else NO_LIST_VERSION
@@ -65,9 +69,11 @@
     """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
     configured = runtime.config.initial_list
     store = runtime.store
-    if store.seq < configured.version:
+    if store.endpoint_list_version < configured.version:
         return configured
-    return EndpointList(store.seq, True, tuple(parse_endpoint(raw) for raw in store.hosts.values()))
+    return EndpointList(
+        store.endpoint_list_version, True, tuple(parse_endpoint(raw) for raw in store.endpoints.values())
+    )
 
 
 def fail_doubtful_messages(store: MessageStore) -> None:
@@ -75,29 +81,33 @@
 
     A message of which only the id is known is among them.
     """
-    doubtful = [message for message in store.messages.values() if message.doubtful and not may_resend(message.cls)]
+    doubtful = [
+        message
+        for message in store.messages.values()
+        if message.is_doubtful and not may_resend_after_loss(message.message_class)
+    ]
     for message in doubtful:
-        store.owe(message.id, "failed", 0)
-    for message_id in store.touched:
-        store.owe_stranger(message_id)
+        store.add_pending_notice(message.id, "failed", 0)
+    for message_id in store.orphaned_ids:
+        store.add_orphan_notice(message_id, "failed")
 
 
 def _recovered_messages(runtime: Runtime, in_progress: Container[tuple[str, int]]) -> Iterator[Event]:
     """Yields each message that is held, and records that the outcome of its lost attempts is not known."""
     for message in runtime.store.messages.values():
-        lost = [number for number in message.out if (message.id, number) not in in_progress]
+        lost = [number for number in message.in_flight if (message.id, number) not in in_progress]
         for number in lost:
-            runtime.store.outcome(message, number, True)  # it may have run
+            runtime.store.record_outcome(message, number, True)  # it may have run
         yield MessageRecovered(
             message.id,
             message.destination,
-            message.cls,
+            message.message_class,
             message.due_us,
             message.key,
             message.tenant,
             message.attempts,
-            message.ran_at_us,
-            runtime.endpoint_number(message.ran_on) if message.ran_on else -1,
+            message.maybe_ran_at_us,
+            runtime.endpoint_number(message.maybe_ran_on) if message.maybe_ran_on else -1,
             bool(lost),
-            message.held_back,
+            message.local_failure_count,
         )
--- a/tests/discovery/test_notifier.py
+++ b/tests/discovery/test_notifier.py
@@ -7,7 +7,7 @@
 import pytest
 
 from forwarder.discovery.notifier import POST_TIMEOUT_S, RETRY_PAUSES_S, Notifier
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 from tests.discovery.peers import QuestionedDiscovery
 from tests.engine_scene import play_with_platform
 from tests.sockets import (
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -49,9 +49,9 @@
     async def start(self) -> EngineScene:
         config = load_config({"LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder)})
         self.engine = Engine(config, Ownership(self.folder), AdminServer(), await bind(Address("127.0.0.1", 0)))
-        self.engine.store.own()
+        self.engine.store.take_ownership()
         self.engine.loop.run_round()
-        self.engine.server.listen(self.engine.clients)
+        self.engine.server.listen(self.engine.client_socket)
         return self
 
     @property
--- a/tests/runtime/test_intake.py
+++ b/tests/runtime/test_intake.py
@@ -54,8 +54,8 @@
         )
         config = load_config({"LB_CONFIG": str(tmp_path / "config.json"), "LB_STATE": str(tmp_path)})
         engine = Engine(config, Ownership(tmp_path), AdminServer(), await bind(Address("127.0.0.1", 0)))
-        engine.clock.keep()
-        engine.store.own()
+        engine.clock.store_anchor()
+        engine.store.take_ownership()
         door = ClientConnection(engine.server)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = socket.create_connection(listener.getsockname())
@@ -75,7 +75,7 @@
         engine.loop.run_round()
         assert list(engine.store.messages) == ([] if gone else ["m"])
         engine.pool.close()
-        engine.clients.close()
+        engine.client_socket.close()
         client.close()
 
     asyncio.run(scene())
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -109,7 +109,7 @@
         at.take("late", cls, due_us=due)
         at.take("next", cls, due_us=due + DUE_US)
         await peer.got(1 if cls == "turn" else 2)
-        while "late" not in at.engine.store.owed:
+        while "late" not in at.engine.store.pending_notices:
             await asyncio.sleep(0.005)
         await platform.until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         sent = [r.headers["x-correlation-id"] for r in peer.requests]
