--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -249,7 +249,8 @@
 
     def eject(self, endpoint: Endpoint) -> None:
         """Leaves an endpoint out for a time that grows with each ejection."""
-        dispatcher, settings, record = self.dispatcher, self.settings, self.weighed_record(endpoint.id)
+        dispatcher, settings = self.dispatcher, self.settings
+        record = self.weighed_record(endpoint.id)
         now_us = dispatcher.now_us
         if now_us - record.verdict_at_us > settings.max_ejection_us:
             record.ejections = 0
--- a/forwarder/streaming/exchange.py
+++ b/forwarder/streaming/exchange.py
@@ -133,14 +133,14 @@
                 decided = await self.front.ask(self.number, self.destination, avoid)
                 if isinstance(decided, RejectStream):
                     return failed or decided
-                failed = await self.attempt(decided.target)
+                failed = await self.attempt(decided.endpoint)
                 if not isinstance(failed, EndpointFailedError):
                     return failed
                 if self.answered:
                     raise failed
                 if self.sent and not self.head.may_repeat:
                     return failed
-                avoid = decided.target
+                avoid = decided.endpoint
             return failed
         finally:
             self.drop()
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -291,7 +291,7 @@
                     HTTPStatus.SERVICE_UNAVAILABLE,
                     "no endpoint has room now",
                     method,
-                    retry_after_s(failed.wait_us),
+                    retry_after_s(failed.retry_after_us),
                     self.may_keep(exchange),
                 )
             case EndpointFailedError():
--- a/forwarder/streaming/settings.py
+++ b/forwarder/streaming/settings.py
@@ -6,7 +6,7 @@
 
 from forwarder.config.config import Address, Config
 from forwarder.config.extensions_file import ExtensionTable
-from forwarder.decisions.stream_routing import most_streams
+from forwarder.decisions.stream_routing import max_streams
 from forwarder.streaming.wire import CHUNK_ROOM, MOST_HEAD
 
 PROGRAM_BYTES = 44_000_000  # what the forwarder takes without streams, with its messages at their most
@@ -72,7 +72,7 @@
         raise table.error("listen", f"cannot be served: {config.max_sockets} descriptors leave none for streams")
     share = table.number("slots_share", 0.5, 0.0, 1.0)
     slots = config.settings.slots
-    if not 0 < most_streams(slots, share) < slots:
+    if not 0 < max_streams(slots, share) < slots:
         raise table.error("slots_share", f"is {share:g}: of {slots} slots, streams and messages need some each")
     return StreamSettings(
         listen,
--- a/tests/test_streams.py
+++ b/tests/decisions/test_stream_routing.py
@@ -25,7 +25,7 @@
     StreamEnded,
     StreamRequested,
     StreamRouter,
-    most_streams,
+    max_streams,
 )
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings
 
@@ -59,9 +59,9 @@
     d = joined()
     made = routes(d.handle(0, [StreamRequested(1, 10)]))
     assert [r.stream for r in made] == [1]
-    assert made[0].target in (1, 2)
+    assert made[0].endpoint in (1, 2)
     assert d.calls_in_flight == 1
-    assert d.endpoints[made[0].target].limit_scope.streams_in_flight == 1
+    assert d.endpoints[made[0].endpoint].limit_scope.streams_in_flight == 1
     d.handle(0, [StreamEnded(1)])
     assert d.calls_in_flight == 0
     assert all(
@@ -72,11 +72,11 @@
 def test_without_a_target_or_a_slot_it_is_turned_away_with_a_time() -> None:
     d = joined()
     (gone,) = turned(d.handle(0, [StreamRequested(1, 99)]))
-    assert gone.wait_us >= S
+    assert gone.retry_after_us >= S
     assert len(routes(d.handle(0, [StreamRequested(2, 10), StreamRequested(3, 10)]))) == 1  # the window is one at first
     now = grown(d, 11)
     assert len(routes(d.handle(now, [StreamRequested(n, 11) for n in range(20, 30)]))) == 3  # one is out
-    assert d.calls_in_flight == 4 == most_streams(8, 0.5)
+    assert d.calls_in_flight == 4 == max_streams(8, 0.5)
 
 
 def test_streams_leave_messages_a_slot_at_each_destination() -> None:
@@ -105,7 +105,7 @@
     d.handle(1, [end(sent, Outcome.REJECTED, retry_after_us=2 * S)])
     d.handle(2, [MessageWithdrawn("a")])
     (away,) = turned(d.handle(S, [StreamRequested(1, 11)]))
-    assert 1 * S <= away.wait_us <= 1.5 * 1.1 * S
+    assert 1 * S <= away.retry_after_us <= 1.5 * 1.1 * S
     assert routes(d.handle(3 * S, [StreamRequested(2, 11)]))
     d.handle(3 * S, [StreamAttemptEnded(2, Outcome.REJECTED, 5 * S), StreamEnded(2)])
     assert not sends(d.handle(4 * S, [ask("b", dest=11, due=30 * S)]))
@@ -134,9 +134,9 @@
     now = grown(d, 10, 8)
     (first,) = routes(d.handle(now, [StreamRequested(1, 10)]))
     (second,) = routes(
-        d.handle(now, [StreamAttemptEnded(1, Outcome.NO_CONNECTION), StreamRequested(1, 10, first.target)])
+        d.handle(now, [StreamAttemptEnded(1, Outcome.NO_CONNECTION), StreamRequested(1, 10, first.endpoint)])
     )
-    assert {first.target, second.target} == {1, 2}
+    assert {first.endpoint, second.endpoint} == {1, 2}
     assert d.calls_in_flight == 1
 
 
@@ -153,7 +153,7 @@
         ],
     )
     (made,) = routes(d.handle(0, [StreamRequested(2, 10)]))
-    assert made.target == 2
+    assert made.endpoint == 2
 
 
 def test_new_slots_hold_for_new_streams() -> None:
@@ -221,7 +221,7 @@
                         attempts[message] = attempts.get(message, 0) + 1
                         place = d.endpoints[a.endpoint].limit_scope
                         assert place.in_flight <= max(place.concurrency_window, place.streams_in_flight + 1)
-            assert len(out) <= most_streams(8, 0.5)
+            assert len(out) <= max_streams(8, 0.5)
             assert sum(
                 t.limit_scope.streams_in_flight
                 for t in {t.limit_scope.destination: t for t in d.endpoints.values() if not t.separate_route}.values()
