--- a/tests/test_durable.py
+++ b/tests/storage/test_durability.py
@@ -17,10 +17,10 @@
 from forwarder.storage.durability import Durability, DurabilityExtension, DurabilityExtensionFactory, Syncer
 from forwarder.storage.store import MessageStore
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
-from tests.test_journal import MB, taken
+from tests.storage.folders import MAX_BYTES, accepted_message
 
 
-class Died(Exception):
+class PowerCutError(Exception):
     """The power was cut."""
 
 
@@ -59,7 +59,7 @@
         def counted(*args: Any) -> Any:
             self.calls += 1
             if self.calls == self.dies_at:
-                raise Died(name)
+                raise PowerCutError(name)
             if self.fails.get(name, 0) > 0:
                 self.fails[name] -= 1
                 raise OSError(errno.EIO, f"{name} failed")
@@ -128,7 +128,7 @@
 def life(store: MessageStore, promised: Callable[[], None], chance: random.Random) -> Iterator[None]:
     """Messages taken on, called and ended; after each round a sync, and what it promises."""
     for n in range(60):
-        store.accept(taken(f"m{n}"))
+        store.accept(accepted_message(f"m{n}"))
         if n % 3:
             store.record_attempt(store.messages[f"m{n}"], 0, 50, "s1")
         if n % 5 == 4:
@@ -153,7 +153,7 @@
         folder.mkdir()
         disk = Disk(folder, chance)
         use_os(monkeypatch, disk)
-        store = MessageStore(folder, MB, salt=7)
+        store = MessageStore(folder, MAX_BYTES, salt=7)
         store.durable = True
         sure: list[tuple[set[str], dict[str, set[int]]]] = []
 
@@ -167,11 +167,11 @@
             disk.fdatasync(store.fd)
             for _ in life(store, promised, chance):
                 pass
-        except Died:
+        except PowerCutError:
             pass
         use_os(monkeypatch, os)
         disk.after_the_cut(tmp_path / f"disk{n}")
-        back = MessageStore(tmp_path / f"disk{n}", MB, salt=7)
+        back = MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7)
         if sure:
             names, attempts = sure[-1]
             assert all(back.knows(name) or name in back.pending_notices for name in names), (seed, n)
@@ -183,9 +183,9 @@
                     name,
                 )
         back.take_ownership()
-        back.accept(taken("afterwards"))
+        back.accept(accepted_message("afterwards"))
         back.flush()
-        assert MessageStore(tmp_path / f"disk{n}", MB, salt=7).knows("afterwards")
+        assert MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7).knows("afterwards")
 
 
 @pytest.mark.parametrize("first", range(5, 13))
@@ -198,19 +198,20 @@
         folder.mkdir()
         disk = Disk(folder, random.Random(dies_at))
         use_os(monkeypatch, disk)
-        store, written = MessageStore(folder, MB, salt=7), set[str]()
+        store, written = MessageStore(folder, MAX_BYTES, salt=7), set[str]()
         disk.dies_at = dies_at
         try:
             for _ in life(store.take_ownership(), lambda: None, disk.chance):
                 written = {*store.messages, *store.ended_ids}
-        except Died:
+        except PowerCutError:
             pass
         use_os(monkeypatch, os)
         for again in ("afterwards", "and again"):
-            back = MessageStore(folder, MB, salt=7)
-            assert not back.recovered.is_damaged and all(back.knows(name) for name in written), dies_at
+            back = MessageStore(folder, MAX_BYTES, salt=7)
+            assert not back.recovered.is_damaged, dies_at
+            assert all(back.knows(name) for name in written), dies_at
             assert not any(m.is_doubtful for m in back.messages.values())
-            back.take_ownership().accept(taken(again))
+            back.take_ownership().accept(accepted_message(again))
             back.close()
             written.add(again)
 
@@ -223,12 +224,12 @@
         folder.mkdir()
         disk = Disk(folder, random.Random(n))
         use_os(monkeypatch, disk)
-        store = MessageStore(folder, MB, salt=7).take_ownership()
+        store = MessageStore(folder, MAX_BYTES, salt=7).take_ownership()
         for _ in life(store, lambda: None, disk.chance):
             pass
         use_os(monkeypatch, os)
         disk.after_the_cut(tmp_path / f"disk{n}")
-        lost += len({*store.messages} - {*MessageStore(tmp_path / f"disk{n}", MB, salt=7).messages})
+        lost += len({*store.messages} - {*MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7).messages})
     assert lost > 50
 
 
@@ -251,7 +252,7 @@
 
 def syncing(tmp_path: Path, scene: Callable[[MessageStore, Syncer, Slow], Any]) -> None:
     async def played() -> None:
-        store = MessageStore(tmp_path, MB).take_ownership()
+        store = MessageStore(tmp_path, MAX_BYTES).take_ownership()
         store.durable = True
         slow = Slow()
         async with asyncio.timeout(PATIENCE):
@@ -289,7 +290,7 @@
 
     async def scene(store: MessageStore, syncer: Syncer, slow: Slow) -> None:
         done: list[str] = []
-        store.accept(taken("a"))
+        store.accept(accepted_message("a"))
         store.flush()
         slow.fails, inode = True, os.fstat(store.fd).st_ino
         slow.go.release()
@@ -304,7 +305,7 @@
         await until(lambda: done == ["a"])
         assert os.fstat(store.fd).st_ino != inode
         assert not syncer.sync_failed
-        assert MessageStore(tmp_path, MB).knows("a")
+        assert MessageStore(tmp_path, MAX_BYTES).knows("a")
         assert syncer.sync_count == 1
 
     syncing(tmp_path, scene)
@@ -322,7 +323,7 @@
         disk = Disk(tmp_path, random.Random(1))
         use_os(monkeypatch, disk)
         disk.fails = {what: 1, "open": 10**6}  # nor can it be written anew
-        store.accept(taken("a"))
+        store.accept(accepted_message("a"))
         store.begin_snapshot() if what == "fdatasync" else store.flush()
         assert store.write_failed
         for _ in range(3):
@@ -335,7 +336,7 @@
         disk.fails = {}
         await until(lambda: done == ["a"])
         use_os(monkeypatch, os)
-        assert MessageStore(tmp_path, MB).knows("a")
+        assert MessageStore(tmp_path, MAX_BYTES).knows("a")
         assert not store.write_failed
 
     syncing(tmp_path, scene)
--- /dev/null
+++ b/tests/storage/test_identity.py
@@ -0,0 +1,33 @@
+"""Whose a folder is, and how often it was started."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from forwarder.storage import identity
+from forwarder.storage.errors import ForeignStateError
+from forwarder.storage.schema import Identity
+
+
+def test_a_folder_shows_its_owner_and_how_often_it_was_started(tmp_path: Path) -> None:
+    found, start = identity.claim_folder(tmp_path, "n1")
+    assert found is None
+    assert start is identity.StartKind.FIRST
+    first = identity.record_start(found, tmp_path, "n1", 99)
+    again, start = identity.claim_folder(tmp_path, "n1")
+    assert again == first
+    assert start is identity.StartKind.AGAIN
+    assert identity.record_start(again, tmp_path, "n1", 99).start_count == 2
+    with pytest.raises(ForeignStateError, match="folder of n1, not of n2"):
+        identity.claim_folder(tmp_path, "n2")
+    data = bytearray((tmp_path / "identity").read_bytes())
+    for at in range(len(data)):
+        spoilt = bytearray(data)
+        spoilt[at] ^= 4
+        (tmp_path / "identity").write_bytes(spoilt)
+        found = identity.read_identity(tmp_path)
+        assert found is None or found == Identity("n1", first.folder_id, 2, 99)
+    (tmp_path / "identity").write_bytes(b"")
+    assert identity.claim_folder(tmp_path, "n1") == (None, identity.StartKind.UNKNOWN)
