--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -13,8 +13,6 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from tests.decisions.test_outlier_detection import LIMITS
-
 from benchmarks.summary import print_values
 from forwarder.decisions.actions import Action, FailMessage, RejectMessage, SendAttempt, SetTimer
 from forwarder.decisions.dispatcher import Dispatcher
@@ -28,6 +26,7 @@
 )
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.outlier_detection import OutlierDetector
+from tests.decisions.test_outlier_detection import LIMITS
 from tests.scripts import MS, S, ask, settings
 
 PAIRS = 9
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,4 +1,4 @@
-"""From exec to the first yes of /up, by step, on an empty, a usual and a full journal.
+"""From exec to the first 200 of /up, by step, on an empty, a usual and a full journal.
 
     python -m benchmarks.start [RUNS]
 
@@ -14,91 +14,120 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
+from benchmarks.summary import format_range
 from forwarder.decisions.settings import MessageClass
 from forwarder.storage.messages import AcceptedMessage
 from forwarder.storage.store import MessageStore
 from tests.sockets import ROOT, Node, Platform
 
-SAFE = MessageClass("status", 10**6, 3_600_000_000)
-HELD = {"empty": 0, "usual": 60, "full": 3000}
+DEFAULT_RUNS = 5
+HOUR_US = 3_600_000_000
+MESSAGE_CLASS = MessageClass("status", 10**6, HOUR_US)
+UNSERVED_DESTINATION = 7
+HELD_MESSAGES = {"empty": 0, "usual": 60, "full": 3000}
 DISK_MB = 3
+DISK_BYTES = DISK_MB * 1_000_000
+BODY = b"x" * 300
+RECORD_BYTES = 400
+POLL_S = 0.002
+
+
+@dataclass(frozen=True, slots=True)
+class StartTimes:
+    """What one start took, in milliseconds."""
+
+    read_ms: float
+    """Reading the journal alone."""
+    up_ms: float
+    """From exec to the first 200 of /up."""
 
 
 def fill(state: Path, held: int) -> None:
-    """So many messages are held for a destination that nobody serves, and twice as many are over."""
-    store, due = MessageStore(state, DISK_MB * 1_000_000).take_ownership(), time.time_ns() // 1000 + 3_600_000_000
-    for n in range(3 * held):
-        name = f"m{n}"
-        if store.has_capacity_for(400):
-            store.accept(AcceptedMessage(name, SAFE, 7, due, None, None, b"x" * 300))
-            store.record_attempt(store.messages[name], 0, 50, "s9")
-            store.record_outcome(store.messages[name], 0, False)
-        if n % 3 and name in store.messages:
-            store.end_message(name)
+    """Hold so many messages for a destination that nobody serves, and end twice as many."""
+    store = MessageStore(state, DISK_BYTES).take_ownership()
+    due_us = time.time_ns() // 1000 + HOUR_US
+    for number in range(3 * held):
+        message_id = f"m{number}"
+        if store.has_capacity_for(RECORD_BYTES):
+            message = AcceptedMessage(message_id, MESSAGE_CLASS, UNSERVED_DESTINATION, due_us, None, None, BODY)
+            store.accept(message)
+            store.record_attempt(store.messages[message_id], 0, 50, "s9")
+            store.record_outcome(store.messages[message_id], 0, False)
+        if number % 3 and message_id in store.messages:
+            store.end_message(message_id)
         store.flush()
     store.close()
 
 
-def timed(*arguments: str) -> float:
-    began = time.perf_counter()
-    subprocess.run([sys.executable, *arguments], cwd=ROOT, check=True)
-    return (time.perf_counter() - began) * 1000
+def time_interpreter(source: str) -> float:
+    """Return how long a new interpreter takes for a line of source, in milliseconds."""
+    began_s = time.perf_counter()
+    subprocess.run([sys.executable, "-c", source], cwd=ROOT, check=True)
+    return (time.perf_counter() - began_s) * 1000
 
 
-async def until_up(node: Node) -> float:
-    """From just before the start until /up has said 200."""
-    began = time.perf_counter()
+async def time_until_up(node: Node) -> float:
+    """Start a forwarder, and return the time until /up has answered 200, in milliseconds."""
+    began_s = time.perf_counter()
     starting = asyncio.create_task(node.start(ready=False))
-    while True:
-        try:
-            reader, writer = await asyncio.open_connection(node.host, node.port)
-            writer.write(b"GET /up HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n\r\n")
-            said = await reader.read()
-            writer.close()
-            if said.startswith(b"HTTP/1.1 200"):
-                break
-        except OSError:
-            pass
-        await asyncio.sleep(0.002)
-    took = (time.perf_counter() - began) * 1000
+    while not await _is_up(node):
+        await asyncio.sleep(POLL_S)
+    took_ms = (time.perf_counter() - began_s) * 1000
     await starting
-    return took
+    return took_ms
+
 
+async def _is_up(node: Node) -> bool:
+    try:
+        reader, writer = await asyncio.open_connection(node.host, node.port)
+        writer.write(b"GET /up HTTP/1.1\r\nHost: n0\r\nConnection: close\r\n\r\n")
+        answer = await reader.read()
+        writer.close()
+    except OSError:
+        return False
+    return answer.startswith(b"HTTP/1.1 200")
 
-async def started(folder: Path, held: int) -> tuple[float, float]:
-    """Reading the journal in this process, and a whole start."""
+
+async def time_start(folder: Path, held: int) -> StartTimes:
+    """Time the reading of the journal in this process, and a whole start."""
     platform = await Platform().start()
     node = Node(folder, platform, disk_mb=DISK_MB)
+    state = folder / "state"
     if held:
-        fill(folder / "state", held)
-    began = time.perf_counter()
-    MessageStore(folder / "state", DISK_MB * 1_000_000)
-    read = (time.perf_counter() - began) * 1000
-    up = await until_up(node)
+        fill(state, held)
+    began_s = time.perf_counter()
+    MessageStore(state, DISK_BYTES)
+    read_ms = (time.perf_counter() - began_s) * 1000
+    up_ms = await time_until_up(node)
     await node.end()
-    return read, up
-
-
-def spread(values: list[float]) -> str:
-    return f"{statistics.median(values):.1f} ({min(values):.1f} to {max(values):.1f})"
+    return StartTimes(read_ms, up_ms)
 
 
 def main() -> None:
-    runs = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    timed("-c", "import forwarder.__main__")  # compiled files are there from here on
-    bare = [timed("-c", "pass") for _ in range(runs)]
-    imports = [timed("-c", "import forwarder.__main__") - statistics.median(bare) for _ in range(runs)]
-    print(f"the interpreter {spread(bare)}; imports {spread(imports)}")
-    for name, held in HELD.items():
-        rows = []
+    """Print the time of each step."""
+    runs = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RUNS
+    import_program = "import forwarder.__main__"
+    time_interpreter(import_program)  # compiled files are there from here on
+    interpreter_ms = [time_interpreter("pass") for _ in range(runs)]
+    usual_interpreter_ms = statistics.median(interpreter_ms)
+    imports_ms = [time_interpreter(import_program) - usual_interpreter_ms for _ in range(runs)]
+    print(f"the interpreter {format_range(interpreter_ms)}; imports {format_range(imports_ms)}")
+    for name, held in HELD_MESSAGES.items():
+        starts = []
         for _ in range(runs):
             with tempfile.TemporaryDirectory() as folder:
-                rows.append(asyncio.run(started(Path(folder), held)))
-        reads, ups = [row[0] for row in rows], [row[1] for row in rows]
-        rest = [up - read - statistics.median(bare) - statistics.median(imports) for read, up in rows]
-        print(f"{name}: to /up {spread(ups)}; reading the journal {spread(reads)}; the rest {spread(rest)}", flush=True)
+                starts.append(asyncio.run(time_start(Path(folder), held)))
+        known_ms = usual_interpreter_ms + statistics.median(imports_ms)
+        rest_ms = [start.up_ms - start.read_ms - known_ms for start in starts]
+        print(
+            f"{name}: to /up {format_range([start.up_ms for start in starts])}; "
+            f"reading the journal {format_range([start.read_ms for start in starts])}; "
+            f"the rest {format_range(rest_ms)}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/lab/harness/fakes.py
@@ -0,0 +1,147 @@
+"""Fakes for what the engine talks to: a client's connection, the pool, the watch and the notices, the clock."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+from forwarder.decisions.events import AttemptEnded
+from forwarder.decisions.outcomes import Outcome
+from forwarder.endpoints.call import AttemptKey, CallItem, CallResult, EndpointCall
+from forwarder.endpoints.retry_after import RetryAfterTable
+from forwarder.runtime.engine import Engine
+from forwarder.runtime.invariants import AttemptFacts, RouteFacts
+from lab.harness.oracle import Oracle
+
+
+class OpenTransport:
+    """The transport of a client that stays."""
+
+    def __init__(self) -> None:
+        self.sock, self.client = socket.socketpair()
+
+    def get_extra_info(self, name: str) -> socket.socket | None:
+        """Return the socket, as asyncio's transports do."""
+        return self.sock if name == "socket" else None
+
+    def close(self) -> None:
+        """Release both sockets."""
+        self.sock.close()
+        self.client.close()
+
+
+@dataclass(slots=True)
+class FakeClientConnection:
+    """A client's connection, for one message."""
+
+    on_answer: Callable[[int], None]
+    transport: OpenTransport
+    on_withdrawn: Callable[[], None] | None = None
+
+    def is_closed(self) -> bool:
+        """Whether the client has gone: this one stays."""
+        return False
+
+    def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
+        """Pass the answer's status on."""
+        self.on_answer(int(status))
+
+
+@dataclass(slots=True)
+class FakePool:
+    """Stands in for the pool of connections: calls are in flight until the test ends them."""
+
+    engine: Engine
+    oracle: Oracle
+    calls_in_flight: int = 0
+    calls: dict[AttemptKey, EndpointCall] = field(default_factory=dict)
+    addresses: Mapping[int, object] = field(default_factory=dict)
+    connections: set[object] = field(default_factory=set)
+    retry_after: RetryAfterTable = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.retry_after = RetryAfterTable(self.engine.clock)
+
+    def update_addresses(self, addresses: Mapping[int, object]) -> None:
+        """Take the endpoints that may be called."""
+        self.addresses = addresses
+
+    def start(self, call: EndpointCall) -> None:
+        """Start a call, as far as the invariants let its messages leave."""
+        self.calls_in_flight += 1
+        others = {message_id for message_id, _ in self.calls}
+        for item in call.items:
+            call.open_items[item.id] = item
+            self.calls[item.attempt_key] = call
+        for item in call.items:
+            attempt = AttemptFacts(item.id, item.attempt, item.send_before_us, item.due_us)
+            route = RouteFacts(call.endpoint in self.addresses, self.retry_after.until_us(call.limit_scope))
+            if self.engine.invariants.may_send(attempt, route, self.engine.clock(), others) is None:
+                self.oracle.note_sent(item.id)
+            else:
+                self._end_item(call, item, Outcome.NOT_SENT)
+
+    def finish(self, call: EndpointCall, result: CallResult) -> None:
+        """End all attempts of a call."""
+        for item in list(call.open_items.values()):
+            self._end_item(call, item, result.outcome)
+
+    def end(self, message_id: str, outcome: Outcome) -> None:
+        """Play the endpoint's answer to a message, or what stands for it."""
+        call = next(call for (message, _), call in self.calls.items() if message == message_id)
+        self.oracle.note_outcome(message_id, outcome)
+        self._end_item(call, call.open_items[message_id], outcome)
+
+    def _end_item(self, call: EndpointCall, item: CallItem, outcome: Outcome) -> None:
+        del call.open_items[item.id]
+        del self.calls[item.attempt_key]
+        self.calls_in_flight -= not call.open_items
+        took_us = self.engine.clock() - call.sent_us
+        is_closed = outcome is Outcome.DELIVERED
+        self.engine.post(AttemptEnded(item.id, item.attempt, call.endpoint, outcome, took_us, is_closed))
+
+    def timed_out_messages(self) -> list[str]:
+        """Return the messages whose call the forwarder waits for no longer."""
+        now_us = self.engine.clock()
+        items = [call.open_items[message_id] for (message_id, _), call in self.calls.items()]
+        return [item.id for item in items if now_us >= min(item.timeout_at_us, item.due_us)]
+
+    def close_idle(self, target: int, reason: str = "") -> None:
+        """Do nothing: there are no idle connections."""
+
+    def cancel(self, message: str, attempt: int) -> None:
+        """Do nothing: the test ends calls."""
+
+    def settle(self) -> None:
+        """Do nothing: no call waits for the loop."""
+
+
+class FakeWatch:
+    """Stands in for the watch and the notices, which the test works itself."""
+
+    def has_unread_list(self) -> bool:
+        """Whether a list was received and not read yet: never."""
+        return False
+
+    def wake(self) -> None:
+        """Do nothing: there is no loop."""
+
+    def subscribe(self) -> None:
+        """Do nothing: the test changes the list."""
+
+
+@dataclass(slots=True)
+class ManualClock:
+    """The engine's clock, which the test sets."""
+
+    now_us: int
+    is_anchored: bool = True
+
+    def __call__(self) -> int:
+        """Return the time in microseconds."""
+        return self.now_us
+
+    def store_anchor(self) -> None:
+        """Do nothing: the time outlasts the process anyhow."""
--- a/lab/launcher.py
+++ b/lab/launcher.py
@@ -22,6 +22,7 @@
 import msgspec
 
 MAX_LINE_BYTES = 1 << 20
+ROOT = Path(__file__).resolve().parent.parent
 
 
 class StartRequest(msgspec.Struct, frozen=True):
@@ -83,7 +84,7 @@
             "lab.launcher",
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            cwd=Path(__file__).resolve().parent.parent,
+            cwd=ROOT,
             limit=MAX_LINE_BYTES,
             start_new_session=True,
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -39,7 +39,7 @@
     """
     causes = {known.test: f"{known.cause} (issue {known.issue})" for known in known_failures()}
     for item in items:
-        if item.path.is_relative_to(LAB_TESTS) or item.path.name.startswith("test_lab_"):
+        if item.path.is_relative_to(LAB_TESTS):
             item.add_marker(pytest.mark.xdist_group("lab"))
         cause = causes.get(item.nodeid.partition("[")[0].partition("@")[0])
         if cause is not None:
--- a/tests/test_order_model.py
+++ b/tests/test_order_model.py
@@ -16,7 +16,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from forwarder.decisions.outcomes import Outcome
-from lab.single import CLASSES, HOSTS, KEY_REST_US, SECOND, Single
+from forwarder.units import SECOND_US
+from lab.harness.config import CLASSES, ENDPOINTS, KEY_BACKOFF_US
+from lab.harness.forwarder import ForwarderHarness
 
 MS = 1000
 KEYS = ("k1", "k2")
@@ -39,7 +41,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.folder = tempfile.TemporaryDirectory()
-        self.single = Single(Path(self.folder.name))
+        self.harness = ForwarderHarness(Path(self.folder.name))
         self.names = 0
         self.failing: tuple[str, ...] = ()
         self.real = {name: getattr(os, name) for name in FILE_CALLS}
@@ -58,80 +60,82 @@
     def teardown(self) -> None:
         for name, call in self.real.items():
             setattr(os, name, call)
-        self.single.close()
+        self.harness.close()
         self.folder.cleanup()
 
-    @rule(key=st.sampled_from(KEYS), cls=st.sampled_from([*CLASSES]), left_us=st.sampled_from([SECOND, 6 * SECOND]))
+    @rule(
+        key=st.sampled_from(KEYS), cls=st.sampled_from([*CLASSES]), left_us=st.sampled_from([SECOND_US, 6 * SECOND_US])
+    )
     def hand_in(self, key: str, cls: str, left_us: int) -> None:
-        if key not in self.single.busy:
+        if key not in self.harness.busy_keys:
             self.names += 1
-            self.single.hand_in(f"m{self.names}", cls, key, left_us)
+            self.harness.submit(f"m{self.names}", cls, key, left_us)
 
     @rule(key=st.sampled_from(KEYS), cls=st.sampled_from([*CLASSES]), outcome=st.sampled_from(OUTCOMES))
     def hand_in_and_end(self, key: str, cls: str, outcome: Outcome) -> None:
         """A message's whole way, if nothing is before it: its call, its outcome, and its notice, if it has one."""
-        self.hand_in(key, cls, SECOND)
-        self.single.pass_time(10 * MS)
+        self.hand_in(key, cls, SECOND_US)
+        self.harness.pass_time(10 * MS)
         name = f"m{self.names}"
-        if any(message == name for message, _ in self.single.calls.calls):
-            self.single.calls.end(name, outcome)
-        self.single.pass_time(10 * MS)
-        self.single.notify(heard=True)
-        self.single.pass_time(10 * MS)
+        if any(message == name for message, _ in self.harness.pool.calls):
+            self.harness.pool.end(name, outcome)
+        self.harness.pass_time(10 * MS)
+        self.harness.send_notices(acknowledged=True)
+        self.harness.pass_time(10 * MS)
 
-    @rule(us=st.sampled_from([10 * MS, 60 * MS, KEY_REST_US // 2]))
+    @rule(us=st.sampled_from([10 * MS, 60 * MS, KEY_BACKOFF_US // 2]))
     def pass_time(self, us: int) -> None:
-        self.single.pass_time(us)
+        self.harness.pass_time(us)
 
-    @precondition(lambda self: self.single.calls.calls)
+    @precondition(lambda self: self.harness.pool.calls)
     @rule(data=st.data(), outcome=st.sampled_from(OUTCOMES))
     def end_a_call(self, data: st.DataObject, outcome: Outcome) -> None:
-        names = sorted({name for name, _ in self.single.calls.calls})
-        self.single.calls.end(data.draw(st.sampled_from(names)), outcome)
-        self.single.pass_time(10 * MS)
+        names = sorted({name for name, _ in self.harness.pool.calls})
+        self.harness.pool.end(data.draw(st.sampled_from(names)), outcome)
+        self.harness.pass_time(10 * MS)
 
     @rule(heard=st.booleans())
     def notify(self, heard: bool) -> None:
-        self.single.notify(heard)
+        self.harness.send_notices(heard)
 
     @rule(calls=st.sampled_from([(), (), FILE_CALLS, ("write",), ("pwrite",), ("replace",), ("open",)]))
     def fail(self, calls: tuple[str, ...]) -> None:
         self.failing = calls
 
-    @precondition(lambda self: self.single.doors)
+    @precondition(lambda self: self.harness.unanswered)
     @rule()
     def give_up(self) -> None:
         """The client of the oldest message without an answer."""
-        self.single.give_up(next(iter(self.single.doors)))
+        self.harness.withdraw(next(iter(self.harness.unanswered)))
 
-    @rule(down_us=st.sampled_from([100 * MS, SECOND]), in_order=st.booleans())
+    @rule(down_us=st.sampled_from([100 * MS, SECOND_US]), in_order=st.booleans())
     def restart(self, down_us: int, in_order: bool) -> None:
         """By SIGKILL, or in order first."""
         if in_order:
-            self.single.stop()
+            self.harness.terminate()
         else:
-            self.single.kill()
-        self.single.now_us += down_us
-        self.single.start()
-        self.single.pass_time(10 * MS)
-        self.single.pass_time(10 * MS)
+            self.harness.kill()
+        self.harness.clock.now_us += down_us
+        self.harness.start()
+        self.harness.pass_time(10 * MS)
+        self.harness.pass_time(10 * MS)
 
     @rule()
     def upgrade(self) -> None:
         """Another process takes over, if the journal has all that it goes by."""
-        self.single.hand_over()
-        self.single.pass_time(10 * MS)
+        self.harness.hand_over()
+        self.harness.pass_time(10 * MS)
 
-    @rule(number=st.integers(0, HOSTS - 1), health=st.sampled_from(["up", "up", "draining", "removed"]))
+    @rule(number=st.integers(0, ENDPOINTS - 1), health=st.sampled_from(["up", "up", "draining", "removed"]))
     def change_list(self, number: int, health: str) -> None:
-        self.single.change_list(number, health)
-        self.single.pass_time(10 * MS)
+        self.harness.change_endpoint(number, health)
+        self.harness.pass_time(10 * MS)
 
     @invariant()
     def breaks_no_rule(self) -> None:
-        assert self.single.left_without_end() == []
-        assert self.single.oracle.broken == []
-        assert "violations: none" in self.single.engine.commands.rules()
+        assert self.harness.overdue_messages() == []
+        assert self.harness.oracle.violations == []
+        assert "violations: none" in self.harness.engine.commands.rules()
 
 
 KeyOrder.TestCase.settings = profile(derandomize=True, max_examples=80, stateful_step_count=50, deadline=None)
@@ -140,40 +144,40 @@
 
 def test_all_that_was_taken_on_has_its_end(tmp_path: Path) -> None:
     """The model's own check: what it plays comes to an end, and some of it by each way."""
-    single = Single(tmp_path)
+    harness = ForwarderHarness(tmp_path)
     for n in range(20):
-        single.hand_in(f"m{n}", [*CLASSES][n % 3], f"k{n % 5}", 2 * SECOND)
-        single.pass_time(20 * MS)
+        harness.submit(f"m{n}", [*CLASSES][n % 3], f"k{n % 5}", 2 * SECOND_US)
+        harness.pass_time(20 * MS)
         if n == 10:
-            single.kill()
-            single.start()
-        for name in sorted({name for name, _ in single.calls.calls})[:1]:
-            single.calls.end(name, OUTCOMES[n % len(OUTCOMES)])
+            harness.kill()
+            harness.start()
+        for name in sorted({name for name, _ in harness.pool.calls})[:1]:
+            harness.pool.end(name, OUTCOMES[n % len(OUTCOMES)])
     for _ in range(300):
-        single.pass_time(20 * MS)
-        single.notify(heard=True)
-    assert not single.oracle.unended()
-    assert any(fate.delivered for fate in single.oracle.fates.values())
-    single.close()
+        harness.pass_time(20 * MS)
+        harness.send_notices(acknowledged=True)
+    assert not harness.oracle.pending_messages()
+    assert any(message.is_delivered for message in harness.oracle.messages.values())
+    harness.close()
 
 
 def test_a_call_to_an_endpoint_that_has_left_the_list_goes_on_over_a_hand_over(tmp_path: Path) -> None:
     """Found by the model: who took over forgot the call, tried it again, and let the next of its key go."""
-    single = Single(tmp_path)
-    single.hand_in("m1", "once", "k1", 6 * SECOND)
-    single.pass_time(10 * MS)
-    (call,) = single.calls.calls.values()
-    called = next(n for n in range(HOSTS) if single.engine.endpoint_table.names[call.endpoint] == f"s{n}")
-    single.change_list(called, "removed")
-    single.hand_in("m2", "once", "k1", 6 * SECOND)
-    assert single.hand_over()
+    harness = ForwarderHarness(tmp_path)
+    harness.submit("m1", "once", "k1", 6 * SECOND_US)
+    harness.pass_time(10 * MS)
+    (call,) = harness.pool.calls.values()
+    called = next(n for n in range(ENDPOINTS) if harness.engine.endpoint_table.names[call.endpoint] == f"s{n}")
+    harness.change_endpoint(called, "removed")
+    harness.submit("m2", "once", "k1", 6 * SECOND_US)
+    assert harness.hand_over()
     for _ in range(20):
-        single.pass_time(20 * MS)
-    assert [name for name, _ in single.calls.calls] == ["m1"]
-    assert "violations: none" in single.engine.commands.rules()
-    assert single.oracle.broken == []
-    single.calls.end("m1", Outcome.DELIVERED)
+        harness.pass_time(20 * MS)
+    assert [name for name, _ in harness.pool.calls] == ["m1"]
+    assert "violations: none" in harness.engine.commands.rules()
+    assert harness.oracle.violations == []
+    harness.pool.end("m1", Outcome.DELIVERED)
     for _ in range(20):
-        single.pass_time(20 * MS)
-    assert [name for name, _ in single.calls.calls] == ["m2"]
-    single.close()
+        harness.pass_time(20 * MS)
+    assert [name for name, _ in harness.pool.calls] == ["m2"]
+    harness.close()
