--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -1,9 +1,11 @@
 """Which endpoint a stream goes to, or that it is rejected. Pure; joins the dispatcher.
 
 A stream is one HTTP exchange that passes through while it arrives. It counts as a call in all that the dispatcher
-keeps: slots, concurrency windows, Retry-After, backoff, quotas, slow start, disabled and draining endpoints. Messages go
-first: streams hold their share of the slots at most, begin only where no message is held for the destination, and leave
-at each destination a slot to messages. They are not held: one that cannot go now is rejected with a Retry-After.
+keeps: slots, concurrency windows, Retry-After, backoff, quotas, slow start, disabled and draining endpoints.
+
+Messages go first: streams hold their share of the slots at most, begin only where no message is held for the
+destination, and leave at each destination a slot to messages. They are not held: one that cannot go now is rejected
+with a Retry-After.
 """
 
 from __future__ import annotations
