--- a/benchmarks/accept.py
+++ b/benchmarks/accept.py
@@ -18,9 +18,11 @@
 from dataclasses import dataclass, fields
 from pathlib import Path
 
-import tests.sockets as sockets
+import tests.nodes as nodes
 from benchmarks.summary import percentile
-from tests.sockets import OK, Node, Peer, Platform, always
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, Peer, always
 
 CLIENTS = 8
 DEFAULT_PAIRS = 5
@@ -67,7 +69,7 @@
     client = await node.client()
     for number in range(count):
         began_s = time.perf_counter()
-        status, _ = await client.hand_in(f"{client_number}-{number}", "status")
+        status, _ = await client.submit(f"{client_number}-{number}", "status")
         if status == 202:
             took_ms.append((time.perf_counter() - began_s) * 1000)
     client.writer.close()
@@ -75,13 +77,13 @@
 
 async def run(program: Path, messages: int) -> Figures:
     """Measure one process of a checkout."""
-    sockets.ROOT = program
+    nodes.PROGRAM_ROOT = program
     with tempfile.TemporaryDirectory() as folder:
         platform = await Platform().start()
         peer = await Peer(always(OK)).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         node = await Node(Path(folder), platform, max_open=MAX_OPEN_MESSAGES).start()
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         took_ms: list[float] = []
         before_s = processor_s(node.process.pid)
         await asyncio.gather(*(submit(node, number, messages // CLIENTS, took_ms) for number in range(CLIENTS)))
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -17,7 +17,9 @@
 from pathlib import Path
 
 from benchmarks.summary import format_range, percentile
-from tests.sockets import OK, Node, Peer, Platform, always
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, Peer, always
 
 LEVELS = (None, "none", "interval", "data")
 """Levels of durability; None runs without an extensions file."""
@@ -43,7 +45,7 @@
     platform = Platform()
     await platform.start()
     peer = await Peer(always(OK)).start()
-    platform.host("s1", peer.port)
+    platform.add_endpoint("s1", peer.port)
     node = Node(folder, platform)
     if level is not None:
         extensions = folder / "parts.toml"
@@ -60,7 +62,7 @@
     took_ms = []
     for number in range(SEQUENTIAL_MESSAGES):
         began_s = time.monotonic()
-        status, _ = await node.hand_in(f"a{number}")
+        status, _ = await node.submit(f"a{number}")
         assert status == 202
         took_ms.append((time.monotonic() - began_s) * 1000)
     return took_ms
@@ -72,7 +74,7 @@
     async def submit(client: int) -> None:
         """Submit one client's messages."""
         for number in range(CONCURRENT_MESSAGES // CLIENTS):
-            await node.hand_in(f"b{client}-{number}")
+            await node.submit(f"b{client}-{number}")
 
     began_s = time.monotonic()
     await asyncio.gather(*(submit(client) for client in range(CLIENTS)))
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -16,7 +16,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tests.sockets import Node, Platform, message
+from tests.nodes import Node, message
+from tests.platforms import Platform
 
 BLOCK = message("flood", "nowhere", body=b"x" * 200) * 500
 PAUSE_S = 0.05
@@ -80,7 +81,7 @@
     for number in range(MAX_STEADY_MESSAGES):
         began_s = time.perf_counter()
         try:
-            status, _ = await node.hand_in(f"m{number}", "status")
+            status, _ = await node.submit(f"m{number}", "status")
         except (OSError, asyncio.IncompleteReadError):
             status = 0
         if status == 202:
@@ -93,7 +94,7 @@
 async def run(folder: Path, clients: int, seconds: float) -> None:
     """Measure one forwarder under a flood, and print what it used."""
     platform = await Platform().start()
-    platform.host("s1", UNUSED_PORT)
+    platform.add_endpoint("s1", UNUSED_PORT)
     node = await Node(folder, platform, max_open=MAX_OPEN_MESSAGES).start()
     usages = [usage_of(node.process.pid)]
     client = SteadyClient()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -21,7 +21,9 @@
 from forwarder.decisions.settings import MessageClass
 from forwarder.storage.messages import AcceptedMessage
 from forwarder.storage.store import MessageStore
-from tests.sockets import ROOT, Node, Platform
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import ROOT
 
 DEFAULT_RUNS = 5
 HOUR_US = 3_600_000_000
--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -34,7 +34,9 @@
     serve_endpoint,
 )
 from benchmarks.summary import percentile, print_values
-from tests.sockets import SETTINGS, Node, Platform, message, own_host
+from tests.nodes import SETTINGS, Node, message
+from tests.platforms import Platform
+from tests.sockets import own_host
 from tests.streams import streaming
 
 MIB = 1 << 20
@@ -124,7 +126,7 @@
     platform = Platform()
     await platform.start()
     for destination in range(FIRST_DESTINATION, LAST_DESTINATION + 1):
-        platform.host(f"s{destination}", port, block=destination)
+        platform.add_endpoint(f"s{destination}", port, block=destination)
     with tempfile.TemporaryDirectory() as folder:
         node, stream_port = await streaming(Path(folder), platform, dict(SETTINGS_TABLE))
         try:
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -11,9 +11,11 @@
 from forwarder.decisions.actions import EjectionChanged
 from forwarder.decisions.events import EndpointDisabled, EndpointEnabled, EndpointListKind, EndpointListReceived
 from forwarder.decisions.outcomes import Outcome
+from tests.nodes import Client, Node, message
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, started
-from tests.sockets import OK, PATIENCE, Client, Node, Peer, Platform, always, hang, message
+from tests.sockets import OK, PATIENCE, Peer, always, hang
 
 
 def test_every_caller_is_answered_and_none_holds_up_another(tmp_path: Path) -> None:
@@ -84,16 +86,16 @@
         node = await node_on(folder, platform)
         idle, kept, half = [await node.client() for _ in range(3)]
         for n, client in enumerate((idle, kept)):
-            assert (await client.hand_in(f"before{n}", "status"))[0] == 202
+            assert (await client.submit(f"before{n}", "status"))[0] == 202
         half.writer.write(message("half", "status")[:60])
         for _ in range(2):
             assert (await node.call(b"LEAVE\n")).startswith("ok")
         assert await up(node) == 503
-        status, headers = await kept.hand_in("during", "status")
+        status, headers = await kept.submit("during", "status")
         assert status == 202
         assert headers["connection"] == "close"
         late = await node.client()
-        assert (await late.hand_in("late", "status"))[0] == 202
+        assert (await late.submit("late", "status"))[0] == 202
         half.writer.write(message("half", "status")[60:])
         assert (await half.answer())[0] == 202
         for client in (idle, kept, half, late):
@@ -104,13 +106,13 @@
         assert await up(node) == 200
         stays = await node.client()
         for n in range(2):
-            status, headers = await stays.hand_in(f"after{n}", "status")
+            status, headers = await stays.submit(f"after{n}", "status")
             assert status == 202
             assert "connection" not in headers
         peer.handler = always(OK)
         await node.restart()
         names = {"before0", "before1", "during", "late", "half", "after0", "after1"}
-        await peer.until(lambda: {r.headers["x-correlation-id"] for r in peer.requests} == names)
+        await peer.wait_until(lambda: {r.headers["x-correlation-id"] for r in peer.requests} == names)
 
     play(scene, tmp_path)
 
@@ -128,20 +130,20 @@
             assert (await node.call(b"OFFLINE s1\n")).startswith("ok")
         before = len(one.requests)
         for n in range(8):
-            assert (await node.hand_in(f"banned{n}", "status"))[0] == 202
-        await two.got(8)
+            assert (await node.submit(f"banned{n}", "status"))[0] == 202
+        await two.wait_for_requests(8)
         for health in ("draining", "up"):
             await platform.change("s1", health)
-            await platform.until(lambda: any(f"from={platform.seq}" in r.path for r in platform.requests))
+            await platform.wait_until(lambda: any(f"from={platform.version}" in r.path for r in platform.requests))
         await node.restart(sign)
         for n in range(8, 16):
-            assert (await node.hand_in(f"banned{n}", "status"))[0] == 202
-        await two.got(16)
+            assert (await node.submit(f"banned{n}", "status"))[0] == 202
+        await two.wait_for_requests(16)
         assert len(one.requests) == before
         await node.call(b"OFFLINE s2\n")
-        assert (await node.hand_in("waits", "status"))[0] == 202
+        assert (await node.submit("waits", "status"))[0] == 202
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
-        await one.got(before + 1)
+        await one.wait_for_requests(before + 1)
         assert names(one) == {"waits"}
         assert len(two.requests) == 16
 
@@ -153,10 +155,10 @@
         await target(platform, always(OK))
         await target(platform, always(OK), "s2")
         node = await node_on(folder, platform)
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         await platform.change("s2", "removed")
-        await platform.until(lambda: any("from=2" in r.path for r in platform.requests))
-        del platform.hosts["s2"]
+        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))
+        del platform.endpoints["s2"]
         node.configure(known=platform.listing())
         await node.restart()
         for line in (b"OFFLINE s3\n", b"ONLINE s3\n", b"OFFLINE\n", b"OFFLINE s1 s2\n", b"OFFLINE s\n"):
--- a/tests/clients/test_client_connection.py
+++ b/tests/clients/test_client_connection.py
@@ -21,12 +21,9 @@
 from forwarder.storage.clock import Clock
 from tests.clients.peers import FLOOD, ONE_OF_FLOOD, flood_server, reject_all
 from tests.engine_scene import RecordingTransport, play_with_platform
-from tests.sockets import (
-    SETTINGS,
-    Platform,
-    Skewed,
-    message,
-)
+from tests.nodes import SETTINGS, message
+from tests.platforms import Platform
+from tests.sockets import Skewed
 
 
 def test_a_flood_is_read_no_faster_than_its_answers_are() -> None:
--- a/tests/clients/test_request_parser.py
+++ b/tests/clients/test_request_parser.py
@@ -8,7 +8,7 @@
 
 from forwarder.clients.request_parser import MAX_HEADER_BYTES, RequestParser
 from forwarder.protocol.http1 import MAX_BODY_BYTES
-from tests.sockets import message
+from tests.nodes import message
 
 
 def make_parser(continued: list[str] | None = None) -> RequestParser:
--- a/tests/clients/test_server.py
+++ b/tests/clients/test_server.py
@@ -18,12 +18,9 @@
 from forwarder.storage.clock import Clock
 from tests.clients.peers import flood_server, reject_all
 from tests.engine_scene import play_with_platform
-from tests.sockets import (
-    SETTINGS,
-    Platform,
-    Skewed,
-    message,
-)
+from tests.nodes import SETTINGS, message
+from tests.platforms import Platform
+from tests.sockets import Skewed
 
 
 def test_a_client_that_reads_nothing_loses_its_connection() -> None:
--- a/tests/clients/test_submission.py
+++ b/tests/clients/test_submission.py
@@ -4,13 +4,10 @@
 
 from pathlib import Path
 
+from tests.nodes import message
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
-from tests.sockets import (
-    OK,
-    Platform,
-    always,
-    message,
-)
+from tests.sockets import OK, always
 
 BAD_REQUESTS = [
     (b"what is this\r\n\r\n", 400),
@@ -48,6 +45,6 @@
         client = await node.client()
         client.writer.write(message("p1") + message("p2", body=b"x" * 65_536))
         assert [(await client.answer())[0], (await client.answer())[0]] == [202, 202]
-        assert {r.headers["x-correlation-id"] for r in await peer.got(2)} == {"p1", "p2"}
+        assert {r.headers["x-correlation-id"] for r in await peer.wait_for_requests(2)} == {"p1", "p2"}
 
     play(scene, tmp_path)
--- a/tests/config/test_config_errors.py
+++ b/tests/config/test_config_errors.py
@@ -10,10 +10,8 @@
 
 import pytest
 
-from tests.sockets import (
-    ROOT,
-    SETTINGS,
-)
+from tests.nodes import SETTINGS
+from tests.sockets import ROOT
 
 
 @pytest.mark.parametrize(
--- a/tests/config/test_extensions_file.py
+++ b/tests/config/test_extensions_file.py
@@ -14,8 +14,10 @@
 from forwarder.config.config import Address, Config, ConfigError, EndpointList
 from forwarder.runtime.extension_loader import MODULES, load_extensions
 from forwarder.streaming.extension import StreamingExtensionFactory
+from tests.nodes import Node, message
+from tests.platforms import Platform
 from tests.scripts import settings
-from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
+from tests.sockets import OK, PATIENCE, ROOT, Peer, always
 from tests.streams import streaming
 
 CONFIG = Config(
@@ -199,10 +201,10 @@
 
     async def scene(platform: Platform) -> None:
         peer = await Peer(always(OK)).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         node = await Node(tmp_path, platform).start()
-        assert (await node.hand_in("a"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("a"))[0] == 202
+        await peer.wait_for_requests(1)
         assert (await node.call(b"LEAVE\n")).startswith("ok")
         assert await node.end(signal.SIGTERM) == 0
         assert "forwarder.runtime.engine" in imported(node)
@@ -227,7 +229,7 @@
 
         server = await asyncio.start_server(endpoint, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        platform.host("s1", port)
+        platform.add_endpoint("s1", port)
         node = await Node(tmp_path, platform).start()
         client = await node.client()
         client.writer.write(message("a1"))
--- a/tests/data/e0ee873/make.py
+++ b/tests/data/e0ee873/make.py
@@ -66,7 +66,7 @@
 
     async def target(name: str, handler: Any, block: int, kind: str = "plain") -> Peer:
         peer = await Peer(handler).start()
-        platform.host(name, peer.port, block, kind=kind)
+        platform.add_endpoint(name, peer.port, block, kind=kind)
         return peer
 
     one = await target("s1", hang, 7)
@@ -75,7 +75,7 @@
     four = await target("s4", always(Answer(500)), 10)
     five = await target("s5", always(None), 11)
     await target("s6", always(OK), 12)
-    platform.host("s7", sockets.free_port(), 13)
+    platform.add_endpoint("s7", sockets.free_port(), 13)
     platform.accepts = False
     node = Node(work, platform)
     contract = sockets.SETTINGS["contract"] | {"key_rest_us": 30_000_000, "warm_after_us": 60_000_000}
@@ -83,26 +83,26 @@
     node.configure(settings=read["settings"] | {"contract": contract})
     await node.start()
     kept, half = await node.client(), await node.client()
-    assert (await kept.hand_in("out", "turn", X_Session_Key="claim", body=b"body of out"))[0] == 202
-    await one.got(1)
-    assert (await kept.hand_in("behind", "turn", X_Session_Key="claim"))[0] == 202
-    assert (await node.hand_in("done", "status", dest=8))[0] == 202
-    await two.got(1)
-    assert (await node.hand_in("done again", "status", dest=8))[0] == 400
-    assert (await node.hand_in("done-again", "status", dest=8))[0] == 202
-    await two.got(2)
-    assert (await node.hand_in("waits", "status", dest=9, Idempotency_Key="idem-1"))[0] == 202
-    await three.got(1)
-    assert (await node.hand_in("failed", "pay", dest=10))[0] == 202
-    await four.got(1)
-    assert (await node.hand_in("reset", "turn", dest=11, X_Session_Key="other"))[0] == 202
-    await five.got(1)
-    assert (await node.hand_in("rests", "turn", dest=11, X_Session_Key="other"))[0] == 202
+    assert (await kept.submit("out", "turn", X_Session_Key="claim", body=b"body of out"))[0] == 202
+    await one.wait_for_requests(1)
+    assert (await kept.submit("behind", "turn", X_Session_Key="claim"))[0] == 202
+    assert (await node.submit("done", "status", dest=8))[0] == 202
+    await two.wait_for_requests(1)
+    assert (await node.submit("done again", "status", dest=8))[0] == 400
+    assert (await node.submit("done-again", "status", dest=8))[0] == 202
+    await two.wait_for_requests(2)
+    assert (await node.submit("waits", "status", dest=9, Idempotency_Key="idem-1"))[0] == 202
+    await three.wait_for_requests(1)
+    assert (await node.submit("failed", "pay", dest=10))[0] == 202
+    await four.wait_for_requests(1)
+    assert (await node.submit("reset", "turn", dest=11, X_Session_Key="other"))[0] == 202
+    await five.wait_for_requests(1)
+    assert (await node.submit("rests", "turn", dest=11, X_Session_Key="other"))[0] == 202
     assert (await node.call(b"OFFLINE s6\n")).startswith("ok")
-    assert (await node.hand_in("banned", "order", dest=12))[0] == 202
-    assert (await node.hand_in("unreached", "status", dest=13))[0] == 202
+    assert (await node.submit("banned", "order", dest=12))[0] == 202
+    assert (await node.submit("unreached", "status", dest=13))[0] == 202
     half.writer.write(message("half", "status", dest=8, body=b"the rest comes later")[:70])
-    await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
+    await platform.wait_until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
     await asyncio.sleep(0.3)
     state = work / "state"
     base = int(json.loads((state / "clock").read_bytes().partition(b" ")[2])["clock_ns"]) - int(
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -16,8 +16,10 @@
 from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.outlier_detection import OutlierDetector, OutlierSettings, Verdict, failure_rate_bounds
+from tests.nodes import Node
+from tests.platforms import Platform
 from tests.scripts import MS, S, ask, end, sends, settings
-from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request
+from tests.sockets import OK, PATIENCE, Answer, Peer, Request
 
 LIMITS = OutlierSettings(
     half_life_us=10 * S,
@@ -248,7 +250,7 @@
                 return Answer(500) if broken.get(name) else OK
 
             peers[name] = await Peer(handler).start()
-            platform.host(name, peers[name].port)
+            platform.add_endpoint(name, peers[name].port)
         node = Node(tmp_path, platform)
         (tmp_path / "parts.toml").write_text(
             "[health.passive]\neject_s = 0.5\neject_top_s = 0.5\ntrial_calls = 1\nrun_calls = 2\nagain_s = 0.1\n"
@@ -262,7 +264,7 @@
             async with asyncio.timeout(PATIENCE):
                 while True:
                     number += 1
-                    assert (await node.hand_in(f"m{number}", "status"))[0] == 202
+                    assert (await node.submit(f"m{number}", "status"))[0] == 202
                     told = await node.call(b"VERDICT s2\n")
                     if f"s2 {verdict}" in told:
                         return told
--- a/tests/decisions/test_replaced_endpoints.py
+++ b/tests/decisions/test_replaced_endpoints.py
@@ -5,7 +5,7 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import EndpointEntry, EndpointListKind, EndpointListReceived
 from forwarder.protocol.settings_format import parse_settings
-from tests.sockets import SETTINGS
+from tests.nodes import SETTINGS
 
 
 def test_endpoints_replaced_for_months_do_not_pile_up() -> None:
--- a/tests/discovery/peers.py
+++ b/tests/discovery/peers.py
@@ -7,9 +7,7 @@
 from typing import Any
 
 from forwarder.config.config import Address
-from tests.sockets import (
-    read_message,
-)
+from tests.sockets import read_message
 
 
 class QuestionedDiscovery:
--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -21,16 +21,9 @@
 from forwarder.runtime import engine as engine_module
 from tests.discovery.peers import QuestionedDiscovery, json_answer
 from tests.engine_scene import SECOND, EngineScene, play_with_platform
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
-from tests.sockets import (
-    OK,
-    PATIENCE,
-    Answer,
-    Platform,
-    Request,
-    Skewed,
-    always,
-)
+from tests.sockets import OK, PATIENCE, Answer, Request, Skewed, always
 
 CHANGE_COUNTS_AFTER_S = 2.0
 """The protocol: what a call that may wait had to tell counts as told so long after its wait is over."""
@@ -68,10 +61,10 @@
     async def scene(_: Platform) -> None:
         platform = SilentDiscovery(silent, cut)
         await platform.start()
-        platform.host("s1", 9)
-        platform.host("s2", 9)
+        platform.add_endpoint("s1", 9)
+        platform.add_endpoint("s2", 9)
         at = await EngineScene(tmp_path, platform).start()
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         assert len(at.engine.pool.addresses) == 2
         await platform.change("s1", "draining")
         while len(at.engine.pool.addresses) == 2:
@@ -168,9 +161,9 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         await node_on(folder, platform, discovery=discovery)
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         await platform.change("s1", "draining")
-        await platform.until(lambda: any("from=2" in r.path for r in platform.requests))
+        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))
 
     play(scene, tmp_path)
 
@@ -180,17 +173,17 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
-        platform.seq = 0
+        platform.version = 0
         node = await node_on(folder, platform, discovery="pushed")
-        await platform.got(2)
+        await platform.wait_for_requests(2)
         for n in range(20):
-            assert (await node.hand_in(f"m{n}"))[0] == 202
-        await peer.got(20)
+            assert (await node.submit(f"m{n}"))[0] == 202
+        await peer.wait_for_requests(20)
         assert [r.path for r in platform.requests] == [
             f"/discovery/hosts?from=0&hold_ms={hold_ms}" for hold_ms in (FIRST_POLL_HOLD_MS, POLL_HOLD_MS)
         ]
         await platform.change("s1", "draining")
-        await platform.until(lambda: any("from=1" in r.path for r in platform.requests))
+        await platform.wait_until(lambda: any("from=1" in r.path for r in platform.requests))
 
     play(scene, tmp_path)
 
@@ -200,18 +193,18 @@
         one = await target(platform, always(OK))
         two = await target(platform, always(OK), "s2")
         node = await node_on(folder, platform, known=platform.listing())
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         await platform.change("s1", "draining")
-        await platform.until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
+        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
         before = len(one.requests)
         for n in range(8):
-            assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await two.got(8)
+            assert (await node.submit(f"m{n}", "status"))[0] == 202
+        await two.wait_for_requests(8)
         platform.garbage = 10**6  # discovery is of no help: what the journal tells must do
         await node.restart()
         for n in range(8, 16):
-            assert (await node.hand_in(f"m{n}", "status"))[0] == 202
-        await two.got(16)
+            assert (await node.submit(f"m{n}", "status"))[0] == 202
+        await two.wait_for_requests(16)
         assert len(one.requests) == before
 
     play(scene, tmp_path)
@@ -223,9 +216,9 @@
         known = platform.listing()
         platform.garbage = 2
         node = await node_on(folder, platform, known={**known, "hosts": []} | {"seq": 0})
-        while (await node.hand_in("m"))[0] != 202:
+        while (await node.submit("m"))[0] != 202:
             await asyncio.sleep(0.05)
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert sum("cannot poll the endpoint list" in line for line in node.log) == 2
 
     play(scene, tmp_path)
@@ -235,7 +228,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
         node = await node_on(folder, platform)
-        await platform.got(1)
+        await platform.wait_for_requests(1)
         config = json.loads((folder / "config.json").read_text())
         (folder / "config.json").write_text("{")
         node.process.send_signal(signal.SIGHUP)
@@ -244,17 +237,17 @@
                 await asyncio.sleep(0.01)
         new = Platform()
         await new.start()
-        new.hosts, new.seq = platform.hosts, platform.seq
+        new.endpoints, new.version = platform.endpoints, platform.version
         fresh = await target(new, always(OK), "s2", block=9)
-        new.seq += 1
-        new.news[new.seq] = [new.hosts["s2"]]
+        new.version += 1
+        new.changes[new.version] = [new.endpoints["s2"]]
         (folder / "config.json").write_text(json.dumps(config | {"discovery": f"127.0.0.1:{new.port}"}))
         node.process.send_signal(signal.SIGHUP)
-        await new.until(lambda: any(f"from={new.seq}" in r.path for r in new.requests))
-        assert (await node.hand_in("here", "pay", dest=9))[0] == 202
-        await fresh.got(1)
-        assert (await node.hand_in("m", "pay"))[0] == 202
-        assert (await new.notice("m"))["state"] == "failed"
+        await new.wait_until(lambda: any(f"from={new.version}" in r.path for r in new.requests))
+        assert (await node.submit("here", "pay", dest=9))[0] == 202
+        await fresh.wait_for_requests(1)
+        assert (await node.submit("m", "pay"))[0] == 202
+        assert (await new.wait_for_notice("m"))["state"] == "failed"
         assert not platform.notices
         assert await node.end(signal.SIGTERM) == 0
 
--- a/tests/discovery/test_notifier.py
+++ b/tests/discovery/test_notifier.py
@@ -10,9 +10,7 @@
 from forwarder.storage.messages import PendingNotice
 from tests.discovery.peers import QuestionedDiscovery
 from tests.engine_scene import play_with_platform
-from tests.sockets import (
-    Platform,
-)
+from tests.platforms import Platform
 
 LOST_S = 0.3
 """The protocol: a message that has no end so long after its time is lost."""
--- a/tests/endpoints/peers.py
+++ b/tests/endpoints/peers.py
@@ -14,9 +14,7 @@
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
 from tests.engine_scene import DUE_US, SECOND
-from tests.sockets import (
-    Skewed,
-)
+from tests.sockets import Skewed
 
 
 def make_pool(ends: list[AttemptEnded], idle_us: int = 5_000_000) -> ConnectionPool:
--- a/tests/endpoints/test_call_outcome.py
+++ b/tests/endpoints/test_call_outcome.py
@@ -15,16 +15,9 @@
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import make_pool
+from tests.platforms import Platform
 from tests.scenes import ids, node_on, play, target
-from tests.sockets import (
-    OK,
-    Answer,
-    Peer,
-    Platform,
-    Request,
-    always,
-    free_port,
-)
+from tests.sockets import OK, Answer, Peer, Request, always, free_port
 
 
 def test_a_retry_after_with_the_results_of_a_batch_binds_whatever_they_are() -> None:
@@ -54,14 +47,14 @@
 def test_refused_connection_never_ran_and_a_broken_one_may_have(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         port = free_port()
-        platform.host("s1", port)
+        platform.add_endpoint("s1", port)
         breaks = await target(platform, always(None), "s2", block=8)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("broke", "pay", dest=8))[0] == 202
-        assert (await platform.notice("broke"))["state"] == "failed"
+        assert (await node.submit("broke", "pay", dest=8))[0] == 202
+        assert (await platform.wait_for_notice("broke"))["state"] == "failed"
         assert len(breaks.requests) == 1
-        assert (await node.hand_in("refused", "pay", left="2"))[0] == 202
-        assert (await platform.notice("refused"))["state"] == "returned"
+        assert (await node.submit("refused", "pay", left="2"))[0] == 202
+        assert (await platform.wait_for_notice("refused"))["state"] == "returned"
 
     play(scene, tmp_path)
 
@@ -85,8 +78,8 @@
 
         peer = await target(platform, answer)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "pay"))[0] == 202
-        assert (await platform.notice("m"))["state"] == "failed"
+        assert (await node.submit("m", "pay"))[0] == 202
+        assert (await platform.wait_for_notice("m"))["state"] == "failed"
         assert len(peer.requests) == 1
 
     play(scene, tmp_path)
@@ -101,9 +94,9 @@
 
         await target(platform, answer)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "pay"))[0] == 202
-        assert (await node.hand_in("n", "pay"))[0] == 202
-        await platform.notice("n")
+        assert (await node.submit("m", "pay"))[0] == 202
+        assert (await node.submit("n", "pay"))[0] == 202
+        await platform.wait_for_notice("n")
         assert [n["id"] for n in platform.notices] == ["n"]
 
     play(scene, tmp_path)
@@ -117,10 +110,10 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(garbage, OK))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "order"))[0] == 202
-        await peer.got(2)
-        assert (await node.hand_in("n", "order"))[0] == 202
-        await peer.got(3)
+        assert (await node.submit("m", "order"))[0] == 202
+        await peer.wait_for_requests(2)
+        assert (await node.submit("n", "order"))[0] == 202
+        await peer.wait_for_requests(3)
 
     play(scene, tmp_path)
 
@@ -132,11 +125,11 @@
 
         peer = await target(platform, cut)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.until(lambda: peer.closed == 1)
+        assert (await node.submit("m", "status"))[0] == 202
+        await peer.wait_until(lambda: peer.closed == 1)
         peer.handler = always(OK)
-        assert (await node.hand_in("n", "status"))[0] == 202
-        await peer.got(2)
+        assert (await node.submit("n", "status"))[0] == 202
+        await peer.wait_for_requests(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["m", "n"]
 
     play(scene, tmp_path)
@@ -146,14 +139,14 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("expired", "pay"))[0] == 202
-        await peer.got(1)
-        assert (await node.hand_in("slots", "pay"))[0] == 202
-        await peer.got(3)
+        assert (await node.submit("expired", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
+        assert (await node.submit("slots", "pay"))[0] == 202
+        await peer.wait_for_requests(3)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["expired", "slots", "slots"]
         peer.handler = always(Answer(504))
-        assert (await node.hand_in("spent", "status", left="3"))[0] == 202
-        assert (await platform.notice("spent"))["state"] == "returned"
+        assert (await node.submit("spent", "status", left="3"))[0] == 202
+        assert (await platform.wait_for_notice("spent"))["state"] == "returned"
         assert [n["id"] for n in platform.notices] == ["expired", "spent"]
 
     play(scene, tmp_path)
@@ -169,10 +162,10 @@
 
         peer = await target(platform, handler)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
-        assert (await node.hand_in("b", "status"))[0] == 202
-        await peer.got(3)
+        assert (await node.submit("a", "status"))[0] == 202
+        await peer.wait_for_requests(1)
+        assert (await node.submit("b", "status"))[0] == 202
+        await peer.wait_for_requests(3)
         assert times[1] - times[0] >= 0.69
 
     play(scene, tmp_path)
--- a/tests/endpoints/test_connection.py
+++ b/tests/endpoints/test_connection.py
@@ -18,12 +18,8 @@
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, HalfWrittenTransport, SocketEndpoint, make_call, make_pool
 from tests.engine_scene import play_with_platform
-from tests.sockets import (
-    PATIENCE,
-    Peer,
-    Platform,
-    Request,
-)
+from tests.platforms import Platform
+from tests.sockets import PATIENCE, Peer, Request
 
 
 def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -23,16 +23,8 @@
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, SocketEndpoint, make_call, make_pool
 from tests.engine_scene import DUE_US, SECOND, RecordingTransport, play_with_platform
-from tests.sockets import (
-    OK,
-    PATIENCE,
-    Answer,
-    Peer,
-    Platform,
-    Request,
-    Skewed,
-    hang,
-)
+from tests.platforms import Platform
+from tests.sockets import OK, PATIENCE, Answer, Peer, Request, Skewed, hang
 
 
 def test_a_delivery_within_the_margin_is_given_up_at_once() -> None:
@@ -81,7 +73,7 @@
         p = make_pool(ends)
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(make_call(Clock(), "m", 150_000))
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert p.calls_in_flight == 1
         assert not ends
         while not ends:
@@ -94,7 +86,7 @@
         assert not p.in_flight.by_attempt
         assert not p.idle.by_endpoint
         p.start(make_call(Clock(), "n"))
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         p.cancel("n", 0)
         while len(ends) < 2:  # told as its connection is gone
             await asyncio.sleep(0.01)
@@ -166,7 +158,7 @@
                 ],
             )
         )
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await asyncio.sleep(0.2)
         assert not ends
         free.set()
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -18,15 +18,8 @@
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, DeadTransport, SocketEndpoint, make_call, make_pool
 from tests.engine_scene import DUE_US, SECOND, play_with_platform
-from tests.sockets import (
-    OK,
-    Answer,
-    Peer,
-    Platform,
-    Request,
-    Skewed,
-    always,
-)
+from tests.platforms import Platform
+from tests.sockets import OK, Answer, Peer, Request, Skewed, always
 
 
 def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
@@ -37,7 +30,7 @@
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(make_call(Clock(), "m"))
         p.update_addresses({})
-        await peer.until(lambda: peer.closed == 1)
+        await peer.wait_until(lambda: peer.closed == 1)
         assert not peer.requests
         assert [e.outcome for e in ends] == [Outcome.NOT_SENT]
         assert p.calls_in_flight == 0
@@ -139,7 +132,7 @@
                 await asyncio.sleep(0.005)
         assert len({r.writer for r in peer.requests}) == 1
         p.close_idle(1)
-        await peer.until(lambda: peer.closed == 1)
+        await peer.wait_until(lambda: peer.closed == 1)
         p.close()
 
     asyncio.run(scene())
@@ -154,7 +147,7 @@
         p = make_pool(ends, 1_000_000)
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
         p.start(make_call(Clock(), "m"))
-        await peer.until(lambda: peer.closed == 1)
+        await peer.wait_until(lambda: peer.closed == 1)
         assert [e.outcome for e in ends] == [Outcome.DELIVERED]
         assert not p.idle.by_endpoint
         assert not p.idle.sweeping
--- a/tests/endpoints/test_request_rendering.py
+++ b/tests/endpoints/test_request_rendering.py
@@ -9,13 +9,9 @@
 from pathlib import Path
 from typing import Any
 
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
-from tests.sockets import (
-    OK,
-    Answer,
-    Platform,
-    hang,
-)
+from tests.sockets import OK, Answer, hang
 
 
 def test_messages_of_one_round_travel_together_and_each_has_its_own_end(tmp_path: Path) -> None:
@@ -32,18 +28,18 @@
 
         peer = await target(platform, handler, kind="lots")
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("a", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
         for name in "bcd":
-            assert (await node.hand_in(name, "pay", body=b"\0\xff" + name.encode()))[0] == 202
+            assert (await node.submit(name, "pay", body=b"\0\xff" + name.encode()))[0] == 202
         free.set()
-        call = (await peer.got(2))[1]
+        call = (await peer.wait_for_requests(2))[1]
         assert call.path == "/hook/batch"
         items = {x["id"]: x for x in json.loads(call.body)}
         assert set(items) == {"b", "c", "d"}
         assert base64.b64decode(items["c"]["body"]) == b"\0\xffc"
         assert items["c"]["key"] == "key-c"
-        assert (await platform.notice("c"))["state"] == "failed"
+        assert (await platform.wait_for_notice("c"))["state"] == "failed"
         assert await node.end(signal.SIGTERM) == 0
         assert sorted(n["id"] for n in platform.notices) == ["c", "d"]
 
@@ -64,16 +60,16 @@
         given, seen = {"a": '"8e03-97 8e"', "b": "3b93d724", "c": "0f0f"}, {}
         peer = await target(platform, hang, kind="lots")
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", X_Session_Key=None, Idempotency_Key=given["a"]))[0] == 202
-        call = (await peer.got(1))[0]
+        assert (await node.submit("a", X_Session_Key=None, Idempotency_Key=given["a"]))[0] == 202
+        call = (await peer.wait_for_requests(1))[0]
         assert call.headers["idempotency-key"] == given["a"]
         assert "x-session-key" not in call.headers
         for name in "bc":
-            assert (await node.hand_in(name, Idempotency_Key=given[name]))[0] == 202
-        assert (await node.hand_in("d"))[0] == 202
+            assert (await node.submit(name, Idempotency_Key=given[name]))[0] == 202
+        assert (await node.submit("d"))[0] == 202
         peer.handler = accept
         await node.restart()
-        await peer.until(lambda: len(seen) == 4)
+        await peer.wait_until(lambda: len(seen) == 4)
         assert seen == given | {"d": "key-d"}
         assert any(r.path == "/hook/batch" for r in peer.requests)
 
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -16,12 +16,9 @@
 from forwarder.config.config import Address, load_config
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from tests.sockets import (
-    PATIENCE,
-    SETTINGS,
-    Platform,
-    Skewed,
-)
+from tests.nodes import SETTINGS
+from tests.platforms import Platform
+from tests.sockets import PATIENCE, Skewed
 
 SECOND = 1_000_000
 
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -19,14 +19,16 @@
 )
 from forwarder.decisions.outcomes import Outcome
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
+from tests.nodes import Node, message
+from tests.platforms import Platform
 from tests.scenes import folder_nodes, ids, node_on, play, target
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
-from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always, hang, message
+from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always, hang
 
 
 async def upgraded(node: Node) -> Node:
     """Start the new process and wait until it serves and the old one has ended by itself."""
-    new = node.beside()
+    new = node.successor()
     folder_nodes[-1].append(new)
     await new.start()
     assert (await new.call(b"HEALTH\n")).startswith("ok")
@@ -68,9 +70,9 @@
         await released(free, one)
         node = await node_on(folder, platform)
         kept, half = await node.client(), await node.client()
-        assert (await kept.hand_in("a", "turn", X_Session_Key="claim"))[0] == 202
-        await one.got(1)
-        assert (await kept.hand_in("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
+        assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202
+        await one.wait_for_requests(1)
+        assert (await kept.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
         data = message("c", "turn", dest=8, X_Session_Key="other")
         half.writer.write(data[:70])
         calling = asyncio.create_task(half_calls(node))
@@ -80,13 +82,13 @@
         assert told <= {b"ok serving\n", b"fail no whole line came\n"}
         half.writer.write(data[70:])
         assert (await half.answer())[0] == 202
-        assert (await kept.hand_in("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
-        assert (await kept.hand_in("a", "turn", X_Session_Key="claim"))[0] == 202, "it is ours already"
-        await two.got(1)
+        assert (await kept.submit("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
+        assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202, "it is ours already"
+        await two.wait_for_requests(1)
         assert ids(one) == ["a"]
         assert ids(two) == ["c"]
         free.set()
-        await two.got(3)
+        await two.wait_for_requests(3)
         assert ids(one) == ["a"]
         assert ids(two) == ["c", "b", "d"]
         assert await new.end(signal.SIGTERM) == 0
@@ -103,13 +105,13 @@
         three = await target(platform, always(Answer(500)), "s3", block=9)
         platform.accepts = False
         node = await node_on(folder, platform)
-        assert (await node.hand_in("waits", "status"))[0] == 202
-        await one.got(1)
+        assert (await node.submit("waits", "status"))[0] == 202
+        await one.wait_for_requests(1)
         assert (await node.call(b"OFFLINE s2\n")).startswith("ok")
-        assert (await node.hand_in("banned", "status", dest=8))[0] == 202
-        assert (await node.hand_in("owed", "pay", dest=9))[0] == 202
-        await three.got(1)
-        await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
+        assert (await node.submit("banned", "status", dest=8))[0] == 202
+        assert (await node.submit("owed", "pay", dest=9))[0] == 202
+        await three.wait_for_requests(1)
+        await platform.wait_until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
         assert (await node.call(b"LEAVE\n")).startswith("ok")
         new = await upgraded(node)
         client = await new.client()
@@ -119,9 +121,9 @@
         assert not two.requests
         assert len(one.requests) == 1
         platform.accepts = True
-        assert (await platform.notice("owed"))["state"] == "failed"
+        assert (await platform.wait_for_notice("owed"))["state"] == "failed"
         assert (await new.call(b"ONLINE s2\n")).startswith("ok")
-        await two.got(1)
+        await two.wait_for_requests(1)
         assert ids(two) == ["banned"]
         assert len(one.requests) == len(three.requests) == 1
 
@@ -139,7 +141,7 @@
             n = 0
             while not stop.is_set():
                 name = f"c{number}-{n}"
-                status, _ = await node.hand_in(name, "pay")
+                status, _ = await node.submit(name, "pay")
                 assert status == 202
                 taken.add(name)
                 n += 1
@@ -204,10 +206,10 @@
             other.listen()
             folder_nodes[-1].append(node)
             await node.start()
-            assert (await (await node.client()).hand_in("a"))[0] == 202
+            assert (await (await node.client()).submit("a"))[0] == 202
             async with asyncio.timeout(PATIENCE):
                 while "operators cannot call" not in "".join(node.log):
                     await asyncio.sleep(0.1)
-            assert (await (await node.client()).hand_in("b"))[0] == 202
+            assert (await (await node.client()).submit("b"))[0] == 202
 
     play(scene, tmp_path)
--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -18,10 +18,12 @@
 from forwarder.clients.arrival_time import earliest_ns
 from forwarder.decisions.outcomes import Outcome
 from lab.shim import Failure
+from tests.nodes import SETTINGS, Node, message
+from tests.platforms import Platform
 from tests.runtime.test_system_faults import LARGE, answers, shimmed
 from tests.scenes import folder_nodes, ids, node_on, play, target
 from tests.scripts import S, ask, end, sends, started
-from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Node, Platform, Request, always, message
+from tests.sockets import OK, PATIENCE, Answer, Request, always
 
 KEY_REST_S = 3.0
 
@@ -35,7 +37,7 @@
         told = await answers(node, [f"m{n}" for n in range(20)], body=LARGE)
         assert set(told.values()) == {202}
         await node.fail(Failure("open", "ENOSPC"))
-        clients = [node.hand_in(f"n{n}", "status", body=LARGE) for n in range(20)]
+        clients = [node.submit(f"n{n}", "status", body=LARGE) for n in range(20)]
         told |= {f"n{n}": status for n, (status, _) in enumerate(await asyncio.gather(*clients))}
         async with asyncio.timeout(PATIENCE):
             while 503 not in told.values():
@@ -44,7 +46,7 @@
         await node.end()
         await node.fail()
         await node.start()
-        await peer.until(lambda: told.keys() - refused <= set(ids(peer)))
+        await peer.wait_until(lambda: told.keys() - refused <= set(ids(peer)))
         await asyncio.sleep(0.5)
         assert not refused & set(ids(peer))
 
@@ -69,8 +71,8 @@
         node.configure(settings=settings | {"contract": SETTINGS["contract"] | {"key_rest_us": int(KEY_REST_S * 1e6)}})
         await node.start()
         for name in ("first", "second"):
-            assert (await node.hand_in(name, "turn", X_Session_Key="k"))[0] == 202
-        await platform.notice("first")
+            assert (await node.submit(name, "turn", X_Session_Key="k"))[0] == 202
+        await platform.wait_for_notice("first")
         await node.restart()
         async with asyncio.timeout(10):
             while "second" not in came_s:
@@ -92,9 +94,9 @@
         other = await target(platform, always(OK), "s2", block=8)
         node = await node_on(folder, platform)
         for name in ("a", "b", "c"):
-            assert (await node.hand_in(name, "status"))[0] == 202
-            assert (await node.hand_in(f"{name}-other", "status", dest=8))[0] == 202
-        await asyncio.gather(garbled.got(3), other.got(3))
+            assert (await node.submit(name, "status"))[0] == 202
+            assert (await node.submit(f"{name}-other", "status", dest=8))[0] == 202
+        await asyncio.gather(garbled.wait_for_requests(3), other.wait_for_requests(3))
         assert "failures: none" in await node.call(b"RULES\n")
 
     play(scene, tmp_path)
@@ -113,7 +115,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         node = await node_on(folder, platform)
         moved = Platform()
-        moved.hosts, moved.seq = platform.hosts, platform.seq
+        moved.endpoints, moved.version = platform.endpoints, platform.version
         await moved.start()
         node.configure(discovery=f"127.0.0.1:{moved.port}")
         config, aside = folder / "config.json", folder / "aside.json"
@@ -124,7 +126,7 @@
         assert not moved.requests
         config.rmdir()
         aside.rename(config)
-        await moved.until(lambda: bool(moved.requests))
+        await moved.wait_until(lambda: bool(moved.requests))
 
     play(scene, tmp_path)
 
@@ -138,17 +140,17 @@
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
         client = await node.client()
-        assert (await client.hand_in("first", "status"))[0] == 202
+        assert (await client.submit("first", "status"))[0] == 202
         if handed_over:
-            node = node.beside()
+            node = node.successor()
             folder_nodes[-1].append(node)
             await node.start()
         await node.fail(Failure(call, "ENOBUFS", 0.5))
         names = [f"m{n}" for n in range(20)]
-        assert {(await client.hand_in(name, "status"))[0] for name in names[:10]} == {202}
+        assert {(await client.submit(name, "status"))[0] for name in names[:10]} == {202}
         assert set((await answers(node, names[10:])).values()) == {202}
         names.append("first")
-        await peer.until(lambda: sorted(ids(peer)) == sorted(names))
+        await peer.wait_until(lambda: sorted(ids(peer)) == sorted(names))
 
     play(scene, tmp_path)
 
@@ -160,7 +162,7 @@
         await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
         node = await node_on(folder, platform)
         client = await node.client()
-        assert (await client.hand_in("first", "status"))[0] == 202
+        assert (await client.submit("first", "status"))[0] == 202
         node.process.send_signal(signal.SIGSTOP)
         handed_s = asyncio.get_running_loop().time()
         client.writer.write(message("late", "status", left="1.2"))
@@ -168,7 +170,7 @@
         node.process.send_signal(signal.SIGCONT)
         status, _ = await client.answer()
         if status == 202:
-            await platform.notice("late")
+            await platform.wait_for_notice("late")
         assert status in (202, 429)
         assert asyncio.get_running_loop().time() - handed_s < 1.2 + 0.3
 
@@ -200,15 +202,15 @@
         peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
         node = await shimmed(folder, platform)
         handed_s = asyncio.get_running_loop().time()
-        assert (await node.hand_in("held", "status", left="6"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("held", "status", left="6"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.end()
         await node.fail(Failure("read", "EIO", file="clock"), clock_s=step_s)
         starting = asyncio.create_task(node.start())
         await asyncio.sleep(1.0)
         await node.fail(clock_s=step_s)
         await starting
-        await platform.notice("held")
+        await platform.wait_for_notice("held")
         assert 3.0 < asyncio.get_running_loop().time() - handed_s < 8.0
 
     play(scene, tmp_path)
@@ -221,7 +223,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(OK))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "status"))[0] == 202
+        assert (await node.submit("m", "status"))[0] == 202
         await asyncio.sleep(0.2)
         node.process.send_signal(first)
         async with asyncio.timeout(PATIENCE):
@@ -282,12 +284,12 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         endpoint = await SlowReader().start()
-        platform.host("s1", endpoint.port)
+        platform.add_endpoint("s1", endpoint.port)
         node = await node_on(folder, platform)
         client = await node.client()
         for name in ("first", "second"):
             left = "1.0" if name == "first" and ends == "given up" else "50"
-            told = await client.hand_in(name, "turn", left=left, body=LARGER_THAN_THE_WINDOW, X_Session_Key="k")
+            told = await client.submit(name, "turn", left=left, body=LARGER_THAN_THE_WINDOW, X_Session_Key="k")
             assert told[0] == 202
         async with asyncio.timeout(PATIENCE):
             while endpoint.first is None:
@@ -295,7 +297,7 @@
         await asyncio.sleep(0.2)
         if ends != "given up":
             await node.restart(signal.Signals[ends])
-        assert (await platform.notice("first"))["state"] == "failed"
+        assert (await platform.wait_for_notice("first"))["state"] == "failed"
         async with asyncio.timeout(PATIENCE):
             while not endpoint.answered:
                 await asyncio.sleep(0.01)
@@ -314,9 +316,9 @@
         node = await shimmed(folder, platform)
         await node.fail(Failure("epoll_ctl", error, 0.5))
         names = [f"m{n}" for n in range(20)]
-        told = await asyncio.gather(*(node.hand_in(name, "pay") for name in names))
+        told = await asyncio.gather(*(node.submit(name, "pay") for name in names))
         assert [status for status, _ in told] == [202] * len(names)
-        await peer.until(lambda: sorted(ids(peer)) == sorted(names))
+        await peer.wait_until(lambda: sorted(ids(peer)) == sorted(names))
         await asyncio.sleep(0.5)
         assert not platform.notices
 
@@ -329,13 +331,13 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
-        assert (await node.hand_in("before", "status"))[0] == 202
+        assert (await node.submit("before", "status"))[0] == 202
         await node.fail(Failure("poll", "ENOMEM"))
-        during = asyncio.create_task(node.hand_in("during", "status"))
+        during = asyncio.create_task(node.submit("during", "status"))
         await asyncio.sleep(0.3)
         await node.fail()
         assert (await during)[0] in (202, 503)
-        assert (await node.hand_in("after", "status"))[0] == 202
-        await peer.until(lambda: {"before", "after"} <= set(ids(peer)))
+        assert (await node.submit("after", "status"))[0] == 202
+        await peer.wait_until(lambda: {"before", "after"} <= set(ids(peer)))
 
     play(scene, tmp_path)
--- a/tests/runtime/test_incident_pre_production.py
+++ b/tests/runtime/test_incident_pre_production.py
@@ -15,8 +15,10 @@
 import pytest
 
 from lab.shim import Failure
+from tests.nodes import Client, Node, message
+from tests.platforms import Platform
 from tests.scenes import folder_nodes, ids, node_on, play, target
-from tests.sockets import OK, Answer, Client, Node, Platform, Request, always, message, once
+from tests.sockets import OK, Answer, Request, always, once
 
 DESCRIPTORS = 256  # as Node configures
 RESTING_CLIENTS = 500  # under the listener's backlog
@@ -52,15 +54,15 @@
         limit_descriptors(node)
         clients = await resting_clients(node, RESTING_CLIENTS, ask)
         for name in ("first", "second"):  # new connections are taken, and endpoints and the platform can be called
-            assert (await node.hand_in(name))[0] == 202
-        await peer.got(2)
+            assert (await node.submit(name))[0] == 202
+        await peer.wait_for_requests(2)
         assert open_descriptors(node) <= CLIENT_SHARE + 40
         moved = Platform()
-        moved.hosts, moved.seq, moved.news = platform.hosts, platform.seq, platform.news
+        moved.endpoints, moved.version, moved.changes = platform.endpoints, platform.version, platform.changes
         await moved.start()
         node.configure(discovery=f"127.0.0.1:{moved.port}")
         node.process.send_signal(signal.SIGHUP)
-        await moved.until(lambda: any(r.path.startswith("/discovery") for r in moved.requests))
+        await moved.wait_until(lambda: any(r.path.startswith("/discovery") for r in moved.requests))
         assert "cannot accept" not in "".join(node.log)
         for client in clients:
             client.writer.close()
@@ -74,14 +76,14 @@
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await target(platform, always(Answer(503)))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("held", "status"))[0] == 202
-        await drained.got(1)
+        assert (await node.submit("held", "status"))[0] == 202
+        await drained.wait_for_requests(1)
         await node.end(signal.SIGKILL)
         calls_before = len(drained.requests)
         other = await target(platform, always(OK), "s2")
-        platform.hosts["s1"]["health"] = "draining"
-        platform.seq += 1
-        platform.news[platform.seq] = [platform.hosts["s1"], platform.hosts["s2"]]
+        platform.endpoints["s1"]["health"] = "draining"
+        platform.version += 1
+        platform.changes[platform.version] = [platform.endpoints["s1"], platform.endpoints["s2"]]
         answer_now = asyncio.Event()
         answered = platform.handler
 
@@ -94,7 +96,7 @@
         await asyncio.sleep(0.8)  # well over the grace of a drain
         assert len(drained.requests) == calls_before
         answer_now.set()
-        await other.got(1)
+        await other.wait_for_requests(1)
         assert ids(other) == ["held"]
         assert len(drained.requests) == calls_before
 
@@ -108,20 +110,20 @@
         free = asyncio.Event()
         drained = await target(platform, once(free))
         node = await node_on(folder, platform)
-        await platform.got(2)  # its watch waits
+        await platform.wait_for_requests(2)  # its watch waits
         for name in ("out", "held"):
-            assert (await node.hand_in(name, "status"))[0] == 202
-        await drained.got(1)
+            assert (await node.submit(name, "status"))[0] == 202
+        await drained.wait_for_requests(1)
         node.process.send_signal(signal.SIGSTOP)
         free.set()
         await asyncio.sleep(0.2)  # the answer is written
         other = await target(platform, always(OK), "s2")
-        platform.news[platform.seq + 1] = []
+        platform.changes[platform.version + 1] = []
         await platform.change("s1", "draining")
-        platform.news[platform.seq].append(dict(platform.hosts["s2"]))
+        platform.changes[platform.version].append(dict(platform.endpoints["s2"]))
         await asyncio.sleep(0.6)
         node.process.send_signal(signal.SIGCONT)
-        await other.got(1)
+        await other.wait_for_requests(1)
         assert ids(drained) == ["out"]
         assert ids(other) == ["held"]
 
@@ -158,9 +160,9 @@
 
         peer = await target(platform, late)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("held", "status"))[0] == 202
-        left_s = float((await peer.got(1))[0].headers["x-time-left"])
-        await peer.got(2)
+        assert (await node.submit("held", "status"))[0] == 202
+        left_s = float((await peer.wait_for_requests(1))[0].headers["x-time-left"])
+        await peer.wait_for_requests(2)
         assert came_s[1] - came_s[0] > left_s + 1.4
 
     play(scene, tmp_path)
--- a/tests/runtime/test_intake.py
+++ b/tests/runtime/test_intake.py
@@ -18,15 +18,10 @@
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
+from tests.nodes import SETTINGS, message
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
-from tests.sockets import (
-    OK,
-    SETTINGS,
-    Platform,
-    always,
-    hang,
-    message,
-)
+from tests.sockets import OK, always, hang
 
 ORDER = parse_settings(SETTINGS).classes[0]
 
@@ -85,11 +80,11 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
-        status, headers = await node.hand_in("late", left="0.010")
+        status, headers = await node.submit("late", left="0.010")
         assert status == 429
         assert float(headers["retry-after"]) > 0
-        assert (await node.hand_in("good"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("good"))[0] == 202
+        await peer.wait_for_requests(1)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["good"]
 
     play(scene, tmp_path)
@@ -99,8 +94,8 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, hang)
         node = await node_on(folder, platform, max_open=1)
-        assert (await node.hand_in("a"))[0] == 202
-        status, headers = await node.hand_in("b")
+        assert (await node.submit("a"))[0] == 202
+        status, headers = await node.submit("b")
         assert status == 503
         assert float(headers["retry-after"]) > 0
 
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -11,19 +11,10 @@
 
 from forwarder.runtime import engine as engine_module
 from tests.engine_scene import DUE_US, EngineScene, play_with_platform
+from tests.nodes import SETTINGS, Node
+from tests.platforms import Platform
 from tests.scenes import folder_nodes, ids, node_on, play, target
-from tests.sockets import (
-    OK,
-    SETTINGS,
-    Answer,
-    Node,
-    Peer,
-    Platform,
-    Request,
-    Skewed,
-    always,
-    once,
-)
+from tests.sockets import OK, Answer, Peer, Request, Skewed, always, once
 
 
 def test_delivers_unchanged_and_leaves_no_notice(tmp_path: Path) -> None:
@@ -31,14 +22,14 @@
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
         body = bytes(range(256)) * 8
-        assert (await node.hand_in("a1", body=body))[0] == 202
-        call = (await peer.got(1))[0]
+        assert (await node.submit("a1", body=body))[0] == 202
+        call = (await peer.wait_for_requests(1))[0]
         assert (call.method, call.path, call.body) == ("POST", "/hook", body)
         assert call.headers["x-correlation-id"] == "a1"
         assert call.headers["x-session-key"] == "key-a1"
         assert 0 < float(call.headers["x-time-left"]) <= 50
-        assert (await node.hand_in("a2", "pay"))[0] == 202
-        await peer.got(2)
+        assert (await node.submit("a2", "pay"))[0] == 202
+        await peer.wait_for_requests(2)
         await asyncio.sleep(0)
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
@@ -52,10 +43,10 @@
     async def scene(platform: Platform, folder: Path) -> None:
         await target(platform, always(Answer(500)))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("once", "pay"))[0] == 202
-        assert (await platform.notice("once"))["state"] == "failed"
-        assert (await node.hand_in("spent", "status"))[0] == 202
-        told = await platform.notice("spent")
+        assert (await node.submit("once", "pay"))[0] == 202
+        assert (await platform.wait_for_notice("once"))["state"] == "failed"
+        assert (await node.submit("spent", "status"))[0] == 202
+        told = await platform.wait_for_notice("spent")
         assert told["state"] == "returned"
         assert told["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
@@ -69,17 +60,17 @@
         two = await target(platform, always(OK), "s2", block=8)
         platform.accepts = False
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "turn", X_Session_Key="claim"))[0] == 202
-        await platform.until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
-        assert (await node.hand_in("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
-        assert (await node.hand_in("c", "turn", dest=8, X_Session_Key="another"))[0] == 202
-        await two.got(1)
+        assert (await node.submit("a", "turn", X_Session_Key="claim"))[0] == 202
+        await platform.wait_until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
+        assert (await node.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
+        assert (await node.submit("c", "turn", dest=8, X_Session_Key="another"))[0] == 202
+        await two.wait_for_requests(1)
         await node.restart()
-        assert (await node.hand_in("d", "turn", dest=8, X_Session_Key="third"))[0] == 202
-        await two.got(2)
+        assert (await node.submit("d", "turn", dest=8, X_Session_Key="third"))[0] == 202
+        await two.wait_for_requests(2)
         assert ids(two) == ["c", "d"]
         platform.accepts = True
-        await two.got(3)
+        await two.wait_for_requests(3)
         assert ids(two) == ["c", "d", "b"]
         assert platform.notices[0]["id"] == "a"
 
@@ -102,21 +93,21 @@
             return OK
 
         peer = await Peer(answer).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         platform.accepts = False
         at = await EngineScene(tmp_path, platform).start()
         due = at.clock() + DUE_US
         at.take("late", cls, due_us=due)
         at.take("next", cls, due_us=due + DUE_US)
-        await peer.got(1 if cls == "turn" else 2)
+        await peer.wait_for_requests(1 if cls == "turn" else 2)
         while "late" not in at.engine.store.pending_notices:
             await asyncio.sleep(0.005)
-        await platform.until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
+        await platform.wait_until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         sent = [r.headers["x-correlation-id"] for r in peer.requests]
         assert sent == (["late"] if cls == "turn" else sent)
         platform.accepts = True
-        assert (await platform.notice("late"))["state"] == state
-        await peer.until(lambda: any(r.headers["x-correlation-id"] == "next" for r in peer.requests))
+        assert (await platform.wait_for_notice("late"))["state"] == state
+        await peer.wait_until(lambda: any(r.headers["x-correlation-id"] == "next" for r in peer.requests))
         at.end()
 
     play_with_platform(scene)
@@ -130,16 +121,16 @@
         peer = await target(platform, once(free))
         node = await node_on(folder, platform)
         for name in "abc":
-            assert (await node.hand_in(name, "pay"))[0] == 202
-        await peer.got(1)
+            assert (await node.submit(name, "pay"))[0] == 202
+        await peer.wait_for_requests(1)
         node.configure(settings={**SETTINGS, "allowed": {**SETTINGS["allowed"], "max_open": 2}})
         node.process.send_signal(signal.SIGHUP)
-        while (status := (await node.hand_in(f"new-{len(node.log)}", "pay"))[0]) == 202:
+        while (status := (await node.submit(f"new-{len(node.log)}", "pay"))[0]) == 202:
             await asyncio.sleep(0.01)
         assert status == 503
         free.set()
-        await peer.until(lambda: {"a", "b"} <= {r.headers["x-correlation-id"] for r in peer.requests})
-        assert (await platform.notice("c"))["state"] == "returned"
+        await peer.wait_until(lambda: {"a", "b"} <= {r.headers["x-correlation-id"] for r in peer.requests})
+        assert (await platform.wait_for_notice("c"))["state"] == "returned"
         assert {n["id"] for n in platform.notices}.isdisjoint({"a", "b"})
 
     play(scene, tmp_path)
@@ -191,18 +182,20 @@
 
         peers = [await target(platform, answer, zone, kind="sea") for zone in ("west", "east")]
         for zone in ("west", "east"):
-            platform.hosts[zone]["site"] = zone
+            platform.endpoints[zone]["site"] = zone
         node = Node(folder, platform)
         node.configure(settings=OTHER_SETTINGS)
         await node.start()
         folder_nodes[-1].append(node)
         own = {"X_Account": "north", "X_Session_Key": None, "left": "10"}
-        assert (await node.hand_in("a", "waybill", Idempotency_Key="0f", **own))[0] == 202
-        await asyncio.wait([asyncio.create_task(peer.got(3)) for peer in peers], return_when="FIRST_COMPLETED")
+        assert (await node.submit("a", "waybill", Idempotency_Key="0f", **own))[0] == 202
+        await asyncio.wait(
+            [asyncio.create_task(peer.wait_for_requests(3)) for peer in peers], return_when="FIRST_COMPLETED"
+        )
         assert sorted(len(peer.requests) for peer in peers) == [0, 3]
         assert {r.headers["idempotency-key"] for peer in peers for r in peer.requests} == {"0f"}
-        assert (await node.hand_in("b", "pickup-call", **own | {"X_Session_Key": "k"}))[0] == 202
-        assert [(await node.hand_in("c", "order"))[0], (await node.hand_in("d", "waybill"))[0]] == [404, 400]
+        assert (await node.submit("b", "pickup-call", **own | {"X_Session_Key": "k"}))[0] == 202
+        assert [(await node.submit("c", "order"))[0], (await node.submit("d", "waybill"))[0]] == [404, 400]
         assert await node.end(signal.SIGTERM) == 0
         assert not platform.notices
 
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -15,9 +15,10 @@
 import pytest
 
 from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
+from tests.platforms import Platform
 from tests.runtime.test_handover import released, upgraded
 from tests.scenes import ids, node_on, play, target
-from tests.sockets import OK, PATIENCE, Platform, always, hang
+from tests.sockets import OK, PATIENCE, always, hang
 
 
 def ask_owner(folder: Path) -> socket.socket:
@@ -60,17 +61,17 @@
         await released(free, peer)
         node = await node_on(folder, platform)
         client = await node.client()
-        assert (await client.hand_in("a", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await client.submit("a", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
         link = ask_owner(folder)
         await asyncio.to_thread(successor, link)
-        assert (await client.hand_in("b", "pay"))[0] == 202
+        assert (await client.submit("b", "pay"))[0] == 202
         free.set()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         link.close()
         new = await upgraded(node)
-        assert (await client.hand_in("c", "pay"))[0] == 202
-        await peer.got(3)
+        assert (await client.submit("c", "pay"))[0] == 202
+        await peer.wait_for_requests(3)
         assert await new.end(signal.SIGTERM) == 0
         assert ids(peer) == ["a", "b", "c"]
         assert not platform.notices
@@ -83,11 +84,11 @@
         peer = await target(platform, always(OK))
         node = await node_on(folder, platform)
         node.configure(settings={})
-        broken = node.beside()
+        broken = node.successor()
         await broken.start(ready=False)
         assert await broken.process.wait() == 2
-        assert (await node.hand_in("a", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("a", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
 
     play(scene, tmp_path)
 
@@ -98,8 +99,8 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("a", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.end()
         (folder / "state/upgrade").unlink()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -117,7 +118,7 @@
         assert (await node.call(b"HEALTH\n")).startswith("fail")
         os.close(lock)
         await node.until_ready()
-        assert (await peer.got(2))[1].headers["x-correlation-id"] == "a"
+        assert (await peer.wait_for_requests(2))[1].headers["x-correlation-id"] == "a"
 
     play(scene, tmp_path)
 
@@ -131,8 +132,8 @@
         stale.close()
         (folder / "state/lock").write_text("4711")
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("a", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
 
     play(scene, tmp_path)
 
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -11,8 +11,10 @@
 from pathlib import Path
 from typing import Any
 
+from tests.nodes import SETTINGS, Node
+from tests.platforms import Platform
 from tests.scenes import ids, node_on, play, target
-from tests.sockets import OK, PATIENCE, SETTINGS, Node, Platform, always, hang
+from tests.sockets import OK, PATIENCE, always, hang
 
 
 async def reload(node: Node, word: str) -> None:
@@ -31,17 +33,17 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer, other = await target(platform, hang), await target(platform, hang, "s2", block=8)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("old", "status"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("old", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         node.configure(settings={**SETTINGS, "services": [STRICT, {**STRICT, "name": "order"}]})
         await reload(node, "classes strict, order,")
-        assert (await node.hand_in("gone", "status"))[0] == 404
-        assert (await node.hand_in("new", "strict", dest=8))[0] == 202
-        await other.got(1)
+        assert (await node.submit("gone", "status"))[0] == 404
+        assert (await node.submit("new", "strict", dest=8))[0] == 202
+        await other.wait_for_requests(1)
         before = len(peer.requests)
         await node.restart()
-        assert (await platform.notice("new"))["state"] == "failed"
-        await peer.got(before + 1)  # it may still be repeated
+        assert (await platform.wait_for_notice("new"))["state"] == "failed"
+        await peer.wait_for_requests(before + 1)  # it may still be repeated
         assert set(ids(peer)) == {"old"}
         assert len(other.requests) == 1
 
@@ -87,13 +89,13 @@
         for text in broken:
             path.write_text(text)
             await reload(node, "left as it was")
-        assert (await node.hand_in("m", "strict"))[0] == 404
-        assert (await node.hand_in("n", "order"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("m", "strict"))[0] == 404
+        assert (await node.submit("n", "order"))[0] == 202
+        await peer.wait_for_requests(1)
         await platform.change("s1", "draining")
-        await platform.until(lambda: any(f"from={platform.seq}" in r.path for r in platform.requests))
+        await platform.wait_until(lambda: any(f"from={platform.version}" in r.path for r in platform.requests))
         path.write_text(json.dumps(better))
         await reload(node, "classes strict,")
-        assert (await node.hand_in("m", "strict"))[0] == 202
+        assert (await node.submit("m", "strict"))[0] == 202
 
     play(scene, tmp_path)
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -9,15 +9,10 @@
 import pytest
 
 from tests.engine_scene import SECOND
+from tests.nodes import SETTINGS
+from tests.platforms import Platform
 from tests.scenes import ids, node_on, play, target
-from tests.sockets import (
-    OK,
-    SETTINGS,
-    Answer,
-    Platform,
-    always,
-    hang,
-)
+from tests.sockets import OK, Answer, always, hang
 
 
 def append_to_journal(folder: Path, data: bytes) -> None:
@@ -32,19 +27,19 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("first", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("first", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
         other = await target(platform, hang, "s2", block=8)
-        platform.seq += 1
-        platform.news[platform.seq] = [platform.hosts["s2"]]
-        await platform.note()
-        while (await node.hand_in("keyed", "order", dest=8))[0] != 202:
+        platform.version += 1
+        platform.changes[platform.version] = [platform.endpoints["s2"]]
+        await platform.notify_all()
+        while (await node.submit("keyed", "order", dest=8))[0] != 202:
             await asyncio.sleep(0.02)
-        await other.got(1)
+        await other.wait_for_requests(1)
         peer.handler = other.handler = always(OK)
         await node.restart(sign)
-        assert (await platform.notice("first"))["state"] == "failed"
-        again = (await other.got(2))[1]
+        assert (await platform.wait_for_notice("first"))["state"] == "failed"
+        again = (await other.wait_for_requests(2))[1]
         assert again.headers["x-correlation-id"] == "keyed"
         assert again.headers["x-session-key"] == "key-keyed"
         assert again.body == b"hello"
@@ -61,19 +56,19 @@
         one = await target(platform, always(OK, shut))
         two = await target(platform, always(OK), "s2", block=8)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("a", "turn", X_Session_Key="claim"))[0] == 202
-        await one.got(1)
-        assert (await node.hand_in("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
-        await two.got(1)
-        assert (await node.hand_in("c", "turn", X_Session_Key="claim"))[0] == 202
-        await one.got(2)
-        assert (await node.hand_in("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
-        assert (await node.hand_in("e", "turn", dest=8, X_Session_Key="another"))[0] == 202
-        await two.got(2)
+        assert (await node.submit("a", "turn", X_Session_Key="claim"))[0] == 202
+        await one.wait_for_requests(1)
+        assert (await node.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
+        await two.wait_for_requests(1)
+        assert (await node.submit("c", "turn", X_Session_Key="claim"))[0] == 202
+        await one.wait_for_requests(2)
+        assert (await node.submit("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
+        assert (await node.submit("e", "turn", dest=8, X_Session_Key="another"))[0] == 202
+        await two.wait_for_requests(2)
         await node.restart()
-        await one.got(3)
-        assert (await node.hand_in("f", "turn", dest=8, X_Session_Key="third"))[0] == 202
-        await two.got(3)
+        await one.wait_for_requests(3)
+        assert (await node.submit("f", "turn", dest=8, X_Session_Key="third"))[0] == 202
+        await two.wait_for_requests(3)
         assert ids(one) == ["a", "c", "c"]
         assert ids(two) == ["b", "e", "f"]
 
@@ -84,15 +79,15 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK, Answer(500), OK))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("done", "pay"))[0] == 202
-        await peer.got(1)
-        assert (await node.hand_in("lost", "pay"))[0] == 202
-        await platform.notice("lost")
+        assert (await node.submit("done", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
+        assert (await node.submit("lost", "pay"))[0] == 202
+        await platform.wait_for_notice("lost")
         for n in range(2):
             for name in ("done", "lost"):
-                assert (await node.hand_in(name, "pay"))[0] == 202
-            assert (await node.hand_in(f"next{n}", "pay"))[0] == 202
-            await peer.got(3 + n)
+                assert (await node.submit(name, "pay"))[0] == 202
+            assert (await node.submit(f"next{n}", "pay"))[0] == 202
+            await peer.wait_for_requests(3 + n)
             assert await node.end(signal.SIGTERM) == 0  # what it had out is over then
             await node.start()
         assert ids(peer) == ["done", "lost", "next0", "next1"]
@@ -104,12 +99,12 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform, max_attempts=2)
-        assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("m", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.restart()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         await node.restart()
-        assert (await platform.notice("m"))["state"] == "returned"
+        assert (await platform.wait_for_notice("m"))["state"] == "returned"
         assert len(peer.requests) == 2
 
     play(scene, tmp_path)
@@ -120,17 +115,17 @@
         await target(platform, always(Answer(500)))
         platform.accepts = False
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "pay"))[0] == 202
-        await platform.until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
+        assert (await node.submit("m", "pay"))[0] == 202
+        await platform.wait_until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         await node.end()
         platform.accepts = True
         await node.start()
-        assert (await platform.notice("m"))["state"] == "failed"
-        assert (await node.hand_in("n", "pay"))[0] == 202
-        await platform.notice("n")
+        assert (await platform.wait_for_notice("m"))["state"] == "failed"
+        assert (await node.submit("n", "pay"))[0] == 202
+        await platform.wait_for_notice("n")
         await node.restart()
-        assert (await node.hand_in("o", "pay"))[0] == 202
-        await platform.notice("o")
+        assert (await node.submit("o", "pay"))[0] == 202
+        await platform.wait_for_notice("o")
         assert [n["id"] for n in platform.notices].count("m") == 1
 
     play(scene, tmp_path)
@@ -140,12 +135,12 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "status", left="1"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("m", "status", left="1"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.end()
         await asyncio.sleep(1.2)
         await node.start()
-        assert (await platform.notice("m"))["state"] == "returned"
+        assert (await platform.wait_for_notice("m"))["state"] == "returned"
         assert len(peer.requests) == 1
 
     play(scene, tmp_path)
@@ -155,19 +150,19 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("m", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.end()
         append_to_journal(folder, b"\xe7\x4a\1\2half a")
         peer.handler = always(OK)
         await node.start()
-        assert (await peer.got(2))[1].headers["x-correlation-id"] == "m"
+        assert (await peer.wait_for_requests(2))[1].headers["x-correlation-id"] == "m"
         assert any("torn tail" in line for line in node.log)
         peer.handler = hang  # and what is written after the cut can be read at the start after it
-        assert (await node.hand_in("n", "status"))[0] == 202
-        await peer.got(3)
+        assert (await node.submit("n", "status"))[0] == 202
+        await peer.wait_for_requests(3)
         await node.restart()
-        assert (await peer.got(4))[3].headers["x-correlation-id"] == "n"
+        assert (await peer.wait_for_requests(4))[3].headers["x-correlation-id"] == "n"
 
     play(scene, tmp_path)
 
@@ -180,13 +175,13 @@
         node = await node_on(folder, platform, disk_mb=1)
         seen = set()
         for n in range(40):
-            status, _ = await node.hand_in(f"m{n}", "status", body=b"x" * 60_000)
+            status, _ = await node.submit(f"m{n}", "status", body=b"x" * 60_000)
             seen.add(status)
             assert sum(f.stat().st_size for f in (folder / "state").iterdir()) < 1_000_000
         assert seen == {202, 503}
         peer.handler = always(OK)
         await node.restart()
-        await peer.got(3)
+        await peer.wait_for_requests(3)
 
     play(scene, tmp_path)
 
@@ -203,13 +198,13 @@
         await node.restart()
         names = [f"m{n}" for n in range(12)]
         for name in names:
-            assert (await node.hand_in(name, "turn", left="30", X_Session_Key=name))[0] == 202
-        await peer.got(1)
+            assert (await node.submit(name, "turn", left="30", X_Session_Key=name))[0] == 202
+        await peer.wait_for_requests(1)
         tried = {r.headers["x-correlation-id"] for r in peer.requests}
         peer.handler = always(OK)
         await node.restart()
         untried = set(names) - tried
-        await peer.until(lambda: untried <= {r.headers["x-correlation-id"] for r in peer.requests})
+        await peer.wait_until(lambda: untried <= {r.headers["x-correlation-id"] for r in peer.requests})
         assert untried
         assert not untried & {n["id"] for n in platform.notices}
 
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -7,15 +7,9 @@
 import socket
 from pathlib import Path
 
+from tests.platforms import Platform
 from tests.scenes import node_on, play, target
-from tests.sockets import (
-    OK,
-    PATIENCE,
-    Platform,
-    always,
-    hang,
-    once,
-)
+from tests.sockets import OK, PATIENCE, always, hang, once
 
 
 def test_sigterm_goes_on_answering_and_leaves_the_journal_whole(tmp_path: Path) -> None:
@@ -23,18 +17,18 @@
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
         old = await node.client()
-        assert (await old.hand_in("a", "status"))[0] == 202
-        await peer.got(1)
+        assert (await old.submit("a", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         node.process.send_signal(signal.SIGTERM)
-        status, _headers = await old.hand_in("b", "status")
+        status, _headers = await old.submit("b", "status")
         assert status == 202
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
-        assert (await node.hand_in("c", "status"))[0] == 202  # a new connection is still served
+        assert (await node.submit("c", "status"))[0] == 202  # a new connection is still served
         assert await node.end(signal.SIGTERM) == 0
         peer.handler = always(OK)
         await node.start()
-        await peer.until(lambda: {"a", "b", "c"} <= {r.headers["x-correlation-id"] for r in peer.requests[1:]})
+        await peer.wait_until(lambda: {"a", "b", "c"} <= {r.headers["x-correlation-id"] for r in peer.requests[1:]})
 
     play(scene, tmp_path)
 
@@ -44,17 +38,17 @@
         free = asyncio.Event()
         peer = await target(platform, once(free))
         node = await node_on(folder, platform)
-        assert (await node.hand_in("out", "pay"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("out", "pay"))[0] == 202
+        await peer.wait_for_requests(1)
         for _ in range(2):
             node.process.send_signal(signal.SIGTERM)
         free.set()
         assert await node.end(signal.SIGTERM) == 0
         assert sum("stopping: " in line for line in node.log) == 1
         await node.start()
-        assert (await node.hand_in("out", "pay"))[0] == 202  # known: delivered, and not sent again
-        assert (await node.hand_in("more", "pay"))[0] == 202
-        await peer.got(2)
+        assert (await node.submit("out", "pay"))[0] == 202  # known: delivered, and not sent again
+        assert (await node.submit("more", "pay"))[0] == 202
+        await peer.wait_for_requests(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["out", "more"]
 
     play(scene, tmp_path)
@@ -66,8 +60,8 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, hang)
         node = await node_on(folder, platform)
-        assert (await node.hand_in("held", "status"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("held", "status"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.end()
         node.log.clear()
         with socket.create_server((node.host, node.port)):
@@ -79,7 +73,7 @@
         assert not any("engine: ready" in line for line in node.log)
         peer.handler = always(OK)
         await node.start()
-        again = (await peer.got(2))[1]
+        again = (await peer.wait_for_requests(2))[1]
         assert again.headers["x-correlation-id"] == "held"
 
     play(scene, tmp_path)
--- a/tests/runtime/test_startup.py
+++ b/tests/runtime/test_startup.py
@@ -10,7 +10,9 @@
 from forwarder.runtime.intake import retry_after_jittered
 from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, StartupPhase, StartupProgress
 from forwarder.storage.schema import KINDS, JournalClosedRecord, SnapshotSealedRecord
-from tests.sockets import OK, ROOT, Node, Peer, Platform, always, hang
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, ROOT, Peer, always, hang
 
 S = 1_000_000
 
@@ -40,15 +42,15 @@
 def test_a_restart_goes_through_its_phases_and_tells_them(tmp_path: Path) -> None:
     async def scene() -> None:
         platform, peer = await Platform().start(), await Peer(hang).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         node = await Node(tmp_path, platform).start()
-        assert (await node.hand_in("m"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("m"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.restart()
         assert "recovering" in await node.call(b"PHASE\n")
         peer.handler = always(OK)
         await platform.change("s1", "up")  # discovery tells something: the list is not the kept one any more
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         async with asyncio.timeout(20):
             while "serving" not in (told := await node.call(b"PHASE\n")):
                 await asyncio.sleep(0.05)
@@ -70,11 +72,11 @@
 def test_what_holds_a_message_is_told_by_its_id(tmp_path: Path) -> None:
     async def scene() -> None:
         platform, peer = await Platform().start(), await Peer(hang).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         node = await Node(tmp_path, platform).start()
         for name in ("a", "b"):
-            assert (await node.hand_in(name))[0] == 202
-        await peer.got(1)
+            assert (await node.submit(name))[0] == 202
+        await peer.wait_for_requests(1)
         assert (await node.call(b"WHY id=b\n")).startswith("ok window ")
         assert await node.call(b"OFFLINE s1\n")
         assert (await node.call(b"WHY id=b\n")).startswith("ok ban or ejection ")
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -25,8 +25,10 @@
 from forwarder.storage.messages import PendingNotice
 from forwarder.storage.schema import ClockAnchor
 from lab.shim import FILE_CALLS, Failure
+from tests.nodes import Node
+from tests.platforms import Platform
 from tests.scenes import folder_nodes, ids, play, target
-from tests.sockets import OK, PATIENCE, Answer, Node, Peer, Platform, Request, always
+from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
 MESSAGES = 40
@@ -43,14 +45,14 @@
 
 async def answers(node: Node, names: list[str], cls: str = "status", body: bytes = b"hello") -> dict[str, int]:
     """What each hand-in is answered: always something."""
-    return {name: (await node.hand_in(name, cls, body=body))[0] for name in names}
+    return {name: (await node.submit(name, cls, body=body))[0] for name in names}
 
 
 async def until_taken(node: Node, cls: str = "status") -> str:
     """Hand messages in until one is taken on. Its name."""
     async with asyncio.timeout(PATIENCE):
         for n in range(10_000):
-            if (await node.hand_in(f"again-{n}", cls))[0] == 202:
+            if (await node.submit(f"again-{n}", cls))[0] == 202:
                 return f"again-{n}"
             await asyncio.sleep(0.05)
     raise AssertionError("never taken on")
@@ -61,13 +63,13 @@
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
         assert (await answers(node, ["before"])) == {"before": 202}
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
         refused = await answers(node, ["a", "b", "c"])
         assert set(refused.values()) == {503}, refused
         await node.fail()
         taken = await until_taken(node)  # with nothing held, and no work that could be written before
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         await node.restart()
         await asyncio.sleep(0.5)
         assert set(ids(peer)) == {"before", taken}
@@ -82,13 +84,13 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
         node = await shimmed(folder, platform)
-        assert (await node.hand_in("long", cls, left="50"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("long", cls, left="50"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
         await asyncio.sleep(1.5)
         assert len(peer.requests) == (2 if leaves else 1)
         await node.fail()
-        await peer.got(2)
+        await peer.wait_for_requests(2)
         assert ids(peer) == ["long", "long"]
         assert not platform.notices
         assert "violations: none" in await node.call(b"RULES\n")
@@ -101,10 +103,10 @@
         peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
         node = await shimmed(folder, platform)
         handed_s = time.monotonic()
-        assert (await node.hand_in("held", "pay", left="2.5"))[0] == 202
-        await peer.got(1)
+        assert (await node.submit("held", "pay", left="2.5"))[0] == 202
+        await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
-        await platform.notice("held")
+        await platform.wait_for_notice("held")
         assert time.monotonic() - handed_s > 0  # it came; the lab's judge bounds how late
 
     play(scene, tmp_path)
@@ -137,7 +139,7 @@
         taken = {name for name, status in told.items() if status == 202}
         assert set(told.values()) <= {202, 503}
         assert taken or moment == "start"
-        await peer.until(lambda: taken <= set(ids(peer)))
+        await peer.wait_until(lambda: taken <= set(ids(peer)))
         assert not platform.notices
         assert await until_taken(node)
         assert set(ids(peer)) <= taken | {name for name in ids(peer) if name.startswith("again")}
@@ -153,8 +155,8 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
         node = await shimmed(folder, platform, clock_s=steps[0])
-        assert (await node.hand_in("held", "status", left="12"))[0] == 202
-        await peer.got(2)
+        assert (await node.submit("held", "status", left="12"))[0] == 202
+        await peer.wait_for_requests(2)
         told_s = time.monotonic()
         if running:
             await node.fail(clock_s=steps[1])
@@ -162,7 +164,7 @@
             await node.end()
             await node.fail(clock_s=steps[1])
             await node.start()
-        await peer.got(3)
+        await peer.wait_for_requests(3)
         assert not running or time.monotonic() - told_s > 1.4
         await asyncio.sleep(0.2)
         assert ids(peer) == ["held"] * 3
@@ -201,14 +203,14 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
-        await platform.got(2)  # its watch is up
+        await platform.wait_for_requests(2)  # its watch is up
         await node.fail(Failure(call, error))
-        assert (await node.hand_in("held", "pay"))[0] == 202
+        assert (await node.submit("held", "pay"))[0] == 202
         await asyncio.sleep(1.0)  # six tries, the most there may be, would be over
         assert not peer.requests
         assert not platform.notices
         await node.fail()
-        await peer.got(1)
+        await peer.wait_for_requests(1)
         assert "in outage" not in "".join(node.log)
 
     play(scene, tmp_path)
@@ -230,7 +232,7 @@
         node = await shimmed(folder, platform, failure)
         names = [f"m{n}" for n in range(20)]
         assert set((await answers(node, names, body=bytes(range(256)))).values()) == {202}
-        await peer.got(20)
+        await peer.wait_for_requests(20)
         assert sorted(ids(peer)) == sorted(names)
         assert {r.body for r in peer.requests} == {bytes(range(256))}
 
@@ -287,7 +289,7 @@
 
         notices.client.request = ask  # type: ignore[assignment, method-assign]
         notices.wake()
-        await platform.notice("m")
+        await platform.wait_for_notice("m")
         async with asyncio.timeout(PATIENCE):
             while book.owed:
                 await asyncio.sleep(0.01)
@@ -317,15 +319,15 @@
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await target(platform, always(OK))
         node = await shimmed(folder, platform)
-        await platform.got(2)
+        await platform.wait_for_requests(2)
         await node.fail(*FULL_DISK)
         other = await target(platform, always(OK), "s2")
-        platform.news[platform.seq + 1] = [dict(platform.hosts["s2"])]
-        platform.hosts["s1"]["health"] = "draining"
-        platform.news[platform.seq + 1].append(dict(platform.hosts["s1"]))
-        platform.seq += 1
-        await platform.note()
-        await platform.until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
+        platform.changes[platform.version + 1] = [dict(platform.endpoints["s2"])]
+        platform.endpoints["s1"]["health"] = "draining"
+        platform.changes[platform.version + 1].append(dict(platform.endpoints["s1"]))
+        platform.version += 1
+        await platform.notify_all()
+        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
         answered, answer_now = platform.handler, asyncio.Event()
 
         async def slow(request: Request) -> Answer | bytes | None:
@@ -333,18 +335,18 @@
             return await answered(request)
 
         platform.handler = slow
-        new = node.beside()
+        new = node.successor()
         new.shim = None
         folder_nodes[-1].append(new)
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(1.5)
         await node.fail()
         await starting
-        assert (await new.hand_in("m", "status"))[0] == 202
+        assert (await new.submit("m", "status"))[0] == 202
         await asyncio.sleep(0.3)
         assert not drained.requests
         answer_now.set()
-        await other.got(1)
+        await other.wait_for_requests(1)
 
     play(scene, tmp_path)
 
@@ -360,7 +362,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await target(platform, always(OK))
         node = await shimmed(folder, platform)
-        new = node.beside()
+        new = node.successor()
         folder_nodes[-1].append(new)
         await node.fail(Failure(call, "EIO"))
         new.shim = node.shim
@@ -368,8 +370,8 @@
         await asyncio.sleep(for_s)
         await node.fail()
         await starting
-        assert (await new.hand_in("m", "status"))[0] == 202
-        await peer.got(1)
+        assert (await new.submit("m", "status"))[0] == 202
+        await peer.wait_for_requests(1)
 
     play(scene, tmp_path)
 
@@ -414,7 +416,7 @@
         assert told[1] is None
         assert supervisor.failures == {"list": 1}
         watch.subscribe()
-        await platform.until(lambda: len(platform.requests) > 1)
+        await platform.wait_until(lambda: len(platform.requests) > 1)
         watch.client.close()
 
     asyncio.run(scene())
--- a/tests/storage/test_durability.py
+++ b/tests/storage/test_durability.py
@@ -16,7 +16,9 @@
 from forwarder.storage import damaged_files, file_io, journal_file, journal_files
 from forwarder.storage.durability import Durability, DurabilityExtension, DurabilityExtensionFactory, Syncer
 from forwarder.storage.store import MessageStore
-from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, PATIENCE, Peer, always
 from tests.storage.folders import MAX_BYTES, accepted_message
 
 
@@ -381,26 +383,26 @@
         platform = Platform()
         await platform.start()
         peer = await Peer(always(OK)).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         (tmp_path / "parts.toml").write_text(f'[journal]\ndurability = "{level}"\ninterval_s = 0.05\n')
         node = Node(tmp_path, platform)
         node.arguments = ["--parts", str(tmp_path / "parts.toml")]
         await node.start()
         for n in range(5):
-            assert (await node.hand_in(f"a{n}"))[0] == 202
-        await peer.got(5)
+            assert (await node.submit(f"a{n}"))[0] == 202
+        await peer.wait_for_requests(5)
         assert (await node.call(b"OFFLINE s1\n")).startswith("ok")
-        assert (await node.hand_in("held"))[0] == 202
+        assert (await node.submit("held"))[0] == 202
         await node.end()
         await node.start()
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
-        await peer.got(6)
-        other = node.beside()
+        await peer.wait_for_requests(6)
+        other = node.successor()
         await other.start()
         async with asyncio.timeout(PATIENCE):
             assert await node.process.wait() == 0, "it handed over"
-        assert (await other.hand_in("after"))[0] == 202
-        await peer.got(7)
+        assert (await other.submit("after"))[0] == 202
+        await peer.wait_for_requests(7)
         assert await other.end(15) == 0
 
     asyncio.run(played())
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -23,7 +23,9 @@
 from forwarder.storage.schema import JournalClosedRecord, encode_record
 from forwarder.storage.state_check import main as state
 from forwarder.storage.store import MessageStore
-from tests.sockets import OK, Node, Peer, Platform, always, hang
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, Peer, always, hang
 from tests.storage.folders import (
     MAX_BYTES,
     ONCE,
@@ -227,11 +229,11 @@
 def test_a_process_on_a_damaged_folder_ends_what_it_must_not_send_again(tmp_path: Path) -> None:
     async def scene() -> None:
         platform, peer = await Platform().start(), await Peer(hang).start()
-        platform.host("s1", peer.port)
+        platform.add_endpoint("s1", peer.port)
         node = await Node(tmp_path, platform).start()
-        assert (await node.hand_in("ran", cls="pay"))[0] == 202
-        await peer.got(1)
-        assert (await node.hand_in("safe", cls="status"))[0] == 202
+        assert (await node.submit("ran", cls="pay"))[0] == 202
+        await peer.wait_for_requests(1)
+        assert (await node.submit("safe", cls="status"))[0] == 202
         await node.end()
         path = tmp_path / "state/journal"
         data = bytearray(path.read_bytes())
@@ -239,8 +241,8 @@
         path.write_bytes(data)
         peer.handler = always(OK)
         await node.start()
-        assert (await platform.notice("ran"))["state"] == "failed"
-        await peer.got(2)
+        assert (await platform.wait_for_notice("ran"))["state"] == "failed"
+        await peer.wait_for_requests(2)
         assert [r.headers["x-correlation-id"] for r in peer.requests] == ["ran", "safe"]
         told = await node.call(b"JOURNAL\n")
         assert "1 records are missing" in told
--- a/tests/storage/test_store_bounds.py
+++ b/tests/storage/test_store_bounds.py
@@ -8,7 +8,7 @@
 from forwarder.storage.messages import AcceptedMessage
 from forwarder.storage.state import MAX_ENDED_IDS
 from forwarder.storage.store import MessageStore
-from tests.sockets import SETTINGS
+from tests.nodes import SETTINGS
 
 ORDER = parse_settings(SETTINGS).classes[0]
 
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from tests.sockets import PATIENCE, Node, Platform, Watched, free_port
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import PATIENCE, Watched, free_port
 
 Handler = Callable[["Exchange"], Awaitable[None]]
 CHUNKED = "Transfer-Encoding: chunked\r\n"
@@ -96,7 +98,7 @@
         return self
 
     async def got(self, count: int) -> list[Exchange]:
-        await self.until(lambda: len(self.exchanges) >= count)
+        await self.wait_until(lambda: len(self.exchanges) >= count)
         return self.exchanges
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -106,12 +108,12 @@
             while not writer.is_closing():
                 exchange = Exchange(await reader.readuntil(b"\r\n\r\n"), reader, writer)
                 self.exchanges.append(exchange)
-                await self.note()
+                await self.notify_all()
                 try:
                     await self.handler(exchange)
                 finally:
                     self.ended.append(exchange)
-                    await self.note()
+                    await self.notify_all()
                 if not exchange.whole and exchange.headers.get("content-length", "0") != "0":
                     break
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -119,7 +121,7 @@
         finally:
             self.open -= 1
             writer.close()
-            await self.note()
+            await self.notify_all()
 
 
 async def streaming(
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -20,7 +20,8 @@
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import make_call, make_pool
-from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, always, message
+from tests.nodes import SETTINGS, message
+from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always
 
 COUNT = 20
 HALF = message("half")[:-3]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -28,8 +28,10 @@
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.messages import AcceptedMessage, PendingNotice
 from forwarder.storage.store import MessageStore
+from tests.nodes import Node, message
+from tests.platforms import Platform
 from tests.scenes import folder_nodes, play, target
-from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, message
+from tests.sockets import OK, PATIENCE, Peer, always
 
 DATA = Path(__file__).resolve().parent / "data" / "e0ee873"
 MB = 3_000_000
@@ -343,9 +345,9 @@
     """
     one = await target(platform, always(OK))
     for n, block in enumerate((8, 9, 10, 11, 12, 13), 2):
-        platform.host(f"s{n}", one.port, block)
-    platform.seq = 2
-    platform.news[2] = [dict(host) for host in platform.hosts.values()]
+        platform.add_endpoint(f"s{n}", one.port, block)
+    platform.version = 2
+    platform.changes[2] = [dict(host) for host in platform.endpoints.values()]
     node = Node(folder, platform)
     shutil.copytree(DATA / "killed", folder / "state", dirs_exist_ok=True)
     told = json.loads(json.dumps(TOLD)) | {"clock": HANDED["now_us"] * 1000 - time.monotonic_ns()}
@@ -382,9 +384,9 @@
         await loop.sock_sendall(kept, message("done", "status", dest=8))
         assert b" 202 " in await loop.sock_recv(kept, 1000), "it was taken on before"
         assert (await node.call(b"HEALTH\n")).startswith("ok")
-        assert set((await platform.notice("waits")).items()) >= {("state", "returned")}
+        assert set((await platform.wait_for_notice("waits")).items()) >= {("state", "returned")}
         for name in ("failed", "reset", "unreached"):
-            await platform.notice(name)
+            await platform.wait_for_notice(name)
         assert b"X-Correlation-Id: behind\r\n" in await loop.sock_recv(call, 1000), "the next of its key"
         assert b"X-Correlation-Id: half\r\n" in await loop.sock_recv(idle, 1000)
         assert "out" not in {notice["id"] for notice in platform.notices}
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -16,7 +16,9 @@
 
 import pytest
 
-from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, free_port
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import OK, PATIENCE, Peer, always, free_port
 from tests.streams import CHUNKED, Endpoint, Exchange, Handler, Visitor, streaming
 
 Scene = Callable[["Stage"], Awaitable[None]]
@@ -39,7 +41,7 @@
 
     async def endpoint(self, handler: Handler, name: str = "s1", **more: Any) -> Endpoint:
         endpoint = await Endpoint(handler).start()
-        self.platform.host(name, endpoint.port, **more)
+        self.platform.add_endpoint(name, endpoint.port, **more)
         return endpoint
 
     async def node(self, table: dict[str, Any] | None = None, **more: Any) -> None:
@@ -110,7 +112,7 @@
 def test_upload_and_answer_pass_unchanged_beside_messages(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", "/big/file?a=b&c=%2F", f"X-Own: é\r\nContent-Length: {len(BIG)}\r\n", BIG)
         assert await visitor.whole() == (200, BIG)
@@ -125,8 +127,8 @@
             ("Via", "1.1 lemonshunt"),
             ("Content-Length", str(len(BIG))),
         ]
-        assert (await stage.nodes[0].hand_in("m", dest=8))[0] == 202
-        assert (await messages.got(1))[0].path == "/hook"
+        assert (await stage.nodes[0].submit("m", dest=8))[0] == 202
+        assert (await messages.wait_for_requests(1))[0].path == "/hook"
         assert not stage.platform.notices
 
     play(scene, tmp_path)
@@ -160,7 +162,7 @@
         assert 0 < held <= 2 * (16_384 + 4096 + 64)
         go.set()
         assert await visitor.body() == much
-        await endpoint.until(lambda: endpoint.exchanges[0].whole)
+        await endpoint.wait_until(lambda: endpoint.exchanges[0].whole)
         assert endpoint.exchanges[0].body == much
         assert (await stage.until_none())["most"] <= 2 * (16_384 + 4096 + 64)
 
@@ -232,7 +234,7 @@
         visitor = await stage.ask("POST", headers=headers, body=body)
         await endpoint.got(1)
         visitor.writer.transport.abort()
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         assert not endpoint.ended[0].whole
         await stage.until_none()
@@ -247,7 +249,7 @@
         await endpoint.got(1)
         visitor.writer.write_eof()
         assert (await visitor.whole())[0] == 400
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
 
     play(scene, tmp_path)
@@ -264,7 +266,7 @@
         visitor = await stage.ask()
         assert await visitor.answered() == 200
         visitor.writer.transport.abort()
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         await stage.until_none()
 
     play(scene, tmp_path)
@@ -295,7 +297,7 @@
         endpoint = await stage.open(later)
         visitor = await stage.ask("POST", headers="Content-Length: 5\r\n", body=b"hello")
         visitor.writer.write_eof()
-        await endpoint.until(lambda: bool(endpoint.exchanges) and endpoint.exchanges[0].whole)
+        await endpoint.wait_until(lambda: bool(endpoint.exchanges) and endpoint.exchanges[0].whole)
         go.set()
         assert await visitor.whole() == (200, BIG)
         assert await visitor.gone() == b""
@@ -364,7 +366,7 @@
     async def scene(stage: Stage) -> None:
         await stage.endpoint(dies, block=7)
         endpoint = await stage.endpoint(garbles, "s2", block=8)
-        stage.platform.host("s3", free_port(), block=9)
+        stage.platform.add_endpoint("s3", free_port(), block=9)
         await stage.node({"tries": 1})
         visitor = await stage.come()
         visitor.ask("POST", headers="Content-Length: 3\r\n", body=b"abc")
@@ -467,7 +469,7 @@
         await endpoint.got(1)
         visitor.writer.write(b"nonsense\r\n")
         assert (await visitor.whole())[0] == 400
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         assert not endpoint.ended[0].whole
 
@@ -571,7 +573,7 @@
         visitor = await stage.come()
         visitor.ask("HEAD", "/200")
         assert await visitor.answered() == 200
-        await endpoint.until(lambda: endpoint.open == 0)  # after a first call it is not known when the next comes
+        await endpoint.wait_until(lambda: endpoint.open == 0)  # after a first call it is not known when the next comes
         for method, status, length in (
             ("HEAD", 200, "1000"),
             ("GET", 304, "1000"),
@@ -673,7 +675,7 @@
         await stage.node({"idle_s": 0.5, "silent_s": 1.0, "head_s": 0.5, "tries": 1})
         half = await stage.ask("POST", headers="Content-Length: 10\r\n", body=b"half")
         assert (await half.whole())[0] == 408
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         head = await stage.come()
         head.writer.write(b"GET /big HTTP/1.1\r\nHo")
@@ -763,7 +765,7 @@
 
 def test_a_refused_connection_is_tried_elsewhere_with_the_body_whole(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
-        stage.platform.host("s0", free_port())
+        stage.platform.add_endpoint("s0", free_port())
         endpoint = await stage.endpoint(echo, "s1")
         await stage.node()
         for _ in range(6):
@@ -803,10 +805,10 @@
         assert await asked("POST", headers="Content-Length: 1\r\n", body=b"x") == 2  # what may not go twice
         assert await asked() == 2
         assert await asked(path="/once") == 2
-        await endpoint.until(lambda: endpoint.open < 2)
+        await endpoint.wait_until(lambda: endpoint.open < 2)
         count = await asked(path="/then")
         await closes.wait()
-        await endpoint.until(lambda: endpoint.open == 0 or count == 2)
+        await endpoint.wait_until(lambda: endpoint.open == 0 or count == 2)
         assert await asked() >= count  # a stale one is passed over
         count = await asked(path="/more")
         assert await asked() == count + 1
@@ -907,7 +909,7 @@
         await stage.open(lasting(go))
         visitor = await stage.ask(version=version)
         assert await visitor.answered() == 200
-        other = stage.nodes[0].beside()
+        other = stage.nodes[0].successor()
         stage.nodes.append(other)
         await other.start()
         with pytest.raises(ConnectionResetError):
@@ -937,7 +939,7 @@
 
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         await stage.endpoint(lasting(go), "s1")
         await stage.node({"memory_bytes": 2 * 2 * (16_384 + 4096 + 64)})
         first = await stage.ask()
@@ -948,8 +950,8 @@
             third = await stage.ask()
             assert (await third.whole())[0] == 503
             assert third.header("Retry-After") == "1"
-        assert (await stage.nodes[0].hand_in("m", dest=8))[0] == 202
-        await messages.got(1)
+        assert (await stage.nodes[0].submit("m", dest=8))[0] == 202
+        await messages.wait_for_requests(1)
         go.set()
         assert await first.body() == await second.body() == b"ab"
         await stage.until_none()
@@ -1010,7 +1012,7 @@
 
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         await stage.open(lasting(asyncio.Event()))
         node = stage.nodes[0]
         running = await stage.ask()
@@ -1020,8 +1022,8 @@
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (most, most))
         for n in range(5):
             await asyncio.gather(*(stage.ask() for _ in range(60)), return_exceptions=True)
-            assert (await node.hand_in(f"m{n}", dest=8))[0] == 202
-        await messages.got(5)
+            assert (await node.submit(f"m{n}", dest=8))[0] == 202
+        await messages.wait_for_requests(5)
         assert await running.chunk() == b"a"
         assert not [line for line in node.log if "cannot accept" in line]
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -30,7 +30,8 @@
 from forwarder.runtime.ownership import Ownership
 from forwarder.storage.clock import Clock
 from forwarder.storage.messages import PendingNotice
-from tests.sockets import PATIENCE, SETTINGS, message
+from tests.nodes import SETTINGS, message
+from tests.sockets import PATIENCE
 
 NOW_US = 1_000_000_000
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
