--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -35,7 +35,7 @@
 )
 from benchmarks.summary import percentile, print_values
 from tests.sockets import SETTINGS, Node, Platform, message, own_host
-from tests.streams import streaming
+from tests.streaming.peers import streaming
 
 MIB = 1 << 20
 PAIRS = 5
--- a/forwarder/streaming/exchange.py
+++ b/forwarder/streaming/exchange.py
@@ -1,343 +1,350 @@
-"""One stream: a request taken to an endpoint, and its answer brought back, both while they arrive.
+"""One stream: a request taken to an endpoint, and its response brought back, both while they arrive.
 
-Two tasks move bytes, one each way; each reads again only when what it read before is written. It decides
-nothing of where a stream goes; `Front` is what it needs of the part around it.
+Two tasks move bytes, one each way; each reads again only when what it read before is written. Where a stream goes is
+decided elsewhere; `ExchangeHost` is what an exchange needs of the extension around it.
 """
 
 from __future__ import annotations
 
 import asyncio
 import math
-import time
 from http import HTTPStatus
-from typing import Any, Protocol
+from typing import Protocol
 
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.stream_routing import RejectStream, RouteStream
 from forwarder.protocol.http1 import Headers
-from forwarder.streaming.link import Link, StalledError
-from forwarder.streaming.settings import StreamSettings
-from forwarder.streaming.wire import (
-    EMPTY,
-    Answer,
-    Body,
+from forwarder.streaming.connection import StalledError, StreamConnection
+from forwarder.streaming.errors import ClientFailedError, EndpointFailedError
+from forwarder.streaming.http_body import Body, frame_pieces
+from forwarder.streaming.http_head import (
+    NO_BODY,
+    UNTIL_CLOSE,
     Framing,
     MalformedMessageError,
     Request,
-    cut_head,
-    frame,
-    read_answer,
-    read_request,
+    Response,
 )
+from forwarder.streaming.response_reader import ResponseReader
+from forwarder.streaming.settings import StreamSettings
+from forwarder.units import SECOND_US
 
-MOST_INTERIM = 16  # 1xx answers that are brought back before the final one
-SICK = frozenset({500, 502, 504})  # answers that say that the endpoint has failed
+MAX_INTERIM_RESPONSES = 16
+"""1xx responses that are brought back before the final one."""
+FAILURE_STATUSES = frozenset({500, 502, 504})
+"""Responses that say that the endpoint has failed."""
+NO_ENDPOINT = -1
 
 
-async def request_head(link: Link, limits: StreamSettings) -> Request | None:
-    """The head of the request whose first bytes have come; None where the client goes before it is whole."""
-    until, seen = time.monotonic() + limits.head_s, 0
-    while (found := cut_head(link.rest, seen)) is None:
-        if link.rest.startswith(b"\r\n"):  # some clients end a body with one too many
-            link.put_back(link.rest[2:])
-        seen = len(link.rest)
-        try:
-            if not await link.more(limits.buffer_bytes, max(0.001, until - time.monotonic())):
-                return None
-        except StalledError:
-            raise MalformedMessageError("the header did not come to its end", HTTPStatus.REQUEST_TIMEOUT) from None
-    head = read_request(found[0].lstrip(b"\r\n"))
-    link.put_back(found[1])
-    return head
+ExchangeResult = RejectStream | EndpointFailedError | ClientFailedError | None
+"""What kept an exchange from a response, which the client is then owed; None where it had one to its end."""
 
 
-async def either(*tasks: asyncio.Task[Any]) -> None:
-    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+class ExchangeHost(Protocol):
+    """What an exchange needs of the extension."""
+
+    settings: StreamSettings
 
+    async def route(self, stream: int, destination: int, avoid_endpoint: int) -> RouteStream | RejectStream:
+        """Decides where a stream goes."""
 
-class EndpointFailedError(Exception):
-    """The endpoint did not do its part; with the status that the client gets, if it can still get one."""
+    async def connect(self, endpoint: int, reuse: bool) -> StreamConnection:
+        """Returns a connection to an endpoint. A kept one may be dead: it serves only requests that may be repeated.
 
-    def __init__(self, outcome: Outcome, text: str, status: HTTPStatus = HTTPStatus.BAD_GATEWAY) -> None:
-        super().__init__(text)
-        self.outcome, self.text, self.status = outcome, text, status
+        Raises:
+            EndpointFailedError: none can be had.
+        """
 
+    def report_outcome(self, stream: int, endpoint: int, outcome: Outcome, headers: Headers) -> None:
+        """An endpoint has shown how it does, by the head of its response or by failing."""
 
-class ClientFailedError(Exception):
-    """The client did not do its part; with the status that it gets, or none where it has gone."""
+    def end_stream(self, stream: int) -> None:
+        """The stream is over."""
 
-    def __init__(self, text: str, status: HTTPStatus | None = None) -> None:
-        super().__init__(text)
-        self.text, self.status = text, status
+    def keep_connection(self, endpoint: int, connection: StreamConnection) -> None:
+        """The connection may serve another stream."""
 
+    def count(self, what: str, text: str = "") -> None:
+        """Counts an event, and logs its text now and then."""
 
-class Front(Protocol):
-    limits: StreamSettings
 
-    async def ask(self, number: int, destination: int, avoid: int) -> RouteStream | RejectStream: ...
-    async def connect(self, target: int, kept: bool) -> Link: ...
-    def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None: ...
-    def over(self, number: int) -> None: ...
-    def keep(self, target: int, link: Link) -> None: ...
-    def count(self, what: str, text: str = "") -> None: ...
+async def _wait_for_any(*tasks: asyncio.Task[None] | asyncio.Task[bool]) -> None:
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
 
 
 class Exchange:
-    def __init__(self, front: Front, number: int, client: Link, head: Request, destination: int) -> None:
-        """Raises Malformed where what came with the head is no body."""
-        self.front, self.number, self.client, self.head = front, number, client, head
-        self.destination = destination
-        self.endpoint: Link | None = None
-        self.uploaded = head.framing == EMPTY
-        self.delivered = False  # all of the request is written to the endpoint
-        self.target = -1
-        self.sent = False  # a byte of the request may have reached an endpoint
-        self.answered = False  # a byte of the final answer may have reached the client
-        self.closing = head.closes()  # the client's connection ends with this answer
-        self.body = None if self.uploaded else Body(head)
-        head.raw = b""  # its fields hold the same
-        self.first = self.cut(client.take_rest()) if client.rest else b""
-        client.ledger.take(len(self.first) + head.size)
-
-    def cut(self, data: bytes) -> bytes:
-        """What of the client's bytes goes on to the endpoint; what belongs to its next request stays."""
-        if self.body is None:
-            self.client.put_back(data)
+    """One request of a client, and the response to it.
+
+    Attributes:
+        endpoint_connection: the connection that carries it.
+        request_complete: all of the request was read from the client.
+        closes_client: the client's connection ends with this response.
+    """
+
+    def __init__(
+        self, host: ExchangeHost, stream: int, client: StreamConnection, request: Request, destination: int
+    ) -> None:
+        """Raises MalformedMessageError where what came with the head is no body."""
+        self._host = host
+        self._stream = stream
+        self._client = client
+        self._request = request
+        self._destination = destination
+        self.endpoint_connection: StreamConnection | None = None
+        self.request_complete = request.framing == NO_BODY
+        self.closes_client = request.closes_connection()
+        self._endpoint = NO_ENDPOINT
+        self._request_sent = False
+        """All of the request is written to the endpoint."""
+        self._reached_endpoint = False
+        """A byte of the request may have reached an endpoint."""
+        self._response_started = False
+        """A byte of the final response may have reached the client."""
+        self._request_body = None if self.request_complete else Body(request)
+        request.raw = b""  # its fields hold the same
+        self._first_part = self._frame_request(client.take_unread()) if client.unread else b""
+        client.account.add(len(self._first_part) + request.size)
+
+    @property
+    def method(self) -> bytes:
+        """Method of the request."""
+        return self._request.method
+
+    def _frame_request(self, data: bytes) -> bytes:
+        """Returns what of the client's bytes goes on to the endpoint; what belongs to its next request is kept."""
+        body = self._request_body
+        if body is None:
+            self._client.put_back(data)
             return b""
-        pieces, rest = self.body.feed(data)
-        self.uploaded = self.body.complete
+        pieces, rest = body.feed(data)
+        self.request_complete = body.complete
         if rest:
-            self.client.put_back(rest)
-        self.closing = self.closing or self.body.extra
-        return frame(self.head.framing, pieces, self.uploaded, self.body.trailers)
-
-    def take_first(self) -> bytes:
-        data, self.first = self.first, b""
-        self.client.ledger.give(len(data))
+            self._client.put_back(rest)
+        self.closes_client = self.closes_client or body.has_extra_bytes
+        return frame_pieces(self._request.framing, pieces, self.request_complete, body.trailers)
+
+    def _take_first_part(self) -> bytes:
+        data = self._first_part
+        self._first_part = b""
+        self._client.account.release(len(data))
         return data
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """Nothing of the request is needed any more."""
-        self.take_first()
-        self.client.ledger.give(self.head.size)
+        self._take_first_part()
+        self._client.account.release(self._request.size)
+
+    # Attempts
 
-    async def run(self) -> RejectStream | EndpointFailedError | ClientFailedError | None:
-        """Carry it out. Returns what kept it from an answer, which the client is then owed; None where it had
-        one to its end. Raises where its answer was cut: its connection must be reset.
+    async def run(self) -> ExchangeResult:
+        """Carries the stream.
+
+        Returns:
+            What kept it from a response; None where it had one to its end.
+
+        Raises:
+            EndpointFailedError, ClientFailedError: its response was cut, and the client's connection must be reset.
         """
-        avoid, failed = -1, None
         try:
-            for tried in range(self.front.limits.tries):
-                if tried:
-                    self.front.count("retried")
-                decided = await self.front.ask(self.number, self.destination, avoid)
-                if isinstance(decided, RejectStream):
-                    return failed or decided
-                failed = await self.attempt(decided.endpoint)
-                if not isinstance(failed, EndpointFailedError):
-                    return failed
-                if self.answered:
-                    raise failed
-                if self.sent and not self.head.may_repeat:
-                    return failed
-                avoid = decided.endpoint
-            return failed
+            return await self._run_attempts()
         finally:
-            self.drop()
-            self.front.over(self.number)
-
-    async def attempt(self, target: int) -> EndpointFailedError | ClientFailedError | None:
-        """Take the request to one endpoint."""
-        self.target = target
+            self.release()
+            self._host.end_stream(self._stream)
+
+    async def _run_attempts(self) -> ExchangeResult:
+        avoid_endpoint = NO_ENDPOINT
+        failed: ExchangeResult = None
+        for attempt in range(self._host.settings.max_attempts):
+            if attempt:
+                self._host.count("retried")
+            route = await self._host.route(self._stream, self._destination, avoid_endpoint)
+            if isinstance(route, RejectStream):
+                return failed or route
+            failed = await self._attempt(route.endpoint)
+            if not isinstance(failed, EndpointFailedError):
+                return failed
+            if self._response_started:
+                raise failed
+            if self._reached_endpoint and not self._request.is_idempotent:
+                return failed
+            avoid_endpoint = route.endpoint
+        return failed
+
+    async def _attempt(self, endpoint: int) -> EndpointFailedError | ClientFailedError | None:
+        """Takes the request to one endpoint."""
+        self._endpoint = endpoint
         try:
-            self.endpoint = await self.front.connect(target, kept=self.head.may_repeat)
+            connection = await self._host.connect(endpoint, reuse=self._request.is_idempotent)
+            self.endpoint_connection = connection
             try:
-                reusable = await self.relay(self.endpoint)
+                is_reusable = await self._relay(connection)
             except BaseException:
-                self.endpoint.close(abort=True)  # what it has of the request must not look whole
+                connection.close(abort=True)  # what it has of the request must not look complete
                 raise
-            if reusable:
-                self.front.keep(target, self.endpoint)
-            else:
-                self.endpoint.close()
-            return None
         except EndpointFailedError as failed:
-            self.front.told(self.number, target, failed.outcome, {})
+            self._host.report_outcome(self._stream, endpoint, failed.outcome, {})
             return failed
         except ClientFailedError as failed:
-            if self.answered:
+            if self._response_started:
                 raise
             return failed
+        if is_reusable:
+            self._host.keep_connection(endpoint, connection)
+        else:
+            connection.close()
+        return None
+
+    async def _relay(self, endpoint: StreamConnection) -> bool:
+        """Moves bytes both ways at once, until the response has ended.
 
-    async def relay(self, link: Link) -> bool:
-        """Both ways at once, until the answer has ended. Whether the endpoint's connection may be kept."""
-        up = asyncio.create_task(self.upload(link))
-        down = asyncio.create_task(self.download(link))
-        tasks: list[asyncio.Task[Any]] = [up, down]
+        Returns:
+            Whether the endpoint's connection may be kept.
+        """
+        upload = asyncio.create_task(self._upload(endpoint))
+        download = asyncio.create_task(self._download(endpoint))
+        tasks: list[asyncio.Task[None] | asyncio.Task[bool]] = [upload, download]
         try:
-            await either(up, down)
-            if down.done():
-                if not up.done() and down.exception() is None and down.result():
-                    tasks.append(asyncio.create_task(link.watch()))  # it may take the rest, until it goes
-                    await either(up, tasks[-1])
-            elif up.exception() is None:
-                tasks.append(asyncio.create_task(self.stays()))
-                await either(down, tasks[-1])
-                if not down.done() and tasks[-1].exception() is None:
-                    await either(down)
+            await _wait_for_any(upload, download)
+            if download.done():
+                if not upload.done() and download.exception() is None and download.result():
+                    # The endpoint may still take the rest of the request, until it closes.
+                    tasks.append(asyncio.create_task(endpoint.wait_readable()))
+                    await _wait_for_any(upload, tasks[-1])
+            elif upload.exception() is None:
+                tasks.append(asyncio.create_task(self._watch_client()))
+                await _wait_for_any(download, tasks[-1])
+                if not download.done() and tasks[-1].exception() is None:
+                    await _wait_for_any(download)
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         for task in tasks:
-            if down.cancelled() and not task.cancelled():
+            if download.cancelled() and not task.cancelled():
                 task.result()  # raises what ended the stream
-        return down.result() and self.delivered
+        return download.result() and self._request_sent
+
+    # The request
 
-    async def upload(self, link: Link) -> None:
-        """The request to the endpoint, as far as it takes it."""
-        limits, data = self.front.limits, self.head.render() + self.take_first()
-        self.sent = True
+    async def _upload(self, endpoint: StreamConnection) -> None:
+        """Writes the request to the endpoint, as far as it takes it."""
+        data = self._request.render() + self._take_first_part()
+        self._reached_endpoint = True
         while True:
             try:
-                await link.write(data, limits.idle_s)
+                await endpoint.write(data, self._host.settings.idle_s)
             except StalledError as error:
-                raise EndpointFailedError(
-                    Outcome.TIMED_OUT, f"of the request {error}", HTTPStatus.GATEWAY_TIMEOUT
-                ) from None
+                text = f"of the request {error}"
+                raise EndpointFailedError(Outcome.TIMED_OUT, text, HTTPStatus.GATEWAY_TIMEOUT) from None
             except OSError:
                 return  # it may have answered and gone: the other way tells
-            if self.uploaded:
-                self.delivered = True
+            if self.request_complete:
+                self._request_sent = True
                 return
             data = b""  # it must not be held while the next is waited for
-            await asyncio.sleep(0)  # one that is always ready must not keep the loop to itself
-            data = await self.from_client()
-
-    async def stays(self) -> None:
-        """While the answer is waited for: raises where the client has gone."""
-        if not self.delivered:
-            return  # the endpoint takes no more, and the client may not have sent all
-        try:
-            if not await self.client.watch():
-                self.closing = True  # it has ended its side, and may still read
-        except OSError:
-            raise ClientFailedError("gone") from None
+            await asyncio.sleep(0)  # a client that always has more must not keep the loop to itself
+            data = await self._read_client()
 
-    async def from_client(self) -> bytes:
-        limits = self.front.limits
+    async def _read_client(self) -> bytes:
+        settings = self._host.settings
         try:
-            data = await self.client.read(limits.buffer_bytes, limits.idle_s)
+            data = await self._client.read(settings.buffer_bytes, settings.idle_s)
             if not data:
                 raise ClientFailedError("the body did not come to its end", HTTPStatus.BAD_REQUEST)
-            return self.cut(data)
+            return self._frame_request(data)
         except StalledError as error:
             raise ClientFailedError(f"of the body {error}", HTTPStatus.REQUEST_TIMEOUT) from None
-        except MalformedMessageError as bad:
-            raise ClientFailedError(bad.text, bad.status) from None
+        except MalformedMessageError as error:
+            raise ClientFailedError(error.text, error.status) from None
+        except OSError:
+            raise ClientFailedError("gone") from None
+
+    async def _watch_client(self) -> None:
+        """Raises ClientFailedError where the client goes while its response is waited for."""
+        if not self._request_sent:
+            return  # the endpoint takes no more, and the client may not have sent all
+        try:
+            if not await self._client.wait_readable():
+                self.closes_client = True  # it has ended its side, and may still read
         except OSError:
             raise ClientFailedError("gone") from None
 
-    async def download(self, link: Link) -> bool:
-        """The answer to the client. Whether the endpoint keeps its connection."""
-        head = await self.answer_head(link)
-        self.front.told(self.number, self.target, outcome(head), headers(head))
-        framing, closes, bodiless = self.framing(head), head.closes(), head.bodiless(self.head.method)
-        to_its_end = framing == Framing() and not bodiless
-        self.closing = self.closing or not self.uploaded or to_its_end
-        out, body = head.render(self.head.method, framing, self.closing), None if bodiless else Body(head)
-        del head  # it may be large, and what follows may be long
-        self.answered = True
+    # The response
+
+    async def _download(self, endpoint: StreamConnection) -> bool:
+        """Brings the response to the client. Returns whether the endpoint keeps its connection."""
+        reader = ResponseReader(endpoint, self._host.settings)
+        response = await self._read_response_head(reader)
+        outcome, headers = response_outcome(response), response_headers(response)
+        self._host.report_outcome(self._stream, self._endpoint, outcome, headers)
+        framing = self._response_framing(response)
+        closes_endpoint = response.closes_connection()
+        method = self._request.method
+        has_no_body = response.has_no_body(method)
+        ends_with_connection = framing == UNTIL_CLOSE and not has_no_body
+        self.closes_client = self.closes_client or not self.request_complete or ends_with_connection
+        data = response.render(method, framing, self.closes_client)
+        body = None if has_no_body else Body(response)
+        del response, headers  # they may be large, and what follows may be long
+        self._response_started = True
         if body is None:
-            await self.to_client(out)
-            return not closes and not link.rest
-        self.client.guard(to_its_end)
-        out += self.reframed(body, framing, link, link.take_rest())
+            await self._write_client(data)
+            return not closes_endpoint and not endpoint.unread
+        self._client.reset_on_end(ends_with_connection)
+        data += reader.frame(body, framing, endpoint.take_unread())
         while True:
-            await self.to_client(out)
+            await self._write_client(data)
             if body.complete:
                 break
-            out = b""  # it must not be held while the next is waited for
+            data = b""  # it must not be held while the next is waited for
             await asyncio.sleep(0)
-            out = await self.body_part(link, body, framing)
-        self.client.guard(False)
-        return not (closes or link.rest or body.extra or body.framing == Framing())
-
-    async def body_part(self, link: Link, body: Body, framing: Framing) -> bytes:
-        data = link.take_rest() if await self.more(link) else b""
-        if not data and not body.end():
-            raise EndpointFailedError(Outcome.RESET, "the answer was cut")
-        return self.reframed(body, framing, link, data)
-
-    def reframed(self, body: Body, framing: Framing, link: Link, data: bytes) -> bytes:
-        """What of an endpoint's bytes goes on to the client. Nothing else is left of them but what belongs to
-        no answer.
-        """
-        try:
-            pieces, rest = body.feed(data) if data else ([], b"")
-        except MalformedMessageError as bad:
-            raise EndpointFailedError(Outcome.UNREADABLE, bad.text) from None
-        link.put_back(rest)
-        return frame(framing, pieces, body.complete, body.trailers)
-
-    def framing(self, head: Answer) -> Framing:
-        """How the answer's body goes on. A client of HTTP/1.0 knows no chunks; to others a body that ends
-        with its connection goes in chunks, so that its end can be told from a cut.
-        """
-        if head.framing.length is not None:
-            return head.framing
-        return Framing(chunked=self.head.minor > 0)
-
-    async def answer_head(self, link: Link) -> Answer:
-        """The final answer's head; those before it go to the client at once."""
-        for _ in range(MOST_INTERIM):
-            try:
-                seen = 0
-                while (found := cut_head(link.rest, seen)) is None:
-                    seen = len(link.rest)
-                    if not await self.more(link):
-                        raise EndpointFailedError(Outcome.RESET, "the connection ended without an answer")
-                head = read_answer(found[0])
-            except MalformedMessageError as bad:
-                raise EndpointFailedError(Outcome.UNREADABLE, bad.text) from None
-            link.put_back(found[1])
-            if head.final:
-                return head
-            if self.head.minor > 0:
-                await self.to_client(head.render(self.head.method, Framing(), False))
+            data = await reader.read_part(body, framing)
+        self._client.reset_on_end(False)
+        return not (closes_endpoint or endpoint.unread or body.has_extra_bytes or body.framing == UNTIL_CLOSE)
+
+    async def _read_response_head(self, reader: ResponseReader) -> Response:
+        """Returns the final response's head; those before it go to the client at once."""
+        for _ in range(MAX_INTERIM_RESPONSES):
+            response = await reader.read_head()
+            if response.is_final:
+                return response
+            if self._request.minor > 0:
+                await self._write_client(response.render(self._request.method, UNTIL_CLOSE, False))
         raise EndpointFailedError(Outcome.UNREADABLE, "too many interim answers")
 
-    async def more(self, link: Link) -> bool:
-        limits = self.front.limits
-        try:
-            return await link.more(limits.buffer_bytes, limits.silent_s)
-        except StalledError as error:
-            raise EndpointFailedError(Outcome.TIMED_OUT, f"of the answer {error}", HTTPStatus.GATEWAY_TIMEOUT) from None
-        except OSError:
-            raise EndpointFailedError(Outcome.RESET, "the connection was reset") from None
+    def _response_framing(self, response: Response) -> Framing:
+        """Returns how the response's body goes on.
+
+        A client of HTTP/1.0 knows no chunks; to others a body that ends with its connection goes in chunks, so that
+        its end can be told from a cut.
+        """
+        if response.framing.length is not None:
+            return response.framing
+        return Framing(chunked=self._request.minor > 0)
 
-    async def to_client(self, data: bytes) -> None:
+    async def _write_client(self, data: bytes) -> None:
         if not data:
             return
         try:
-            await self.client.write(data, self.front.limits.idle_s)
+            await self._client.write(data, self._host.settings.idle_s)
         except (StalledError, OSError) as error:
             raise ClientFailedError(f"of the answer {error}") from None
 
 
-def outcome(head: Answer) -> Outcome:
-    """What an answer tells of its endpoint. Whatever else it says, it has done its part."""
-    if head.status == 429:
+def response_outcome(response: Response) -> Outcome:
+    """Returns what a response tells of its endpoint. Whatever else it says, the endpoint has done its part."""
+    if response.status == HTTPStatus.TOO_MANY_REQUESTS:
         return Outcome.REJECTED
-    if head.status == 503:
-        return Outcome.NOT_SENT if head.values(b"x-over-slots") else Outcome.REJECTED
-    return Outcome.FAILED if head.status in SICK else Outcome.DELIVERED
+    if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
+        return Outcome.NOT_SENT if response.values(b"x-over-slots") else Outcome.REJECTED
+    return Outcome.FAILED if response.status in FAILURE_STATUSES else Outcome.DELIVERED
 
 
-def headers(head: Answer) -> Headers:
-    return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in head.fields}
+def response_headers(response: Response) -> Headers:
+    """Returns a response's fields, their names in lower case."""
+    return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in response.fields}
 
 
-def retry_after_s(wait_us: int) -> int:
-    """Whole seconds, as every client reads them."""
-    return max(1, math.ceil(wait_us / 1_000_000))
+def retry_after_s(retry_after_us: int) -> int:
+    """Returns a Retry-After in whole seconds, as HTTP has them."""
+    return max(1, math.ceil(retry_after_us / SECOND_US))
--- a/tests/config/test_extensions_file.py
+++ b/tests/config/test_extensions_file.py
@@ -16,7 +16,7 @@
 from forwarder.streaming.extension import StreamingExtensionFactory
 from tests.scripts import settings
 from tests.sockets import OK, PATIENCE, ROOT, Node, Peer, Platform, always, message
-from tests.streams import streaming
+from tests.streaming.peers import streaming
 
 CONFIG = Config(
     "n0",
@@ -92,7 +92,7 @@
         (tmp_path / "parts.toml").write_text(text)
         maker = load_extensions(tmp_path / "parts.toml", config)[0]
         assert isinstance(maker, StreamingExtensionFactory)
-        return maker.limits.connections
+        return maker.settings.max_connections
 
     assert connections(GOOD, CONFIG) == 1_000_000 // (2 * (16_384 + 65_536 + 64)) == 6
     assert connections(GOOD + "buffer_bytes = 4096", CONFIG) == (256 // 6 - 8) // 2 == 17
--- a/tests/test_stream_exchange.py
+++ b/tests/streaming/test_exchange.py
@@ -14,11 +14,19 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.stream_routing import RejectStream, RouteStream
 from forwarder.protocol.http1 import Headers
-from forwarder.streaming.exchange import ClientFailedError, EndpointFailedError, Exchange, request_head
-from forwarder.streaming.link import PACE_S, Ledger, Link, Pace, StalledError
+from forwarder.streaming.connection import (
+    THROUGHPUT_WINDOW_S,
+    BufferAccount,
+    StalledError,
+    StreamConnection,
+    ThroughputMonitor,
+)
+from forwarder.streaming.errors import ClientFailedError, EndpointFailedError
+from forwarder.streaming.exchange import Exchange
+from forwarder.streaming.request_reader import read_request_head
+from forwarder.streaming.reserved_paths import is_reserved_path
 from forwarder.streaming.settings import StreamSettings
-from forwarder.streaming.wire import reserved
-from tests import streams as peers
+from tests.streaming import peers
 
 LIMITS = StreamSettings(
     Address("127.0.0.1", 1),
@@ -27,10 +35,10 @@
     0.5,
     head_s=20.0,
     idle_s=20.0,
-    silent_s=20.0,
-    least_bytes_per_s=0,
-    tries=1,
-    connections=1,
+    response_idle_s=20.0,
+    min_bytes_per_s=0,
+    max_attempts=1,
+    max_connections=1,
 )
 Handler = Callable[[peers.Exchange], Awaitable[None]]
 
@@ -45,21 +53,21 @@
 class Front:
     """What the part would do: always one endpoint, which this test plays."""
 
-    def __init__(self, handler: Handler, limits: StreamSettings = LIMITS) -> None:
-        self.handler, self.limits = handler, limits
-        self.ledger = Ledger()
+    def __init__(self, handler: Handler, settings: StreamSettings = LIMITS) -> None:
+        self.handler, self.settings = handler, settings
+        self.ledger = BufferAccount()
         self.endpoints: list[asyncio.Task[peers.Exchange]] = []
         self.told_outcomes: list[Outcome] = []
-        self.links: list[Link] = []
-        self.kept: list[Link] = []
+        self.links: list[StreamConnection] = []
+        self.kept: list[StreamConnection] = []
         self.ended = 0
 
-    async def ask(self, number: int, destination: int, avoid: int) -> RouteStream | RejectStream:
-        return RouteStream(number, 1)
+    async def route(self, stream: int, destination: int, avoid_endpoint: int) -> RouteStream | RejectStream:
+        return RouteStream(stream, 1)
 
-    async def connect(self, target: int, kept: bool) -> Link:
+    async def connect(self, endpoint: int, reuse: bool) -> StreamConnection:
         ours, theirs = pair()
-        self.links.append(Link(ours, self.ledger, 0))
+        self.links.append(StreamConnection(ours, self.ledger, 0))
         self.endpoints.append(asyncio.create_task(self.serve(theirs)))
         return self.links[-1]
 
@@ -70,14 +78,14 @@
         writer.close()
         return exchange
 
-    def told(self, number: int, target: int, outcome: Outcome, headers: Headers) -> None:
+    def report_outcome(self, stream: int, endpoint: int, outcome: Outcome, headers: Headers) -> None:
         self.told_outcomes.append(outcome)
 
-    def over(self, number: int) -> None:
+    def end_stream(self, stream: int) -> None:
         self.ended += 1
 
-    def keep(self, target: int, link: Link) -> None:
-        self.kept.append(link)
+    def keep_connection(self, endpoint: int, connection: StreamConnection) -> None:
+        self.kept.append(connection)
 
     def count(self, what: str, text: str = "") -> None:
         pass
@@ -89,7 +97,7 @@
 async def exchanged(front: Front, say: Callable[[socket.socket], Awaitable[None]]) -> tuple[Result, bytes]:
     """Carry one stream out. Returns its result, and all bytes that the client read."""
     ours, theirs = pair()
-    client = Link(ours, front.ledger, 0)
+    client = StreamConnection(ours, front.ledger, 0)
     loop = asyncio.get_running_loop()
     heard = bytearray()
 
@@ -99,8 +107,8 @@
                 heard.extend(data)
 
     saying, hearing = asyncio.create_task(say(theirs)), asyncio.create_task(hear())
-    await client.more(front.limits.buffer_bytes, 20.0)
-    head = await request_head(client, front.limits)
+    await client.read_more(front.settings.buffer_bytes, 20.0)
+    head = await read_request_head(client, front.settings)
     assert head is not None
     result = await Exchange(front, 1, client, head, 7).run()
     client.close()
@@ -184,7 +192,7 @@
             got = await front.endpoints[0]
             assert got.whole or kind == "none"
             seen.add((got.head, bytes(got.body), getattr(got, "trailers", b"")))
-            assert front.ledger.held == 0
+            assert front.ledger.held_bytes == 0
             assert len(front.kept) == 1
             assert front.ended == 1
         assert len(seen) == 1
@@ -211,7 +219,7 @@
             result, heard = await exchanged(front, in_pieces(REQUESTS["none"]))
             assert result is None
             seen.add(await read_through(heard))
-            assert front.ledger.held == 0
+            assert front.ledger.held_bytes == 0
             assert front.told_outcomes == [Outcome.DELIVERED]
         ((heads, body, trailers),) = seen
         assert body == (b"" if kind == "none" else b"hello\r\n\r\nyo")
@@ -267,8 +275,8 @@
         assert got.body[: len(got.body)] == up[: len(got.body)]
         assert not got.whole or got.body == up
         assert result is None
-        assert front.ledger.held == 0
-        assert 0 < front.ledger.peak <= LIMITS.stream_bytes
+        assert front.ledger.held_bytes == 0
+        assert 0 < front.ledger.peak_bytes <= LIMITS.max_stream_bytes
         assert asyncio.all_tasks() == before  # no task is left over
         assert all(link.closed for link in front.links)  # and no socket
 
@@ -293,29 +301,33 @@
         )
         running = asyncio.create_task(exchanged(front, say))
         held = -1
-        while not front.links or front.ledger.held != held or not held:  # until nothing moves any more
-            held = front.ledger.held
+        while not front.links or front.ledger.held_bytes != held or not held:  # until nothing moves any more
+            held = front.ledger.held_bytes
             await asyncio.sleep(0.05)
         assert 0 < held <= LIMITS.buffer_bytes + 64
         stop.set()
         result, _ = await running
         assert isinstance(result, EndpointFailedError)
-        assert front.ledger.held == 0
+        assert front.ledger.held_bytes == 0
         await asyncio.gather(*front.endpoints, return_exceptions=True)
 
     asyncio.run(scene())
 
 
 def test_a_peer_that_trickles_is_stalled_and_one_that_we_keep_waiting_is_not() -> None:
-    pace = Pace(100)
+    pace = ThroughputMonitor(100)
     for _ in range(10):
-        pace.step(PACE_S / 10, 60)  # 120 bytes a second of waiting
-    with pytest.raises(StalledError):
+        pace.record(THROUGHPUT_WINDOW_S / 10, 60)  # 120 bytes a second of waiting
+
+    def too_slow() -> None:
         for _ in range(10):
-            pace.step(PACE_S / 10, 40)
-    quick = Pace(100)
+            pace.record(THROUGHPUT_WINDOW_S / 10, 40)
+
+    with pytest.raises(StalledError):
+        too_slow()
+    quick = ThroughputMonitor(100)
     for _ in range(1000):
-        quick.step(0.0, 1)  # it never kept us waiting, however little it sent
+        quick.record(0.0, 1)  # it never kept us waiting, however little it sent
 
 
 @pytest.mark.parametrize(
@@ -349,12 +361,12 @@
     ],
 )
 def test_paths_of_messages_are_told_however_they_are_written(path: str) -> None:
-    assert reserved(path.encode(), frozenset({b"hook"}))
+    assert is_reserved_path(path.encode(), frozenset({b"hook"}))
 
 
 @pytest.mark.parametrize("path", ["/", "/hooks", "/a/hook", "/a/../b", "/?hook", "/a%2fhook", "/%E6%97%A5", "*"])
 def test_other_paths_are_free(path: str) -> None:
-    assert not reserved(path.encode(), frozenset({b"hook"}))
+    assert not is_reserved_path(path.encode(), frozenset({b"hook"}))
 
 
 def test_an_absolute_target_is_read_as_its_path_and_host() -> None:
--- a/tests/test_streaming.py
+++ b/tests/streaming/test_extension.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.sockets import OK, PATIENCE, Node, Peer, Platform, always, free_port
-from tests.streams import CHUNKED, Endpoint, Exchange, Handler, Visitor, streaming
+from tests.streaming.peers import CHUNKED, Endpoint, Exchange, Handler, Visitor, streaming
 
 Scene = Callable[["Stage"], Awaitable[None]]
 BIG = random.Random(1).randbytes(300_000)
