--- a/forwarder/storage/capacity.py
+++ b/forwarder/storage/capacity.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from forwarder.storage.messages import RECORD_OVERHEAD_BYTES, AcceptedMessage
 
 RESERVED_BYTES = 128 * 1024
@@ -16,13 +14,14 @@
 """Quotes and a comma."""
 
 
-@dataclass(slots=True)
 class StateSizes:
     """What the larger parts of the state take in a snapshot, kept as they change."""
 
-    message_bytes: int = 0
-    ended_id_bytes: int = 0
-    endpoint_list_bytes: int = 0
+    def __init__(self) -> None:
+        """Begins with nothing."""
+        self.message_bytes = 0
+        self.ended_id_bytes = 0
+        self.endpoint_list_bytes = 0
 
     def add_message(self, message: AcceptedMessage) -> None:
         """Counts a message."""
--- a/forwarder/storage/recovery.py
+++ b/forwarder/storage/recovery.py
@@ -17,7 +17,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
 from forwarder.storage.file_names import (
     CLOSED_JOURNAL_PREFIX,
@@ -214,7 +214,7 @@
         scan.damaged_ranges = scan.damaged_ranges or [(scan.sound_bytes, scan.sound_bytes)]
     scan.records = [record for record in scan.records if not is_journal_closed(record.line)]
     if scan.records and (is_gap or recovered.is_tail_lost):
-        scan.records[0] = replace(scan.records[0], is_after_loss=True)
+        scan.records[0] = scan.records[0]._replace(is_after_loss=True)
         recovered.is_tail_lost = False
     recovered.missing_files += is_gap
     recovered.is_tail_lost = recovered.is_tail_lost or scan.is_tail_lost
--- a/forwarder/storage/scan.py
+++ b/forwarder/storage/scan.py
@@ -16,6 +16,7 @@
 import zlib
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from forwarder.storage.record_format import (
     FORMAT_VERSION,
@@ -34,8 +35,7 @@
 from forwarder.storage.schema import JsonArray, SnapshotSealedRecord, is_snapshot_seal
 
 
-@dataclass(frozen=True, slots=True)
-class ScannedRecord:
+class ScannedRecord(NamedTuple):
     """A record as it was read, its line not yet decoded."""
 
     number: int
