--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -38,18 +38,7 @@
     events = runtime.loop.events
     description = HandoverDescription() if runtime.handover is None else runtime.handover.description
     saved_list = _newest_list(runtime)
-    store.record_known_endpoints(endpoint.name for endpoint in saved_list.endpoints)
-    runtime.apply_endpoint_list(saved_list)
-    events += [
-        EndpointDisabled(runtime.endpoint_number(name), since_us) for name, since_us in store.disabled_endpoints.items()
-    ]
-    entries = runtime.endpoint_table.entries(saved_list.endpoints, store.disabled_endpoints)
-    events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
-    if runtime.handover is None:
-        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
-    for name, (ejected_at_us, recovering_since_us) in store.ejections.items():
-        if name in runtime.endpoint_table.numbers:
-            events.append(EjectionRecovered(runtime.endpoint_table.numbers[name], ejected_at_us, recovering_since_us))
+    _recover_endpoints(runtime, saved_list)
     fail_doubtful_messages(store)
     in_progress = {(item.message_id, item.number) for call in description.pool.calls for item in call.attempts}
     events += _recovered_messages(runtime, in_progress)
@@ -59,12 +48,29 @@
     now_us = runtime.clock()
     events += [KeyBackoffRecovered(key, until_us) for key, until_us in store.key_backoffs.items() if until_us > now_us]
     if store.messages or store.pending_notices:
-        log.info("took up %d messages and %d owed ends again", len(store.messages), len(store.pending_notices))
+        log.info("recovered: held=%d pending_notices=%d", len(store.messages), len(store.pending_notices))
     if description.learned_state is not None:
         events.append(HandoverReceived(description.learned_state))
     return saved_list.version if saved_list.endpoints else NO_LIST_VERSION
 
 
+def _recover_endpoints(runtime: Runtime, saved_list: EndpointList) -> None:
+    """Applies the saved list, and posts it with the endpoints that are disabled or ejected."""
+    store = runtime.store
+    events = runtime.loop.events
+    store.record_known_endpoints(endpoint.name for endpoint in saved_list.endpoints)
+    runtime.apply_endpoint_list(saved_list)
+    for name, since_us in store.disabled_endpoints.items():
+        events.append(EndpointDisabled(runtime.endpoint_number(name), since_us))
+    entries = runtime.endpoint_table.entries(saved_list.endpoints, store.disabled_endpoints)
+    events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
+    if runtime.handover is None:
+        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
+    for name, (ejected_at_us, recovering_since_us) in store.ejections.items():
+        if name in runtime.endpoint_table.numbers:
+            events.append(EjectionRecovered(runtime.endpoint_table.numbers[name], ejected_at_us, recovering_since_us))
+
+
 def _newest_list(runtime: Runtime) -> EndpointList:
     """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
     configured = runtime.config.initial_list
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -103,7 +103,7 @@
     assert result.findings == []
     assert result.metrics["cold_ratio"] <= 1.0
     logs = "".join(node.read_log() for node in played.testbed.forwarders.values())
-    recovered = [int(count) for count in re.findall(r"took up (\d+) messages", logs)]
+    recovered = [int(count) for count in re.findall(r"recovered: held=(\d+)", logs)]
     assert len(recovered) >= 4
     assert max(recovered) >= 8, "much of the 20 messages that each may hold"
     assert max(recovered) > min(recovered), "not all alike"
--- a/tests/runtime/test_invariants.py
+++ b/tests/runtime/test_invariants.py
@@ -52,7 +52,7 @@
 ) -> None:
     store, reasons = MessageStore(tmp_path, 1_000_000), ReasonCounts()
     accepted = message(effect)
-    accepted.ran_at_us = ran_at_us
+    accepted.maybe_ran_at_us = ran_at_us
     store.messages["m"] = accepted
 
     assert Invariants(store, reasons).may_send(ATTEMPT, ROUTE, NOW_US, others) is denial
