--- a/lab/observed_state.py
+++ b/lab/observed_state.py
@@ -59,7 +59,7 @@
 class RetryAfter:
     """A wait that a destination told a forwarder."""
 
-    told_at_s: float
+    begun_at_s: float
     until_s: float
 
 
@@ -168,8 +168,8 @@
         if event.status == HTTPStatus.OK and message is not None and message.ended_at_s is None:
             message.ended_at_s = event.at_s
         if event.wait_s:
-            told = self.retry_after.get((event.node, event.destination), RetryAfter(0.0, 0.0))
-            until_s = max(told.until_s, event.at_s + event.wait_s)
+            wait = self.retry_after.get((event.node, event.destination), RetryAfter(0.0, 0.0))
+            until_s = max(wait.until_s, event.at_s + event.wait_s)
             self.retry_after[(event.node, event.destination)] = RetryAfter(event.at_s, until_s)
 
     def on_call_aborted(self, event: Event) -> None:
@@ -242,7 +242,7 @@
 
     def _end_retry_after(self, event: Event) -> None:
         """End the waits that a forwarder was told: a restart ends them (PROTOCOL)."""
-        self.retry_after = {route: told for route, told in self.retry_after.items() if route[0] != event.node}
+        self.retry_after = {route: wait for route, wait in self.retry_after.items() if route[0] != event.node}
 
     def on_process_paused(self, event: Event) -> None:
         """Begin a downtime: a stopped process can end nothing, and has as long as one that starts again."""
--- a/lab/rules.py
+++ b/lab/rules.py
@@ -279,12 +279,12 @@
     PROTOCOL, "The rules on sockets": a wait starts when its answer is written; calls that arrive within 100 ms of that
     are let through, and a restart ends the wait.
     """
-    told = state.retry_after.get((event.node, event.destination))
-    if event.id not in state.messages or told is None:
+    wait = state.retry_after.get((event.node, event.destination))
+    if event.id not in state.messages or wait is None:
         return None
-    if told.told_at_s + RETRY_AFTER_GRACE_S + state.grace_s < event.at_s < told.until_s - state.grace_s:
-        early_s = told.until_s - event.at_s
-        text = f"{early_s:.3f} s before the end of a wait told {event.at_s - told.told_at_s:.3f} s ago"
+    if wait.begun_at_s + RETRY_AFTER_GRACE_S + state.grace_s < event.at_s < wait.until_s - state.grace_s:
+        early_s = wait.until_s - event.at_s
+        text = f"{early_s:.3f} s before the end of a wait told {event.at_s - wait.begun_at_s:.3f} s ago"
         return _finding(Rule.RETRY_AFTER, event, text)
     return None
 
--- a/tests/lab/test_command_line.py
+++ b/tests/lab/test_command_line.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import socket
 import subprocess
 import sys
@@ -18,21 +17,20 @@
 from tests.sockets import ROOT
 
 
-def command(*words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "lab", *words],
+        [sys.executable, "-m", "lab", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=100,
-        env={**os.environ, **environment},
     )
 
 
 def test_a_program_that_does_not_start_is_no_result(tmp_path: Path) -> None:
     (tmp_path / "forwarder").mkdir()
     (tmp_path / "forwarder/__main__.py").write_text("raise SystemExit('no such luck')\n")
-    done = command(
+    done = run_command(
         "run", "lab/scenarios/herd.toml", "--nodes", "2", "--program", str(tmp_path), "--out", str(tmp_path / "out")
     )
     assert done.returncode == 2
@@ -40,19 +38,19 @@
     assert not (tmp_path / "out/result.json").exists()
 
 
-def test_a_bad_scenario_ends_with_2_and_names_the_key(tmp_path: Path) -> None:
+def test_a_scenario_that_cannot_be_played_ends_with_2_and_names_the_key(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_text('name = "x"\n[load]\nper_nod = 3\n')
-    done = command("run", str(tmp_path / "x.toml"))
+    done = run_command("run", str(tmp_path / "x.toml"))
     assert done.returncode == 2
     assert "per_nod" in done.stderr
-    assert "herd.toml" in command("list").stdout
+    assert "herd.toml" in run_command("list").stdout
 
 
 def test_an_address_that_is_taken_is_no_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    told = plan.make(Scenario("test", fleet=Fleet(nodes=6, endpoints=8, destinations=4)))
+    drawn = plan.make(Scenario("test", fleet=Fleet(nodes=6, endpoints=8, destinations=4)))
     with socket.socket() as taken:
         taken.bind((host_for(Role.ENDPOINT, 3, 2), 0))
         taken.listen()
         monkeypatch.setattr(testbed, "free_port", lambda: taken.getsockname()[1])
         with pytest.raises(LabError, match="address"):
-            asyncio.run(run.run(told, tmp_path, ROOT))
+            asyncio.run(run.run(drawn, tmp_path, ROOT))
--- a/tests/lab/test_datagrams.py
+++ b/tests/lab/test_datagrams.py
@@ -5,12 +5,11 @@
 import asyncio
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
 from lab.datagrams import DatagramExchange
-from lab.network import LinkFault, Network
+from lab.network import Address, LinkFault, Network
 from tests.sockets import PATIENCE, free_port, own_host
 
 
@@ -22,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "counted", "is_expected"),
+    ("fault", "counted", "is_expected"),
     [
         (LinkFault(), "", lambda n: n == 40),
         (LinkFault(silent_out=True), "datagrams lost", lambda n: n == 0),
@@ -33,21 +32,21 @@
     ],
     ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"],
 )
-def test_datagrams_between_two_forwarders(effect: LinkFault, counted: str, is_expected: Callable[[int], bool]) -> None:
+def test_datagrams_between_two_forwarders(fault: LinkFault, counted: str, is_expected: Callable[[int], bool]) -> None:
     """What comes bears the sender's advertised address; the way back is another link and is not touched."""
 
-    async def scene(net: Network) -> None:
+    async def scene(network: Network) -> None:
         hosts = [own_host(), own_host()]
         sockets = [bind(host) for host in hosts]
         proxies = [(own_host(), free_port()) for _ in hosts]
         exchange = DatagramExchange(
-            net,
+            network,
             {f"n{n}": sock.getsockname() for n, sock in enumerate(sockets)},
-            {f"n{n}": where for n, where in enumerate(proxies)},
+            {f"n{n}": address for n, address in enumerate(proxies)},
         )
         await exchange.open()
-        net.set_fault(("n0", "n1"), effect)
-        received: list[tuple[bytes, Any]] = []
+        network.set_fault(("n0", "n1"), fault)
+        received: list[tuple[bytes, Address]] = []
         for n in range(40):
             sockets[0].sendto(bytes([n]), proxies[1])
             sockets[1].sendto(bytes([n]), proxies[0])
@@ -63,11 +62,11 @@
                 except BlockingIOError:
                     break
         assert is_expected(len(received))
-        assert {where for _, where in received} <= {proxies[0]}
-        if effect.jitter_s or effect.swapped:
+        assert {address for _, address in received} <= {proxies[0]}
+        if fault.jitter_s or fault.swapped:
             assert [data for data, _ in received] != sorted(data for data, _ in received)
         if counted:
-            assert net.counts[counted] > 0
+            assert network.counts[counted] > 0
         exchange.close()
         for sock in sockets:
             sock.close()
--- a/tests/lab/test_hold_reasons.py
+++ b/tests/lab/test_hold_reasons.py
@@ -11,14 +11,14 @@
 def test_seconds_are_needless_only_where_there_was_capacity_all_the_time(
     capacity: tuple[bool, ...], needless: float
 ) -> None:
-    said = 'ok {"held":[[7,"refusjon","window",%d]],"refused":[[7,"refusjon","window",%d]]}'
-    looks = [
-        hold_reasons.parse_report(at, "n0", start, said % (us, n))
+    answer = 'ok {"held":[[7,"refusjon","window",%d]],"refused":[[7,"refusjon","window",%d]]}'
+    reports = [
+        hold_reasons.parse_report(at, "n0", start, answer % (us, n))
         for at, start, us, n in ((1.0, 1, 1_000_000, 2), (2.0, 1, 4_000_000, 5), (3.0, 2, 500_000, 1))
     ]
     found = hold_reasons.hold_rows(
         hold_reasons.HoldReports(
-            [look for look in looks if look is not None],
+            [report for report in reports if report is not None],
             [hold_reasons.CapacitySample(1.0 + n / 2, [7] if free else [8]) for n, free in enumerate(capacity)],
         )
     )
--- a/tests/lab/test_metrics.py
+++ b/tests/lab/test_metrics.py
@@ -13,15 +13,16 @@
 def events_with_service(shares: list[float]) -> list[Event]:
     """Ten messages in each half second; a share of them is delivered at once."""
     events = []
-    for n, share in enumerate(shares):
-        for k in range(10):
-            number, at = n * 10 + k, n * 0.5 + k * 0.05
+    for half_second, share in enumerate(shares):
+        for index in range(10):
+            number = half_second * 10 + index
+            at_s = half_second * 0.5 + index * 0.05
             events += [
-                event(at, EventKind.MESSAGE_ARRIVED, number=number, state=STATUS_CLASS),
-                event(at, EventKind.SUBMITTED, f"m{number}", number=number, state=STATUS_CLASS, destination=7),
+                event(at_s, EventKind.MESSAGE_ARRIVED, number=number, state=STATUS_CLASS),
+                event(at_s, EventKind.SUBMITTED, f"m{number}", number=number, state=STATUS_CLASS, destination=7),
             ]
-            if k < share * 10:
-                events.append(event(at + 0.1, EventKind.CALL_ANSWERED, f"m{number}", status=200))
+            if index < share * 10:
+                events.append(event(at_s + 0.1, EventKind.CALL_ANSWERED, f"m{number}", status=200))
     return events
 
 
@@ -35,11 +36,12 @@
     ],
 )
 def test_time_to_full_service(after: list[float], full_s: float | None) -> None:
-    got = metrics.ServiceLevel(events_with_service([1.0] * 10 + after)).time_to_full_service(5.0, 0.0, 17.0)
-    assert got == full_s if full_s is None else got is not None and abs(got - full_s) <= 0.25
+    service = metrics.ServiceLevel(events_with_service([1.0] * 10 + after))
+    found_s = service.time_to_full_service(5.0, 0.0, 17.0)
+    assert found_s == (None if full_s is None else pytest.approx(full_s, rel=0.0, abs=0.25))
 
 
-EARNED = [
+EARNED_SHARES = [
     (STATUS_CLASS, 0.9, 1.0),
     (STATUS_CLASS, 3.0, 0.5),
     (STATUS_CLASS, 5.1, 0.0),
@@ -51,26 +53,26 @@
 
 def test_late_deliveries_earn_less_and_those_past_the_deadline_nothing() -> None:
     events = []
-    for n, (cls, took, _) in enumerate(EARNED):
+    for number, (message_class, latency_s, _) in enumerate(EARNED_SHARES):
         events += [
-            event(float(n), EventKind.MESSAGE_ARRIVED, number=n, state=cls),
-            event(float(n), EventKind.SUBMITTED, f"m{n}", number=n, state=cls),
-            event(n + took, EventKind.CALL_ANSWERED, f"m{n}", status=200),
+            event(float(number), EventKind.MESSAGE_ARRIVED, number=number, state=message_class),
+            event(float(number), EventKind.SUBMITTED, f"m{number}", number=number, state=message_class),
+            event(number + latency_s, EventKind.CALL_ANSWERED, f"m{number}", status=200),
         ]
-    s = metrics.ServiceLevel(sorted(events, key=lambda e: e.at_s))
-    for n, (_, _, worth) in enumerate(EARNED):
-        assert s.share(n, n + 0.5, metrics.Weight.EARNED) == pytest.approx(worth)
+    service = metrics.ServiceLevel(sorted(events, key=lambda event: event.at_s))
+    for number, (_, _, earned_share) in enumerate(EARNED_SHARES):
+        assert service.share(number, number + 0.5, metrics.Weight.EARNED) == pytest.approx(earned_share)
 
 
 def test_the_worst_second_is_divided_by_the_steady_one() -> None:
     events = [event(n / 2, EventKind.LIST_REQUESTED) for n in range(20)] + [event(10.5, EventKind.LIST_REQUESTED)] * 9
-    row = metrics.per_second(sorted(events, key=lambda e: e.at_s), EventKind.LIST_REQUESTED, 12.0)
-    assert metrics.worst_over_steady(row, 2.0, 10.0) == pytest.approx(4.5)
+    counts = metrics.per_second(sorted(events, key=lambda event: event.at_s), EventKind.LIST_REQUESTED, 12.0)
+    assert metrics.worst_over_steady(counts, 2.0, 10.0) == pytest.approx(4.5)
     assert metrics.worst_over_steady([0] * 12, 2.0, 10.0) is None
 
 
 def test_the_steps_of_a_restart_are_measured_apart() -> None:
-    seen = [
+    events = [
         event(1.0, EventKind.SUBMITTED, "m"),
         event(2.0, EventKind.PROCESS_KILLED, node="n0"),
         event(2.0, EventKind.PROCESS_KILLED, node="n1"),
@@ -86,8 +88,8 @@
         event(5.0, EventKind.CALL_ANSWERED, "m", status=200),
         event(6.0, EventKind.CALL_ANSWERED, "late", status=200),
     ]
-    got = metrics.restart_steps(seen, 2.0)
-    assert {name: value and round(value, 6) for name, value in got.items()} == {
+    found = metrics.restart_steps(events, 2.0)
+    assert {name: value and round(value, 6) for name, value in found.items()} == {
         "backlog_s": 1.2,
         "notice_s": 1.0,
         "notice_longest_s": 1.0,
@@ -96,4 +98,4 @@
         "list_s": 1.2,
         "list_longest_s": 1.2,
     }
-    assert set(metrics.restart_steps(seen[:1], 2.0).values()) == {None}
+    assert set(metrics.restart_steps(events[:1], 2.0).values()) == {None}
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -59,14 +59,14 @@
     return network
 
 
-@pytest.mark.parametrize("effect", [LinkFault(silent_out=True), LinkFault(silent_in=True), LinkFault(True, True)])
-def test_silence_holds_bytes_back_until_it_heals(effect: LinkFault) -> None:
+@pytest.mark.parametrize("fault", [LinkFault(silent_out=True), LinkFault(silent_in=True), LinkFault(True, True)])
+def test_silence_holds_bytes_back_until_it_heals(fault: LinkFault) -> None:
     async def scene(network: Network) -> None:
         listener = await open_listener(network)
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"before")
         await assert_received(reader, b"before")
-        network.set_fault(LINK, effect)
+        network.set_fault(LINK, fault)
         writer.write(b"after")
         async with asyncio.timeout(PATIENCE):
             while not network.counts.get("held"):
@@ -159,13 +159,13 @@
 
 def test_a_cut_between_two_leaves_others_alone() -> None:
     async def scene(network: Network) -> None:
-        one, other = await open_listener(network), await open_listener(network, ("n1", "s-0"))
+        cut, other = await open_listener(network), await open_listener(network, ("n1", "s-0"))
         network.set_fault(LINK, LinkFault(refuse=True))
         reader, writer = await asyncio.open_connection(*other.address)
         writer.write(b"x")
         await assert_received(reader, b"x")
         writer.close()
-        one.close()
+        cut.close()
         other.close()
 
     play(scene)
--- a/tests/lab/test_plan.py
+++ b/tests/lab/test_plan.py
@@ -20,6 +20,6 @@
 
 def test_waves_and_shares_strike_everybody_once() -> None:
     fault = Fault(at_s=1.0, kind="term", share=1.0, waves=10, every_s=2.0, back_s=0.5)
-    acts = plan.make(Scenario("x", faults=(fault,))).schedule
-    assert sorted(n for act in acts for n in act.targets) == sorted(f"n{n}" for n in range(12))
-    assert [act.at_s for act in acts] == [1.0 + 2.0 * n for n in range(len(acts))]
+    steps = plan.make(Scenario("x", faults=(fault,))).schedule
+    assert sorted(n for step in steps for n in step.targets) == sorted(f"n{n}" for n in range(12))
+    assert [step.at_s for step in steps] == [1.0 + 2.0 * n for n in range(len(steps))]
--- a/tests/lab/test_reports.py
+++ b/tests/lab/test_reports.py
@@ -8,20 +8,20 @@
 
 
 def test_a_sweep_adds_many_seeds_up_and_names_those_that_do_not_count() -> None:
-    found = Finding(Rule.RETRY_AFTER, 1.0, "m1", "n0", "")
+    finding = Finding(Rule.RETRY_AFTER, 1.0, "m1", "n0", "")
     results = [
         Result(
-            "x",
-            seed,
-            6,
-            [found] * (seed == 2),
-            0,
-            {"served": 0.9 + seed / 100, "names": "no number"},
-            {},
-            {"crashes": 0},
-            {},
-            [],
-            seed != 3,
+            scenario="x",
+            seed=seed,
+            forwarders=6,
+            findings=[finding] * (seed == 2),
+            forgotten_messages=0,
+            metrics={"served": 0.9 + seed / 100, "names": "no number"},
+            lateness_ms={},
+            costs={"crashes": 0},
+            link_events={},
+            broken_limits=[],
+            is_valid=seed != 3,
         )
         for seed in (1, 2, 3)
     ]
