--- a/tests/decisions/test_attempt_outcomes.py
+++ b/tests/decisions/test_attempt_outcomes.py
@@ -11,7 +11,7 @@
 
 
 class RecordingExtension:
-    """Keeps the outcomes that it is told."""
+    """Keeps the outcomes that it gets."""
 
     def __init__(self) -> None:
         self.outcomes: list[tuple[int, Outcome]] = []
--- a/tests/decisions/test_backoff.py
+++ b/tests/decisions/test_backoff.py
@@ -38,9 +38,7 @@
 @pytest.mark.parametrize("wait_us", [0, S])
 @pytest.mark.parametrize("number", [100, 300])
 def test_rejected_forwarders_together_retry_at_a_low_rate(number: int, wait_us: int) -> None:
-    """Shut targets refused without a wait; hundreds came back every second or two. ccb835b9: the same with
-    actions waits, where no limit is actions. The larger the fleet, the longer each stays away.
-    """
+    """The larger the fleet, the longer each forwarder backs off, with and without a Retry-After."""
     times = call_times_of_a_failing_fleet(number, Outcome.REJECTED, 40 * S, retry_after_us=wait_us)
     assert max_calls_within(times, 20 * S, 1500 * MS) <= 45
 
--- a/tests/decisions/test_call_learning.py
+++ b/tests/decisions/test_call_learning.py
@@ -20,7 +20,7 @@
 
 
 def test_timeout_of_a_message_with_little_time_left_is_not_learned_from() -> None:
-    """Messages sent with little time left made a sound target look hung."""
+    """Such a timeout would make a healthy endpoint look hung."""
     dispatcher = started(ONE_ENDPOINT)
     for n in range(6):
         out = sends(dispatcher.handle(n * S, [ask(f"m{n}", due=n * S + 300 * MS)]))
@@ -44,9 +44,7 @@
 def test_rejections_that_a_limit_explains_do_not_eject_in_a_large_fleet(
     number: int, left: float, wait_us: int, shut: bool
 ) -> None:
-    """79 outages were seen by refusals alone, each paced like a cold return for 13 s. 3d180b13: of
-    two forwarders either meets a limit so often that five refusals running still tell of more than that.
-    """
+    """In a small fleet a limit is met so often that five rejections running tell of more than that."""
     dispatcher = fleet(number)[0]
     actions = dispatcher.handle(0, [ask("a", due=200 * S)])
     now = 0
--- a/tests/decisions/test_concurrency_window.py
+++ b/tests/decisions/test_concurrency_window.py
@@ -43,7 +43,7 @@
 
 
 def test_separate_routes_together_leave_a_quarter_of_the_slots() -> None:
-    """Each route has a window of its own: together they must not take every slot from other destinations."""
+    """Each route has a window of its own; together they must leave slots to other destinations."""
     dispatcher = Dispatcher(settings(), 1, 0)
     dispatcher.handle(
         0,
--- a/tests/decisions/test_dispatcher.py
+++ b/tests/decisions/test_dispatcher.py
@@ -37,7 +37,7 @@
 
 
 def test_an_event_costs_only_what_its_destination_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At full size days were cut off for CPU: each event scanned and sorted all that was held."""
+    """The messages that are held for other destinations are neither scanned nor sorted."""
     entries = tuple(EndpointEntry(n, n, "north", "plain") for n in range(2000))
     dispatcher = Dispatcher(settings(slots=4000), 1, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
@@ -45,9 +45,9 @@
     observed: list[int] = []
     plain = CallEstimates.give_up_at_us
 
-    def counted(self: CallEstimates, m: Message) -> int:
-        observed.append(m.destination)
-        return plain(self, m)
+    def counted(self: CallEstimates, message: Message) -> int:
+        observed.append(message.destination)
+        return plain(self, message)
 
     monkeypatch.setattr(CallEstimates, "give_up_at_us", counted)
     dispatcher.handle(MS, [ask("new", 7, due=60 * S)])
--- a/tests/decisions/test_endpoint_list_poll.py
+++ b/tests/decisions/test_endpoint_list_poll.py
@@ -37,7 +37,7 @@
 
 
 def test_forwarders_whose_polls_failed_at_once_poll_again_apart() -> None:
-    """Discovery short of room: each has one question out, and comes back later and at times of its own."""
+    """Discovery may be overloaded: each forwarder polls again later, and at a random time."""
     asked: list[list[int]] = []
     for dispatcher in fleet(48, poll_endpoint_list=True):
         at: list[int] = []
--- a/tests/decisions/test_expected_call.py
+++ b/tests/decisions/test_expected_call.py
@@ -20,7 +20,7 @@
 
 
 def test_a_round_computes_each_expected_call_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With 700 held a round took 5 ms, most of it the same sums and gates for each message."""
+    """With many messages held, those that are alike share the computation."""
     entries = tuple(EndpointEntry(n, n // 2, "north", "plain") for n in range(26))
     dispatcher = Dispatcher(settings(slots=9), 1, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
--- a/tests/decisions/test_idle_connections.py
+++ b/tests/decisions/test_idle_connections.py
@@ -29,9 +29,7 @@
 def test_idle_connections_are_kept_for_as_long_as_the_endpoint_accepts_them(
     number: int, refusals: int, closed: bool
 ) -> None:
-    """Idle connections of all filled what a target accepts; two in three attempts got none.
-    c43c08c6: none was kept for longer than 0.2 s, and nearly every call cost a handshake.
-    """
+    """The idle connections of a large fleet fill what an endpoint accepts; without any, each call costs a handshake."""
     dispatcher = fleet(number, idle_timeout_us=5 * S)[0]
     now = 0
 
@@ -55,7 +53,7 @@
 
 
 def test_end_of_an_outage_does_not_shorten_the_trusted_idle_time() -> None:
-    """After an outage of 5 s all closed their connections after 0.2 s for the rest of the day."""
+    """Several refused connections running are an outage, and no lack of connections."""
     dispatcher = fleet(60, idle_timeout_us=5 * S)[0]
     now = 0
     actions = dispatcher.handle(now, [ask("a", due=200 * S)])
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -22,7 +22,7 @@
 
 
 def test_load_is_shed_from_the_destination_with_the_most_held_messages() -> None:
-    """One destination's pile filled the buffer and all others were turned away at the door."""
+    """A single destination that does not keep up must not cost the others their messages."""
     dispatcher = started(max_open_messages=20)
     dispatcher.handle(0, [ask(f"a{n}", due=6 * S) for n in range(15)] + [ask("b", 12)])
     actions = dispatcher.handle(MS, [ask("c", 12), ask("d", 12), ask("e", 12)])
@@ -32,7 +32,7 @@
 
 
 def test_message_is_rejected_at_once_if_every_retry_after_outlasts_it() -> None:
-    """Held to its end it blocked its key, and its client heard too late that it may come again."""
+    """It would block its key, and its client would learn too late that it may come back."""
     dispatcher = started(ONE_ENDPOINT, max_retry_after_us=3 * S)
     send = sends(dispatcher.handle(0, [ask("first", due=20 * S)]))[0]
     actions = dispatcher.handle(
--- a/tests/decisions/test_quota_pacing.py
+++ b/tests/decisions/test_quota_pacing.py
@@ -33,8 +33,9 @@
 
 
 def calls_at_a_limit(number: int, limit: int, until: int) -> tuple[int, int]:
-    """Calls delivered and refused from 5 s on, where all hold messages all the time and a target counts calls
-    in windows of a second, refused ones too, and tells what was left when the call came.
+    """Calls delivered and rejected from 5 s on, where all forwarders hold messages all the time.
+
+    The endpoint counts calls in windows of a second, rejected ones too, and reports what was left when a call came.
     """
     dispatchers = fleet(number)
     actions = [dispatcher.handle(0, [ask(f"m{k}", due=200 * S) for k in range(3)]) for dispatcher in dispatchers]
@@ -65,9 +66,7 @@
 
 @pytest.mark.parametrize(("number", "limit"), [(2, 30), (40, 30), (40, 90)])
 def test_quota_shares_add_up_to_little_more_than_the_limit(number: int, limit: int) -> None:
-    """Each success let a share grow by 0.03 of the whole limit, more than an even one of 40.
-    Half of all calls were refused, and refused ones use the limit up.
-    """
+    """Rejected calls use up the limit, too."""
     delivered, refused = calls_at_a_limit(number, limit, 20 * S)
     assert delivered > 0.6 * limit * 15
     assert refused < 0.2 * delivered
@@ -75,7 +74,7 @@
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 def test_a_small_share_of_a_limit_lets_a_message_go_in_time(number: int) -> None:
-    """An even share of a limit may be one call in a minute: a message must not lapse for it."""
+    """An even share of a limit may be one call a minute; the message must not miss its deadline for it."""
     dispatcher = fleet(number)[0]
     load_report = LoadReport(0.9, 10.0)
     out = sends(dispatcher.handle(0, [ask("a")]))[0]
@@ -91,7 +90,7 @@
 
 
 def time_to_deliver_us(left: float) -> int:
-    """How long one of 40 forwarders takes for six messages where their target tells what it has left."""
+    """How long one of 40 forwarders takes for six messages, by what is left of the limit."""
     dispatcher = fleet(40)[0]
     now = 0
     done = 0
@@ -106,7 +105,7 @@
 
 
 def test_spare_limit_is_used_at_once_by_the_few_that_hold_messages() -> None:
-    """After an outage 0.95 of a limit was left for ten seconds while some held a backlog."""
+    """After an outage most forwarders hold nothing, and some hold a backlog."""
     assert time_to_deliver_us(0.95) < 2 * S
     assert time_to_deliver_us(0.5) > 4 * S
 
--- a/tests/decisions/test_release.py
+++ b/tests/decisions/test_release.py
@@ -14,7 +14,7 @@
 
 
 def test_at_most_once_attempt_on_a_silent_endpoint_times_out_long_before_its_deadline() -> None:
-    """Slots were held for up to 12 s, where a usual call took 60 ms."""
+    """A silent endpoint must not keep a slot for much longer than a usual call."""
     long = MessageClass("long", 2 * S, 60 * S, Effect.ONCE)
     dispatcher = started(classes=(long,))
     out = sends(dispatcher.handle(0, [ask("a", cls="long", due=60 * S)]))[0]
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("cls", ["safe", "once"])
 def test_attempt_timeout_is_a_few_expected_calls(cls: str) -> None:
-    """What has not answered by then has fallen quiet, and its slot is lost to the others."""
+    """An endpoint that has not answered by then is silent, and the slot is needed for others."""
     dispatcher = started(ONE_ENDPOINT)
     now = 0
     for n in range(30):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -33,7 +33,7 @@
 
 
 def test_a_single_timeout_does_not_eject() -> None:
-    """One long message put its target under the cold budget for the whole warming time."""
+    """One long call must not put an endpoint into slow start."""
     dispatcher = started(ONE_ENDPOINT)
     out = sends(dispatcher.handle(0, [ask("a")]))
     dispatcher.handle(100 * MS, [end(out[0], Outcome.DELIVERED)])
@@ -65,15 +65,15 @@
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 @pytest.mark.parametrize("outcome", [Outcome.FAILED, Outcome.NO_CONNECTION, Outcome.RESET])
 def test_slow_start_budget_holds_for_all_forwarders_together(number: int, outcome: Outcome) -> None:
-    """Rule 4: whenever after 12 s the target returns, what the informed send stays about its cold budget."""
+    """Rule 4: whenever after 12 s the endpoint returns, it gets about its budget of calls."""
     times = call_times_of_a_failing_fleet(number, outcome, 20 * S)
     assert times, "none tried at all"
-    holders = number * 3 / 12  # where every forwarder holds three messages: far more than a target's traffic
+    holders = number * 3 / 12  # where every forwarder holds three messages: far more than an endpoint's traffic
     assert max_calls_within(times, 12 * S, 1500 * MS) <= max(2 * SLOW_START_CALLS, holders)
 
 
 def first_call_times(number: int, seed: int) -> list[int]:
-    """When each of many that start at once, and know of an outage that lasts, first calls its target."""
+    """When each forwarder first calls an endpoint that was ejected before all of them started."""
     times = []
     for n in range(number):
         dispatcher = Dispatcher(settings(forwarders=number, weights_reported=True, slots=3), seed * 10_000 + n, 100 * S)
@@ -90,9 +90,9 @@
 
 @pytest.mark.parametrize("number", [2, 8, 40, 200, 1000])
 def test_forwarders_that_start_at_once_call_an_ejected_endpoint_as_in_any_other_second(number: int) -> None:
-    """Their first turns were all alike, and all called at the same moment."""
+    """They must not all call at the same moment."""
     counts = [max_calls_within(first_call_times(number, seed), 0, 1500 * MS) for seed in range(3)]
-    holders = number / 45  # where every forwarder holds one: far more than a target's traffic
+    holders = number / 45  # where every forwarder holds one: far more than an endpoint's traffic
     assert sum(counts) / len(counts) <= max(1.5 * SLOW_START_CALLS + 2, holders)
     assert len(set(first_call_times(number, 9))) > number / 2
 
--- a/tests/decisions/test_tenant_quotas.py
+++ b/tests/decisions/test_tenant_quotas.py
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("number", [1, 3, 60, 300])
 def test_tenant_within_its_quota_goes_first_in_a_fleet_of_any_size(number: int) -> None:
-    """At 300 forwarders a share of 20 a second is one message in 15 s: all counted as beyond it."""
+    """In a fleet of 300 a quota of 20 a second is one message in 15 s for each forwarder."""
     dispatcher = fleet(number)[0]
     first = sends(dispatcher.handle(0, [ask("first", tenant="small")]))[0]
     dispatcher.handle(MS, [ask(f"flood{n}", tenant="small", due=3 * S) for n in range(12)])
