--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -129,7 +129,7 @@
                 case AnnounceHolding():
                     holding = frozenset(names[endpoint] for endpoint in action.endpoints if endpoint in names)
                     self._announce_holding(now_us, holding)
-        if self._host.store.bans != self._disabled_announced:
+        if self._host.store.disabled_endpoints != self._disabled_announced:
             self._announce_disabled(now_us)
 
     def _announce_ejection(self, now_us: int, name: str, action: AnnounceEjection) -> None:
@@ -170,7 +170,7 @@
 
     def _announce_disabled(self, now_us: int, *, renew: bool = False) -> None:
         """Told when they change, and now and then: a forwarder that loses its folder hears of them from others."""
-        disabled, clock_us = dict(self._host.store.bans), self._host.clock()
+        disabled, clock_us = dict(self._host.store.disabled_endpoints), self._host.clock()
         for name, since_us in sorted(disabled.items()):
             if renew or self._disabled_announced.get(name) != since_us:
                 self._announce(now_us, RecordKind.DISABLED, name, clock_us - since_us, urgent=not renew)
@@ -227,10 +227,10 @@
         """Disables endpoints again that this forwarder had disabled, as the others remember. Returns how many."""
         host, restored = self._host, 0
         for record in self.store.own_former(now_us, RecordKind.DISABLED):
-            if record.subject in host.store.bans:
+            if record.subject in host.store.disabled_endpoints:
                 continue
             since_us = host.clock() - (now_us - record.observed_at_us) - record.value_us
-            host.store.ban(record.subject, since_us)
+            host.store.disable_endpoint(record.subject, since_us)
             host.apply_command(EndpointDisabled(host.endpoint_number(record.subject), since_us))
             log.warning("maintenance: %s is left out again, as others remember", record.subject)
             restored += 1
--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -136,12 +136,12 @@
         departures = self.effects.prepare(now_us, actions, pending)
         for action in actions:
             self.supervisor.guard(type(action).__name__, partial(self._apply_own_action, action, now_us))
-        has_written = bool(self.store.pending)
+        has_written = self.store.has_unwritten_records
         is_recorded = self.store.flush()
         if self.syncer is None:
             self._release(departures, is_recorded)
         else:
-            self.syncer.after(partial(self._release, departures, True), has_written)
+            self.syncer.call_when_synced(partial(self._release, departures, True), has_written)
         for extension in self.extensions:
             self.supervisor.guard(extension.name, partial(extension.apply_actions, actions))
 
@@ -178,12 +178,12 @@
     def _release(self, departures: Departures, is_recorded: bool) -> None:
         """Lets leave what the round's records precede."""
         self.effects.release(departures, is_recorded)
-        if self.store.owed:
+        if self.store.pending_notices:
             self.notices.wake()
 
     def sync_barrier(self) -> bool:
         """Syncs what is written, and releases what waits for it. Returns whether that worked, or is not asked for."""
-        return self.syncer is None or self.syncer.barrier()
+        return self.syncer is None or self.syncer.sync_now()
 
     def set_timer(self, at_us: int, token: str) -> None:
         """Posts the timer's event at that time, or as soon as possible after it."""
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -63,7 +63,7 @@
         config: Config,
         ownership: Ownership,
         admin: AdminServer,
-        clients: socket.socket,
+        client_socket: socket.socket,
         handover: HandoverState | None = None,
         extensions: Sequence[ExtensionFactory] = (),
         clock: AnchoredClock | None = None,
@@ -78,7 +78,7 @@
         self.config = config
         self.ownership = ownership
         self.admin = admin
-        self.clients = clients
+        self.client_socket = client_socket
         self.handover = handover
         description = HandoverDescription() if handover is None else handover.description
         self.clock = clock or AnchoredClock(config.state_folder, description.clock_base_ns)
@@ -86,7 +86,7 @@
         self.run_state = RunState()
         self.reasons = ReasonCounts()
         self.supervisor = Supervisor()
-        self.identity, self.start_kind = identity.claim(config.state_folder, config.name)
+        self.identity, self.start_kind = identity.claim_folder(config.state_folder, config.name)
         self.store = self._open_store(settings)
         self.invariants = Invariants(self.store, self.reasons)
         self.dispatcher = Dispatcher(settings, config.seed, self.clock())
@@ -202,7 +202,7 @@
 
     def endpoint_number(self, name: str) -> int:
         """Returns the number by which the decisions know an endpoint."""
-        return self.endpoint_table.number(name, self.store.bans)
+        return self.endpoint_table.number(name, self.store.disabled_endpoints)
 
     def use_syncer(self, syncer: Syncer) -> None:
         """From now on, what a record precedes waits until that record is synced."""
@@ -229,12 +229,12 @@
 
     async def run(self) -> None:
         """Serves until a shutdown is over. From here on the journal is written."""
-        self.clock.keep()
-        self.store.own()
-        self.identity = identity.begin(
+        self.clock.store_anchor()
+        self.store.take_ownership()
+        self.identity = identity.record_start(
             self.identity, self.config.state_folder, self.config.name, self.store.salt, self.store.durable
         )
-        log.info("start %d of %s: %s", self.identity.starts, self.identity.id, self.start_kind.value)
+        log.info("start %d of %s: %s", self.identity.start_count, self.identity.folder_id, self.start_kind.value)
         self._log_descriptors()
         if self.handover is not None:
             await adopt_calls(self, self.handover)
@@ -243,7 +243,7 @@
         self.admin.commands = self.commands.table()  # operators who are handed over have called one that serves
         if self.handover is not None:
             await adopt_clients(self, self.handover)
-        self.server.listen(self.clients)
+        self.server.listen(self.client_socket)
         for extension in self.extensions:
             await extension.open()
         admin_listening = self.supervisor.keep("control", self._listen_for_operators)
--- a/forwarder/runtime/extension.py
+++ b/forwarder/runtime/extension.py
@@ -16,17 +16,18 @@
 from forwarder.runtime.startup_phase import StartupProgress
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.clock import AnchoredClock
-from forwarder.storage.identity import Identity, StartKind
+from forwarder.storage.identity import StartKind
+from forwarder.storage.schema import Identity
 from forwarder.storage.store import MessageStore
 
 
 class Syncer(Protocol):
     """Makes what was written outlast a power cut."""
 
-    def after(self, done: Callable[[], None], wrote: bool) -> None:
+    def call_when_synced(self, done: Callable[[], None], wrote: bool) -> None:
         """Calls `done` once all that is written now is synced; at once if nothing was written and nothing waits."""
 
-    def barrier(self) -> bool:
+    def sync_now(self) -> bool:
         """Syncs here and now, and lets all that waits go on. Returns whether that worked."""
 
 
--- a/forwarder/runtime/invariants.py
+++ b/forwarder/runtime/invariants.py
@@ -14,7 +14,8 @@
 
 from forwarder.decisions.settings import Effect
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 
 class Denial(enum.Enum):
@@ -97,14 +98,14 @@
             return Denial.ENDED if self.store.knows(attempt.message_id) else Denial.NEVER_ACCEPTED
         if attempt.message_id in others_in_progress:
             return Denial.STILL_IN_PROGRESS
-        if message.cls.effect is Effect.ONCE and self._may_have_run(message, attempt.number):
+        if message.message_class.effect is Effect.ONCE and self._may_have_run(message, attempt.number):
             return Denial.MAY_HAVE_RUN
         return None
 
     @staticmethod
     def _may_have_run(message: AcceptedMessage, number: int) -> bool:
         """Returns whether an attempt other than this one has run, as far as anyone knows."""
-        return message.ran_at_us >= 0 or any(other != number for other in message.out)
+        return message.maybe_ran_at_us >= 0 or any(other != number for other in message.in_flight)
 
     def may_send_unrecorded(self, message_id: str) -> bool:
         """Returns whether a call may leave though its attempt cannot be written, so that a restart may make it again.
@@ -112,7 +113,11 @@
         The next message of its key would have to wait for that one, so a message that keeps an order may not.
         """
         message = self.store.messages.get(message_id)
-        return message is not None and message.cls.effect is Effect.REPEATABLE and not message.cls.in_order
+        return (
+            message is not None
+            and message.message_class.effect is Effect.REPEATABLE
+            and not message.message_class.in_order
+        )
 
     def may_accept(self, message_id: str, is_recorded: bool) -> Denial | None:
         """Decides whether a client may be answered that its message is accepted."""
@@ -130,11 +135,11 @@
         if message_id in self.store.messages:
             self._note_denial("notice", Denial.STILL_IN_PROGRESS, message_id)
             return Denial.STILL_IN_PROGRESS
-        return None if self.store.may_tell(message_id, now_us) else Denial.NOT_RECORDED
+        return None if self.store.may_notify(message_id, now_us) else Denial.NOT_RECORDED
 
     def may_hand_over(self) -> Denial | None:
         """Decides whether another process may go on from the journal: it would not know of what is not on record."""
-        if not self.store.failed:
+        if not self.store.write_failed:
             return None
         self._note_denial("hand-over", Denial.NOT_RECORDED, "")
         return Denial.NOT_RECORDED
--- a/forwarder/runtime/pending_notices.py
+++ b/forwarder/runtime/pending_notices.py
@@ -7,7 +7,8 @@
 from forwarder.decisions.events import Event, NoticeAcknowledged
 from forwarder.runtime.invariants import Invariants
 from forwarder.storage.clock import AnchoredClock
-from forwarder.storage.store import MessageStore, PendingNotice
+from forwarder.storage.messages import PendingNotice
+from forwarder.storage.store import MessageStore
 
 
 class PendingNotices:
@@ -24,13 +25,17 @@
     def pending_notices(self) -> dict[str, PendingNotice]:
         """Returns the notices that may be sent now, by message id."""
         now_us = self.clock()
-        return {name: end for name, end in self.store.owed.items() if self.invariants.may_notify(name, now_us) is None}
+        return {
+            name: end
+            for name, end in self.store.pending_notices.items()
+            if self.invariants.may_notify(name, now_us) is None
+        }
 
     def acknowledge_notices(self, names: list[str]) -> None:
         """Records that the platform has acknowledged the notices of these messages."""
         for name in names:
-            end = self.store.owed.get(name)
+            end = self.store.pending_notices.get(name)
             if end is not None and end.key is not None:
                 self.post(NoticeAcknowledged(name, end.key))
-            self.store.told(name)
+            self.store.acknowledge_notice(name)
         self.store.flush()
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -49,9 +49,9 @@
             self._state_logged_s = now_s
             log_state(runtime)
         runtime.store.retry()
-        runtime.store.step()
-        runtime.clock.keep()
-        if runtime.store.owed:
+        runtime.store.write_snapshot_step()
+        runtime.clock.store_anchor()
+        if runtime.store.pending_notices:
             runtime.notices.wake()
         if now_s - self._reasons_logged_s > REASONS_LOG_INTERVAL_S:
             self._reasons_logged_s = now_s
@@ -76,7 +76,7 @@
         overdue = [message for message in runtime.store.messages.values() if message.due_us < limit_us]
         for message in overdue:
             log.error("a message was left without an end: id=%s", message.id)
-            runtime.store.owe(message.id, "failed", 0)
+            runtime.store.add_pending_notice(message.id, "failed", 0)
             if message.key is not None:  # the next of its key waits until the platform has heard of it
                 runtime.post(PendingNoticeRecovered(message.id, message.key))
             runtime.post(MessageWithdrawn(message.id))
--- a/forwarder/runtime/reload.py
+++ b/forwarder/runtime/reload.py
@@ -78,6 +78,8 @@
         runtime.server.settings = settings
         runtime.endpoint_table.apply_settings(settings.kinds)
         runtime.pool.apply_settings(runtime.config.report_fields, settings.idle_timeout_us, settings.connect_timeout_us)
-        entries = runtime.endpoint_table.entries(runtime.endpoint_table.endpoints.values(), runtime.store.bans)
+        entries = runtime.endpoint_table.entries(
+            runtime.endpoint_table.endpoints.values(), runtime.store.disabled_endpoints
+        )
         runtime.loop.events += [SettingsChanged(settings), EndpointListReceived(EndpointListKind.WHOLE, entries)]
         runtime.loop.run_round()
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -28,7 +28,7 @@
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
 from forwarder.storage.clock import Clock
-from forwarder.storage.store import PendingNotice
+from forwarder.storage.messages import PendingNotice
 from tests.sockets import PATIENCE, SETTINGS, message
 
 NOW_US = 1_000_000_000
@@ -269,7 +269,7 @@
             (HTTPStatus.INTERNAL_SERVER_ERROR, "cannot be delivered", {}),
             (HTTPStatus.SERVICE_UNAVAILABLE, "full", {"Retry_After": "0.812"}),
         ]
-        engine.clients.close()
+        engine.client_socket.close()
 
     run(scene)
 
