--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -18,7 +18,7 @@
     MessageRecovered,
     PendingNoticeRecovered,
 )
-from forwarder.discovery.watch import FIRST_LIST_US
+from forwarder.discovery.endpoint_list_watch import FIRST_LIST_TIMEOUT_US
 from forwarder.runtime.context import Runtime
 from forwarder.runtime.handover_format import HandoverDescription
 from forwarder.storage.messages import may_resend_after_loss
@@ -65,7 +65,7 @@
     entries = runtime.endpoint_table.entries(saved_list.endpoints, store.disabled_endpoints)
     events.append(EndpointListReceived(EndpointListKind.SAVED, entries))
     if runtime.handover is None:
-        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_US))
+        events.append(EndpointListAwaited(runtime.clock() + FIRST_LIST_TIMEOUT_US))
     for name, (ejected_at_us, recovering_since_us) in store.ejections.items():
         if name in runtime.endpoint_table.numbers:
             events.append(EjectionRecovered(runtime.endpoint_table.numbers[name], ejected_at_us, recovering_since_us))
