--- a/lab/harness/forwarder.py
+++ b/lab/harness/forwarder.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
 
 from forwarder.admin.server import AdminServer
 from forwarder.clients.submission import Submission
@@ -27,6 +26,8 @@
 from lab.harness.oracle import MessageState, Oracle
 
 START_US = 1_000 * SECOND_US
+UNUSED = object()
+"""Stands for what the engine never touches here."""
 OVERDUE_US = SECOND_US // 2
 """So long after its deadline a message has its end, or one that only the platform has not heard of yet."""
 
@@ -74,7 +75,7 @@
         )
         self._release_journal()
         received = decode_description(encode_description(description))
-        new = self._make_engine(HandoverState(Any, received, []))  # type: ignore[arg-type]
+        new = self._make_engine(HandoverState(UNUSED, received, []))  # type: ignore[arg-type]
         self.pool.calls_in_flight = old_pool.calls_in_flight
         self.pool.calls = old_pool.calls
         self.pool.retry_after = old_pool.retry_after
@@ -88,7 +89,7 @@
         engine.loop.events.append(EndpointListReceived(EndpointListKind.CHANGES))
 
     def _make_engine(self, handed_over: HandoverState | None = None) -> Engine:
-        engine = Engine(self.config, Any, AdminServer(), Any, handed_over, clock=self.clock)  # type: ignore[arg-type]
+        engine = Engine(self.config, UNUSED, AdminServer(), UNUSED, handed_over, clock=self.clock)  # type: ignore[arg-type]
         engine.store.writer.monotonic_s = lambda: self.clock.now_us / SECOND_US
         engine.loop.schedule = lambda: None  # type: ignore[method-assign]
         engine.loop.set_timer = lambda at_us, token: None  # type: ignore[method-assign]
--- a/tests/lab/test_launcher.py
+++ b/tests/lab/test_launcher.py
@@ -28,11 +28,9 @@
                 [sys.executable, "-c", source], tmp_path, {}, tmp_path / "log", exit_statuses.append
             )
 
-        ended, killed, running = (
-            await start("raise SystemExit(3)"),
-            await start(SLEEP_SOURCE),
-            await start(SLEEP_SOURCE),
-        )
+        ended = await start("raise SystemExit(3)")
+        killed = await start(SLEEP_SOURCE)
+        running = await start(SLEEP_SOURCE)
         async with asyncio.timeout(PATIENCE):
             while exit_statuses != [3]:
                 await asyncio.sleep(0.01)
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable, Coroutine
-from typing import Any
 
 import pytest
 
@@ -53,7 +52,7 @@
             raise ConnectionResetError
 
 
-def play(scene: Callable[[Network], Coroutine[Any, Any, None]]) -> Network:
+def play(scene: Callable[[Network], Coroutine[object, object, None]]) -> Network:
     network = Network(1)
     asyncio.run(scene(network))
     return network
