--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -37,7 +37,7 @@
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
 from tests.sockets import own_host
-from tests.streams import streaming
+from tests.streaming.peers import streaming
 
 MIB = 1 << 20
 PAIRS = 5
--- a/tests/test_streaming.py
+++ b/tests/streaming/test_extension.py
@@ -19,7 +19,7 @@
 from tests.nodes import Node
 from tests.platforms import Platform
 from tests.sockets import OK, PATIENCE, Peer, always, free_port
-from tests.streams import CHUNKED, Endpoint, Exchange, Handler, Visitor, streaming
+from tests.streaming.peers import CHUNKED, Endpoint, Exchange, Handler, Visitor, streaming
 
 Scene = Callable[["Stage"], Awaitable[None]]
 BIG = random.Random(1).randbytes(300_000)
