--- a/tests/clients/peers.py
+++ b/tests/clients/peers.py
@@ -33,13 +33,13 @@
     sending = asyncio.create_task(loop.sock_sendall(sock, FLOOD))
     while not server.connections:
         await asyncio.sleep(0.005)
-    (door,) = server.connections
-    assert door.transport is not None
-    while door.transport.is_reading() and not sending.done():
+    (connection,) = server.connections
+    assert connection.transport is not None
+    while connection.transport.is_reading() and not sending.done():
         await asyncio.sleep(0.005)
-        assert door.transport.get_write_buffer_size() < MAX_UNREAD
-    return sock, door, sending
+        assert connection.transport.get_write_buffer_size() < MAX_UNREAD
+    return sock, connection, sending
 
 
-def reject_all(handed: Submission, door: ClientConnection) -> None:
+def reject_all(submission: Submission, connection: ClientConnection) -> None:
     raise AssertionError("nothing of a flood is a message")
--- a/tests/clients/test_server.py
+++ b/tests/clients/test_server.py
@@ -14,7 +14,6 @@
 from forwarder.clients.submission import Submission
 from forwarder.config.config import Address
 from forwarder.protocol.settings_format import parse_settings
-from forwarder.protocol.settings_format import parse_settings as settings_of
 from forwarder.storage.clock import Clock
 from tests.clients.peers import flood_server, reject_all
 from tests.engine_scene import play_with_platform
@@ -28,7 +27,7 @@
 
     async def scene(platform: Platform) -> None:
         clock = Skewed()
-        server = ClientServer(settings_of(SETTINGS), clock, 10, reject_all)
+        server = ClientServer(parse_settings(SETTINGS), clock, 10, reject_all)
         sock, _, sending = await flood_server(server)
         clock.until(clock() + STALL_TIMEOUT_US + 1)
         while server.connections:
@@ -47,7 +46,7 @@
 
     async def scene() -> None:
         clock = Skewed()
-        server = ClientServer(parse_settings(SETTINGS), clock, 10, lambda handed, door: None)
+        server = ClientServer(parse_settings(SETTINGS), clock, 10, lambda submitted, connection: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         port = server.listener.address().port
@@ -71,7 +70,7 @@
 
 def test_too_many_clients_cost_the_one_idle_longest() -> None:
     async def scene() -> None:
-        server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda handed, door: None)
+        server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda submitted, connection: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         port = server.listener.address().port
@@ -94,13 +93,13 @@
     """
 
     async def scene(platform: Platform) -> None:
-        handed: list[str] = []
+        submitted: list[str] = []
 
-        def hand_in(got: Submission, door: ClientConnection) -> None:
-            handed.append(got.id)
-            door.answer(HTTPStatus.ACCEPTED)
+        def on_submission(submission: Submission, connection: ClientConnection) -> None:
+            submitted.append(submission.id)
+            connection.answer(HTTPStatus.ACCEPTED)
 
-        server = ClientServer(settings_of(SETTINGS), Skewed(), 1, hand_in)
+        server = ClientServer(parse_settings(SETTINGS), Skewed(), 1, on_submission)
         server.listen(await bind(Address("127.0.0.1", 0)))
         assert server.listener is not None
         address = ("127.0.0.1", server.listener.address().port)
@@ -124,7 +123,7 @@
             assert (await loop.sock_recv(sock, 1 << 16))[:12] == (b"HTTP/1.1 202" if answered else b"")
         except ConnectionError:
             assert not answered
-        assert handed == (["first", "crossing"] if answered else ["first"])
+        assert submitted == (["first", "crossing"] if answered else ["first"])
         server.close()
 
     play_with_platform(scene)
--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -63,14 +63,14 @@
         await platform.start()
         platform.add_endpoint("s1", 9)
         platform.add_endpoint("s2", 9)
-        at = await EngineScene(tmp_path, platform).start()
+        running = await EngineScene(tmp_path, platform).start()
         await platform.wait_for_requests(1)
-        assert len(at.engine.pool.addresses) == 2
+        assert len(running.engine.pool.addresses) == 2
         await platform.change("s1", "draining")
-        while len(at.engine.pool.addresses) == 2:
+        while len(running.engine.pool.addresses) == 2:
             await asyncio.sleep(0.005)
         assert len(platform.requests) >= silent + 1
-        at.end()
+        running.end()
 
     play_with_platform(scene)
 
@@ -100,16 +100,16 @@
         real_time, ahead = loop.time, [0.0]
         setattr(loop, "time", lambda: real_time() + ahead[0])  # noqa: B010
         heard: list[EndpointList | None] = []
-        at = await QuestionedDiscovery().start()
-        places = [at]
-        watch = EndpointListWatch(at.where, -1, heard.append)
+        discovery = await QuestionedDiscovery().start()
+        places = [discovery]
+        watch = EndpointListWatch(discovery.where, -1, heard.append)
         watch.subscribe()
         seq, hosts, count, breaks = -1, {}, 0, 0  # the model
         for n, step in enumerate(steps):
             async with asyncio.timeout(PATIENCE):
-                path, writer = await at.questions.get()
+                path, writer = await discovery.questions.get()
             assert path.partition("?")[2].startswith(f"from={seq}&") if seq >= 0 else path == "/discovery/hosts"
-            assert at.questions.empty()
+            assert discovery.questions.empty()
             more = {"host": f"s{n}", "dial": "127.0.0.1:9", "block": 7, "health": "up"}
             if step in ("news", "whole") or (step == "nothing" and seq < 0):
                 whole_list = step == "whole" or seq < 0
@@ -118,11 +118,11 @@
             elif step == "nothing":
                 writer.write(json_answer(seq=seq, whole=False, hosts=[]))
             elif step.startswith("moved"):
-                at = await QuestionedDiscovery().start()
-                places.append(at)
+                discovery = await QuestionedDiscovery().start()
+                places.append(discovery)
                 if step == "moved and answered":  # in the kernel, and not read
                     writer.write(json_answer(seq=seq + 1, whole=seq < 0, hosts=[more]))
-                watch.change_address(at.where)
+                watch.change_address(discovery.where)
                 breaks = 0
                 continue
             else:
@@ -143,8 +143,8 @@
                 watch.subscribe()
             ahead[0] += watch_module.MIN_POLL_INTERVAL_S
         known: dict[str, Any] = {}
-        for told in filter(None, heard):
-            known = ({} if told.is_complete else known) | {h.name: h.raw for h in told.endpoints}
+        for answered in filter(None, heard):
+            known = ({} if answered.is_complete else known) | {h.name: h.raw for h in answered.endpoints}
         assert len(heard) == count
         assert known == hosts
         watch.client.close()
--- a/tests/discovery/test_notifier.py
+++ b/tests/discovery/test_notifier.py
@@ -27,32 +27,32 @@
     """Each time on a new one; what the old ones still say is not heard."""
 
     async def scene(_: Platform) -> None:
-        at = await QuestionedDiscovery().start()
-        told: list[str] = []
+        discovery = await QuestionedDiscovery().start()
+        acknowledged: list[str] = []
 
         class Book:
             def pending_notices(self) -> dict[str, PendingNotice]:
-                return {} if told else {"m": PendingNotice("failed", 0, None)}
+                return {} if acknowledged else {"m": PendingNotice("failed", 0, None)}
 
             def acknowledge_notices(self, names: list[str]) -> None:
-                told.extend(names)
+                acknowledged.extend(names)
 
-        notices = Notifier(at.where, Book())
+        notices = Notifier(discovery.where, Book())
         notices.wake()
         writers: list[asyncio.StreamWriter] = []
         for _ in range(silent + 1):
-            path, writer = await at.questions.get()
+            path, writer = await discovery.questions.get()
             assert path == "/v1/notices"
-            assert not told
+            assert not acknowledged
             assert writer not in writers
             writers.append(writer)
             writer.write(cut)
         writers[-1].write(b"HTTP/1.1 204 No Content\r\n\r\n"[len(cut) :])
-        while not told:
+        while not acknowledged:
             await asyncio.sleep(0.002)
-        assert told == ["m"]
-        assert at.questions.empty()
+        assert acknowledged == ["m"]
+        assert discovery.questions.empty()
         notices.client.close()
-        at.server.close()
+        discovery.server.close()
 
     play_with_platform(scene)
--- a/tests/endpoints/test_call_outcome.py
+++ b/tests/endpoints/test_call_outcome.py
@@ -29,9 +29,9 @@
             return Answer(200, {"X-RateLimit-Wait-Ms": "700"}, json.dumps(states).encode())
 
         peer = await Peer(accept).start()
-        p, now = make_pool(ends), Clock()()
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(
+        pool, now = make_pool(ends), Clock()()
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(
             EndpointCall(
                 1, LimitScopeKey(7, -1), now, [CallItem(n, 0, None, b"x", now + 10**7, now + 10**7) for n in "ab"]
             )
@@ -39,7 +39,7 @@
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert [(e.outcome, e.retry_after_us) for e in ends] == [(Outcome.DELIVERED, 700_000)] * 2
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
--- a/tests/endpoints/test_connection.py
+++ b/tests/endpoints/test_connection.py
@@ -25,18 +25,18 @@
 def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", 9)})
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", 9)})
         for drained in (False, True):
-            connection = EndpointConnection(p)
+            connection = EndpointConnection(pool)
             connection.connection_made(HalfWrittenTransport())
-            p.keep_idle(connection, 1)
-            p.start(make_call(Clock(), "m"))
+            pool.keep_idle(connection, 1)
+            pool.start(make_call(Clock(), "m"))
             if drained:
                 connection.resume_writing()
             connection.connection_lost(None)
-        assert [e.outcome for e in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
-        p.idle.by_endpoint.clear()
+        assert [end.outcome for end in ends] == [Outcome.NO_CONNECTION, Outcome.RESET]
+        pool.idle.by_endpoint.clear()
 
     asyncio.run(scene())
 
@@ -55,9 +55,9 @@
                 request.writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + json.dumps(states).encode())
 
         peer = await Peer(answer).start()
-        p, now = make_pool(ends), Clock()()
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(
+        pool, now = make_pool(ends), Clock()()
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(
             EndpointCall(
                 1, LimitScopeKey(7, -1), now, [CallItem(name, 0, None, b"x", now + 10**7, now + 10**7) for name in "ab"]
             )
@@ -65,17 +65,17 @@
         async with asyncio.timeout(PATIENCE):
             while len(ends) < 2:
                 await asyncio.sleep(0.01)
-            p.start(make_call(Clock(), "c"))
+            pool.start(make_call(Clock(), "c"))
             while len(ends) < 3:
                 await asyncio.sleep(0.01)
-        assert [(e.message_id, e.outcome) for e in ends] == [
+        assert [(end.message_id, end.outcome) for end in ends] == [
             ("a", Outcome.DELIVERED),
             ("b", Outcome.DELIVERED),
             ("c", Outcome.REJECTED),
         ]
         assert ends[2].retry_after_us == 700_000
-        assert not p.idle.by_endpoint.get(1)
-        p.close()
+        assert not pool.idle.by_endpoint.get(1)
+        pool.close()
 
     asyncio.run(scene())
 
@@ -91,15 +91,15 @@
             await asyncio.sleep(3600)
 
         peer = await Peer(pieces).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "m", 60_000_000))
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
         assert (ends[0].outcome, ends[0].retry_after_us) == (Outcome.REJECTED, 700_000)
-        assert len(p.idle.by_endpoint[1]) == 1
-        p.close()
+        assert len(pool.idle.by_endpoint[1]) == 1
+        pool.close()
 
     asyncio.run(scene())
 
@@ -171,7 +171,7 @@
             sock.close()
         while not ends:
             await asyncio.sleep(0.005)
-        assert [e.outcome for e in ends] == [outcome]
+        assert [end.outcome for end in ends] == [outcome]
         pool.close()
 
     play_with_platform(scene)
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -60,7 +60,7 @@
         pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
-        assert [(e.outcome, e.is_final) for e in ends] == [(Outcome.DELIVERED, over)]
+        assert [(end.outcome, end.is_final) for end in ends] == [(Outcome.DELIVERED, over)]
         pool.close()
 
     play_with_platform(scene)
@@ -70,30 +70,30 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "m", 150_000))
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "m", 150_000))
         await peer.wait_for_requests(1)
-        assert p.calls_in_flight == 1
+        assert pool.calls_in_flight == 1
         assert not ends
         while not ends:
             await asyncio.sleep(0.01)
         assert ends[0].outcome is Outcome.TIMED_OUT
         assert not ends[0].is_final
-        while p.connections:
+        while pool.connections:
             await asyncio.sleep(0.01)
-        assert p.calls_in_flight == 0
-        assert not p.in_flight.by_attempt
-        assert not p.idle.by_endpoint
-        p.start(make_call(Clock(), "n"))
+        assert pool.calls_in_flight == 0
+        assert not pool.in_flight.by_attempt
+        assert not pool.idle.by_endpoint
+        pool.start(make_call(Clock(), "n"))
         await peer.wait_for_requests(2)
-        p.cancel("n", 0)
+        pool.cancel("n", 0)
         while len(ends) < 2:  # told as its connection is gone
             await asyncio.sleep(0.01)
         assert ends[1].outcome is Outcome.CANCELED
-        assert p.calls_in_flight == 0
-        assert not p.connections
-        p.close()
+        assert pool.calls_in_flight == 0
+        assert not pool.connections
+        pool.close()
 
     asyncio.run(scene())
 
@@ -118,16 +118,16 @@
             await asyncio.sleep(3600)
 
         peer = await Peer(quiet).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "m", 60_000_000))
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "m", 60_000_000))
         async with asyncio.timeout(PATIENCE):
             while not ends:
                 await asyncio.sleep(0.01)
-        assert [(e.outcome, e.is_final) for e in ends] == [(outcome, outcome is Outcome.DELIVERED)]
-        assert p.calls_in_flight == 0
-        assert not p.in_flight.by_attempt
-        p.close()
+        assert [(end.outcome, end.is_final) for end in ends] == [(outcome, outcome is Outcome.DELIVERED)]
+        assert pool.calls_in_flight == 0
+        assert not pool.in_flight.by_attempt
+        pool.close()
 
     asyncio.run(scene())
 
@@ -145,9 +145,9 @@
             return Answer(200, body=json.dumps(states).encode())
 
         peer = await Peer(slow).start()
-        p, now = make_pool(ends), Clock()()
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(
+        pool, now = make_pool(ends), Clock()()
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(
             EndpointCall(
                 1,
                 LimitScopeKey(7, -1),
@@ -162,10 +162,13 @@
         await asyncio.sleep(0.2)
         assert not ends
         free.set()
-        while p.calls_in_flight:
+        while pool.calls_in_flight:
             await asyncio.sleep(0.01)
-        assert [(e.message_id, e.outcome) for e in ends] == [("short", Outcome.DELIVERED), ("long", Outcome.DELIVERED)]
-        p.close()
+        assert [(end.message_id, end.outcome) for end in ends] == [
+            ("short", Outcome.DELIVERED),
+            ("long", Outcome.DELIVERED),
+        ]
+        pool.close()
 
     asyncio.run(scene())
 
@@ -176,9 +179,9 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
-        p, now = make_pool(ends), Clock()()
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(
+        pool, now = make_pool(ends), Clock()()
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(
             EndpointCall(
                 1,
                 LimitScopeKey(7, -1),
@@ -191,10 +194,13 @@
         )
         while not ends:
             await asyncio.sleep(0.01)
-        assert {(e.message_id, e.outcome) for e in ends} == {("due", Outcome.TIMED_OUT), ("long", Outcome.TIMED_OUT)}
-        while p.connections:
+        assert {(end.message_id, end.outcome) for end in ends} == {
+            ("due", Outcome.TIMED_OUT),
+            ("long", Outcome.TIMED_OUT),
+        }
+        while pool.connections:
             await asyncio.sleep(0.01)
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
@@ -249,10 +255,10 @@
             sock.send(rest)
         while not ends:
             await asyncio.sleep(0.002)
-        assert [e.outcome for e in ends] == [alone if crossing == "never" else outcome]
-        told = crossing != "never" and answer == REJECTION
-        assert ends[0].retry_after_us == (WAIT_MS * 1000 if told else 0)
-        assert bool(pool.retry_after.entries()) == told
+        assert [end.outcome for end in ends] == [alone if crossing == "never" else outcome]
+        has_retry_after = crossing != "never" and answer == REJECTION
+        assert ends[0].retry_after_us == (WAIT_MS * 1000 if has_retry_after else 0)
+        assert bool(pool.retry_after.entries()) == has_retry_after
         assert pool.calls_in_flight == 0
         assert not pool.in_flight.by_attempt
         assert not pool.connections
@@ -327,4 +333,4 @@
 
     asyncio.run(run())
     how = breaks[0] if came or breaks[0] != "quiet" else "time-out"
-    assert [e.outcome for e in ends] == [expected_end(answer, came, how)]
+    assert [end.outcome for end in ends] == [expected_end(answer, came, how)]
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -26,14 +26,14 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "m"))
-        p.update_addresses({})
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "m"))
+        pool.update_addresses({})
         await peer.wait_until(lambda: peer.closed == 1)
         assert not peer.requests
-        assert [e.outcome for e in ends] == [Outcome.NOT_SENT]
-        assert p.calls_in_flight == 0
+        assert [end.outcome for end in ends] == [Outcome.NOT_SENT]
+        assert pool.calls_in_flight == 0
 
     asyncio.run(scene())
 
@@ -42,19 +42,19 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "a"))
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "a"))
         while not ends:
             await asyncio.sleep(0.005)
         assert ends[0].retry_after_us == 60_000_000
-        p.close_idle(1)
-        p.start(make_call(Clock(), "b"))
+        pool.close_idle(1)
+        pool.start(make_call(Clock(), "b"))
         while len(ends) < 2:
             await asyncio.sleep(0.005)
         assert ends[1].outcome is Outcome.NOT_SENT
         assert len(peer.requests) == 1
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
@@ -85,7 +85,7 @@
             clock.until(clock() + SECOND)  # the dial has not begun yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
-        assert [(e.message_id, e.outcome) for e in ends] == [
+        assert [(end.message_id, end.outcome) for end in ends] == [
             ("late-True", Outcome.NOT_SENT),
             ("late-False", Outcome.NOT_SENT),
             ("a", Outcome.DELIVERED),
@@ -103,19 +103,19 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         for _ in range(2):
-            connection = EndpointConnection(p)
+            connection = EndpointConnection(pool)
             connection.connection_made(DeadTransport())
-            p.keep_idle(connection, 1)
-        p.start(make_call(Clock(), "m"))
+            pool.keep_idle(connection, 1)
+        pool.start(make_call(Clock(), "m"))
         async with asyncio.timeout(20):
             while not ends:
                 await asyncio.sleep(0.005)
-        assert [e.outcome for e in ends] == [Outcome.DELIVERED]
+        assert [end.outcome for end in ends] == [Outcome.DELIVERED]
         assert len(peer.requests) == 1
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
@@ -124,16 +124,16 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(3):
-            p.start(make_call(Clock(), f"m{n}"))
+            pool.start(make_call(Clock(), f"m{n}"))
             while len(ends) <= n:
                 await asyncio.sleep(0.005)
         assert len({r.writer for r in peer.requests}) == 1
-        p.close_idle(1)
+        pool.close_idle(1)
         await peer.wait_until(lambda: peer.closed == 1)
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
@@ -144,13 +144,13 @@
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
-        p = make_pool(ends, 1_000_000)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
-        p.start(make_call(Clock(), "m"))
+        pool = make_pool(ends, 1_000_000)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool.start(make_call(Clock(), "m"))
         await peer.wait_until(lambda: peer.closed == 1)
-        assert [e.outcome for e in ends] == [Outcome.DELIVERED]
-        assert not p.idle.by_endpoint
-        assert not p.idle.sweeping
+        assert [end.outcome for end in ends] == [Outcome.DELIVERED]
+        assert not pool.idle.by_endpoint
+        assert not pool.idle.sweeping
 
     asyncio.run(scene())
 
@@ -171,6 +171,6 @@
         record, going = pool.hand_over()
         assert record.calls == ()
         assert going == []
-        assert [e.outcome for e in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
+        assert [end.outcome for end in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
     play_with_platform(scene)
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -56,12 +56,12 @@
         assert isinstance(self.engine.clock, Skewed)
         return self.engine.clock
 
-    def take(self, name: str, cls: str, key: str = "k", due_us: int | None = None) -> None:
+    def submit(self, name: str, cls: str, key: str = "k", due_us: int | None = None) -> None:
         """Hand a message in, on a connection of its own that nobody reads."""
         classes = {c.name: c for c in self.engine.config.settings.classes}
-        due = self.clock() + DUE_US if due_us is None else due_us
+        deadline_us = self.clock() + DUE_US if due_us is None else due_us
         self.engine.intake.submit(
-            Submission(name, classes[cls], 7, due, key, "acme", False, b"x"), SilentClient(self.engine)
+            Submission(name, classes[cls], 7, deadline_us, key, "acme", False, b"x"), SilentClient(self.engine)
         )
 
     def end(self) -> None:
--- a/tests/runtime/test_intake.py
+++ b/tests/runtime/test_intake.py
@@ -27,9 +27,9 @@
 
 
 @pytest.mark.parametrize(
-    "gone", ["", "closed here", "its end is unread", "its end behind more is unread", "its reset is unread"]
+    "client_end", ["", "closed here", "its end is unread", "its end behind more is unread", "its reset is unread"]
 )
-def test_a_message_whose_client_has_gone_is_not_taken_on(tmp_path: Path, gone: str) -> None:
+def test_a_message_whose_client_has_gone_is_not_taken_on(tmp_path: Path, client_end: str) -> None:
     """It cannot hear of it, and hands the message in elsewhere. Its end may lie in the kernel: a process that was
     stopped for longer than clients wait finds each request and its client's end there at once.
     """
@@ -51,24 +51,24 @@
         engine = Engine(config, Ownership(tmp_path), AdminServer(), await bind(Address("127.0.0.1", 0)))
         engine.clock.store_anchor()
         engine.store.take_ownership()
-        door = ClientConnection(engine.server)
+        connection = ClientConnection(engine.server)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client = socket.create_connection(listener.getsockname())
             accepted = listener.accept()[0]
         accepted.setblocking(False)
-        await asyncio.get_running_loop().connect_accepted_socket(lambda: door, accepted)
+        await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, accepted)
         due = engine.clock() + 10**7
-        engine.intake.submit(Submission("m", ORDER, 7, due, "k", "acme", False, b"x"), door)
-        if gone == "closed here":
-            door.close()
-        elif "more" in gone:
+        engine.intake.submit(Submission("m", ORDER, 7, due, "k", "acme", False, b"x"), connection)
+        if client_end == "closed here":
+            connection.close()
+        elif "more" in client_end:
             client.send(message("next"))
-        if "reset" in gone:
+        if "reset" in client_end:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        if "unread" in gone:
+        if "unread" in client_end:
             client.close()
         engine.loop.run_round()
-        assert list(engine.store.messages) == ([] if gone else ["m"])
+        assert list(engine.store.messages) == ([] if client_end else ["m"])
         engine.pool.close()
         engine.client_socket.close()
         client.close()
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -89,18 +89,18 @@
     async def scene(platform: Platform) -> None:
         async def answer(request: Request) -> Answer:
             if request.headers["x-correlation-id"] == "late":
-                at.clock.until(due - 1_000)
+                running.clock.until(due - 1_000)
             return OK
 
         peer = await Peer(answer).start()
         platform.add_endpoint("s1", peer.port)
         platform.accepts = False
-        at = await EngineScene(tmp_path, platform).start()
-        due = at.clock() + DUE_US
-        at.take("late", cls, due_us=due)
-        at.take("next", cls, due_us=due + DUE_US)
+        running = await EngineScene(tmp_path, platform).start()
+        due = running.clock() + DUE_US
+        running.submit("late", cls, due_us=due)
+        running.submit("next", cls, due_us=due + DUE_US)
         await peer.wait_for_requests(1 if cls == "turn" else 2)
-        while "late" not in at.engine.store.pending_notices:
+        while "late" not in running.engine.store.pending_notices:
             await asyncio.sleep(0.005)
         await platform.wait_until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         sent = [r.headers["x-correlation-id"] for r in peer.requests]
@@ -108,7 +108,7 @@
         platform.accepts = True
         assert (await platform.wait_for_notice("late"))["state"] == state
         await peer.wait_until(lambda: any(r.headers["x-correlation-id"] == "next" for r in peer.requests))
-        at.end()
+        running.end()
 
     play_with_platform(scene)
 
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def made(monkeypatch: pytest.MonkeyPatch) -> list[weakref.ref[Any]]:
-    """Each door, and the reader of each connection to targets and discovery, as it is made."""
+    """Each client connection, and the reader of each connection to endpoints and discovery, as it is made."""
     refs: list[weakref.ref[Any]] = []
     for cls in (ClientConnection, ResponseReader):
 
@@ -73,7 +73,7 @@
     [b"GET /up HTTP/1.1\r\n\r\n", message("bad", dest="none"), b"no request\r\n\r\n", HALF],
     ids=["up", "refused", "unreadable", "half"],
 )
-def test_a_closed_door_is_freed_without_the_collector(
+def test_a_closed_client_connection_is_freed_without_the_collector(
     uncollected: None, made: list[weakref.ref[Any]], data: bytes, reset: bool
 ) -> None:
     async def scene() -> None:
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     "answer", [OK, None, b"HTTP/1.1 200 OK\r\nContent-Len", b"garbage\r\n\r\n"], ids=["whole", "none", "cut", "garbled"]
 )
-def test_a_closed_connection_to_a_target_is_freed_without_the_collector(
+def test_a_closed_connection_to_an_endpoint_is_freed_without_the_collector(
     uncollected: None, made: list[weakref.ref[Any]], answer: Answer | bytes | None
 ) -> None:
     async def scene() -> None:
@@ -102,17 +102,17 @@
             return answer
 
         peer, ends = await Peer(once).start(), []
-        p = make_pool(ends)
-        p.update_addresses({1: Address("127.0.0.1", peer.port)})
+        pool = make_pool(ends)
+        pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(COUNT):
-            p.start(make_call(Clock(), f"m{n}"))
+            pool.start(make_call(Clock(), f"m{n}"))
             async with asyncio.timeout(PATIENCE):
                 while len(ends) <= n:
                     await asyncio.sleep(0.005)
-            p.close_idle(1)
+            pool.close_idle(1)
         ends.clear()
         await freed(made, COUNT)
-        p.close()
+        pool.close()
 
     asyncio.run(scene())
 
