--- a/forwarder/decisions/key_queues.py
+++ b/forwarder/decisions/key_queues.py
@@ -74,6 +74,11 @@
             self.context.due_destinations.add(destination)
             self.timers.add(max(self.context.now_us, queue.backoff_until_us), destination)
 
+    def start_attempt(self, message: Message) -> None:
+        """Takes note that an attempt is in flight; no other message of its key may go meanwhile."""
+        if message.key is not None:
+            self.by_key[message.key].in_flight += 1
+
     def end_attempt(self, key: str, *, may_still_run: bool) -> None:
         """Takes note that an attempt of a key has ended."""
         queue = self.by_key[key]
--- a/forwarder/decisions/learned_state_transfer.py
+++ b/forwarder/decisions/learned_state_transfer.py
@@ -100,8 +100,7 @@
             message = self.messages.by_id[message_id]
             self.calls.add_attempt(message, call, number)
             self.messages.stop_holding(message)
-            if message.key is not None:
-                self.key_queues.by_key[message.key].in_flight += 1
+            self.key_queues.start_attempt(message)
 
 
 def _learned_fields(record: object, names: tuple[str, ...]) -> LearnedFields:
--- a/forwarder/decisions/release.py
+++ b/forwarder/decisions/release.py
@@ -99,8 +99,7 @@
         call = self.calls.forming.get(endpoint.id)
         if call is None or call.batch_size >= endpoint.max_batch:
             call = self.calls.forming[endpoint.id] = self._start_call(message, endpoint)
-        if message.key is not None:
-            self.key_queues.by_key[message.key].in_flight += 1
+        self.key_queues.start_attempt(message)
         self.calls.add_attempt(message, call, message.attempts)
         self.messages.stop_holding(message)
         self.context.actions.append(
--- a/tests/decisions/random_script.py
+++ b/tests/decisions/random_script.py
@@ -1,6 +1,6 @@
 """Random but legal event scripts, and a check of every action against the rules.
 
-The check knows only what it is told by events and actions, nothing of the dispatcher's insides.
+The check knows only the events and actions, and nothing of the dispatcher's insides.
 """
 
 from __future__ import annotations
--- a/tests/decisions/test_attempt_outcomes.py
+++ b/tests/decisions/test_attempt_outcomes.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     ("outcome", "is_passed_on"), [(Outcome.FAILED, True), (Outcome.NOT_SENT, True), (Outcome.LOCAL_FAILURE, False)]
 )
-def test_extensions_are_told_of_all_outcomes_but_local_failures(outcome: Outcome, is_passed_on: bool) -> None:
+def test_extensions_get_all_outcomes_but_local_failures(outcome: Outcome, is_passed_on: bool) -> None:
     dispatcher = started(ONE_ENDPOINT)
     extension = RecordingExtension()
     dispatcher.extensions.append(extension)
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -43,5 +43,5 @@
     both = started((*ONE_ENDPOINT, EndpointEntry(9, 10, "south", "ways")))
     send = next(s for s in sends(both.handle(0, [ask("a"), ask("b")])) if s.endpoint == 1)
     assert not finals(both.handle(MS, [end(send, Outcome.REJECTED, retry_after_us=9 * S), ask("free")])), (
-        "one target is open"
+        "one endpoint is open"
     )
--- a/tests/decisions/test_message_table.py
+++ b/tests/decisions/test_message_table.py
@@ -37,7 +37,7 @@
     actions = dispatcher.handle(
         8 * S, [MessageRecovered("z", 10, cls, 9 * S, attempts=1, maybe_ran_at_us=7 * S, maybe_ran_on=99)]
     )
-    assert not sends(actions)  # its first target is gone, and only that one's zone knows the key
+    assert not sends(actions)  # its first endpoint has left, and only that one's zone knows the key
 
 
 def test_message_keeps_its_class_when_the_settings_change() -> None:
