--- a/tests/runtime/test_invariants.py
+++ b/tests/runtime/test_invariants.py
@@ -10,7 +10,8 @@
 from forwarder.decisions.settings import Effect, MessageClass
 from forwarder.runtime.invariants import AttemptFacts, Denial, Invariants, RouteFacts, route_denial
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 NOW_US = 1_000_000
 ATTEMPT = AttemptFacts("m", 1, send_before_us=NOW_US + 1, due_us=NOW_US + 1)
