--- a/tests/runtime/test_invariants.py
+++ b/tests/runtime/test_invariants.py
@@ -10,7 +10,8 @@
 from forwarder.decisions.settings import Effect, MessageClass
 from forwarder.runtime.invariants import AttemptFacts, Denial, Invariants, RouteFacts, route_denial
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
-from forwarder.storage.store import AcceptedMessage, MessageStore
+from forwarder.storage.messages import AcceptedMessage
+from forwarder.storage.store import MessageStore
 
 NOW_US = 1_000_000
 ATTEMPT = AttemptFacts("m", 1, send_before_us=NOW_US + 1, due_us=NOW_US + 1)
@@ -52,7 +53,7 @@
 ) -> None:
     store, reasons = MessageStore(tmp_path, 1_000_000), ReasonCounts()
     accepted = message(effect)
-    accepted.ran_at_us = ran_at_us
+    accepted.maybe_ran_at_us = ran_at_us
     store.messages["m"] = accepted
 
     assert Invariants(store, reasons).may_send(ATTEMPT, ROUTE, NOW_US, others) is denial
--- a/tests/test_freed.py
+++ b/tests/test_freed.py
@@ -15,12 +15,12 @@
 from forwarder.clients.listener import bind
 from forwarder.clients.server import ClientServer
 from forwarder.config.config import Address
-from forwarder.discovery.watch import DiscoveryChannel, DiscoveryClient
+from forwarder.discovery.client import DiscoveryChannel, DiscoveryClient
 from forwarder.protocol.http1 import ResponseReader
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
+from tests.endpoints.peers import make_call, make_pool
 from tests.sockets import OK, PATIENCE, SETTINGS, Answer, Peer, Request, always, message
-from tests.test_net import call, pool
 
 COUNT = 20
 HALF = message("half")[:-3]
@@ -101,10 +101,10 @@
             return answer
 
         peer, ends = await Peer(once).start(), []
-        p = pool(ends)
+        p = make_pool(ends)
         p.update_addresses({1: Address("127.0.0.1", peer.port)})
         for n in range(COUNT):
-            p.start(call(Clock(), f"m{n}"))
+            p.start(make_call(Clock(), f"m{n}"))
             async with asyncio.timeout(PATIENCE):
                 while len(ends) <= n:
                     await asyncio.sleep(0.005)
@@ -124,7 +124,7 @@
         client, unused = DiscoveryClient(Address("127.0.0.1", peer.port)), DiscoveryChannel()
         made.clear()  # its first channel is never connected, and the only one such
         for _ in range(COUNT):
-            assert (await client.ask("GET", "/", PATIENCE)).status == 200
+            assert (await client.request("GET", "/", PATIENCE)).status == 200
             client.close()
             client.channel = unused
         await freed(made, COUNT)
