--- a/forwarder/storage/damaged_files.py
+++ b/forwarder/storage/damaged_files.py
@@ -16,7 +16,7 @@
     """The damaged files of one folder that are set aside."""
 
     def __init__(self, folder: Path) -> None:
-        """Looks at the folder, which need not be there yet.
+        """Measures what is set aside in the folder, which need not be there yet.
 
         Raises:
             OSError: the folder cannot be read.
--- a/forwarder/storage/identity.py
+++ b/forwarder/storage/identity.py
@@ -1,4 +1,4 @@
-"""Whose a state folder is: the forwarder's name, an id drawn at its first start, and how often it was started.
+"""The owner of a state folder: the forwarder's name, an id drawn at its first start, and how often it was started.
 
 The identity is a small file beside the journal. It tells a first start from a restart, refuses another forwarder's
 folder, and keeps the journal's salt where the journal's own headers are damaged. A folder that was set back to an older
--- a/forwarder/storage/journal_files.py
+++ b/forwarder/storage/journal_files.py
@@ -37,7 +37,7 @@
     """The files of one folder; nothing is written before `take_ownership`."""
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
-        """Looks at the folder, which need not be there yet.
+        """Measures what is set aside in the folder, which need not be there yet.
 
         Args:
             folder: the state folder.
--- a/forwarder/storage/schema.py
+++ b/forwarder/storage/schema.py
@@ -1,7 +1,7 @@
 """The stored records: their fields in the code's names, and how each is written and read.
 
-This module alone knows the words of the stored data. They are those of the first release and stay as they are, so that
-state of older releases is read and older releases read what this one writes.
+This module alone knows the stored words. They are those of the first release and stay as they are, so that state of
+older releases is read and older releases read what this one writes.
 
 A journal record is a line, a JSON array whose first item is the record's kind, and for an accepted message its body.
 The other items are the record's fields in the order in which its class declares them; only an accepted message has a
@@ -335,7 +335,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Whose a state folder is; the file `identity`."""
+    """The owner of a state folder; the file `identity`."""
 
     forwarder_name: str
     folder_id: str
--- a/forwarder/storage/state_check.py
+++ b/forwarder/storage/state_check.py
@@ -1,6 +1,6 @@
-"""Looks at a forwarder's state folder, also one in use: python -m forwarder state check|show DIR. Reads only.
+"""Reports on a forwarder's state folder, also one in use: python -m forwarder state check|show DIR. Reads only.
 
-Prints JSON, or lines for people with --human. The words of the output are the ones that operators know from the pages.
+Prints JSON, or lines for people with --human. The output keeps the names that operators know from the pages.
 Exit status: 0 sound, 1 damaged, 2 unreadable.
 """
 
