--- a/tests/clients/test_client_connection.py
+++ b/tests/clients/test_client_connection.py
@@ -33,7 +33,9 @@
         sock, connection, sending = await flood_server(server)
         assert not sending.done()
         assert not connection.is_closed()
-        loop, got, answered = asyncio.get_running_loop(), b"", 0
+        loop = asyncio.get_running_loop()
+        got = b""
+        answered = 0
         while answered < FLOOD.count(b"POST"):
             *whole, got = (got + await loop.sock_recv(sock, 1 << 20)).split(b"HTTP/1.1 404")
             answered += len(whole)
@@ -56,7 +58,9 @@
             handled.append(request.path),
             connection.answer(HTTPStatus.NOT_FOUND),
         )[1]
-        loop, accepted, clients = asyncio.get_running_loop(), [], []
+        loop = asyncio.get_running_loop()
+        accepted: list[socket.socket] = []
+        clients: list[socket.socket] = []
         with socket.create_server(("127.0.0.1", 0)) as listener:
             for n in range(floods + 1):
                 clients.append(socket.create_connection(listener.getsockname()))
@@ -102,61 +106,89 @@
     asyncio.run(scene())
 
 
+CLIENT_STEPS = ["message", "half", "rest", "junk", "answer", "let go", "half-close", "gone"]
+
+
+class ClientModel:
+    """A client's connection, beside a plain model of the answers that it still needs."""
+
+    def __init__(self) -> None:
+        self.submitted: list[tuple[str, ClientConnection]] = []
+        self.server = ClientServer(parse_settings(SETTINGS), Skewed(), 10, self.on_submission)
+        self.transport = RecordingTransport()
+        self.connection = ClientConnection(self.server)
+        self.connection.connection_made(self.transport)
+        self.requested = 0
+        self.answered = 0
+        self.is_partial = False
+        """Whether half a request has been sent."""
+        self.is_open = True
+        self.is_readable = True
+        """Whether all that was sent could be read."""
+
+    def on_submission(self, submission: Submission, connection: ClientConnection) -> None:
+        """Keeps a message for a later answer."""
+        self.submitted.append((submission.id, connection))
+
+    async def play(self, step: str) -> None:
+        """Plays one step, if it can be played now."""
+        request = message(f"m{self.requested}")
+        if step in ("message", "rest") and self.is_partial == (step == "rest"):
+            self.connection.data_received(request[20:] if self.is_partial else request)
+            self.is_partial = False
+            self.requested += 1
+        elif step == "half" and not self.is_partial:
+            self.connection.data_received(request[:20])
+            self.is_partial = True
+        elif step == "junk" and not self.is_partial:
+            self.connection.data_received(b"what is this\r\n\r\n")
+            self.is_readable = False
+        elif step == "answer" and len(self.submitted) > self.answered:
+            await self.answer()
+        elif step == "let go":
+            self.let_go()
+        elif step == "gone":
+            self.connection.connection_lost(None)
+            self.is_open = False
+        elif step == "half-close":
+            self.connection.eof_received()
+            self.is_open = False
+
+    async def answer(self) -> None:
+        """Answers the oldest message without an answer."""
+        self.submitted[self.answered][1].answer(HTTPStatus.ACCEPTED)
+        self.answered += 1
+        await asyncio.sleep(0)
+
+    def let_go(self) -> None:
+        """Sends idle clients away, which must close the connection if it is idle and not new."""
+        is_idle = len(self.submitted) == self.answered == self.requested and not self.is_partial
+        self.server.close_idle_connections()
+        assert self.transport.closed == (is_idle and self.connection.has_sent_request)
+
+    async def end(self) -> None:
+        """Answers what is left, and checks that each complete request was handed on and answered once, in its order."""
+        assert len(self.submitted) <= self.answered + 1  # one at a time
+        while self.is_open and not self.transport.closed and len(self.submitted) > self.answered:
+            await self.answer()
+        assert [name for name, _ in self.submitted] == [f"m{number}" for number in range(len(self.submitted))]
+        if self.is_open:
+            assert self.answered == self.requested == self.transport.written.count(b"HTTP/1.1 202")
+
+
 @profile(derandomize=True, max_examples=150, deadline=None)
-@given(
-    steps=st.lists(
-        st.sampled_from(["message", "half", "rest", "junk", "answer", "let go", "half-close", "gone"]), max_size=14
-    )
-)
+@given(steps=st.lists(st.sampled_from(CLIENT_STEPS), max_size=14))
 def test_a_clients_connection_owes_each_whole_request_one_answer(steps: list[str]) -> None:
     """In their order, as long as it may: nothing that comes after the close, after junk or after the client's end is
     handed on, and nobody is answered twice.
     """
-    submitted: list[tuple[str, ClientConnection]] = []
 
     async def run() -> None:
-        server = ClientServer(
-            parse_settings(SETTINGS), Skewed(), 10, lambda got, connection: submitted.append((got.id, connection))
-        )
-        transport, connection = RecordingTransport(), ClientConnection(server)
-        connection.connection_made(transport)
-        requested = answered = number = 0
-        is_partial, is_open = False, True
+        model = ClientModel()
         for step in steps:
-            whole_request = message(f"m{number}")
-            if transport.closed or not is_open:
+            if model.transport.closed or not model.is_open or not model.is_readable:
                 break
-            if (step == "message" and not is_partial) or (step == "rest" and is_partial):
-                connection.data_received(whole_request[20:] if is_partial else whole_request)
-                is_partial, number, requested = False, number + 1, requested + 1
-            elif step == "half" and not is_partial:
-                connection.data_received(whole_request[:20])
-                is_partial = True
-            elif step == "junk" and not is_partial:
-                connection.data_received(b"what is this\r\n\r\n")
-                break
-            elif step == "answer" and len(submitted) > answered:
-                submitted[answered][1].answer(HTTPStatus.ACCEPTED)
-                answered += 1
-                await asyncio.sleep(0)
-            elif step == "let go":
-                idle = len(submitted) == answered and requested == answered and not is_partial
-                server.close_idle_connections()
-                assert transport.closed == (idle and connection.has_sent_request)
-            elif step in ("half-close", "gone"):
-                if step == "gone":
-                    connection.connection_lost(None)
-                else:
-                    connection.eof_received()
-                is_open = False
-        assert len(submitted) <= answered + 1  # one at a time
-        while is_open and not transport.closed and len(submitted) > answered:
-            submitted[answered][1].answer(HTTPStatus.ACCEPTED)
-            answered += 1
-            await asyncio.sleep(0)
-        assert [name for name, _ in submitted] == [f"m{n}" for n in range(len(submitted))]
-        if is_open:
-            assert answered == requested == transport.written.count(b"HTTP/1.1 202")
+            await model.play(step)
+        await model.end()
 
-    submitted.clear()
     asyncio.run(run())
--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -87,71 +87,121 @@
 }
 
 
+class WatchModel:
+    """A watch and the discovery that it polls, beside a plain model of what the watch has been answered."""
+
+    def __init__(self) -> None:
+        self.heard: list[EndpointList | None] = []
+        self.version = -1
+        self.endpoints: dict[str, dict[str, Any]] = {}
+        self.heard_count = 0
+        self.breaks = 0
+        """How many connections have broken since the last answer."""
+
+    async def start(self) -> WatchModel:
+        """Begins to watch, on an event loop whose time the model puts forward."""
+        loop = asyncio.get_running_loop()
+        real_time = loop.time
+        self.ahead_s = 0.0
+        vars(loop)["time"] = lambda: real_time() + self.ahead_s
+        self.discovery = await QuestionedDiscovery().start()
+        self.places = [self.discovery]
+        self.watch = EndpointListWatch(self.discovery.where, -1, self.heard.append)
+        self.watch.subscribe()
+        return self
+
+    async def play(self, number: int, step: str) -> None:
+        """Answers the next poll, which must ask for what the model says, by one step."""
+        async with asyncio.timeout(PATIENCE):
+            path, writer = await self.discovery.questions.get()
+        if self.version >= 0:
+            assert path.partition("?")[2].startswith(f"from={self.version}&")
+        else:
+            assert path == "/discovery/hosts"
+        assert self.discovery.questions.empty()
+        entry = {"host": f"s{number}", "dial": "127.0.0.1:9", "block": 7, "health": "up"}
+        if step.startswith("moved"):
+            await self.move(step, writer, entry)
+            return
+        if step in FAILURES:
+            self.fail(step, writer)
+        else:
+            self.answer(number, step, writer, entry)
+        self.breaks = self.breaks + 1 if step in ("cut", "reset") else 0
+        if not 0 < self.breaks <= len(RECONNECT_PAUSES_S):
+            await self.hear(step)
+
+    def answer(self, number: int, step: str, writer: asyncio.StreamWriter, entry: dict[str, Any]) -> None:
+        """Answers a poll by a change, by the complete list, or by nothing new."""
+        if step == "nothing" and self.version >= 0:
+            writer.write(json_answer(seq=self.version, whole=False, hosts=[]))
+            return
+        is_complete = step == "whole" or self.version < 0
+        self.version += 1 + number
+        self.endpoints[entry["host"]] = entry
+        hosts = [*self.endpoints.values()] if is_complete else [entry]
+        writer.write(json_answer(seq=self.version, whole=is_complete, hosts=hosts))
+
+    async def move(self, step: str, writer: asyncio.StreamWriter, entry: dict[str, Any]) -> None:
+        """Gives discovery a new address; an answer of the old one may lie in the kernel unread."""
+        self.discovery = await QuestionedDiscovery().start()
+        self.places.append(self.discovery)
+        if step == "moved and answered":
+            writer.write(json_answer(seq=self.version + 1, whole=self.version < 0, hosts=[entry]))
+        self.watch.change_address(self.discovery.where)
+        self.breaks = 0
+
+    def fail(self, step: str, writer: asyncio.StreamWriter) -> None:
+        """Answers a poll by a failure."""
+        writer.write(FAILURES[step])
+        if step == "reset":
+            writer.transport.abort()
+        elif step == "cut":
+            writer.close()
+        elif step == "silent":
+            self.ahead_s += watch_module.POLL_HOLD_MS / 1000 + watch_module.POLL_GRACE_S + 0.1
+
+    async def hear(self, step: str) -> None:
+        """Waits until the watch has handed on what came of a step."""
+        self.heard_count += 1
+        self.breaks = 0
+        while len(self.heard) < self.heard_count:
+            await asyncio.sleep(0)
+        assert (self.heard[-1] is None) == (step in FAILURES)
+        if step in FAILURES:
+            self.watch.subscribe()
+            self.watch.subscribe()
+        self.ahead_s += watch_module.MIN_POLL_INTERVAL_S
+
+    def end(self) -> None:
+        """Checks that the watch has handed on all that it was answered, once, and ends it."""
+        known: dict[str, Any] = {}
+        for answered in filter(None, self.heard):
+            before = {} if answered.is_complete else known
+            known = before | {endpoint.name: endpoint.raw for endpoint in answered.endpoints}
+        assert len(self.heard) == self.heard_count
+        assert known == self.endpoints
+        self.watch.client.close()
+        for place in self.places:
+            place.server.close()
+        for task in asyncio.all_tasks() - {asyncio.current_task()}:
+            task.cancel()
+
+
 @profile(derandomize=True, max_examples=80, deadline=None)
 @given(steps=st.lists(st.sampled_from(WATCH_STEPS), min_size=1, max_size=10))
 def test_a_watch_knows_all_answers_in_any_order_of_steps(steps: list[str]) -> None:
-    """One question is out at a time, from the version that is known; what fails is told once and changes nothing, and a
-    connection that breaks is replaced, for one question as RECONNECT_PAUSES_S says; an answer of the old place that
+    """One poll at a time, from the version that is known; what fails is reported once and changes nothing.
+
+    A connection that breaks is replaced, for one poll as RECONNECT_PAUSES_S says. An answer of the old address that
     crosses a move is not heard, and asked for again at the new one.
     """
 
     async def run() -> None:
-        loop = asyncio.get_running_loop()
-        real_time, ahead = loop.time, [0.0]
-        setattr(loop, "time", lambda: real_time() + ahead[0])  # noqa: B010
-        heard: list[EndpointList | None] = []
-        discovery = await QuestionedDiscovery().start()
-        places = [discovery]
-        watch = EndpointListWatch(discovery.where, -1, heard.append)
-        watch.subscribe()
-        seq, hosts, count, breaks = -1, {}, 0, 0  # the model
-        for n, step in enumerate(steps):
-            async with asyncio.timeout(PATIENCE):
-                path, writer = await discovery.questions.get()
-            assert path.partition("?")[2].startswith(f"from={seq}&") if seq >= 0 else path == "/discovery/hosts"
-            assert discovery.questions.empty()
-            more = {"host": f"s{n}", "dial": "127.0.0.1:9", "block": 7, "health": "up"}
-            if step in ("news", "whole") or (step == "nothing" and seq < 0):
-                whole_list = step == "whole" or seq < 0
-                seq, hosts[more["host"]] = seq + 1 + n, more
-                writer.write(json_answer(seq=seq, whole=whole_list, hosts=[*hosts.values()] if whole_list else [more]))
-            elif step == "nothing":
-                writer.write(json_answer(seq=seq, whole=False, hosts=[]))
-            elif step.startswith("moved"):
-                discovery = await QuestionedDiscovery().start()
-                places.append(discovery)
-                if step == "moved and answered":  # in the kernel, and not read
-                    writer.write(json_answer(seq=seq + 1, whole=seq < 0, hosts=[more]))
-                watch.change_address(discovery.where)
-                breaks = 0
-                continue
-            else:
-                writer.write(FAILURES[step])
-                if step in ("cut", "reset"):
-                    writer.transport.abort() if step == "reset" else writer.close()
-                elif step == "silent":
-                    ahead[0] += watch_module.POLL_HOLD_MS / 1000 + watch_module.POLL_GRACE_S + 0.1
-            breaks = breaks + 1 if step in ("cut", "reset") else 0
-            if 0 < breaks <= len(RECONNECT_PAUSES_S):
-                continue
-            count, breaks = count + 1, 0
-            while len(heard) < count:
-                await asyncio.sleep(0)
-            assert (heard[-1] is None) == (step in FAILURES)
-            if step in FAILURES:
-                watch.subscribe()
-                watch.subscribe()
-            ahead[0] += watch_module.MIN_POLL_INTERVAL_S
-        known: dict[str, Any] = {}
-        for answered in filter(None, heard):
-            known = ({} if answered.is_complete else known) | {h.name: h.raw for h in answered.endpoints}
-        assert len(heard) == count
-        assert known == hosts
-        watch.client.close()
-        for place in places:
-            place.server.close()
-        for task in asyncio.all_tasks() - {asyncio.current_task()}:
-            task.cancel()
+        model = await WatchModel().start()
+        for number, step in enumerate(steps):
+            await model.play(number, step)
+        model.end()
 
     asyncio.run(run())
 
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -80,7 +80,9 @@
     def __init__(self, sock: socket.socket | None = None, protocol: asyncio.Protocol | None = None) -> None:
         super().__init__({"socket": sock})
         self.protocol = protocol
-        self.written, self.closed, self.reading = b"", False, True
+        self.written = b""
+        self.closed = False
+        self.reading = True
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None: ...
 
