--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -13,15 +13,15 @@
 from forwarder.decisions.outcomes import Outcome
 from tests.nodes import Client, Node, message
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, Peer, always, hang
 
 
 def test_every_caller_is_answered_and_none_holds_up_another(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         silent = [await asyncio.open_connection(node.host, node.control) for _ in range(100)]
         for _, writer in silent[::2]:
             writer.write(b"HEAL")
@@ -40,8 +40,8 @@
 
 def test_a_line_without_its_end_does_nothing(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         reader, writer = await asyncio.open_connection(node.host, node.control)
         writer.write(b"HEALTH")
         writer.write_eof()
@@ -54,8 +54,8 @@
 
 def test_health_fails_once_a_shutdown_has_begun(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         client = await node.client()
         client.writer.write(message("m")[:40])  # a request under way: the process stays until its end
         node.process.send_signal(signal.SIGTERM)
@@ -82,8 +82,8 @@
 
 def test_a_drain_lets_clients_go_between_requests_and_loses_nothing(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         idle, kept, half = [await node.client() for _ in range(3)]
         for n, client in enumerate((idle, kept)):
             assert (await client.submit(f"before{n}", "status"))[0] == 202
@@ -124,8 +124,8 @@
 @pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
 def test_a_disabled_endpoint_gets_nothing_new_until_it_is_enabled(tmp_path: Path, sign: int) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        one, two = await target(platform, always(OK)), await target(platform, always(OK), "s2")
-        node = await node_on(folder, platform)
+        one, two = await start_endpoint(platform, always(OK)), await start_endpoint(platform, always(OK), "s2")
+        node = await start_node(folder, platform)
         for _ in range(2):
             assert (await node.call(b"OFFLINE s1\n")).startswith("ok")
         before = len(one.requests)
@@ -152,9 +152,9 @@
 
 def test_only_an_id_that_was_once_listed_can_be_disabled(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        await target(platform, always(OK), "s2")
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(OK))
+        await start_endpoint(platform, always(OK), "s2")
+        node = await start_node(folder, platform)
         await platform.wait_for_requests(1)
         await platform.change("s2", "removed")
         await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))
--- a/tests/clients/test_submission.py
+++ b/tests/clients/test_submission.py
@@ -6,7 +6,7 @@
 
 from tests.nodes import message
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, always
 
 BAD_REQUESTS = [
@@ -35,8 +35,8 @@
 
 def test_bad_requests_have_plain_answers_and_harm_nobody(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         for data, status in BAD_REQUESTS:
             client = await node.client()
             client.writer.write(data)
--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -22,7 +22,7 @@
 from tests.discovery.peers import QuestionedDiscovery, json_answer
 from tests.engine_scene import SECOND, EngineScene, play_with_platform
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, Answer, Request, Skewed, always
 
 CHANGE_COUNTS_AFTER_S = 2.0
@@ -209,8 +209,8 @@
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
 def test_the_list_is_watched_whatever_the_settings_say_of_discovery(tmp_path: Path, discovery: str) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        await node_on(folder, platform, discovery=discovery)
+        await start_endpoint(platform, always(OK))
+        await start_node(folder, platform, discovery=discovery)
         await platform.wait_for_requests(1)
         await platform.change("s1", "draining")
         await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))
@@ -222,9 +222,9 @@
     """Asked for in whole again and again, it took the loop's time and filled the journal."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         platform.version = 0
-        node = await node_on(folder, platform, discovery="pushed")
+        node = await start_node(folder, platform, discovery="pushed")
         await platform.wait_for_requests(2)
         for n in range(20):
             assert (await node.submit(f"m{n}"))[0] == 202
@@ -240,9 +240,9 @@
 
 def test_a_drained_endpoint_gets_nothing_more_also_after_a_restart_with_an_old_list(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        one = await target(platform, always(OK))
-        two = await target(platform, always(OK), "s2")
-        node = await node_on(folder, platform, known=platform.listing())
+        one = await start_endpoint(platform, always(OK))
+        two = await start_endpoint(platform, always(OK), "s2")
+        node = await start_node(folder, platform, known=platform.listing())
         await platform.wait_for_requests(1)
         await platform.change("s1", "draining")
         await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
@@ -262,10 +262,10 @@
 
 def test_garbage_and_silence_of_discovery_are_retried(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         known = platform.listing()
         platform.garbage = 2
-        node = await node_on(folder, platform, known={**known, "hosts": []} | {"seq": 0})
+        node = await start_node(folder, platform, known={**known, "hosts": []} | {"seq": 0})
         while (await node.submit("m"))[0] != 202:
             await asyncio.sleep(0.05)
         await peer.wait_for_requests(1)
@@ -276,8 +276,8 @@
 
 def test_sighup_moves_to_the_discovery_that_the_file_names(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(Answer(500)))
+        node = await start_node(folder, platform)
         await platform.wait_for_requests(1)
         config = json.loads((folder / "config.json").read_text())
         (folder / "config.json").write_text("{")
@@ -288,7 +288,7 @@
         new = Platform()
         await new.start()
         new.endpoints, new.version = platform.endpoints, platform.version
-        fresh = await target(new, always(OK), "s2", block=9)
+        fresh = await start_endpoint(new, always(OK), "s2", block=9)
         new.version += 1
         new.changes[new.version] = [new.endpoints["s2"]]
         (folder / "config.json").write_text(json.dumps(config | {"discovery": f"127.0.0.1:{new.port}"}))
--- a/tests/endpoints/test_call_outcome.py
+++ b/tests/endpoints/test_call_outcome.py
@@ -16,7 +16,7 @@
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import make_pool
 from tests.platforms import Platform
-from tests.scenes import ids, node_on, play, target
+from tests.scenes import play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, Answer, Peer, Request, always, free_port
 
 
@@ -48,8 +48,8 @@
     async def scene(platform: Platform, folder: Path) -> None:
         port = free_port()
         platform.add_endpoint("s1", port)
-        breaks = await target(platform, always(None), "s2", block=8)
-        node = await node_on(folder, platform)
+        breaks = await start_endpoint(platform, always(None), "s2", block=8)
+        node = await start_node(folder, platform)
         assert (await node.submit("broke", "pay", dest=8))[0] == 202
         assert (await platform.wait_for_notice("broke"))["state"] == "failed"
         assert len(breaks.requests) == 1
@@ -76,8 +76,8 @@
         async def answer(request: Any) -> None:
             request.writer.write(cut)
 
-        peer = await target(platform, answer)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, answer)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "pay"))[0] == 202
         assert (await platform.wait_for_notice("m"))["state"] == "failed"
         assert len(peer.requests) == 1
@@ -88,12 +88,12 @@
 def test_garbled_rest_after_a_first_line_with_200_is_a_delivery(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         async def answer(request: Any) -> bytes:
-            if ids(request.peer)[-1] == "m":
+            if received_ids(request.peer)[-1] == "m":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: zz\r\n\r\n"
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
-        await target(platform, answer)
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, answer)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "pay"))[0] == 202
         assert (await node.submit("n", "pay"))[0] == 202
         await platform.wait_for_notice("n")
@@ -108,8 +108,8 @@
 )
 def test_garbage_from_an_endpoint_is_an_outcome(tmp_path: Path, garbage: bytes) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(garbage, OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(garbage, OK))
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "order"))[0] == 202
         await peer.wait_for_requests(2)
         assert (await node.submit("n", "order"))[0] == 202
@@ -123,8 +123,8 @@
         async def cut(request: Any) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
 
-        peer = await target(platform, cut)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, cut)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "status"))[0] == 202
         await peer.wait_until(lambda: peer.closed == 1)
         peer.handler = always(OK)
@@ -137,8 +137,8 @@
 
 def test_expired_spent_and_over_slots_each_have_their_outcome(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK))
+        node = await start_node(folder, platform)
         assert (await node.submit("expired", "pay"))[0] == 202
         await peer.wait_for_requests(1)
         assert (await node.submit("slots", "pay"))[0] == 202
@@ -160,8 +160,8 @@
             times.append(asyncio.get_running_loop().time())
             return Answer(429, {"X-RateLimit-Wait-Ms": "700"}) if len(times) == 1 else OK
 
-        peer = await target(platform, handler)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, handler)
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "status"))[0] == 202
         await peer.wait_for_requests(1)
         assert (await node.submit("b", "status"))[0] == 202
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -22,7 +22,7 @@
 from tests.sockets import OK, Answer, Peer, Request, Skewed, always
 
 
-def test_send_that_waits_for_its_connection_never_reaches_a_target_drained_meanwhile() -> None:
+def test_send_that_waits_for_its_connection_never_reaches_an_endpoint_drained_meanwhile() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
@@ -138,7 +138,7 @@
     asyncio.run(scene())
 
 
-def test_idle_connection_is_closed_before_its_target_would() -> None:
+def test_idle_connection_is_closed_before_its_endpoint_would() -> None:
     """The module closes some by itself; the pool must close what it leaves."""
 
     async def scene() -> None:
--- a/tests/endpoints/test_request_rendering.py
+++ b/tests/endpoints/test_request_rendering.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, Answer, hang
 
 
@@ -26,8 +26,8 @@
             states = {"b": "accepted", "c": "fault", "d": "expired", "e": "no_more"}
             return Answer(200, body=json.dumps([{"id": x["id"], "state": states[x["id"]]} for x in items]).encode())
 
-        peer = await target(platform, handler, kind="lots")
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, handler, kind="lots")
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "pay"))[0] == 202
         await peer.wait_for_requests(1)
         for name in "bcd":
@@ -58,8 +58,8 @@
             return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
 
         given, seen = {"a": '"8e03-97 8e"', "b": "3b93d724", "c": "0f0f"}, {}
-        peer = await target(platform, hang, kind="lots")
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang, kind="lots")
+        node = await start_node(folder, platform)
         assert (await node.submit("a", X_Session_Key=None, Idempotency_Key=given["a"]))[0] == 202
         call = (await peer.wait_for_requests(1))[0]
         assert call.headers["idempotency-key"] == given["a"]
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -21,7 +21,7 @@
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
 from tests.nodes import Node, message
 from tests.platforms import Platform
-from tests.scenes import folder_nodes, ids, node_on, play, target
+from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.scripts import ENTRIES, MS, S, ask, end, sends, settings, started
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always, hang
 
@@ -29,7 +29,7 @@
 async def upgraded(node: Node) -> Node:
     """Start the new process and wait until it serves and the old one has ended by itself."""
     new = node.successor()
-    folder_nodes[-1].append(new)
+    end_with_scene(new)
     await new.start()
     assert (await new.call(b"HEALTH\n")).startswith("ok")
     async with asyncio.timeout(PATIENCE):
@@ -65,10 +65,10 @@
 
 def test_clients_calls_and_order_pass_to_the_new_process(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        one, two = await target(platform, hang), await target(platform, always(OK), "s2", block=8)
+        one, two = await start_endpoint(platform, hang), await start_endpoint(platform, always(OK), "s2", block=8)
         free = asyncio.Event()
         await released(free, one)
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         kept, half = await node.client(), await node.client()
         assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202
         await one.wait_for_requests(1)
@@ -85,12 +85,12 @@
         assert (await kept.submit("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
         assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202, "it is ours already"
         await two.wait_for_requests(1)
-        assert ids(one) == ["a"]
-        assert ids(two) == ["c"]
+        assert received_ids(one) == ["a"]
+        assert received_ids(two) == ["c"]
         free.set()
         await two.wait_for_requests(3)
-        assert ids(one) == ["a"]
-        assert ids(two) == ["c", "b", "d"]
+        assert received_ids(one) == ["a"]
+        assert received_ids(two) == ["c", "b", "d"]
         assert await new.end(signal.SIGTERM) == 0
         assert not platform.notices
         assert not (folder / "state/journal.new").exists()
@@ -101,10 +101,13 @@
 def test_disabled_endpoints_retry_after_drains_and_pending_notices_pass_to_the_new_process(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         told = Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
-        one, two = await target(platform, always(told)), await target(platform, always(OK), "s2", block=8)
-        three = await target(platform, always(Answer(500)), "s3", block=9)
+        one, two = (
+            await start_endpoint(platform, always(told)),
+            await start_endpoint(platform, always(OK), "s2", block=8),
+        )
+        three = await start_endpoint(platform, always(Answer(500)), "s3", block=9)
         platform.accepts = False
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         assert (await node.submit("waits", "status"))[0] == 202
         await one.wait_for_requests(1)
         assert (await node.call(b"OFFLINE s2\n")).startswith("ok")
@@ -124,7 +127,7 @@
         assert (await platform.wait_for_notice("owed"))["state"] == "failed"
         assert (await new.call(b"ONLINE s2\n")).startswith("ok")
         await two.wait_for_requests(1)
-        assert ids(two) == ["banned"]
+        assert received_ids(two) == ["banned"]
         assert len(one.requests) == len(three.requests) == 1
 
     play(scene, tmp_path)
@@ -132,8 +135,8 @@
 
 def test_no_connection_is_refused_or_closed_unread_while_processes_change(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform, max_open=10_000)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform, max_open=10_000)
         taken: set[str] = set()
         stop = asyncio.Event()
 
@@ -156,7 +159,7 @@
         stop.set()
         await asyncio.gather(*clients)
         async with asyncio.timeout(PATIENCE):
-            while set(ids(peer)) != taken:
+            while set(received_ids(peer)) != taken:
                 await asyncio.sleep(0.05)
         assert len(peer.requests) == len(taken), "each was sent once"
 
@@ -199,12 +202,12 @@
 
 def test_an_admin_address_that_is_taken_does_not_hold_up_clients(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
+        await start_endpoint(platform, always(OK))
         node = Node(folder, platform)
         with socket.socket() as other:
             other.bind((node.host, node.control))
             other.listen()
-            folder_nodes[-1].append(node)
+            end_with_scene(node)
             await node.start()
             assert (await (await node.client()).submit("a"))[0] == 202
             async with asyncio.timeout(PATIENCE):
--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -21,7 +21,7 @@
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
 from tests.runtime.test_system_faults import LARGE, answers, shimmed
-from tests.scenes import folder_nodes, ids, node_on, play, target
+from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, Answer, Request, always
 
@@ -32,7 +32,7 @@
     """`lost`: refused, since a snapshot could not be begun, but on record: a restart sent it."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         told = await answers(node, [f"m{n}" for n in range(20)], body=LARGE)
         assert set(told.values()) == {202}
@@ -46,9 +46,9 @@
         await node.end()
         await node.fail()
         await node.start()
-        await peer.wait_until(lambda: told.keys() - refused <= set(ids(peer)))
+        await peer.wait_until(lambda: told.keys() - refused <= set(received_ids(peer)))
         await asyncio.sleep(0.5)
-        assert not refused & set(ids(peer))
+        assert not refused & set(received_ids(peer))
 
     play(scene, tmp_path)
 
@@ -64,9 +64,9 @@
             came_s[name] = asyncio.get_running_loop().time()
             return None if name == "first" else OK
 
-        await target(platform, breaks_off)
+        await start_endpoint(platform, breaks_off)
         node = Node(folder, platform)
-        folder_nodes[-1].append(node)
+        end_with_scene(node)
         settings = json.loads((folder / "config.json").read_text())["settings"]
         node.configure(settings=settings | {"contract": SETTINGS["contract"] | {"key_rest_us": int(KEY_REST_S * 1e6)}})
         await node.start()
@@ -90,9 +90,9 @@
     """One endpoint's report of nan made every later round fail, and then the loop stand still for ever."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        garbled = await target(platform, always(Answer(200, {"X-Backend-Load": report})))
-        other = await target(platform, always(OK), "s2", block=8)
-        node = await node_on(folder, platform)
+        garbled = await start_endpoint(platform, always(Answer(200, {"X-Backend-Load": report})))
+        other = await start_endpoint(platform, always(OK), "s2", block=8)
+        node = await start_node(folder, platform)
         for name in ("a", "b", "c"):
             assert (await node.submit(name, "status"))[0] == 202
             assert (await node.submit(f"{name}-other", "status", dest=8))[0] == 202
@@ -113,7 +113,7 @@
 
 def test_a_configuration_that_cannot_be_read_at_sighup_is_read_again(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         moved = Platform()
         moved.endpoints, moved.version = platform.endpoints, platform.version
         await moved.start()
@@ -137,20 +137,20 @@
     tmp_path: Path, call: str, handed_over: bool
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         client = await node.client()
         assert (await client.submit("first", "status"))[0] == 202
         if handed_over:
             node = node.successor()
-            folder_nodes[-1].append(node)
+            end_with_scene(node)
             await node.start()
         await node.fail(Failure(call, "ENOBUFS", 0.5))
         names = [f"m{n}" for n in range(20)]
         assert {(await client.submit(name, "status"))[0] for name in names[:10]} == {202}
         assert set((await answers(node, names[10:])).values()) == {202}
         names.append("first")
-        await peer.wait_until(lambda: sorted(ids(peer)) == sorted(names))
+        await peer.wait_until(lambda: sorted(received_ids(peer)) == sorted(names))
 
     play(scene, tmp_path)
 
@@ -159,8 +159,8 @@
     """It waits in the kernel while the process stands still, and its time goes on."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
+        node = await start_node(folder, platform)
         client = await node.client()
         assert (await client.submit("first", "status"))[0] == 202
         node.process.send_signal(signal.SIGSTOP)
@@ -199,7 +199,7 @@
     """`lost`: a start went by the wall clock, an hour off: messages ended at once, or never."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
+        peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
         node = await shimmed(folder, platform)
         handed_s = asyncio.get_running_loop().time()
         assert (await node.submit("held", "status", left="6"))[0] == 202
@@ -221,8 +221,8 @@
     """Found by the soak: SIGHUP as the process was ending, its handlers taken back already."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "status"))[0] == 202
         await asyncio.sleep(0.2)
         node.process.send_signal(first)
@@ -285,7 +285,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         endpoint = await SlowReader().start()
         platform.add_endpoint("s1", endpoint.port)
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         client = await node.client()
         for name in ("first", "second"):
             left = "1.0" if name == "first" and ends == "given up" else "50"
@@ -312,13 +312,13 @@
     """epoll_ctl(2): a request was never read, or the answer to its call never heard."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         await node.fail(Failure("epoll_ctl", error, 0.5))
         names = [f"m{n}" for n in range(20)]
         told = await asyncio.gather(*(node.submit(name, "pay") for name in names))
         assert [status for status, _ in told] == [202] * len(names)
-        await peer.wait_until(lambda: sorted(ids(peer)) == sorted(names))
+        await peer.wait_until(lambda: sorted(received_ids(peer)) == sorted(names))
         await asyncio.sleep(0.5)
         assert not platform.notices
 
@@ -329,7 +329,7 @@
     """poll(2): one that failed before a round left that round marked as under way for ever."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         assert (await node.submit("before", "status"))[0] == 202
         await node.fail(Failure("poll", "ENOMEM"))
@@ -338,6 +338,6 @@
         await node.fail()
         assert (await during)[0] in (202, 503)
         assert (await node.submit("after", "status"))[0] == 202
-        await peer.wait_until(lambda: {"before", "after"} <= set(ids(peer)))
+        await peer.wait_until(lambda: {"before", "after"} <= set(received_ids(peer)))
 
     play(scene, tmp_path)
--- a/tests/runtime/test_incident_pre_production.py
+++ b/tests/runtime/test_incident_pre_production.py
@@ -17,7 +17,7 @@
 from lab.shim import Failure
 from tests.nodes import Client, Node, message
 from tests.platforms import Platform
-from tests.scenes import folder_nodes, ids, node_on, play, target
+from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, Answer, Request, always, once
 
 DESCRIPTORS = 256  # as Node configures
@@ -49,8 +49,8 @@
     """incident-1: hundreds of idle clients took every descriptor, and nothing gave one back until they left."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         limit_descriptors(node)
         clients = await resting_clients(node, RESTING_CLIENTS, ask)
         for name in ("first", "second"):  # new connections are taken, and endpoints and the platform can be called
@@ -74,13 +74,13 @@
     """incident-2: an endpoint drained while the process was down got calls until discovery's first answer was read."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        drained = await target(platform, always(Answer(503)))
-        node = await node_on(folder, platform)
+        drained = await start_endpoint(platform, always(Answer(503)))
+        node = await start_node(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
         await drained.wait_for_requests(1)
         await node.end(signal.SIGKILL)
         calls_before = len(drained.requests)
-        other = await target(platform, always(OK), "s2")
+        other = await start_endpoint(platform, always(OK), "s2")
         platform.endpoints["s1"]["health"] = "draining"
         platform.version += 1
         platform.changes[platform.version] = [platform.endpoints["s1"], platform.endpoints["s2"]]
@@ -97,7 +97,7 @@
         assert len(drained.requests) == calls_before
         answer_now.set()
         await other.wait_for_requests(1)
-        assert ids(other) == ["held"]
+        assert received_ids(other) == ["held"]
         assert len(drained.requests) == calls_before
 
     play(scene, tmp_path)
@@ -108,8 +108,8 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        drained = await target(platform, once(free))
-        node = await node_on(folder, platform)
+        drained = await start_endpoint(platform, once(free))
+        node = await start_node(folder, platform)
         await platform.wait_for_requests(2)  # its watch waits
         for name in ("out", "held"):
             assert (await node.submit(name, "status"))[0] == 202
@@ -117,15 +117,15 @@
         node.process.send_signal(signal.SIGSTOP)
         free.set()
         await asyncio.sleep(0.2)  # the answer is written
-        other = await target(platform, always(OK), "s2")
+        other = await start_endpoint(platform, always(OK), "s2")
         platform.changes[platform.version + 1] = []
         await platform.change("s1", "draining")
         platform.changes[platform.version].append(dict(platform.endpoints["s2"]))
         await asyncio.sleep(0.6)
         node.process.send_signal(signal.SIGCONT)
         await other.wait_for_requests(1)
-        assert ids(drained) == ["out"]
-        assert ids(other) == ["held"]
+        assert received_ids(drained) == ["out"]
+        assert received_ids(other) == ["held"]
 
     play(scene, tmp_path)
 
@@ -135,7 +135,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         node = Node(folder, platform)
-        folder_nodes[-1].append(node)
+        end_with_scene(node)
         await node.fail(Failure("socket", "ENFILE"))
         await node.start(ready=False)
         await asyncio.sleep(1.5)
@@ -158,8 +158,8 @@
             await asyncio.sleep(float(request.headers["x-time-left"]) + 0.04)
             return Answer(429, {"X-RateLimit-Wait-Ms": "1500"})
 
-        peer = await target(platform, late)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, late)
+        node = await start_node(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
         left_s = float((await peer.wait_for_requests(1))[0].headers["x-time-left"])
         await peer.wait_for_requests(2)
@@ -170,7 +170,7 @@
 
 def test_half_a_request_that_is_given_up_for_want_of_room_is_told_so(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         half = await node.client()
         half.writer.write(message("half")[:60])
         await asyncio.sleep(0.6)  # it is not new any more
--- a/tests/runtime/test_intake.py
+++ b/tests/runtime/test_intake.py
@@ -20,7 +20,7 @@
 from forwarder.runtime.ownership import Ownership
 from tests.nodes import SETTINGS, message
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, always, hang
 
 ORDER = parse_settings(SETTINGS).classes[0]
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize(
     "client_end", ["", "closed here", "its end is unread", "its end behind more is unread", "its reset is unread"]
 )
-def test_a_message_whose_client_has_gone_is_not_taken_on(tmp_path: Path, client_end: str) -> None:
+def test_a_message_whose_client_has_gone_is_not_accepted(tmp_path: Path, client_end: str) -> None:
     """It cannot hear of it, and hands the message in elsewhere. Its end may lie in the kernel: a process that was
     stopped for longer than clients wait finds each request and its client's end there at once.
     """
@@ -78,8 +78,8 @@
 
 def test_rejected_in_its_round_is_429_with_a_time_and_never_accepted(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         status, headers = await node.submit("late", left="0.010")
         assert status == 429
         assert float(headers["retry-after"]) > 0
@@ -92,8 +92,8 @@
 
 def test_a_full_buffer_rejects_new_messages(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, hang)
-        node = await node_on(folder, platform, max_open=1)
+        await start_endpoint(platform, hang)
+        node = await start_node(folder, platform, max_open=1)
         assert (await node.submit("a"))[0] == 202
         status, headers = await node.submit("b")
         assert status == 503
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -13,14 +13,14 @@
 from tests.engine_scene import DUE_US, EngineScene, play_with_platform
 from tests.nodes import SETTINGS, Node
 from tests.platforms import Platform
-from tests.scenes import folder_nodes, ids, node_on, play, target
+from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, Answer, Peer, Request, Skewed, always, once
 
 
 def test_delivers_unchanged_and_leaves_no_notice(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         body = bytes(range(256)) * 8
         assert (await node.submit("a1", body=body))[0] == 202
         call = (await peer.wait_for_requests(1))[0]
@@ -41,8 +41,8 @@
     """The message has 50 s left: a notice within the test's patience was not held back to its deadline."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
-        node = await node_on(folder, platform)
+        await start_endpoint(platform, always(Answer(500)))
+        node = await start_node(folder, platform)
         assert (await node.submit("once", "pay"))[0] == 202
         assert (await platform.wait_for_notice("once"))["state"] == "failed"
         assert (await node.submit("spent", "status"))[0] == 202
@@ -56,10 +56,10 @@
 
 def test_an_end_holds_its_key_until_its_notice_is_acknowledged(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
-        two = await target(platform, always(OK), "s2", block=8)
+        await start_endpoint(platform, always(Answer(500)))
+        two = await start_endpoint(platform, always(OK), "s2", block=8)
         platform.accepts = False
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "turn", X_Session_Key="claim"))[0] == 202
         await platform.wait_until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
         assert (await node.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
@@ -68,10 +68,10 @@
         await node.restart()
         assert (await node.submit("d", "turn", dest=8, X_Session_Key="third"))[0] == 202
         await two.wait_for_requests(2)
-        assert ids(two) == ["c", "d"]
+        assert received_ids(two) == ["c", "d"]
         platform.accepts = True
         await two.wait_for_requests(3)
-        assert ids(two) == ["c", "d", "b"]
+        assert received_ids(two) == ["c", "d", "b"]
         assert platform.notices[0]["id"] == "a"
 
     play(scene, tmp_path)
@@ -118,8 +118,8 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        peer = await target(platform, once(free))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, once(free))
+        node = await start_node(folder, platform)
         for name in "abc":
             assert (await node.submit(name, "pay"))[0] == 202
         await peer.wait_for_requests(1)
@@ -180,13 +180,13 @@
         async def answer(request: Request) -> Answer | None:
             return answers.pop(0) if len(answers) > 1 else OK
 
-        peers = [await target(platform, answer, zone, kind="sea") for zone in ("west", "east")]
+        peers = [await start_endpoint(platform, answer, zone, kind="sea") for zone in ("west", "east")]
         for zone in ("west", "east"):
             platform.endpoints[zone]["site"] = zone
         node = Node(folder, platform)
         node.configure(settings=OTHER_SETTINGS)
         await node.start()
-        folder_nodes[-1].append(node)
+        end_with_scene(node)
         own = {"X_Account": "north", "X_Session_Key": None, "left": "10"}
         assert (await node.submit("a", "waybill", Idempotency_Key="0f", **own))[0] == 202
         await asyncio.wait(
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -17,7 +17,7 @@
 from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
 from tests.platforms import Platform
 from tests.runtime.test_handover import released, upgraded
-from tests.scenes import ids, node_on, play, target
+from tests.scenes import play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, always, hang
 
 
@@ -56,10 +56,10 @@
     tmp_path: Path, successor: Callable[[socket.socket], None]
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
+        peer = await start_endpoint(platform, hang)
         free = asyncio.Event()
         await released(free, peer)
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         client = await node.client()
         assert (await client.submit("a", "pay"))[0] == 202
         await peer.wait_for_requests(1)
@@ -73,7 +73,7 @@
         assert (await client.submit("c", "pay"))[0] == 202
         await peer.wait_for_requests(3)
         assert await new.end(signal.SIGTERM) == 0
-        assert ids(peer) == ["a", "b", "c"]
+        assert received_ids(peer) == ["a", "b", "c"]
         assert not platform.notices
 
     play(scene, tmp_path)
@@ -81,8 +81,8 @@
 
 def test_a_new_process_that_cannot_start_ends_and_the_old_one_serves(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         node.configure(settings={})
         broken = node.successor()
         await broken.start(ready=False)
@@ -97,8 +97,8 @@
     """The new process waits for as long as the lock is held, says no to operators, and then starts alone."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "status"))[0] == 202
         await peer.wait_for_requests(1)
         await node.end()
@@ -125,13 +125,13 @@
 
 def test_files_left_behind_stand_for_no_owner(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         (folder / "state").mkdir(exist_ok=True)
         stale = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         stale.bind(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
         stale.close()
         (folder / "state/lock").write_text("4711")
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "pay"))[0] == 202
         await peer.wait_for_requests(1)
 
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -13,7 +13,7 @@
 
 from tests.nodes import SETTINGS, Node
 from tests.platforms import Platform
-from tests.scenes import ids, node_on, play, target
+from tests.scenes import play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, always, hang
 
 
@@ -31,8 +31,8 @@
 
 def test_new_settings_hold_at_once_and_messages_under_way_keep_their_class(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer, other = await target(platform, hang), await target(platform, hang, "s2", block=8)
-        node = await node_on(folder, platform)
+        peer, other = await start_endpoint(platform, hang), await start_endpoint(platform, hang, "s2", block=8)
+        node = await start_node(folder, platform)
         assert (await node.submit("old", "status"))[0] == 202
         await peer.wait_for_requests(1)
         node.configure(settings={**SETTINGS, "services": [STRICT, {**STRICT, "name": "order"}]})
@@ -44,7 +44,7 @@
         await node.restart()
         assert (await platform.wait_for_notice("new"))["state"] == "failed"
         await peer.wait_for_requests(before + 1)  # it may still be repeated
-        assert set(ids(peer)) == {"old"}
+        assert set(received_ids(peer)) == {"old"}
         assert len(other.requests) == 1
 
     play(scene, tmp_path)
@@ -68,8 +68,8 @@
 
 def test_a_reload_of_a_broken_file_changes_nothing(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK))
+        node = await start_node(folder, platform)
         path = folder / "config.json"
         good = json.loads(path.read_text())
         better = {
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -11,7 +11,7 @@
 from tests.engine_scene import SECOND
 from tests.nodes import SETTINGS
 from tests.platforms import Platform
-from tests.scenes import ids, node_on, play, target
+from tests.scenes import play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, Answer, always, hang
 
 
@@ -25,11 +25,11 @@
     """A keyed message goes again under its key, one that may not be repeated never does."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         assert (await node.submit("first", "pay"))[0] == 202
         await peer.wait_for_requests(1)
-        other = await target(platform, hang, "s2", block=8)
+        other = await start_endpoint(platform, hang, "s2", block=8)
         platform.version += 1
         platform.changes[platform.version] = [platform.endpoints["s2"]]
         await platform.notify_all()
@@ -53,9 +53,9 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         shut = Answer(429, {"X-RateLimit-Wait-Ms": "40000"})
-        one = await target(platform, always(OK, shut))
-        two = await target(platform, always(OK), "s2", block=8)
-        node = await node_on(folder, platform)
+        one = await start_endpoint(platform, always(OK, shut))
+        two = await start_endpoint(platform, always(OK), "s2", block=8)
+        node = await start_node(folder, platform)
         assert (await node.submit("a", "turn", X_Session_Key="claim"))[0] == 202
         await one.wait_for_requests(1)
         assert (await node.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
@@ -69,16 +69,16 @@
         await one.wait_for_requests(3)
         assert (await node.submit("f", "turn", dest=8, X_Session_Key="third"))[0] == 202
         await two.wait_for_requests(3)
-        assert ids(one) == ["a", "c", "c"]
-        assert ids(two) == ["b", "e", "f"]
+        assert received_ids(one) == ["a", "c", "c"]
+        assert received_ids(two) == ["b", "e", "f"]
 
     play(scene, tmp_path)
 
 
 def test_an_id_that_is_over_is_not_accepted_again_also_after_a_restart(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK, Answer(500), OK))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, always(OK, Answer(500), OK))
+        node = await start_node(folder, platform)
         assert (await node.submit("done", "pay"))[0] == 202
         await peer.wait_for_requests(1)
         assert (await node.submit("lost", "pay"))[0] == 202
@@ -90,15 +90,15 @@
             await peer.wait_for_requests(3 + n)
             assert await node.end(signal.SIGTERM) == 0  # what it had out is over then
             await node.start()
-        assert ids(peer) == ["done", "lost", "next0", "next1"]
+        assert received_ids(peer) == ["done", "lost", "next0", "next1"]
 
     play(scene, tmp_path)
 
 
 def test_attempts_spent_before_a_restart_stay_spent(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform, max_attempts=2)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform, max_attempts=2)
         assert (await node.submit("m", "status"))[0] == 202
         await peer.wait_for_requests(1)
         await node.restart()
@@ -112,9 +112,9 @@
 
 def test_a_pending_notice_outlasts_the_process_until_it_is_acknowledged(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        await target(platform, always(Answer(500)))
+        await start_endpoint(platform, always(Answer(500)))
         platform.accepts = False
-        node = await node_on(folder, platform)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "pay"))[0] == 202
         await platform.wait_until(lambda: sum(r.path == "/v1/notices" for r in platform.requests) >= 2)
         await node.end()
@@ -133,8 +133,8 @@
 
 def test_message_whose_time_passed_while_down_gets_its_notice(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "status", left="1"))[0] == 202
         await peer.wait_for_requests(1)
         await node.end()
@@ -148,8 +148,8 @@
 
 def test_torn_tail_is_cut(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         assert (await node.submit("m", "status"))[0] == 202
         await peer.wait_for_requests(1)
         await node.end()
@@ -171,8 +171,8 @@
     """Large bodies fill the journal before the buffer: new work is refused, the folder never overflows."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform, disk_mb=1)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform, disk_mb=1)
         seen = set()
         for n in range(40):
             status, _ = await node.submit(f"m{n}", "status", body=b"x" * 60_000)
@@ -191,8 +191,8 @@
     """Also where the aim is near the deadline, so that the expected call is a large part of the time that is left."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         services = [{**s, "aim_us": aim_us} for s in SETTINGS["services"]]
         node.configure(settings={**SETTINGS, "services": services})
         await node.restart()
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 from tests.platforms import Platform
-from tests.scenes import node_on, play, target
+from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, always, hang, once
 
 
 def test_sigterm_goes_on_answering_and_leaves_the_journal_whole(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         old = await node.client()
         assert (await old.submit("a", "status"))[0] == 202
         await peer.wait_for_requests(1)
@@ -36,8 +36,8 @@
 def test_a_second_sigterm_changes_nothing_of_the_first(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        peer = await target(platform, once(free))
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, once(free))
+        node = await start_node(folder, platform)
         assert (await node.submit("out", "pay"))[0] == 202
         await peer.wait_for_requests(1)
         for _ in range(2):
@@ -58,8 +58,8 @@
     """It waits for its address, which another socket has."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, hang)
-        node = await node_on(folder, platform)
+        peer = await start_endpoint(platform, hang)
+        node = await start_node(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
         await peer.wait_for_requests(1)
         await node.end()
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -27,7 +27,7 @@
 from lab.shim import FILE_CALLS, Failure
 from tests.nodes import Node
 from tests.platforms import Platform
-from tests.scenes import folder_nodes, ids, play, target
+from tests.scenes import end_with_scene, play, received_ids, start_endpoint
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
@@ -38,7 +38,7 @@
 async def shimmed(folder: Path, platform: Platform, *failures: Failure, clock_s: float = 0.0) -> Node:
     """The program, with calls that may fail, from its start on."""
     node = Node(folder, platform)
-    folder_nodes[-1].append(node)
+    end_with_scene(node)
     await node.fail(*failures, clock_s=clock_s)
     return await node.start()
 
@@ -60,7 +60,7 @@
 
 def test_what_cannot_be_written_is_refused_and_taken_on_again_once_it_can(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         assert (await answers(node, ["before"])) == {"before": 202}
         await peer.wait_for_requests(1)
@@ -72,7 +72,7 @@
         await peer.wait_for_requests(2)
         await node.restart()
         await asyncio.sleep(0.5)
-        assert set(ids(peer)) == {"before", taken}
+        assert set(received_ids(peer)) == {"before", taken}
 
     play(scene, tmp_path)
 
@@ -82,7 +82,7 @@
     """The others end in time by a notice, or go once their attempt can be written."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
+        peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
         node = await shimmed(folder, platform)
         assert (await node.submit("long", cls, left="50"))[0] == 202
         await peer.wait_for_requests(1)
@@ -91,7 +91,7 @@
         assert len(peer.requests) == (2 if leaves else 1)
         await node.fail()
         await peer.wait_for_requests(2)
-        assert ids(peer) == ["long", "long"]
+        assert received_ids(peer) == ["long", "long"]
         assert not platform.notices
         assert "violations: none" in await node.call(b"RULES\n")
 
@@ -100,7 +100,7 @@
 
 def test_what_is_held_is_ended_in_time_though_nothing_can_be_written(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
+        peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
         node = await shimmed(folder, platform)
         handed_s = time.monotonic()
         assert (await node.submit("held", "pay", left="2.5"))[0] == 202
@@ -120,7 +120,7 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         failure = Failure(call, "EIO")
         node = await shimmed(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
@@ -139,10 +139,10 @@
         taken = {name for name, status in told.items() if status == 202}
         assert set(told.values()) <= {202, 503}
         assert taken or moment == "start"
-        await peer.wait_until(lambda: taken <= set(ids(peer)))
+        await peer.wait_until(lambda: taken <= set(received_ids(peer)))
         assert not platform.notices
         assert await until_taken(node)
-        assert set(ids(peer)) <= taken | {name for name in ids(peer) if name.startswith("again")}
+        assert set(received_ids(peer)) <= taken | {name for name in received_ids(peer) if name.startswith("again")}
 
     play(scene, tmp_path)
 
@@ -153,7 +153,7 @@
     """A message that is held with time left is delivered once its destination's wait is over, no sooner."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
+        peer = await start_endpoint(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
         node = await shimmed(folder, platform, clock_s=steps[0])
         assert (await node.submit("held", "status", left="12"))[0] == 202
         await peer.wait_for_requests(2)
@@ -167,7 +167,7 @@
         await peer.wait_for_requests(3)
         assert not running or time.monotonic() - told_s > 1.4
         await asyncio.sleep(0.2)
-        assert ids(peer) == ["held"] * 3
+        assert received_ids(peer) == ["held"] * 3
         assert not platform.notices
 
     play(scene, tmp_path)
@@ -201,7 +201,7 @@
     tmp_path: Path, call: str, error: str
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         await platform.wait_for_requests(2)  # its watch is up
         await node.fail(Failure(call, error))
@@ -228,12 +228,12 @@
 )
 def test_clients_are_served_through_failing_accepts_and_short_reads(tmp_path: Path, failure: Failure) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform, failure)
         names = [f"m{n}" for n in range(20)]
         assert set((await answers(node, names, body=bytes(range(256)))).values()) == {202}
         await peer.wait_for_requests(20)
-        assert sorted(ids(peer)) == sorted(names)
+        assert sorted(received_ids(peer)) == sorted(names)
         assert {r.body for r in peer.requests} == {bytes(range(256))}
 
     play(scene, tmp_path)
@@ -317,11 +317,11 @@
     """Found by the soak: a process that took over while the old one could not write went by the list before a drain."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        drained = await target(platform, always(OK))
+        drained = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         await platform.wait_for_requests(2)
         await node.fail(*FULL_DISK)
-        other = await target(platform, always(OK), "s2")
+        other = await start_endpoint(platform, always(OK), "s2")
         platform.changes[platform.version + 1] = [dict(platform.endpoints["s2"])]
         platform.endpoints["s1"]["health"] = "draining"
         platform.changes[platform.version + 1].append(dict(platform.endpoints["s1"]))
@@ -337,7 +337,7 @@
         platform.handler = slow
         new = node.successor()
         new.shim = None
-        folder_nodes[-1].append(new)
+        end_with_scene(new)
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(1.5)
         await node.fail()
@@ -360,10 +360,10 @@
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await target(platform, always(OK))
+        peer = await start_endpoint(platform, always(OK))
         node = await shimmed(folder, platform)
         new = node.successor()
-        folder_nodes[-1].append(new)
+        end_with_scene(new)
         await node.fail(Failure(call, "EIO"))
         new.shim = node.shim
         starting = asyncio.create_task(new.start())
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -14,6 +14,10 @@
 Scene = Callable[[Platform, Path], Awaitable[None]]
 
 
+_scene_nodes: list[list[Node]] = []
+"""The nodes of each scene that is being played, the innermost last."""
+
+
 def play(scene: Scene, folder: Path) -> None:
     """Plays a scene with a platform, and ends the nodes that it has started."""
 
@@ -21,35 +25,37 @@
         platform = Platform()
         await platform.start()
         nodes: list[Node] = []
-        folder_nodes.append(nodes)
+        _scene_nodes.append(nodes)
         try:
             await scene(platform, folder)
         finally:
             for node in nodes:
                 await node.end()
-            folder_nodes.pop()
+            _scene_nodes.pop()
 
     asyncio.run(run())
 
 
-folder_nodes: list[list[Node]] = []
+def end_with_scene(node: Node) -> None:
+    """Ends a node with the scene that is being played."""
+    _scene_nodes[-1].append(node)
 
 
-async def node_on(folder: Path, platform: Platform, **more: Any) -> Node:
+async def start_node(folder: Path, platform: Platform, **more: Any) -> Node:
     """Starts a node, which ends with the scene."""
     node = Node(folder, platform, **more)
     await node.start()
-    folder_nodes[-1].append(node)
+    end_with_scene(node)
     return node
 
 
-async def target(platform: Platform, handler: Any, name: str = "s1", **more: Any) -> Peer:
+async def start_endpoint(platform: Platform, handler: Any, name: str = "s1", **more: Any) -> Peer:
     """Starts an endpoint, and adds it to the platform's list."""
     peer = await Peer(handler).start()
     platform.add_endpoint(name, peer.port, **more)
     return peer
 
 
-def ids(peer: Peer) -> list[str]:
+def received_ids(peer: Peer) -> list[str]:
     """Returns the message ids of the requests that an endpoint has received, in their order."""
     return [request.headers["x-correlation-id"] for request in peer.requests]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -30,7 +30,7 @@
 from forwarder.storage.store import MessageStore
 from tests.nodes import Node, message
 from tests.platforms import Platform
-from tests.scenes import folder_nodes, play, target
+from tests.scenes import end_with_scene, play, start_endpoint
 from tests.sockets import OK, PATIENCE, Peer, always
 
 DATA = Path(__file__).resolve().parent / "data" / "e0ee873"
@@ -343,7 +343,7 @@
     With them its connection to endpoint s1, on which a call is out, by its far end; and the far ends of its two
     clients, the one in the middle of a request first, and last that of its idle connection to s2.
     """
-    one = await target(platform, always(OK))
+    one = await start_endpoint(platform, always(OK))
     for n, block in enumerate((8, 9, 10, 11, 12, 13), 2):
         platform.add_endpoint(f"s{n}", one.port, block)
     platform.version = 2
@@ -365,7 +365,7 @@
     at |= {door["fd"]: near for door, (near, _) in zip(told["doors"], doors, strict=True)}
     assert len(at) == HANDED["descriptors"]
     Owner(node, told, [at[n].fileno() for n in range(len(at))])
-    folder_nodes[-1].append(node)
+    end_with_scene(node)
     await node.start()
     return node, one, far_call, [*(far for _, far in doors), far_idle]
 
