--- a/tests/clients/test_client_connection.py
+++ b/tests/clients/test_client_connection.py
@@ -21,12 +21,9 @@
 from forwarder.storage.clock import Clock
 from tests.clients.peers import FLOOD, ONE_OF_FLOOD, flood_server, reject_all
 from tests.engine_scene import RecordingTransport, play_with_platform
-from tests.sockets import (
-    SETTINGS,
-    Platform,
-    Skewed,
-    message,
-)
+from tests.nodes import SETTINGS, message
+from tests.platforms import Platform
+from tests.sockets import Skewed
 
 
 def test_a_flood_is_read_no_faster_than_its_answers_are() -> None:
@@ -50,8 +47,10 @@
 
 @pytest.mark.parametrize("floods", [1, 5])
 def test_a_flood_holds_no_other_client_up_for_longer_than_a_piece_of_it_takes(floods: int) -> None:
-    """All that they sent and its request lie in the kernel. One read took up to 256 KB of a flood, some thousand
-    requests answered in one turn of the loop, and clients wait for 0.4 s.
+    """All that they sent and its request lie in the kernel.
+
+    One read took up to 256 KB of a flood, some thousand requests answered in one turn of the loop, and clients wait for
+    0.4 s.
     """
 
     async def scene(platform: Platform) -> None:
@@ -111,8 +110,9 @@
     )
 )
 def test_a_clients_connection_owes_each_whole_request_one_answer(steps: list[str]) -> None:
-    """In their order, as long as it may: nothing that comes after the close, after junk or after the client's end is
-    handed on, and nobody is answered twice.
+    """In their order, as long as it may.
+
+    Nothing that comes after the close, after junk or after the client's end is handed on, and nobody is answered twice.
     """
     handed: list[tuple[str, ClientConnection]] = []
 
--- a/tests/clients/test_server.py
+++ b/tests/clients/test_server.py
@@ -18,12 +18,9 @@
 from forwarder.storage.clock import Clock
 from tests.clients.peers import flood_server, reject_all
 from tests.engine_scene import play_with_platform
-from tests.sockets import (
-    SETTINGS,
-    Platform,
-    Skewed,
-    message,
-)
+from tests.nodes import SETTINGS, message
+from tests.platforms import Platform
+from tests.sockets import Skewed
 
 
 def test_a_client_that_reads_nothing_loses_its_connection() -> None:
@@ -92,8 +89,9 @@
 @pytest.mark.parametrize("sent", ["before the close", "after the close"])
 @pytest.mark.parametrize("ending", ["drain", "exit", "too many"])
 def test_a_request_that_crosses_the_close_is_answered_or_never_accepted(ending: str, sent: str) -> None:
-    """One that lies unread in the kernel keeps its connection open, unless the process ends. One that comes later is
-    never taken on: its client hears an end with no answer, and sends it once more elsewhere.
+    """One that lies unread in the kernel keeps its connection open, unless the process ends.
+
+    One that comes later is never taken on: its client hears an end with no answer, and sends it once more elsewhere.
     """
 
     async def scene(platform: Platform) -> None:
--- a/tests/decisions/test_order_model.py
+++ b/tests/decisions/test_order_model.py
@@ -1,5 +1,7 @@
-"""Order of keys, and no message forwarded after its end, over any sequence of refusals, calls that this machine cannot
-make, notices, failing writes and restarts: the real engine against what its clients and the platform know.
+"""The real engine against what its clients and the platform know, over random events and restarts.
+
+The order of keys is kept, and no message is sent after its end, over any sequence of refusals, calls that this machine
+cannot make, notices, failing writes and restarts.
 """
 
 from __future__ import annotations
--- a/tests/decisions/test_stream_routing.py
+++ b/tests/decisions/test_stream_routing.py
@@ -167,6 +167,7 @@
 
 def test_streams_of_many_to_a_cold_target_stay_within_what_it_takes() -> None:
     """Ten forwarders, started one after the other, ask all the time for a target just back from an outage.
+
     What it takes in fall_us: 10 calls a second x its cold part, growing from 0.2, x factor 2 x 1.5 s.
     """
     entry = EndpointEntry(1, 10, "north", "plain", weight=10.0)
--- a/tests/endpoints/test_connection.py
+++ b/tests/endpoints/test_connection.py
@@ -18,12 +18,8 @@
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, HalfWrittenTransport, SocketEndpoint, make_call, make_pool
 from tests.engine_scene import play_with_platform
-from tests.sockets import (
-    PATIENCE,
-    Peer,
-    Platform,
-    Request,
-)
+from tests.platforms import Platform
+from tests.sockets import PATIENCE, Peer, Request
 
 
 def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
@@ -154,8 +150,9 @@
 def test_an_answer_that_breaks_off_is_believed_by_its_first_line_only(
     broken: str, answer: bytes, outcome: Outcome
 ) -> None:
-    """Reset or ended after the call's last byte, within its answer, and after the answer's last byte. A reset may take
-    bytes along that the forwarder has not read; then as much is believed as came.
+    """Reset or ended after the call's last byte, within its answer, and after the answer's last byte.
+
+    A reset may take bytes along that the forwarder has not read; then as much is believed as came.
     """
 
     async def scene(platform: Platform) -> None:
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -16,12 +16,9 @@
 from forwarder.config.config import Address, load_config
 from forwarder.runtime.engine import Engine
 from forwarder.runtime.ownership import Ownership
-from tests.sockets import (
-    PATIENCE,
-    SETTINGS,
-    Platform,
-    Skewed,
-)
+from tests.nodes import SETTINGS
+from tests.platforms import Platform
+from tests.sockets import PATIENCE, Skewed
 
 SECOND = 1_000_000
 
@@ -76,8 +73,10 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """A connection on paper: what is written is kept, and nothing comes by itself. The protocol, if there is one, hears
-    of a close in the loop's next turn, as on sockets.
+    """A connection on paper.
+
+    What is written is kept, and nothing comes by itself. The protocol, if there is one, hears of a close in the loop's
+    next turn, as on sockets.
     """
 
     def __init__(self, sock: socket.socket | None = None, protocol: asyncio.Protocol | None = None) -> None:
--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -1,5 +1,7 @@
-"""A seeded simulation of many members: datagrams that are lost, late, doubled and out of order, cuts, stops, restarts.
-Virtual time, real protocol and codec. Invariants are checked after each step.
+"""A seeded simulation of many members.
+
+Datagrams that are lost, late, doubled and out of order, cuts, stops, restarts. Virtual time, real protocol and codec.
+Invariants are checked after each step.
 """
 
 from __future__ import annotations
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,5 +1,6 @@
-"""What a forwarder does with what others say: it is more careful, never taken in by one alone, and all together keep
-within the budget.
+"""What a forwarder does with what others say.
+
+It is more careful, never taken in by one alone, and all together keep within the budget.
 """
 
 from __future__ import annotations
--- a/tests/streaming/stage.py
+++ b/tests/streaming/stage.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from tests.sockets import PATIENCE, Node, Platform
+from tests.nodes import Node
+from tests.platforms import Platform
+from tests.sockets import PATIENCE
 from tests.streaming.peers import Endpoint, Exchange, Handler, Visitor, streaming
 
 Scene = Callable[["Stage"], Awaitable[None]]
@@ -32,7 +34,7 @@
 
     async def endpoint(self, handler: Handler, name: str = "s1", **more: Any) -> Endpoint:
         endpoint = await Endpoint(handler).start()
-        self.platform.host(name, endpoint.port, **more)
+        self.platform.add_endpoint(name, endpoint.port, **more)
         return endpoint
 
     async def node(self, table: dict[str, Any] | None = None, **more: Any) -> None:
--- a/tests/streaming/test_early_ends.py
+++ b/tests/streaming/test_early_ends.py
@@ -47,9 +47,9 @@
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", headers=headers, body=body)
-        await endpoint.got(1)
+        await endpoint.wait_for_exchanges(1)
         visitor.writer.transport.abort()
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         assert not endpoint.ended[0].whole
         await stage.until_none()
@@ -61,10 +61,10 @@
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", headers="Content-Length: 300000\r\n", body=BIG[:1000])
-        await endpoint.got(1)
+        await endpoint.wait_for_exchanges(1)
         visitor.writer.write_eof()
         assert (await visitor.whole())[0] == 400
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
 
     play(scene, tmp_path)
@@ -81,7 +81,7 @@
         visitor = await stage.ask()
         assert await visitor.answered() == 200
         visitor.writer.transport.abort()
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         await stage.until_none()
 
     play(scene, tmp_path)
@@ -91,7 +91,7 @@
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(lambda e: asyncio.sleep(3600))
         visitor = await stage.ask()
-        await endpoint.got(1)
+        await endpoint.wait_for_exchanges(1)
         reset = visitor.writer.get_extra_info("socket")
         reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         visitor.writer.transport.abort()
@@ -112,7 +112,7 @@
         endpoint = await stage.open(later)
         visitor = await stage.ask("POST", headers="Content-Length: 5\r\n", body=b"hello")
         visitor.writer.write_eof()
-        await endpoint.until(lambda: bool(endpoint.exchanges) and endpoint.exchanges[0].whole)
+        await endpoint.wait_until(lambda: bool(endpoint.exchanges) and endpoint.exchanges[0].whole)
         go.set()
         assert await visitor.whole() == (200, BIG)
         assert await visitor.gone() == b""
@@ -181,7 +181,7 @@
     async def scene(stage: Stage) -> None:
         await stage.endpoint(dies, block=7)
         endpoint = await stage.endpoint(garbles, "s2", block=8)
-        stage.platform.host("s3", free_port(), block=9)
+        stage.platform.add_endpoint("s3", free_port(), block=9)
         await stage.node({"tries": 1})
         visitor = await stage.come()
         visitor.ask("POST", headers="Content-Length: 3\r\n", body=b"abc")
--- a/tests/streaming/test_framing.py
+++ b/tests/streaming/test_framing.py
@@ -91,10 +91,10 @@
     async def scene(stage: Stage) -> None:
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", headers=CHUNKED, body=b"3\r\nabc\r\n")
-        await endpoint.got(1)
+        await endpoint.wait_for_exchanges(1)
         visitor.writer.write(b"nonsense\r\n")
         assert (await visitor.whole())[0] == 400
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         assert not endpoint.ended[0].whole
 
@@ -198,7 +198,7 @@
         visitor = await stage.come()
         visitor.ask("HEAD", "/200")
         assert await visitor.answered() == 200
-        await endpoint.until(lambda: endpoint.open == 0)  # after a first call it is not known when the next comes
+        await endpoint.wait_until(lambda: endpoint.open == 0)  # after a first call it is not known when the next comes
         for method, status, length in (
             ("HEAD", 200, "1000"),
             ("GET", 304, "1000"),
--- a/tests/streaming/test_lifecycle.py
+++ b/tests/streaming/test_lifecycle.py
@@ -108,7 +108,7 @@
         await stage.open(lasting(go))
         visitor = await stage.ask(version=version)
         assert await visitor.answered() == 200
-        other = stage.nodes[0].beside()
+        other = stage.nodes[0].successor()
         stage.nodes.append(other)
         await other.start()
         with pytest.raises(ConnectionResetError):
@@ -138,7 +138,7 @@
 
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         await stage.endpoint(lasting(go), "s1")
         await stage.node({"memory_bytes": 2 * 2 * (16_384 + 4096 + 64)})
         first = await stage.ask()
@@ -149,8 +149,8 @@
             third = await stage.ask()
             assert (await third.whole())[0] == 503
             assert third.header("Retry-After") == "1"
-        assert (await stage.nodes[0].hand_in("m", dest=8))[0] == 202
-        await messages.got(1)
+        assert (await stage.nodes[0].submit("m", dest=8))[0] == 202
+        await messages.wait_for_requests(1)
         go.set()
         assert await first.body() == await second.body() == b"ab"
         await stage.until_none()
@@ -211,7 +211,7 @@
 
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         await stage.open(lasting(asyncio.Event()))
         node = stage.nodes[0]
         running = await stage.ask()
@@ -221,8 +221,8 @@
         resource.prlimit(node.process.pid, resource.RLIMIT_NOFILE, (most, most))
         for n in range(5):
             await asyncio.gather(*(stage.ask() for _ in range(60)), return_exceptions=True)
-            assert (await node.hand_in(f"m{n}", dest=8))[0] == 202
-        await messages.got(5)
+            assert (await node.submit(f"m{n}", dest=8))[0] == 202
+        await messages.wait_for_requests(5)
         assert await running.chunk() == b"a"
         assert not [line for line in node.log if "cannot accept" in line]
 
--- a/tests/streaming/test_relay.py
+++ b/tests/streaming/test_relay.py
@@ -19,7 +19,7 @@
 def test_upload_and_answer_pass_unchanged_beside_messages(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
         messages = await Peer(always(OK)).start()
-        stage.platform.host("m1", messages.port, block=8)
+        stage.platform.add_endpoint("m1", messages.port, block=8)
         endpoint = await stage.open(echo)
         visitor = await stage.ask("POST", "/big/file?a=b&c=%2F", f"X-Own: é\r\nContent-Length: {len(BIG)}\r\n", BIG)
         assert await visitor.whole() == (200, BIG)
@@ -34,8 +34,8 @@
             ("Via", "1.1 lemonshunt"),
             ("Content-Length", str(len(BIG))),
         ]
-        assert (await stage.nodes[0].hand_in("m", dest=8))[0] == 202
-        assert (await messages.got(1))[0].path == "/hook"
+        assert (await stage.nodes[0].submit("m", dest=8))[0] == 202
+        assert (await messages.wait_for_requests(1))[0].path == "/hook"
         assert not stage.platform.notices
 
     play(scene, tmp_path)
@@ -63,13 +63,13 @@
             visitor.ask("POST", headers=f"Content-Length: {len(much)}\r\n", body=much)
         else:
             visitor.ask("POST", headers=CHUNKED, body=chunked(*parts(much)))
-        await endpoint.got(1)
+        await endpoint.wait_for_exchanges(1)
         assert await visitor.answered() == 200
         held = await stage.settled()
         assert 0 < held <= 2 * (16_384 + 4096 + 64)
         go.set()
         assert await visitor.body() == much
-        await endpoint.until(lambda: endpoint.exchanges[0].whole)
+        await endpoint.wait_until(lambda: endpoint.exchanges[0].whole)
         assert endpoint.exchanges[0].body == much
         assert (await stage.until_none())["most"] <= 2 * (16_384 + 4096 + 64)
 
--- a/tests/streaming/test_retries.py
+++ b/tests/streaming/test_retries.py
@@ -42,7 +42,7 @@
 
 def test_a_refused_connection_is_tried_elsewhere_with_the_body_whole(tmp_path: Path) -> None:
     async def scene(stage: Stage) -> None:
-        stage.platform.host("s0", free_port())
+        stage.platform.add_endpoint("s0", free_port())
         endpoint = await stage.endpoint(echo, "s1")
         await stage.node()
         for _ in range(6):
@@ -82,10 +82,10 @@
         assert await asked("POST", headers="Content-Length: 1\r\n", body=b"x") == 2  # what may not go twice
         assert await asked() == 2
         assert await asked(path="/once") == 2
-        await endpoint.until(lambda: endpoint.open < 2)
+        await endpoint.wait_until(lambda: endpoint.open < 2)
         count = await asked(path="/then")
         await closes.wait()
-        await endpoint.until(lambda: endpoint.open == 0 or count == 2)
+        await endpoint.wait_until(lambda: endpoint.open == 0 or count == 2)
         assert await asked() >= count  # a stale one is passed over
         count = await asked(path="/more")
         assert await asked() == count + 1
--- a/tests/streaming/test_stalled_peers.py
+++ b/tests/streaming/test_stalled_peers.py
@@ -22,7 +22,7 @@
         await stage.node({"idle_s": 0.5, "silent_s": 1.0, "head_s": 0.5, "tries": 1})
         half = await stage.ask("POST", headers="Content-Length: 10\r\n", body=b"half")
         assert (await half.whole())[0] == 408
-        await endpoint.until(lambda: len(endpoint.ended) == 1)
+        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
         assert endpoint.ended[0].cut
         head = await stage.come()
         head.writer.write(b"GET /big HTTP/1.1\r\nHo")
