--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -1,4 +1,4 @@
-"""Membership as an extension: its socket, its timer, and what operators are told. It decides nothing."""
+"""Membership as an extension: its timer, and what passes between protocol, socket, decisions and operators."""
 
 from __future__ import annotations
 
@@ -6,10 +6,8 @@
 import logging
 import secrets
 import time
-from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import cast
 
 from forwarder import __version__
 from forwarder.admin.server import CommandTable
@@ -19,11 +17,11 @@
 from forwarder.decisions.fleet_messages import FleetView, FleetViewChanged
 from forwarder.decisions.fleet_quota import FleetQuota, FleetQuotaExtension
 from forwarder.membership.change_log import log_change
-from forwarder.membership.codec import Codec, Datagram, DatagramRejectedError, FormerIncarnationError
+from forwarder.membership.codec import Codec, Datagram, FormerIncarnationError
 from forwarder.membership.commands import MembershipCommands
+from forwarder.membership.datagram_socket import DatagramSocket
 from forwarder.membership.gossip import GossipBridge
 from forwarder.membership.protocol import MembershipProtocol
-from forwarder.membership.rate_limiter import DatagramRateLimiter
 from forwarder.membership.settings import MembershipSettings, load_keys, load_seeds, parse_settings
 from forwarder.membership.status import describe_quota, describe_view
 from forwarder.membership.view import MemberPhase, MemberState, SocketAddress
@@ -32,14 +30,9 @@
 from forwarder.storage.lease import Lease
 from forwarder.units import SECOND_US
 
-DROP_LOG_INTERVAL_S = 10.0
 VIEW_INTERVAL_S = 1.0
 """The decisions get the view this often at least, since quotas change with its age."""
-BIND_TIMEOUT_S = 3.0
-BIND_RETRY_S = 0.05
 MIN_STEP_S = 0.001
-DROPPED = "dropped: "
-"""Begins the name under which datagrams are counted that were not taken or not sent."""
 log = logging.getLogger("forwarder.membership")
 
 
@@ -64,23 +57,17 @@
     return MembershipExtensionFactory(parse_settings(table, config))
 
 
-class MembershipExtension(BaseExtension, asyncio.DatagramProtocol):
-    """The socket of one forwarder, and the protocol behind it."""
+class MembershipExtension(BaseExtension):
+    """One forwarder as a member: the protocol, driven by its timer and its socket."""
 
     name = "members"
 
     def __init__(self, host: ExtensionHost, settings: MembershipSettings) -> None:
         self.host = host
         self._settings = settings
-        self.codec = Codec(settings.cluster, load_keys(settings.key_file))
-        self._rate_limiter = DatagramRateLimiter()
+        self.socket = DatagramSocket(Codec(settings.cluster, load_keys(settings.key_file)), self)
         self.protocol: MembershipProtocol | None = None
-        self._transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self._is_paused = False
-        self.counts: Counter[str] = Counter()
-        self._drops_logged_at_s = time.monotonic()
-        self._drops_logged = 0
         self._last_view: FleetView | None = None
         self._next_view_s = 0.0
         self.quota: FleetQuota | None = None
@@ -119,7 +106,7 @@
         Raises:
             OSError: the address is taken for long.
         """
-        await self._bind()
+        await self.socket.bind(self._settings.listen)
         identity, settings = self.host.identity, self._settings
         self.protocol = MembershipProtocol(
             self.host.config.name,
@@ -137,33 +124,16 @@
             self.gossip.open(self.protocol, self.now_us())
         self._tick()
 
-    async def _bind(self) -> None:
-        """Another process may have the address until an upgrade is over."""
-        loop = asyncio.get_running_loop()
-        local_address = (self._settings.listen.host, self._settings.listen.port)
-        deadline_s = time.monotonic() + BIND_TIMEOUT_S
-        while True:
-            try:
-                await loop.create_datagram_endpoint(lambda: self, local_addr=local_address)
-            except OSError:
-                if time.monotonic() > deadline_s:
-                    raise
-            else:
-                return
-            await asyncio.sleep(BIND_RETRY_S)
-
     def abort(self) -> None:
         """The process ends. After SIGTERM the others hear that it has left; a process that takes over goes on."""
-        if self.protocol is not None and self.host.run_state.is_stopping and self._transport is not None:
+        if self.protocol is not None and self.host.run_state.is_stopping and self.socket.is_bound:
             self.protocol.leave(self.now_us())
-            self._flush()
+            self.flush()
         if self.timer is not None:
             self.timer.cancel()
         if self._lease is not None:
             self._lease.close()
-        if self._transport is not None:
-            self._transport.close()
-            self._transport = None
+        self.socket.close()
 
     def reload(self) -> None:
         """Reads seeds and keys again (SIGHUP); what cannot be read leaves them as they were."""
@@ -173,7 +143,7 @@
         except ConfigError as error:
             log.error("members are left as they were: %s", error)
             return
-        self.codec.keys = keys
+        self.socket.codec.keys = keys
         if self.protocol is not None:
             self.protocol.set_seeds(seeds)
             self._arm()
@@ -189,44 +159,24 @@
     def _set_phase(self, phase: MemberPhase) -> None:
         if self.protocol is not None:
             self.protocol.set_phase(self.now_us(), phase)
-            self._flush()
+            self.flush()
 
     # Datagrams
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound."""
-        self._transport = cast(asyncio.DatagramTransport, transport)
-
-    def pause_writing(self) -> None:
-        """The socket's buffer is full: datagrams are dropped, as a network would."""
-        self._is_paused = True
-
-    def resume_writing(self) -> None:
-        """The socket takes datagrams again."""
-        self._is_paused = False
+    @property
+    def is_open(self) -> bool:
+        """Whether the protocol runs."""
+        return self.protocol is not None
 
-    def datagram_received(self, data: bytes, source: SocketAddress) -> None:
-        """Takes in one datagram, if its sender may send and it is sound."""
-        if self.protocol is None:
-            return
-        self.counts["received"] += 1
-        if not self._rate_limiter.admits(source[0], time.monotonic()):
-            self.counts[f"{DROPPED}too much from one address"] += 1
-            return
-        try:
-            datagram = self.codec.open(data)
-        except FormerIncarnationError as former:
-            self.counts[f"{DROPPED}{former}"] += 1
-            self.protocol.reject_former(self.now_us(), source, former)
-        except DatagramRejectedError as rejected:
-            self.counts[f"{DROPPED}{rejected}"] += 1
-        else:
+    def receive(self, source: SocketAddress, datagram: Datagram) -> None:
+        """Passes a datagram to the protocol."""
+        if self.protocol is not None:
             self.protocol.receive(self.now_us(), source, datagram)
-        self._flush()
 
-    def error_received(self, error: Exception) -> None:
-        """Counts errors of the socket; a datagram that is lost is sent again by the protocol."""
-        self.counts[f"socket: {type(error).__name__}"] += 1
+    def reject_former(self, source: SocketAddress, error: FormerIncarnationError) -> None:
+        """Lets the protocol answer a datagram of a member's former incarnation."""
+        if self.protocol is not None:
+            self.protocol.reject_former(self.now_us(), source, error)
 
     def _tick(self) -> None:
         """Takes one step. A failure costs this step, and not the membership."""
@@ -239,41 +189,32 @@
         if recovering and self.host.startup_progress.phase is StartupPhase.SERVING:
             self.protocol.set_phase(self.now_us(), MemberPhase.SERVING)
         self.protocol.tick(self.now_us())
-        self._flush()
-        self._log_drops()
+        self.flush()
+        self.socket.log_drops()
 
     def _arm(self) -> None:
         """Sets the timer for the next step."""
-        if self.protocol is None or self._transport is None:
+        if self.protocol is None or not self.socket.is_bound:
             return
         if self.timer is not None:
             self.timer.cancel()
         delay_s = max(MIN_STEP_S, (self.protocol.next_step_us() - self.now_us()) / SECOND_US)
         self.timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
-    def _flush(self) -> None:
+    def flush(self) -> None:
         """Sends what the protocol wants sent, and tells what it has learned."""
-        if self.protocol is None or self._transport is None:
+        if self.protocol is None or not self.socket.is_bound:
             return
         if self.gossip is not None:
             self.gossip.step(self.now_us())
         for address, datagram in self.protocol.take_outbox():
-            self._send(self._transport, address, datagram)
+            self.socket.send(address, datagram)
         for change in self.protocol.take_changes():
             log_change(self.protocol, change)
         if self.quota is not None:
             self._post_view(self.protocol)
         self._arm()
 
-    def _send(self, transport: asyncio.DatagramTransport, address: SocketAddress, datagram: Datagram) -> None:
-        if self._is_paused:
-            self.counts[f"{DROPPED}no room to send"] += 1
-            return
-        data = self.codec.seal(datagram)
-        self.counts["sent"] += 1
-        self.counts["bytes sent"] += len(data)
-        transport.sendto(data, address)
-
     # The decisions
 
     def apply_actions(self, actions: Iterable[Action]) -> None:
@@ -283,7 +224,7 @@
         if self.gossip is not None and self.protocol is not None:
             self.gossip.apply_actions(self.now_us(), actions)
             if self.protocol.state.outbox:
-                self._flush()
+                self.flush()
 
     def _post_view(self, protocol: MembershipProtocol) -> None:
         """Tells the decisions of a view that has changed, or grown older."""
@@ -299,24 +240,11 @@
             self._next_view_s = time.monotonic() + VIEW_INTERVAL_S
             self.host.post(FleetViewChanged(view))
 
-    # The log
-
-    def _log_drops(self) -> None:
-        """Writes one line an interval at most, whatever comes."""
-        drops = {what: count for what, count in sorted(self.counts.items()) if what.startswith(DROPPED)}
-        total = sum(drops.values())
-        if total == self._drops_logged or time.monotonic() - self._drops_logged_at_s <= DROP_LOG_INTERVAL_S:
-            return
-        reasons = ", ".join(f"{count} {what.removeprefix(DROPPED)}" for what, count in drops.items())
-        log.warning("datagrams not heard: %s", reasons)
-        self._drops_logged_at_s = time.monotonic()
-        self._drops_logged = total
-
     def describe_state(self) -> str:
         """Returns its state in a few words, for the log."""
         if self.protocol is None:
             return "not open"
-        texts = [describe_view(self.protocol, self.counts, self._drops_logged)]
+        texts = [describe_view(self.protocol, self.socket.counts, self.socket.drops_logged)]
         if self.quota is not None:
             texts.append(describe_quota(self.quota, self.host.clock()))
         if self.gossip is not None:
--- a/tests/membership/test_extension.py
+++ b/tests/membership/test_extension.py
@@ -63,7 +63,7 @@
 
     async def run() -> None:
         async def bound(make: Callable[[], Any], **more: Any) -> None:
-            part.connection_made(transport)  # type: ignore[arg-type]
+            part.socket.connection_made(transport)  # type: ignore[arg-type]
 
         asyncio.get_running_loop().create_datagram_endpoint = bound  # type: ignore[assignment, method-assign]
         await part.open()
@@ -76,14 +76,14 @@
 
 def test_a_full_socket_buffer_drops_as_a_network_would_and_goes_on(tmp_path: Path) -> None:
     async def scene(part: MembershipExtension, transport: Transport) -> None:
-        part.pause_writing()
+        part.socket.pause_writing()
         before = len(transport.sent)
         await asyncio.sleep(0.1)
         assert len(transport.sent) == before
-        assert part.counts["dropped: no room to send"] > 0
+        assert part.socket.counts["dropped: no room to send"] > 0
         assert part.protocol is not None
         assert not part.protocol.state.outbox, "nothing piles up"
-        part.resume_writing()
+        part.socket.resume_writing()
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
@@ -94,14 +94,14 @@
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.ENOBUFS])
 def test_errors_of_datagrams_are_counted_and_end_nothing(tmp_path: Path, code: int) -> None:
     async def scene(part: MembershipExtension, transport: Transport) -> None:
-        part.error_received(OSError(code, "no"))
+        part.socket.error_received(OSError(code, "no"))
         before = len(transport.sent)
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
 
     part = played(tmp_path, scene)
-    assert sum(n for what, n in part.counts.items() if what.startswith("socket: ")) == 1
+    assert sum(n for what, n in part.socket.counts.items() if what.startswith("socket: ")) == 1
 
 
 def test_a_flood_from_one_address_is_dropped_unread_and_others_are_heard(
@@ -111,18 +111,18 @@
     opened: list[bytes] = []
 
     async def scene(part: MembershipExtension, transport: Transport) -> None:
-        taken = part.codec.open
-        part.codec = SimpleNamespace(
+        taken = part.socket.codec.open
+        part.socket.codec = SimpleNamespace(
             open=lambda data: (opened.append(data), taken(data))[1],  # type: ignore[assignment]
-            seal=part.codec.seal,
+            seal=part.socket.codec.seal,
         )
         for n in range(int(BURST) + 50):
-            part.datagram_received(b"junk %d" % n, ("127.9.9.9", 5))
+            part.socket.datagram_received(b"junk %d" % n, ("127.9.9.9", 5))
         assert len(opened) == BURST
-        assert part.counts["dropped: too much from one address"] == 50
+        assert part.socket.counts["dropped: too much from one address"] == 50
         body = Datagram("ping", "friend", 1, "f" * 8, request_number=3)
-        part.datagram_received(Codec("c", [KEY]).seal(body), ("127.9.9.8", 5))
+        part.socket.datagram_received(Codec("c", [KEY]).seal(body), ("127.9.9.8", 5))
         assert len(transport.sent)
-        assert part.counts["dropped: other version"] + part.counts["dropped: forged"] == BURST
+        assert part.socket.counts["dropped: other version"] + part.socket.counts["dropped: forged"] == BURST
 
     played(tmp_path, scene)
