--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -148,7 +148,7 @@
         Its sending side is closed now, and the connection a little later. The call ends with the connection and not
         before: an answer that crosses was written by the endpoint, so the Retry-After that it holds counts.
         """
-        if self.given_up is not None or self.is_closing():  # a call that has broken has its end
+        if self.given_up is not None:
             return
         self.given_up = outcome
         call = self.current_call
