--- a/forwarder/storage/damaged_files.py
+++ b/forwarder/storage/damaged_files.py
@@ -1,4 +1,4 @@
-"""Damaged files that are kept for people, under names of their own, so that a start does not read them again."""
+"""Keeps damaged files under separate names for inspection, so that later starts do not read them again."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from forwarder.storage.file_names import DAMAGED_MARK
 
 MAX_EARLIER_FILES = 2
-"""How many are kept of earlier starts, less those of this one, all of which are kept."""
+"""Limit on the files kept from earlier starts, minus the files of this start, which are all kept."""
 
 
 class DamagedFiles:
-    """The damaged files of one folder that are set aside."""
+    """The damaged files that were set aside in one folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Measures what is set aside in the folder, which need not be there yet.
+        """Measures the files that are already set aside; the folder need not exist yet.
 
         Raises:
             OSError: the folder cannot be read.
         """
         self.folder = folder
         self.is_done = False
-        """Whether this start's damaged files are set aside."""
+        """Whether the damaged files of this start are already set aside."""
         self.size_bytes = self._measure()
 
     def set_aside(self, names: list[str]) -> None:
-        """Gives damaged files other names, and removes the oldest of earlier ones; does so once.
+        """Links damaged files under new names and removes the oldest ones of earlier starts, once per start.
 
-        A file keeps its own name too until all is written anew.
+        A file also keeps its original name until the whole state is rewritten.
 
         Raises:
-            OSError: one cannot be renamed or removed.
+            OSError: a file cannot be linked, renamed or removed.
         """
         if self.is_done:
             return
@@ -52,11 +52,11 @@
         new_name = next(candidate for candidate in candidates if candidate not in used_names)
         try:
             os.link(self.folder / name, self.folder / new_name, follow_symlinks=False)
-        except OSError:  # a folder in its place, or a file system without hard links
+        except OSError:  # it is a folder, or the file system has no hard links
             os.replace(self.folder / name, self.folder / new_name)
 
     def _paths(self) -> list[Path]:
-        """Returns the files that are set aside, the oldest first."""
+        """Returns the files that are set aside, oldest first."""
         return sorted(self.folder.glob(f"*{DAMAGED_MARK}*"), key=lambda path: path.stat().st_mtime_ns)
 
     def _measure(self) -> int:
--- a/forwarder/storage/file_names.py
+++ b/forwarder/storage/file_names.py
@@ -1,7 +1,8 @@
-"""The names of the files of a state folder's journal, and the generations in them.
+"""Names of the journal and snapshot files in a state folder, and the generations in these names.
 
-A generation is a snapshot of the whole state, `snapshot-N`, and the records since it was begun. The newest journal is
-called `journal`, and `journal-N` once it is closed. What is being written has a name of its own until it is complete.
+A generation consists of a snapshot of the whole state, `snapshot-N`, and the journal of the records since the snapshot
+was started. The newest journal is named `journal`; when it is closed, it becomes `journal-N`. A file has a temporary
+name until it is complete.
 """
 
 from __future__ import annotations
@@ -14,29 +15,29 @@
 CLOSED_JOURNAL_PREFIX = "journal-"
 SNAPSHOT_PREFIX = "snapshot-"
 DAMAGED_MARK = ".bad-"
-"""Stands between a damaged file's own name and a number once the file is set aside."""
+"""Separates the original name and the number in the name of a damaged file that was set aside."""
 
 
 def closed_journal_name(generation: int) -> str:
-    """Returns the name of a generation's closed journal."""
+    """Returns the name of the closed journal of a generation."""
     return f"{CLOSED_JOURNAL_PREFIX}{generation}"
 
 
 def snapshot_name(generation: int) -> str:
-    """Returns the name of a generation's snapshot."""
+    """Returns the name of the snapshot of a generation."""
     return f"{SNAPSHOT_PREFIX}{generation}"
 
 
 def generation_of(name: str) -> int:
-    """Returns the generation of a snapshot or a closed journal.
+    """Returns the generation in the name of a snapshot or a closed journal.
 
     Raises:
-        ValueError: the name is that of another file.
+        ValueError: the name contains no generation.
     """
     return int(name.rpartition("-")[2])
 
 
 def generations(names: Iterable[str], prefix: str) -> list[int]:
-    """Returns the generations among the files with this prefix, the oldest first."""
-    endings = (name.removeprefix(prefix) for name in names if name.startswith(prefix))
-    return sorted(int(ending) for ending in endings if ending.isdecimal())
+    """Returns the generations of the files with this prefix, in ascending order."""
+    suffixes = (name.removeprefix(prefix) for name in names if name.startswith(prefix))
+    return sorted(int(suffix) for suffix in suffixes if suffix.isdecimal())
--- a/forwarder/storage/journal_file.py
+++ b/forwarder/storage/journal_file.py
@@ -1,4 +1,4 @@
-"""The journal that is written to: an open file that records are appended to."""
+"""The active journal: an open file to which records are appended."""
 
 from __future__ import annotations
 
@@ -12,68 +12,68 @@
 
 
 class JournalFile:
-    """One journal at a time; another may take its place."""
+    """The journal that is open for appending; `replace` switches to another file."""
 
     def __init__(self) -> None:
-        """Opens nothing yet."""
+        """Starts without an open file."""
         self.fd = -1
-        """The journal's descriptor; -1 while it is not open."""
+        """The descriptor of the journal; -1 while none is open."""
         self.size_bytes = 0
 
-    def open(self, path: Path, sound_bytes: int | None) -> None:
-        """Opens a journal to append to it.
+    def open(self, path: Path, valid_bytes: int | None) -> None:
+        """Opens an existing journal for appending.
 
         Args:
-            path: the file, which is there.
-            sound_bytes: where its torn tail is cut off; None to cut nothing off.
+            path: the file.
+            valid_bytes: the length to which the file is truncated to remove a torn tail; None to keep all of it.
 
         Raises:
-            OSError: it cannot be opened for writing.
+            OSError: the file cannot be opened for writing.
         """
         self.fd = os.open(path, os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
-        self.size_bytes = os.fstat(self.fd).st_size if sound_bytes is None else sound_bytes
-        self._cut_off()
+        self.size_bytes = os.fstat(self.fd).st_size if valid_bytes is None else valid_bytes
+        self._truncate()
 
     def replace(self, fd: int, size_bytes: int) -> None:
-        """Goes on with another open file, whose offset is at its end, and closes the one before."""
+        """Switches to another open file, whose offset is at its end, and closes the previous one."""
         self.close()
         self.fd = fd
         self.size_bytes = size_bytes
 
     def append(self, data: bytes) -> None:
-        """Appends records, as a whole or not at all: the first marker is written last.
+        """Appends records atomically: the marker of the first record is written last.
 
         Raises:
-            OSError: nothing of it counts, whether or not what was written could be cut off again.
+            OSError: none of the records takes effect, even if a partial write could not be truncated.
         """
         if self.fd < 0:
-            raise OSError(errno.EBADF, "no journal could be opened yet")
+            raise OSError(errno.EBADF, "no journal is open")
         try:
             write_all(self.fd, BLANK_MARKER + data[len(MARKER) :])
             if os.pwrite(self.fd, MARKER, self.size_bytes) < len(MARKER):
-                raise OSError(errno.EIO, "half a marker was written")
+                raise OSError(errno.EIO, "short write of a record marker")
         except OSError:
-            # Where that is not possible either, the blank marker shows that the tail is torn.
+            # If truncating fails too, the blank marker identifies the torn tail.
             with suppress(OSError):
-                self._cut_off()
+                self._truncate()
             raise
         self.size_bytes += len(data)
 
     def sync(self) -> None:
-        """Waits until what was appended outlasts a power cut.
+        """Waits until the appended records would survive a power cut.
 
         Raises:
-            OSError: it may not outlast one.
+            OSError: the records may be lost in a power cut.
         """
         sync_data(self.fd)
 
     def close(self) -> None:
-        """Closes the file, if one is open."""
+        """Closes the file if one is open."""
         if self.fd >= 0:
             close_descriptor(self.fd)
             self.fd = -1
 
-    def _cut_off(self) -> None:
-        """Cuts off what is behind the last complete append."""
+    def _truncate(self) -> None:
+        """Removes everything after the last complete append."""
         os.ftruncate(self.fd, self.size_bytes)
         os.lseek(self.fd, self.size_bytes, os.SEEK_SET)
--- a/forwarder/storage/journal_files.py
+++ b/forwarder/storage/journal_files.py
@@ -1,7 +1,7 @@
-"""The files of a state folder: the journal that is written to, closed journals, and snapshots.
+"""The files of a state folder: the active journal, closed journals, and snapshots.
 
-Where `durable` is set, a file is synced before it takes another's place, and the folder after; nothing older is removed
-before that.
+With `durable` set, a file is synced before it replaces another one, and the folder is synced afterwards. Older files
+are removed only after that.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 
 class JournalFiles:
-    """The files of one folder; nothing is written before `take_ownership`."""
+    """The files of one folder; `take_ownership` must be called before anything is written."""
 
     def __init__(self, folder: Path, max_bytes: int) -> None:
-        """Measures what is set aside in the folder, which need not be there yet.
+        """Measures the damaged files that are set aside; the folder need not exist yet.
 
         Args:
             folder: the state folder.
-            max_bytes: what all its files together may take.
+            max_bytes: disk space that all its files together may use.
 
         Raises:
             OSError: the folder cannot be read.
@@ -49,16 +49,16 @@
         self.folder = folder
         self.max_bytes = max_bytes
         self.durable = False
-        """Whether what replaces other files is synced first."""
+        """Whether files are synced before they replace others."""
         self.journal = JournalFile()
         self.generation = 1
-        """The journal's generation."""
+        """The generation of the active journal."""
         self.snapshot_generation = 0
-        """The generation of the newest snapshot; 0 for none."""
+        """The generation of the newest snapshot; 0 if there is none."""
         self.other_file_bytes: dict[str, int] = {}
         """The sizes of snapshots and closed journals, by name."""
         self.snapshot_writer: SnapshotWriter | None = None
-        """The snapshot that is being written."""
+        """The snapshot that is being written, if any."""
         self.damaged = DamagedFiles(folder)
 
     def names(self) -> list[str]:
@@ -70,10 +70,10 @@
         return [path.name for path in self.folder.iterdir()] if self.folder.is_dir() else []
 
     def read(self, name: str) -> bytes:
-        """Returns a file's bytes.
+        """Returns the content of a file.
 
         Raises:
-            OSError: it cannot be read, or is a symbolic link, which leads out of the folder.
+            OSError: the file cannot be read, or is a symbolic link, which could lead out of the folder.
         """
         fd = os.open(self.folder / name, os.O_RDONLY | os.O_CLOEXEC | os.O_NOFOLLOW)
         with open(fd, "rb") as file:
@@ -82,12 +82,12 @@
     # Taking ownership
 
     def take_ownership(self, recovered: RecoveredJournal, salt: int) -> None:
-        """Opens the journal where it ended, or begins one; from here on this process alone writes to the folder.
+        """Opens the journal at its valid end or starts one; from now on only this process may write to the folder.
 
-        Damaged files are set aside. After an error it may be called again.
+        Damaged files are set aside. After an error the call can be repeated.
 
         Args:
-            recovered: what the folder held.
+            recovered: the recovered content of the folder.
             salt: the folder's salt.
 
         Raises:
@@ -100,14 +100,14 @@
         self._note_other_files()
         self.damaged.set_aside(recovered.damaged_files)
         self.remove_older_generations(keep=1)
-        self.journal.close()  # of a call before that failed
+        self.journal.close()  # left open by an earlier call that failed
         if JOURNAL in recovered.scans:
-            # Of a damaged one nothing is cut off: if it cannot be written anew, no more is lost than is.
+            # A damaged journal is not truncated: if it cannot be rewritten, no further records are lost.
             is_damaged = JOURNAL in recovered.damaged_files
-            self.journal.open(self._path(JOURNAL), None if is_damaged else recovered.last_scan.sound_bytes)
+            self.journal.open(self._path(JOURNAL), None if is_damaged else recovered.last_scan.valid_bytes)
         if not self.journal.size_bytes:
-            # A new journal that is there already stays until this one is in its place: it tells a start that the old
-            # one was being replaced.
+            # An existing `journal.new` stays until the new journal replaces it: it shows a later start that the old
+            # journal was being replaced.
             self._begin_journal(self.generation, salt)
             return
         self._unlink(NEW_JOURNAL)
@@ -131,15 +131,15 @@
         return os.open(self._path(name), flags, 0o600)
 
     def _begin_journal(self, generation: int, salt: int, old_name: str = "") -> None:
-        """Puts a new journal in the old one's place.
+        """Replaces the journal by a new one.
 
         Args:
-            generation: the new one's.
+            generation: the generation of the new journal.
             salt: the folder's salt.
-            old_name: what the old one is called from now on; if empty, it is not kept.
+            old_name: the new name of the old journal; if empty, the old journal is not kept.
 
         Raises:
-            OSError: the old one may have been renamed, but is still written to.
+            OSError: the old journal is still the active one, although it may have been renamed.
         """
         fd = self._create(NEW_JOURNAL)
         header = encode_file_header(salt, generation)
@@ -162,26 +162,26 @@
     # Writing
 
     def used_bytes(self) -> int:
-        """Returns the size of all files, those that are set aside among them."""
+        """Returns the size of all files, including those that are set aside."""
         writing_bytes = self.snapshot_writer.size_bytes if self.snapshot_writer else 0
         return self.journal.size_bytes + sum(self.other_file_bytes.values()) + self.damaged.size_bytes + writing_bytes
 
     def recovery_bytes(self) -> int:
-        """Returns the size of what a start reads: the newest snapshot and all journals since."""
+        """Returns the number of bytes that a start reads: the newest snapshot and all journals since."""
         return self.journal.size_bytes + sum(
             size for name, size in self.other_file_bytes.items() if generation_of(name) >= self.snapshot_generation
         )
 
     def begin_snapshot(self, last_records: bytes, salt: int, records: Iterator[StoredRecord]) -> None:
-        """Closes the journal, goes on in the next generation's, and begins that generation's snapshot.
+        """Closes the journal, and starts the journal and the snapshot of the next generation.
 
         Args:
-            last_records: what the journal that is closed ends with.
+            last_records: the final bytes of the journal that is closed.
             salt: the folder's salt.
-            records: what the snapshot holds.
+            records: the records of the snapshot.
 
         Raises:
-            OSError: the files may lack the last records.
+            OSError: the last records may be missing from the files.
         """
         self.journal.append(last_records)
         if self.durable:
@@ -190,13 +190,15 @@
         self.snapshot_writer = SnapshotWriter(self._create(NEW_SNAPSHOT), self.generation, salt, records)
 
     def write_snapshot_step(self, step_bytes: int) -> bool:
-        """Writes so many bytes more of the snapshot; once it is complete, generations before the last are removed.
+        """Writes about `step_bytes` more of the snapshot.
+
+        Once the snapshot is complete, all generations older than the previous one are removed.
 
         Returns:
-            Whether it is complete.
+            Whether the snapshot is complete.
 
         Raises:
-            OSError: it cannot be written.
+            OSError: the snapshot cannot be written.
         """
         assert self.snapshot_writer is not None
         if not self.snapshot_writer.write_step(step_bytes, self.durable):
@@ -208,7 +210,7 @@
         return True
 
     def _publish(self, snapshot: SnapshotWriter) -> None:
-        """Gives a complete snapshot its name, from which on it counts."""
+        """Gives a complete snapshot its final name, which makes it valid for recovery."""
         name = snapshot_name(snapshot.generation)
         os.replace(self._path(NEW_SNAPSHOT), self._path(name))
         self.other_file_bytes[name] = snapshot.size_bytes
@@ -217,29 +219,29 @@
         close_descriptor(snapshot.fd)
 
     def replace_all(self, salt: int, records: Iterator[StoredRecord]) -> None:
-        """Writes a whole snapshot and begins an empty journal, in place of all files there are.
+        """Writes a complete snapshot and starts an empty journal, which replace all existing files.
 
         Args:
             salt: the folder's salt.
-            records: what the snapshot holds.
+            records: the records of the snapshot.
 
         Raises:
-            OSError: the files before count as they did; but if `snapshot_generation` has changed, the new snapshot
-                counts already, and only the journal to go on with is missing.
+            OSError: the existing files remain valid. If `snapshot_generation` has changed, however, the new snapshot is
+                already valid and only its journal is missing.
         """
         self.abandon_snapshot()
         snapshot = SnapshotWriter(self._create(NEW_SNAPSHOT), self.generation + 1, salt, records)
         self.snapshot_writer = snapshot
         while not snapshot.write_step(REPLACE_STEP_BYTES, self.durable):
             pass
-        # It tells a start that the journal was being replaced, and not set back to an older copy.
+        # This file shows a start that the journal was being replaced, and not restored from an older copy.
         close_descriptor(self._create(NEW_JOURNAL))
         self._publish(snapshot)
         self._begin_journal(snapshot.generation, salt)
         self.remove_older_generations()
 
     def abandon_snapshot(self) -> None:
-        """Gives up a snapshot that is not complete; what cannot be removed is written over by the next one."""
+        """Discards an incomplete snapshot; if its file cannot be removed, the next snapshot overwrites it."""
         if self.snapshot_writer is None:
             return
         close_descriptor(self.snapshot_writer.fd)
@@ -248,10 +250,10 @@
             self._unlink(NEW_SNAPSHOT)
 
     def remove_older_generations(self, keep: int = 0) -> None:
-        """Removes what is older than the newest snapshot.
+        """Removes files that are older than the newest snapshot.
 
         Args:
-            keep: how many generations before it are kept.
+            keep: number of previous generations to keep.
 
         Raises:
             OSError: a file cannot be removed.
@@ -268,6 +270,6 @@
         return 0 if keep else self.snapshot_generation
 
     def close(self) -> None:
-        """Closes the journal, and gives up a snapshot that is not complete."""
+        """Closes the journal and discards an incomplete snapshot."""
         self.abandon_snapshot()
         self.journal.close()
--- a/forwarder/storage/journal_writer.py
+++ b/forwarder/storage/journal_writer.py
@@ -1,7 +1,7 @@
-"""Writes records to the journal, compacts the files as they grow, and goes on after failures.
+"""Writes records to the journal, compacts the files as they grow, and recovers from failed writes.
 
-Memory is ahead of the files: a record is gathered when the state has changed, and written by the next flush. After a
-failed write the files may lack what memory has, so nothing more is appended until the whole state is written anew.
+The state in memory is ahead of the files: a record is buffered when the state changes and written by the next flush.
+After a failed write records may be missing from the files, so nothing is appended until the whole state is rewritten.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
 FIRST_RETRY_PAUSE_S = 0.05
 MAX_RETRY_PAUSE_S = 0.5
 MIN_COMPACTION_BYTES = 256 * 1024
-"""Smaller files are left to grow."""
+"""Smaller files are not compacted."""
 GROWTH_BEFORE_COMPACTION = 4
-"""A snapshot is begun once a start would read this many times the size of one."""
+"""A snapshot is started once a start would read this many times the size of a snapshot."""
 SNAPSHOT_STEP_BYTES = 64 * 1024
-"""Written at once, so that the event loop is not held up."""
+"""Size of one write, small enough not to block the event loop for long."""
 MIN_FREE_BYTES = RESERVED_BYTES // 2
-"""With less than that left, files are removed or compacted before more is appended."""
+"""With less free space than this, files are removed or compacted before records are appended."""
 log = logging.getLogger("forwarder.store")
 
 
 class UnrecordedChanges:
-    """What is not on record since all was last written."""
+    """Changes of the state since the last time that all records were written."""
 
     def __init__(self) -> None:
-        """Begins with nothing."""
+        """Starts without changes."""
         self.accepted_ids: set[str] = set()
-        """Messages whose clients have no answer yet."""
+        """Ids of accepted messages whose clients have no answer yet."""
         self.ended_due_us: dict[str, int] = {}
-        """Ends with a pending notice, each with the time at which its message would end in any case."""
+        """The deadlines of messages that ended with a pending notice, by message id."""
 
     def clear(self) -> None:
-        """All is on record."""
+        """Forgets the changes, because all of them are written."""
         self.accepted_ids.clear()
         self.ended_due_us.clear()
 
 
 class JournalWriter:
-    """The writing side of one folder's journal."""
+    """Writes the journal of one folder."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         salt: int,
         acquire: Callable[[], None],
     ) -> None:
-        """Writes nothing yet.
+        """Prepares to write; `take_ownership` opens the journal.
 
         Args:
             files: the folder's files.
-            recovered: what they held.
-            state: the state in memory, which a snapshot is made of.
-            salt: what the checksums begin from.
-            acquire: makes sure that no other process writes the folder; raises OSError where it cannot just now.
+            recovered: the recovered content of the files.
+            state: the state in memory, from which snapshots are written.
+            salt: the initial value of the checksums.
+            acquire: ensures that no other process writes to the folder; raises OSError if it cannot at the moment.
         """
         self.files = files
         self.acquire = acquire
@@ -73,13 +73,13 @@
         self.state = state
         self.salt = salt
         self.record_number = recovered.last_scan.last_number
-        """Of the last record that was gathered."""
+        """The number of the last buffered record."""
         self.unwritten_records: list[bytes] = []
         self.unrecorded = UnrecordedChanges()
         self.is_owned = False
-        """Whether the files could be opened for writing."""
+        """Whether the files are open for writing."""
         self.write_failed = False
-        """Whether the files may lack what memory has."""
+        """Whether changes in memory may be missing from the files."""
         self.write_failures = 0
         self.compactions = 0
         self.monotonic_s: Callable[[], float] = time.monotonic
@@ -87,10 +87,10 @@
         self.retry_pause_s = FIRST_RETRY_PAUSE_S
 
     def take_ownership(self) -> None:
-        """Opens the journal for writing, and writes it anew if it is damaged or of an older version.
+        """Opens the journal for writing, and rewrites it if it is damaged or has an older format version.
 
         Raises:
-            OSError: the folder cannot be written just now.
+            OSError: the folder cannot be written at the moment.
         """
         self.acquire()
         self.files.take_ownership(self.recovered, self.salt)
@@ -99,17 +99,16 @@
             self.compact()
 
     def append(self, record: StoredRecord) -> int:
-        """Gathers a record for the next flush, and returns its size in bytes."""
+        """Buffers a record for the next flush and returns its size in bytes."""
         data = self._frame(record)
         self.unwritten_records.append(data)
         return len(data)
 
     def flush(self) -> bool:
-        """Writes what was gathered, and a little more of a snapshot that is being written.
+        """Writes the buffered records, and one step of the current snapshot.
 
         Returns:
-            Whether all that was ever gathered is written now. A snapshot that fails afterwards takes nothing of that
-            back.
+            Whether all records buffered so far are written. This remains true if the snapshot step fails afterwards.
         """
         is_written = self._write() if self.unwritten_records or self.write_failed else True
         if is_written:
@@ -119,10 +118,10 @@
         return is_written
 
     def retry(self) -> bool:
-        """Writes all anew after a failure, if the pause before the next attempt is over.
+        """Rewrites the whole state after a failure, once the pause before the next attempt is over.
 
         Returns:
-            Whether the files have everything now.
+            Whether all changes are now in the files.
         """
         if not self.write_failed:
             return True
@@ -139,12 +138,12 @@
             self.retry_at_s = self.monotonic_s() + self.retry_pause_s
             self.retry_pause_s = min(2 * self.retry_pause_s, MAX_RETRY_PAUSE_S)
         else:
-            log.warning("journal: can be written again; all is written anew")
+            log.warning("journal: can be written again; the whole state was rewritten")
             self.retry_pause_s = FIRST_RETRY_PAUSE_S
         return is_written
 
     def write_snapshot_step(self) -> None:
-        """Begins a snapshot where one is due, or writes a little more of the one that was begun."""
+        """Writes one step of the current snapshot, or starts a snapshot if one is due."""
         if self.write_failed:
             return
         if self.files.snapshot_writer is not None:
@@ -156,7 +155,7 @@
             self.begin_snapshot()
 
     def begin_snapshot(self) -> None:
-        """Closes the journal and begins the next generation, whose snapshot is written in steps from here on."""
+        """Closes the journal and starts the next generation, whose snapshot is then written in steps."""
         last_records = b"".join([*self.unwritten_records, self._frame(JournalClosedRecord())])
         self.unwritten_records = []
         try:
@@ -166,11 +165,11 @@
             self.note_failure(error)
 
     def compact(self) -> bool:
-        """Writes the whole state anew, in place of all files; what was gathered is in it.
+        """Rewrites the whole state, including the buffered records, to replace all files.
 
         Returns:
-            Whether all is on record now, which is so too where the snapshot counts but the journal to go on with could
-            not be begun.
+            Whether all changes are now in the files. They are as soon as the snapshot is valid, even if the new journal
+            could not be started.
         """
         number_before = self.record_number
         self.record_number = 0
@@ -190,15 +189,15 @@
         return True
 
     def note_failure(self, error: OSError) -> None:
-        """Stops appending until all is written anew: the files may lack what memory has."""
+        """Stops appending until the whole state is rewritten: changes may be missing from the files."""
         self.write_failures += 1
         if not self.write_failed:
-            log.error("journal: cannot write: %s; new work is refused until it can be written anew", error)
+            log.error("journal: write failed: %s; new messages are rejected until the whole state is rewritten", error)
         self.write_failed = True
         self.files.abandon_snapshot()
 
     def close(self) -> None:
-        """Writes what was gathered, and closes the files."""
+        """Writes the buffered records and closes the files."""
         self.flush()
         self.files.close()
 
@@ -207,43 +206,43 @@
         return encode_record_frame(self.salt, self.record_number, encode_record(record), body_of(record))
 
     def _write(self) -> bool:
-        """Writes what was gathered, and returns whether it is on record."""
+        """Writes the buffered records and returns whether they are in the files."""
         data = b"".join(self.unwritten_records)
         self.unwritten_records = []
         if self.write_failed:
             return self.retry()
-        if self._is_crowded(len(data)):
+        if self._is_near_limit(len(data)):
             is_compacted = self._free_capacity(len(data))
             if is_compacted or self.write_failed:
                 return is_compacted
         try:
             self.files.journal.append(data)
         except OSError as error:
-            # A full disk must not end the process: what was accepted is delivered, new work is rejected.
+            # A full disk must not end the process: accepted messages are delivered, new ones are rejected.
             self.note_failure(error)
-            return self.retry()  # it may have been a failure of that moment
+            return self.retry()  # the failure may have been transient
         return True
 
     def _free_capacity(self, more_bytes: int) -> bool:
-        """Makes capacity for so many bytes more, by as little as is needed.
+        """Frees disk space for `more_bytes`, with the least work that suffices.
 
-        First what is older than the newest snapshot is removed, then the snapshot that is being written is completed,
-        then the whole state is written anew.
+        Files older than the newest snapshot are removed first. If that is not enough, the current snapshot is
+        completed, and as a last resort the whole state is rewritten.
 
         Returns:
-            Whether the last was done: then what was to be written is on record too.
+            Whether the whole state was rewritten, which includes the records that were about to be written.
         """
         try:
             self.files.remove_older_generations()
-            while self._is_crowded(more_bytes) and self.files.snapshot_writer is not None:
+            while self._is_near_limit(more_bytes) and self.files.snapshot_writer is not None:
                 self.compactions += self.files.write_snapshot_step(SNAPSHOT_STEP_BYTES)
                 self.files.remove_older_generations()
         except OSError as error:
             self.note_failure(error)
-        return (self.write_failed or self._is_crowded(more_bytes)) and self.compact()
+        return (self.write_failed or self._is_near_limit(more_bytes)) and self.compact()
 
-    def _is_crowded(self, more_bytes: int) -> bool:
-        """Returns whether so many bytes more, and a snapshot beside all files, would come near the limit."""
+    def _is_near_limit(self, more_bytes: int) -> bool:
+        """Returns whether `more_bytes` plus a snapshot next to the existing files would leave too little free space."""
         snapshot = self.files.snapshot_writer
         written_bytes = snapshot.size_bytes if snapshot is not None else 0
         unwritten_bytes = max(0, self.state.sizes.snapshot_bytes - written_bytes)
@@ -253,9 +252,10 @@
         return max(MIN_COMPACTION_BYTES, GROWTH_BEFORE_COMPACTION * self.state.sizes.snapshot_bytes)
 
     def _recorded_messages(self) -> Iterator[AcceptedMessage]:
-        """Yields the messages of a snapshot in steps.
+        """Yields the messages for a snapshot that is written in steps.
 
-        One that is not on record yet may still be refused; if it is not, the journal beside the snapshot has it.
+        A message that is not written yet may still be rejected, so it is left out; if it is accepted, the journal of
+        the snapshot's generation contains it.
         """
         messages = [*self.state.messages.values()]
         return (message for message in messages if message.id not in self.unrecorded.accepted_ids)
--- a/forwarder/storage/record_format.py
+++ b/forwarder/storage/record_format.py
@@ -1,13 +1,13 @@
 """The binary form of journals and snapshots: the file header, and the frame around each record.
 
-A file begins with a header, twice: magic bytes, format version, the low 16 bits of the file's generation, the folder's
-salt, and a checksum. Then come records. The frame of each is a marker, a check of the frame's own head, the payload's
-length, the record's number, and a checksum of number and payload. The payload is a line of JSON and, after a newline,
-the record's body. Checksums begin from the salt, so no body that a client sends can pass for a record. Numbers grow by
-one from record to record.
+A file starts with two copies of a header: magic bytes, format version, the low 16 bits of the file's generation, the
+folder's salt, and a checksum. Records follow. The frame of a record has a marker, a checksum of the other frame fields,
+the payload length, the record number, and a checksum of number and payload. The payload is a line of JSON and, after a
+newline, the record's body. The salt is the initial value of all record checksums, so a body sent by a client cannot be
+mistaken for a record. Each record number is one higher than the previous one.
 
 Format version 1 has no header, and only length and checksum before a payload; version 2 always has generation 0. Both
-are read; a newer version is refused.
+can be read; newer versions are rejected.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 GENERATION_MASK = 0xFFFF
 MARKER = b"\xe7\x4a"
 BLANK_MARKER = bytes(len(MARKER))
-"""Stands in a marker's place until all that is appended with its record is written."""
+"""Placeholder for the first marker of an append until the rest of the append is written."""
 FRAME_HEAD = struct.Struct("<2sHIII")
-"""Marker, check of the other fields, payload length, record number, checksum."""
+"""Marker, checksum of the other fields, payload length, record number, payload checksum."""
 CHECKED_FRAME_FIELDS = struct.Struct("<III")
 VERSION1_FRAME_HEAD = struct.Struct("<II")
 """Payload length, checksum."""
@@ -41,34 +41,34 @@
 
 
 class FileHeader(NamedTuple):
-    """What a file says of itself."""
+    """The decoded header of a file."""
 
     version: int
     generation: int
-    """The low 16 bits of it."""
+    """The low 16 bits of the generation."""
     salt: int
 
 
 class RecordFrame(NamedTuple):
-    """A record whose checksums hold."""
+    """A record whose checksums are valid."""
 
     number: int
     payload: bytes
     end: int
-    """The offset just behind it."""
+    """The offset of the first byte after the record."""
 
 
 def encode_file_header(salt: int, generation: int, version: int = FORMAT_VERSION) -> bytes:
-    """Returns the first bytes of a file."""
+    """Returns the header with which a file starts."""
     copy = HEADER_COPY.pack(MAGIC, version, generation & GENERATION_MASK, salt)
     return 2 * (copy + HEADER_CHECK.pack(zlib.crc32(copy)))
 
 
 def decode_file_header(data: bytes) -> FileHeader | None:
-    """Returns the file's header by whichever of its two copies is undamaged; None if neither is.
+    """Returns the file's header from the first undamaged copy; None if both copies are damaged.
 
     Raises:
-        NewerFormatError: the file is of a version that this program does not know.
+        NewerFormatError: the file has a format version that this program does not support.
     """
     for offset in (0, HEADER_COPY_BYTES):
         if len(data) < offset + HEADER_COPY_BYTES:
@@ -86,19 +86,19 @@
 
 
 def encode_line(line: StoredLine) -> bytes:
-    """Returns a record's line as it is stored."""
+    """Returns the stored form of a record's line."""
     return LINE_ENCODER.encode(line).encode()
 
 
 def encode_record_frame(salt: int, number: int, line: StoredLine, body: bytes = b"") -> bytes:
-    """Returns the bytes of one record."""
+    """Returns the frame and payload of one record."""
     payload = encode_line(line) + b"\n" + body
     fields = CHECKED_FRAME_FIELDS.pack(len(payload), number, _payload_checksum(salt, number, payload))
     return MARKER + _frame_check(salt, fields).to_bytes(2, "little") + fields + payload
 
 
 def decode_record_frame(data: bytes, offset: int, salt: int) -> RecordFrame | None:
-    """Returns the record that begins at this offset; None if none does, or it is damaged or cut short."""
+    """Returns the record that starts at this offset; None if there is none, or it is damaged or incomplete."""
     head = data[offset : offset + FRAME_HEAD.size]
     if len(head) < FRAME_HEAD.size or not is_frame_head(head, salt):
         return None
@@ -113,15 +113,15 @@
 
 
 def is_frame_head(head: bytes, salt: int) -> bool:
-    """Returns whether these are the first bytes of a record's frame, by marker and check."""
+    """Returns whether the bytes are the head of a record's frame, judging by marker and checksum."""
     check = int.from_bytes(head[2:4], "little")
     return head[: len(MARKER)] == MARKER and check == _frame_check(salt, head[4:])
 
 
 def decode_version1_frame(data: bytes, offset: int, number: int) -> RecordFrame | None:
-    """Returns the record of format version 1 that begins at this offset; None if none does that is complete.
+    """Returns the format version 1 record that starts at this offset; None if there is no complete one.
 
-    Such a record has no number of its own; `number` is its place in the file.
+    Such a record contains no number; `number` is its position in the file.
     """
     if offset + VERSION1_FRAME_HEAD.size > len(data):
         return None
--- a/forwarder/storage/recovery.py
+++ b/forwarder/storage/recovery.py
@@ -1,17 +1,17 @@
-"""Chooses the files of a folder that make its state, and reads them.
+"""Selects the files of a folder that make up its state, and reads them.
 
-The newest snapshot that is undamaged and all journals since it was begun make the state; the generation before is kept
-as well while there is capacity for it. A snapshot is written in steps while records go on, so it may hold some of what
-the journal of its generation says too, which changes nothing: a fuzzy checkpoint, as in ARIES (Mohan and others 1992,
-section 5.4).
+The state consists of the newest undamaged snapshot and all journals since that snapshot was started. The previous
+generation is kept too while there is enough disk space. A snapshot is written in steps while records are appended to
+the journal, so it may contain changes that the journal of its generation repeats, which is harmless: it is a fuzzy
+checkpoint, as in ARIES (Mohan et al. 1992, section 5.4).
 
-What a loss means:
+Consequences of a loss:
 
-- Records that are missing before others, or at the end of a closed journal: every message that was accepted before may
-  have taken effect and may have ended, since a lost record may have said so. It is marked as doubtful.
-- A damaged snapshot is passed over for the one before it, with all journals since; nothing is lost with it. If there is
-  no other, its undamaged records are used, and all that it holds is doubtful.
-- Where the record that enables an endpoint again is lost, the endpoint stays disabled.
+- If records are missing between others or at the end of a closed journal, every message accepted before may have taken
+  effect or ended, because a lost record may have said so. Such messages are marked as doubtful.
+- If a snapshot is damaged, the previous one is used with all journals since, and nothing is lost. If there is no
+  previous one, the undamaged records of the damaged snapshot are used, and all its messages are doubtful.
+- If the record that enables an endpoint again is lost, the endpoint stays disabled.
 """
 
 from __future__ import annotations
@@ -33,34 +33,34 @@
 from forwarder.storage.schema import is_journal_closed
 
 ReadFile = Callable[[str], bytes]
-"""Returns the bytes of a file by its name; raises OSError."""
+"""Returns the content of the file with this name; raises OSError."""
 HALF_GENERATION_RANGE = (GENERATION_MASK + 1) // 2
 
 
 @dataclass(slots=True)
 class RecoveredJournal:
-    """What a folder holds, over all the files that make its state."""
+    """The content of all the files of a folder that make up its state."""
 
     scans: dict[str, JournalScan] = field(default_factory=dict)
-    """The files that make the state, by name, in the order in which they are read."""
+    """The files that make up the state, by name, in the order in which they are read."""
     damaged_files: list[str] = field(default_factory=list)
-    """Names of files that are damaged, and of snapshots that were passed over."""
+    """Names of damaged files and of snapshots that were skipped."""
     snapshot_generation: int = 0
-    """Of the snapshot that the state begins with; 0 for none."""
+    """The generation of the snapshot that the state starts from; 0 if there is none."""
     journal_generation: int = 1
-    """Of the journal that is written to, or is to be begun."""
+    """The generation of the active journal, or of the one to start."""
     missing_files: int = 0
     is_tail_lost: bool = False
-    """Whether more records may be missing after all that was read."""
+    """Whether records may be missing after the last one that was read."""
 
     @property
     def is_damaged(self) -> bool:
-        """Whether anything that had taken effect is damaged or missing."""
+        """Whether any committed data is damaged or missing."""
         return bool(self.damaged_files or self.missing_files)
 
     @property
     def last_scan(self) -> JournalScan:
-        """The scan of the journal that is written to."""
+        """The scan of the active journal."""
         return self.scans.get(JOURNAL, JournalScan())
 
     @property
@@ -70,34 +70,34 @@
 
     @property
     def salt(self) -> int | None:
-        """The folder's salt, if any file tells it."""
+        """The folder's salt, if any file contains it."""
         return next((scan.salt for scan in self.scans.values() if scan.salt is not None), None)
 
     @property
     def torn_bytes(self) -> int:
-        """The length of the journal's torn tail."""
+        """The length of the active journal's torn tail."""
         return self.last_scan.torn_bytes
 
     @property
     def damaged_ranges(self) -> list[tuple[str, int, int]]:
-        """Damaged stretches, each by file, first offset and the offset behind it."""
-        return [(name, *damaged) for name, scan in self.scans.items() for damaged in scan.damaged_ranges]
+        """Damaged ranges, each with its file name, start offset and end offset (exclusive)."""
+        return [(name, *offsets) for name, scan in self.scans.items() for offsets in scan.damaged_ranges]
 
     @property
     def missing_records(self) -> int:
-        """How many records are known to be missing."""
+        """The number of records that are known to be missing."""
         return sum(scan.missing_records for scan in self.scans.values())
 
     def describe_damage(self, doubtful_messages: int, orphaned_ids: int) -> str:
-        """Returns what is wrong with the journal, in words; empty if nothing is.
+        """Returns a description of the damage to the journal; empty if there is none.
 
         Args:
-            doubtful_messages: how many messages are doubtful.
-            orphaned_ids: of how many messages only later records are left.
+            doubtful_messages: the number of doubtful messages.
+            orphaned_ids: the number of messages of which only later records remain.
         """
         if not self.is_damaged:
             return ""
-        damaged_bytes = sum(end - first for _, first, end in self.damaged_ranges)
+        damaged_bytes = sum(end - start for _, start, end in self.damaged_ranges)
         missing_files = f", {self.missing_files} files" if self.missing_files else ""
         at_end = ", and more at its end" if self.is_tail_lost else ""
         return (
@@ -107,40 +107,40 @@
         )
 
     def records(self) -> Iterator[ScannedRecord]:
-        """Yields all undamaged records in their order, once: each file's are released when it is begun."""
+        """Yields all undamaged records in order, once: the records of each file are released when it is reached."""
         for scan in self.scans.values():
             records, scan.records = scan.records, []
             yield from records
 
 
 def recover_journal(names: Iterable[str], read: ReadFile, salt: int | None = None) -> RecoveredJournal:
-    """Chooses the files that make the state, and reads them.
+    """Selects the files that make up the state, and reads them.
 
     Args:
         names: the names of all files in the folder.
-        read: returns a file's bytes.
-        salt: the folder's salt as its identity tells it.
+        read: returns the content of a file.
+        salt: the folder's salt from its identity, if known.
 
     Raises:
-        NewerFormatError: a file is of a version that this program does not know.
-        OSError: a file that is needed cannot be read.
+        NewerFormatError: a file has a format version that this program does not support.
+        OSError: a required file cannot be read.
     """
     present = set(names)
     recovered = RecoveredJournal()
     base_generation = _read_base_snapshot(present, read, salt, recovered)
     salt = recovered.salt if salt is None else salt
-    closed = [g for g in generations(present, CLOSED_JOURNAL_PREFIX) if g >= base_generation]
-    expected = _read_closed_journals(closed, base_generation or 1, read, salt, recovered)
+    closed_generations = [g for g in generations(present, CLOSED_JOURNAL_PREFIX) if g >= base_generation]
+    expected = _read_closed_journals(closed_generations, base_generation or 1, read, salt, recovered)
     recovered.journal_generation = expected
-    is_first_journal = not (base_generation or closed)
+    is_first_journal = not (base_generation or closed_generations)
     if JOURNAL in present:
         scan = scan_journal(read(JOURNAL), salt)
         generation = _nearest_generation(scan.generation, expected) if scan.has_header else expected
         if generation >= expected or is_first_journal:
             recovered.journal_generation = generation
-            _add_journal(recovered, JOURNAL, scan, is_gap=generation > expected)
+            _add_journal(recovered, JOURNAL, scan, follows_gap=generation > expected)
             return recovered
-    # While a journal is being replaced there is a new one, which holds nothing yet.
+    # While a journal is being replaced, an empty `journal.new` exists.
     if not is_first_journal and NEW_JOURNAL not in present:
         recovered.missing_files += 1
         recovered.is_tail_lost = True
@@ -148,30 +148,30 @@
 
 
 def _read_closed_journals(
-    closed: list[int], expected: int, read: ReadFile, salt: int | None, recovered: RecoveredJournal
+    closed_generations: list[int], expected: int, read: ReadFile, salt: int | None, recovered: RecoveredJournal
 ) -> int:
-    """Reads the closed journals of these generations, and returns the generation that should come next."""
-    for generation in closed:
+    """Reads the closed journals of these generations and returns the generation expected next."""
+    for generation in closed_generations:
         name = closed_journal_name(generation)
-        _add_journal(recovered, name, scan_journal(read(name), salt), is_gap=generation > expected)
+        _add_journal(recovered, name, scan_journal(read(name), salt), follows_gap=generation > expected)
         expected = generation + 1
     return expected
 
 
 def _nearest_generation(low_bits: int, newest: int) -> int:
-    """Returns the generation with these low bits that is nearest to the newest one that is known."""
+    """Returns the generation with these low 16 bits that is nearest to the newest known generation."""
     distance = (low_bits - newest + HALF_GENERATION_RANGE) & GENERATION_MASK
     return newest + distance - HALF_GENERATION_RANGE
 
 
 def _read_base_snapshot(present: set[str], read: ReadFile, salt: int | None, recovered: RecoveredJournal) -> int:
-    """Begins with the newest undamaged snapshot, or else with what is undamaged of the newest.
+    """Reads the newest undamaged snapshot, or else the undamaged records of the newest snapshot.
 
     Returns:
-        Its generation; 0 if there is no snapshot.
+        The generation of the snapshot; 0 if there is none.
 
     Raises:
-        OSError: no snapshot is undamaged, and one cannot be read.
+        OSError: there is no undamaged snapshot, and at least one cannot be read.
     """
     damaged: dict[int, JournalScan] = {}
     unreadable: OSError | None = None
@@ -198,25 +198,25 @@
     return recovered.snapshot_generation
 
 
-def _add_journal(recovered: RecoveredJournal, name: str, scan: JournalScan, is_gap: bool) -> None:
-    """Adds the next journal in their order; one that is closed without its last record has lost its end.
+def _add_journal(recovered: RecoveredJournal, name: str, scan: JournalScan, follows_gap: bool) -> None:
+    """Adds the next journal; a closed journal without its closing record has lost its end.
 
     Args:
-        recovered: what was read before.
+        recovered: the files read so far, which the journal is added to.
         name: the journal's name.
-        scan: what it holds.
-        is_gap: whether a journal before it is missing.
+        scan: the journal's content.
+        follows_gap: whether a journal before this one is missing.
     """
     is_closed = bool(scan.records) and is_journal_closed(scan.records[-1].line)
     if name != JOURNAL and not is_closed:
         scan.is_tail_lost = True
         scan.torn_bytes = 0
-        scan.damaged_ranges = scan.damaged_ranges or [(scan.sound_bytes, scan.sound_bytes)]
+        scan.damaged_ranges = scan.damaged_ranges or [(scan.valid_bytes, scan.valid_bytes)]
     scan.records = [record for record in scan.records if not is_journal_closed(record.line)]
-    if scan.records and (is_gap or recovered.is_tail_lost):
+    if scan.records and (follows_gap or recovered.is_tail_lost):
         scan.records[0] = scan.records[0]._replace(is_after_loss=True)
         recovered.is_tail_lost = False
-    recovered.missing_files += is_gap
+    recovered.missing_files += follows_gap
     recovered.is_tail_lost = recovered.is_tail_lost or scan.is_tail_lost
     if scan.is_damaged:
         recovered.damaged_files.append(name)
--- a/forwarder/storage/replay.py
+++ b/forwarder/storage/replay.py
@@ -14,26 +14,26 @@
 
 
 class Replay:
-    """The state as a start finds it."""
+    """Replays the recovered records when the forwarder starts."""
 
     def __init__(self, recovered: RecoveredJournal, known_classes: Mapping[str, MessageClass]) -> None:
-        """Reads all records; those of an unknown form are passed over.
+        """Reads all records; records of an unknown form are skipped.
 
         Args:
-            recovered: the files of the folder, as they were read.
-            known_classes: message classes by name, for journals that have only the name of one.
+            recovered: the recovered files of the folder.
+            known_classes: message classes by name, for journals that store only the name of a class.
         """
         self.recovered = recovered
         self.known_classes = known_classes
         self.state = StoredState()
         self.records_read = 0
         self.orphaned_ids: set[str] = set()
-        """Ids that records tell of whose message itself is lost."""
+        """Ids that occur in records although the message itself is lost."""
         self._read_records()
         self._log_damage()
 
     def describe_damage(self) -> str:
-        """Returns what is wrong with the journal as it was found, in words; empty if nothing is."""
+        """Returns a description of the damage that was found in the journal; empty if there is none."""
         doubtful = sum(message.is_doubtful for message in self.state.messages.values())
         return self.recovered.describe_damage(doubtful, len(self.orphaned_ids))
 
@@ -47,10 +47,10 @@
                 self._note_orphan(record)
                 self.state.apply(record)
             except (ValueError, KeyError, TypeError) as error:
-                log.error("journal: a record of unknown form is passed over: %r", error)
+                log.error("journal: skipped a record of unknown form: %r", error)
         if self.recovered.is_tail_lost:
             self.state.mark_all_doubtful()
-        # Later records may hold the message, or its end.
+        # Later records may contain the message or its end.
         self.orphaned_ids -= self.state.ended_ids.keys()
         self.orphaned_ids -= self.state.messages.keys()
         self.orphaned_ids -= self.state.pending_notices.keys()
@@ -65,4 +65,4 @@
         if self.recovered.is_damaged:
             log.error("journal: %s", self.describe_damage())
         elif self.recovered.torn_bytes:
-            log.warning("journal: cut %d bytes of a torn tail", self.recovered.torn_bytes)
+            log.warning("journal: truncated %d bytes of a torn tail", self.recovered.torn_bytes)
--- a/forwarder/storage/scan.py
+++ b/forwarder/storage/scan.py
@@ -1,13 +1,13 @@
-"""Reads one journal or snapshot: its records in their order, and what is damaged or missing.
+"""Parses one journal or snapshot: its records in order, and what is damaged or missing.
 
-Pure: bytes in, records and losses out.
+The functions take bytes and perform no I/O.
 
-- A torn tail, what a process that died in a write leaves, had not taken effect yet; it is cut off.
-- What is appended at once counts as a whole or not at all: its first marker is written last, and is blank until then.
-  From a record with a blank marker on nothing has taken effect, and it is cut off like a torn tail.
-- After any other damage reading goes on at the next undamaged record. How many records are missing shows in the
-  records' numbers.
-- A snapshot that does not end with its seal, or whose seal is not that of its bytes, is damaged.
+- A torn tail, left by a process that died during a write, was not committed yet; it is truncated.
+- An append is atomic: its first marker is written last and is blank until then. From a record with a blank marker on,
+  nothing is committed, so it is treated like a torn tail.
+- After any other damage parsing continues at the next undamaged record. Gaps in the record numbers show how many
+  records are missing.
+- A snapshot that does not end with a seal matching its bytes is damaged.
 """
 
 from __future__ import annotations
@@ -36,54 +36,54 @@
 
 
 class ScannedRecord(NamedTuple):
-    """A record as it was read, its line not yet decoded."""
+    """A record read from a file; its line is not decoded yet."""
 
     number: int
     line: JsonArray
     body: bytes
     is_after_loss: bool = False
-    """Records just before this one are missing."""
+    """Whether records immediately before this one are missing."""
 
 
 @dataclass(slots=True)
 class JournalScan:
-    """What a file holds: its undamaged records in their order, and what is wrong with it."""
+    """The content of a file: its undamaged records in order, and its damage."""
 
     version: int = FORMAT_VERSION
     salt: int | None = None
     generation: int = 0
-    """The low 16 bits of it, by the header."""
+    """The low 16 bits of the generation, from the header."""
     has_header: bool = False
     """Whether at least one copy of the header is undamaged."""
     records: list[ScannedRecord] = field(default_factory=list)
     last_number: int = 0
     """The number of the last undamaged record, whatever its kind."""
-    sound_bytes: int = 0
-    """The offset at which a torn tail is cut off."""
+    valid_bytes: int = 0
+    """The length to which the file is truncated to remove a torn tail."""
     torn_bytes: int = 0
     """The length of the torn tail."""
     damaged_ranges: list[tuple[int, int]] = field(default_factory=list)
-    """Damaged stretches, each by its first offset and the one behind it."""
+    """Damaged ranges, each with its start offset and end offset (exclusive)."""
     missing_records: int = 0
-    """Records that are known to be missing by their numbers."""
+    """The number of missing records, counted from gaps in the record numbers."""
     is_tail_lost: bool = False
-    """Whether more records may be missing at the file's end."""
+    """Whether records may be missing at the end of the file."""
 
     @property
     def is_damaged(self) -> bool:
-        """Whether anything that had taken effect is damaged or missing."""
+        """Whether any committed data is damaged or missing."""
         return bool(self.damaged_ranges or self.missing_records)
 
 
 def scan_journal(data: bytes, salt: int | None = None) -> JournalScan:
-    """Reads a whole file.
+    """Parses a journal.
 
     Args:
-        data: the file's bytes.
-        salt: the folder's salt as other files tell it, needed where both copies of the header are damaged.
+        data: the content of the file.
+        salt: the folder's salt from other files, needed if both copies of the header are damaged.
 
     Raises:
-        NewerFormatError: the file is of a version that this program does not know.
+        NewerFormatError: the file has a format version that this program does not support.
     """
     header = decode_file_header(data)
     if header is None and (not data or decode_version1_frame(data, 0, 1) is not None):
@@ -109,10 +109,10 @@
 
 
 def scan_snapshot(data: bytes, salt: int | None = None) -> JournalScan:
-    """Reads a snapshot, which is damaged unless it ends with the seal of its bytes.
+    """Parses a snapshot, which counts as damaged unless it ends with a seal matching its bytes.
 
     Raises:
-        NewerFormatError: the file is of a version that this program does not know.
+        NewerFormatError: the file has a format version that this program does not support.
     """
     scan = scan_journal(data, salt)
     if scan.records and _is_sealed(data, scan):
@@ -129,17 +129,17 @@
 
 
 def _scan_frames(data: bytes, salt: int, scan: JournalScan) -> dict[int, bytes]:
-    """Returns the payloads of all undamaged records by their numbers, and notes what is damaged."""
+    """Returns the payloads of all undamaged records by record number, and adds the damaged ranges to the scan."""
     offset = HEADER_BYTES
     payloads: dict[int, bytes] = {}
-    scan.sound_bytes = HEADER_BYTES
+    scan.valid_bytes = HEADER_BYTES
     while offset < len(data):
         frame = decode_record_frame(data, offset, salt)
         if frame is not None:
-            if frame.number in payloads:  # a stretch of the file that stands in it twice
+            if frame.number in payloads:  # a part of the file occurs twice
                 scan.damaged_ranges.append((offset, frame.end))
             payloads.setdefault(frame.number, frame.payload)
-            scan.sound_bytes = offset = frame.end
+            scan.valid_bytes = offset = frame.end
             continue
         if _is_uncommitted(data, offset, salt):
             scan.torn_bytes = len(data) - offset
@@ -155,22 +155,22 @@
 
 
 def _add_records(payloads: dict[int, bytes], scan: JournalScan) -> None:
-    """Adds the records in the order of their numbers, and counts what is missing between them."""
+    """Adds the records in the order of their numbers, and counts the missing ones."""
     last_number = 0
     for number in sorted(payloads):
         line, _, body = payloads[number].partition(b"\n")
-        lost = number - last_number - 1
-        scan.missing_records += lost
+        missing = number - last_number - 1
+        scan.missing_records += missing
         try:
-            scan.records.append(ScannedRecord(number, json.loads(line), body, lost > 0))
-        except ValueError:  # its checksum holds, so this program wrote it so; it counts as missing
+            scan.records.append(ScannedRecord(number, json.loads(line), body, missing > 0))
+        except ValueError:  # the checksum is valid, so the record was written this way; count it as missing
             scan.missing_records += 1
             continue
         last_number = number
 
 
 def _scan_tail(data: bytes, offset: int, salt: int, scan: JournalScan) -> None:
-    """Tells the beginning of a record that was being written from damage; no undamaged record follows."""
+    """Decides whether a tail without undamaged records is a partly written record or damage."""
     if _is_record_cut_short(data, offset, salt):
         scan.torn_bytes = len(data) - offset
         return
@@ -189,23 +189,23 @@
 
 
 def _is_uncommitted(data: bytes, offset: int, salt: int) -> bool:
-    """Returns whether an append begins here whose marker was not written: the process died, or its write failed."""
+    """Returns whether an append without its marker starts here: the process died, or the write failed."""
     head = data[offset : offset + FRAME_HEAD.size]
     marker = head[: len(MARKER)]
-    if marker == MARKER or any(byte not in (0, whole) for byte, whole in zip(marker, MARKER, strict=False)):
+    if marker == MARKER or any(byte not in (0, expected) for byte, expected in zip(marker, MARKER, strict=False)):
         return False
     return len(head) < FRAME_HEAD.size or is_frame_head(MARKER + head[len(MARKER) :], salt)
 
 
 def _undamaged_offsets(data: bytes, offset: int, salt: int) -> Iterator[int]:
-    """Yields where undamaged records begin after this offset."""
+    """Yields the offsets of undamaged records after this offset."""
     while (offset := data.find(MARKER, offset + 1)) >= 0:
         if decode_record_frame(data, offset, salt) is not None:
             yield offset
 
 
 def _scan_version1(data: bytes) -> JournalScan:
-    """Reads up to the first record that is not complete: what follows cannot be distinguished from a torn tail."""
+    """Parses up to the first incomplete record: anything after it cannot be distinguished from a torn tail."""
     scan = JournalScan(version=1)
     offset = 0
     while (frame := decode_version1_frame(data, offset, len(scan.records) + 1)) is not None:
@@ -215,15 +215,15 @@
             scan.records.append(ScannedRecord(frame.number, json.loads(line), body))
         except ValueError:
             continue
-    scan.sound_bytes = offset
+    scan.valid_bytes = offset
     scan.torn_bytes = len(data) - offset
     scan.last_number = len(scan.records)
     return scan
 
 
 def _is_sealed(data: bytes, scan: JournalScan) -> bool:
-    """Returns whether the last record is the seal of all bytes before it."""
+    """Returns whether the last record is a seal that matches all bytes before it."""
     last = scan.records[-1]
     record_bytes = FRAME_HEAD.size + len(encode_line(tuple(last.line))) + 1 + len(last.body)
-    checksum = zlib.crc32(data[: scan.sound_bytes - record_bytes])
+    checksum = zlib.crc32(data[: scan.valid_bytes - record_bytes])
     return is_snapshot_seal(last.line, SnapshotSealedRecord(last.number, checksum))
--- a/forwarder/storage/schema.py
+++ b/forwarder/storage/schema.py
@@ -1,12 +1,12 @@
-"""The stored records: their fields in the code's names, and how each is written and read.
+"""The stored records: the classes that represent them in memory, and their encoding and decoding.
 
-This module alone knows the stored words. They are those of the first release and stay as they are, so that state of
-older releases is read and older releases read what this one writes.
+Only this module uses the stored names. They have not changed since the first release and must not change, so that this
+release can read the state of older releases and older releases can read the state of this one.
 
-A journal record is a line, a JSON array whose first item is the record's kind, and for an accepted message its body.
-The other items are the record's fields in the order in which its class declares them; only an accepted message has a
-form of its own. A record states what holds from then on, so reading it twice changes nothing. Times are microseconds
-of the state folder's clock unless a name says otherwise.
+A journal record is a line, which is a JSON array whose first item is the record's kind, and for an accepted message its
+body. The other items are the record's fields in the order in which its class declares them; only an accepted message is
+encoded differently. Records are idempotent: each states what is true from then on, so reading it twice changes nothing.
+Times are microseconds of the state folder's clock unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 StoredLine: TypeAlias = tuple[object, ...]
 """A record's line, ready for JSON."""
 JsonArray: TypeAlias = "list[Any]"
-"""A line as JSON gives it back."""
+"""A line as decoded from JSON."""
 EndpointFields: TypeAlias = dict[str, object]
-"""One endpoint of the list as discovery described it: a JSON object whose form is discovery's."""
+"""One endpoint of the list, in the JSON object that discovery sent."""
 
 NOT_SET_US = -1
-"""Stands for a time that there is none of."""
+"""The value of a time that is not set."""
 
 
 class MessageAcceptedRecord(NamedTuple):
-    """A message was accepted, or how it stands when a snapshot is written."""
+    """An accepted message, in its state at acceptance or at the time of a snapshot."""
 
     message: AcceptedMessage
 
@@ -55,14 +55,14 @@
 
 
 class LocalFailureRecord(NamedTuple):
-    """This machine could not make an attempt that it had started."""
+    """An attempt that was started failed on this machine."""
 
     message_id: str
     attempt: int
 
 
 class KeyBackoffRecord(NamedTuple):
-    """The next message of a key waits, since a call may still run."""
+    """The next message of a key has to wait, because a call may still be running."""
 
     key: str
     until_us: int
@@ -75,13 +75,13 @@
 
 
 class EndedMessagesRecord(NamedTuple):
-    """Messages that had ended when a snapshot was written, or whose acceptance is lost."""
+    """Messages that had ended when a snapshot was written, or whose acceptance record is lost."""
 
     message_ids: list[str]
 
 
 class NoticePendingRecord(NamedTuple):
-    """A message has ended, and the platform has not acknowledged the notice of it."""
+    """A message has ended, and the platform has not acknowledged the notice about it."""
 
     message_id: str
     state: str
@@ -103,13 +103,13 @@
 
 
 class KnownEndpointsRecord(NamedTuple):
-    """Names of endpoints that were listed at some time."""
+    """Names of endpoints that were listed at any time."""
 
     endpoints: list[str]
 
 
 class EndpointDisabledRecord(NamedTuple):
-    """Operators disabled an endpoint, or enabled it again (`NOT_SET_US`)."""
+    """An operator disabled an endpoint, or enabled it again (`NOT_SET_US`)."""
 
     endpoint: str
     since_us: int
@@ -124,7 +124,7 @@
 
 
 class JournalClosedRecord(NamedTuple):
-    """The last record of a journal that was replaced by the next generation's."""
+    """The last record of a journal that was followed by the journal of the next generation."""
 
 
 class SnapshotSealedRecord(NamedTuple):
@@ -132,7 +132,7 @@
 
     record_number: int
     checksum: int
-    """Of all bytes before this record."""
+    """The checksum of all bytes before this record."""
 
 
 StoredRecord: TypeAlias = (
@@ -150,9 +150,9 @@
     | EndpointDisabledRecord
     | EjectionRecord
 )
-"""What a journal or a snapshot says of the state."""
+"""A record that changes the state, in a journal or a snapshot."""
 ClosingRecord: TypeAlias = JournalClosedRecord | SnapshotSealedRecord
-"""What ends a file."""
+"""The last record of a file."""
 
 KINDS: dict[type[StoredRecord | ClosingRecord], str] = {
     MessageAcceptedRecord: "taken",
@@ -171,11 +171,11 @@
     JournalClosedRecord: "closed",
     SnapshotSealedRecord: "sealed",
 }
-"""The stored word of each kind of record."""
+"""The stored name of each kind of record."""
 
 
 def encode_record(record: StoredRecord | ClosingRecord) -> StoredLine:
-    """Returns the record's line; the body of an accepted message is stored beside it."""
+    """Returns the record's line; the body of an accepted message is stored after it."""
     kind = KINDS[type(record)]
     if isinstance(record, MessageAcceptedRecord):
         return (kind, *_encode_message(record.message))
@@ -183,32 +183,32 @@
 
 
 def body_of(record: StoredRecord | ClosingRecord) -> bytes:
-    """Returns what is stored beside a record's line: the body of an accepted message."""
+    """Returns the bytes stored after a record's line: the body of an accepted message, otherwise nothing."""
     return record.message.body if isinstance(record, MessageAcceptedRecord) else b""
 
 
 def decode_record(line: JsonArray, body: bytes, known_classes: Mapping[str, MessageClass]) -> StoredRecord:
-    """Returns the record of a line that is neither the end of a journal nor that of a snapshot.
+    """Decodes a record that is not the closing record of a journal or a snapshot.
 
     Args:
         line: the record's line.
-        body: what follows the line.
-        known_classes: message classes by name, for lines of format version 1 that have only the name of one.
+        body: the bytes after the line.
+        known_classes: message classes by name, for lines of format version 1, which store only the name of a class.
 
     Raises:
-        KeyError, ValueError, TypeError: the line has no form that this program knows.
+        KeyError, ValueError, TypeError: the line has an unknown form.
     """
     kind, *fields = line
     return _DECODERS[kind](fields, body, known_classes)
 
 
 def is_journal_closed(line: JsonArray) -> bool:
-    """Returns whether the line is that of a `JournalClosedRecord`."""
+    """Returns whether the line represents a `JournalClosedRecord`."""
     return line == [KINDS[JournalClosedRecord]]
 
 
 def is_snapshot_seal(line: JsonArray, seal: SnapshotSealedRecord) -> bool:
-    """Returns whether the line is exactly that of this seal."""
+    """Returns whether the line represents exactly this seal."""
     return line == [*encode_record(seal)]
 
 
@@ -216,11 +216,11 @@
     """Returns the name of a listed endpoint.
 
     Raises:
-        KeyError, TypeError: it has none.
+        KeyError, TypeError: the endpoint has no valid name.
     """
     name = endpoint["host"]
     if not isinstance(name, str):
-        raise TypeError(f"{name!r} is no endpoint's name")
+        raise TypeError(f"endpoint name is not a string: {name!r}")
     return name
 
 
@@ -293,14 +293,14 @@
 
 def _decode_message_class(stored: JsonArray | str, known_classes: Mapping[str, MessageClass]) -> MessageClass:
     if isinstance(stored, str):
-        # Of a class that is not configured any more nothing is known, so its messages may not be repeated.
+        # Nothing is known about a class that is no longer configured, so its messages must not be repeated.
         return known_classes.get(stored) or MessageClass(stored, SECOND_US, SECOND_US, Effect.ONCE)
-    name, latency_objective_us, deadline_us, effect, key_scope, *others = stored
-    return MessageClass(name, latency_objective_us, deadline_us, Effect(effect), Scope(key_scope), *others)
+    name, latency_objective_us, deadline_us, effect, key_scope, *other_settings = stored
+    return MessageClass(name, latency_objective_us, deadline_us, Effect(effect), Scope(key_scope), *other_settings)
 
 
 def _encode_ranges(numbers: Iterable[int]) -> list[list[int]]:
-    """Returns runs of consecutive numbers, each by its first and last."""
+    """Returns the runs of consecutive numbers, each as its first and last number."""
     runs: list[list[int]] = []
     for number in sorted(numbers):
         if runs and number == runs[-1][1] + 1:
@@ -335,19 +335,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """The owner of a state folder; the file `identity`."""
+    """The owner of a state folder, as stored in the file `identity`."""
 
     forwarder_name: str
     folder_id: str
-    """Drawn at the folder's first start."""
+    """A random id, generated at the first start with this folder."""
     start_count: int
     salt: int
-    """What the journal's checksums begin from."""
+    """The initial value of the journal checksums."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClockAnchor:
-    """What the clock said when a boot's monotonic clock said so, in nanoseconds; the file `clock`."""
+    """A monotonic time of one boot and the matching time of the folder's clock, as stored in the file `clock`."""
 
     boot_id: str
     monotonic_ns: int
@@ -355,7 +355,7 @@
 
 
 def encode_identity(identity: Identity) -> dict[str, object]:
-    """Returns what the file `identity` holds."""
+    """Returns the content of the file `identity`."""
     return {
         "name": identity.forwarder_name,
         "id": identity.folder_id,
@@ -365,31 +365,29 @@
 
 
 def decode_identity(stored: object) -> Identity:
-    """Reads what the file `identity` holds.
+    """Decodes the content of the file `identity`.
 
     Raises:
-        CorruptFileError: it does not have the fields of an identity.
+        CorruptFileError: the content does not have the fields of an identity.
     """
     match stored:
-        case {"name": str(name), "id": str(folder_id), "starts": int(starts), "salt": int(salt), **others} if (
-            not others
-        ):
+        case {"name": str(name), "id": str(folder_id), "starts": int(starts), "salt": int(salt), **extra} if not extra:
             return Identity(name, folder_id, starts, salt)
-    raise CorruptFileError("not the fields of an identity")
+    raise CorruptFileError("invalid fields of an identity")
 
 
 def encode_clock_anchor(anchor: ClockAnchor) -> dict[str, object]:
-    """Returns what the file `clock` holds."""
+    """Returns the content of the file `clock`."""
     return {"boot": anchor.boot_id, "monotonic_ns": anchor.monotonic_ns, "clock_ns": anchor.clock_ns}
 
 
 def decode_clock_anchor(stored: object) -> ClockAnchor:
-    """Reads what the file `clock` holds.
+    """Decodes the content of the file `clock`.
 
     Raises:
-        CorruptFileError: it does not have the fields of an anchor.
+        CorruptFileError: the content does not have the fields of an anchor.
     """
     match stored:
-        case {"boot": str(boot), "monotonic_ns": int(monotonic_ns), "clock_ns": int(clock_ns), **others} if not others:
+        case {"boot": str(boot), "monotonic_ns": int(monotonic_ns), "clock_ns": int(clock_ns), **extra} if not extra:
             return ClockAnchor(boot, monotonic_ns, clock_ns)
-    raise CorruptFileError("not the fields of a clock anchor")
+    raise CorruptFileError("invalid fields of a clock anchor")
--- a/forwarder/storage/snapshot_writer.py
+++ b/forwarder/storage/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes one snapshot in steps that are short enough for the event loop."""
+"""Writes one snapshot in steps that are short enough not to block the event loop."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 class SnapshotWriter:
     """A snapshot that is being written.
 
-    A copy of the state would take the memory of all messages twice, so the records are asked for as they are written.
+    A copy of the state would double the memory used by messages, so each record is generated when it is written.
     """
 
     def __init__(self, fd: int, generation: int, salt: int, records: Iterator[StoredRecord]) -> None:
-        """Begins a snapshot in an empty file; nothing is written yet."""
+        """Prepares a snapshot in an empty file; `write_step` writes it."""
         self.fd = fd
         self.generation = generation
         self.salt = salt
         self.records = records
         self.size_bytes = 0
         self.checksum = 0
-        """Of all that was written."""
+        """The checksum of all bytes written so far."""
         self.record_number = 0
         self.unwritten_header = encode_file_header(salt, generation)
 
     def write_step(self, step_bytes: int, durable: bool) -> bool:
-        """Writes about so many bytes more, and the seal after the last record.
+        """Writes the next records, and the seal after the last record.
 
         Args:
-            step_bytes: how much to write at least, if there is so much.
-            durable: whether to wait until it outlasts a power cut.
+            step_bytes: the minimum number of bytes to write, unless fewer remain.
+            durable: whether to sync the file.
 
         Returns:
             Whether the snapshot is complete.
 
         Raises:
-            OSError: it cannot be written.
+            OSError: the snapshot cannot be written.
         """
         data, is_complete = self._next_records(step_bytes)
         self.checksum = zlib.crc32(data, self.checksum)
@@ -58,7 +58,7 @@
         return is_complete
 
     def _next_records(self, step_bytes: int) -> tuple[bytes, bool]:
-        """Returns the bytes of the next records, and whether they were the last ones."""
+        """Returns the bytes of the next records, and whether they are the last ones."""
         parts = [self.unwritten_header]
         self.unwritten_header = b""
         size_bytes = 0
--- a/forwarder/storage/state.py
+++ b/forwarder/storage/state.py
@@ -1,4 +1,4 @@
-"""The state that the stored records build up, in memory."""
+"""The state in memory that results from the stored records."""
 
 from __future__ import annotations
 
@@ -27,40 +27,40 @@
 from forwarder.units import SECOND_US
 
 EJECTION_KEPT_US = 3600 * SECOND_US
-"""How long an ejection is remembered: an endpoint may leave the list while ejected and come back."""
+"""How long an ejection is kept: an endpoint may leave the list while it is ejected and be listed again."""
 MAX_KNOWN_ENDPOINTS = 2000
 MAX_KEY_BACKOFFS = 256
-"""With more of them, those that are over are dropped."""
+"""From this number on, expired key backoffs are dropped."""
 MAX_ENDED_IDS = 8192
-"""More than a minute's at full load: an id that is not known any more would be accepted again."""
+"""Holds more than a minute of ids at full load; a message whose id is forgotten would be accepted again."""
 NAMES_PER_RECORD = 1000
-"""Ids or endpoint names in one record of a snapshot."""
+"""Maximum number of ids or endpoint names in one record of a snapshot."""
 
 
 class StoredState:
-    """All that outlasts the process in the journal. Changed by records, and by the store before it writes them."""
+    """The state that the journal preserves. Changed by records, and by the store before it writes the records."""
 
     def __init__(self) -> None:
-        """Begins with nothing."""
+        """Starts with an empty state."""
         self.messages: dict[str, AcceptedMessage] = {}
         self.ended_ids: dict[str, None] = {}
-        """Ids of messages that have ended, the oldest first."""
+        """Ids of messages that have ended, oldest first."""
         self.pending_notices: dict[str, PendingNotice] = {}
         self.ejections: dict[str, Ejection] = {}
         self.endpoints: dict[str, EndpointFields] = {}
         """The newest endpoint list, by name."""
         self.endpoint_list_version = -1
-        """-1: there is no list."""
+        """The version of that list; -1 if there is none."""
         self.known_endpoints: dict[str, None] = {}
-        """Names of all that were ever listed, those listed longest ago first."""
+        """Names of endpoints that were ever listed, least recently listed first."""
         self.disabled_endpoints: dict[str, int] = {}
-        """Since when operators have them disabled, by name."""
+        """The time when operators disabled an endpoint, by name."""
         self.key_backoffs: dict[str, int] = {}
-        """Until when the next message of a key waits; some are over."""
+        """The time until which the next message of a key waits, by key; may include expired ones."""
         self.sizes = StateSizes()
 
     def apply(self, record: StoredRecord) -> None:
-        """Changes the state by one record; those of a message that is not there any more change nothing."""
+        """Applies one record; records about the progress of a message that is no longer present have no effect."""
         match record:
             case MessageAcceptedRecord():
                 self._apply_message_accepted(record)
@@ -90,11 +90,11 @@
                 self._apply_ejection(record)
 
     def knows(self, message_id: str) -> bool:
-        """Returns whether a message of that id was accepted, whether or not it has ended."""
+        """Returns whether a message with this id was accepted, including one that has ended."""
         return message_id in self.messages or message_id in self.ended_ids
 
     def mark_all_doubtful(self) -> None:
-        """Marks all messages as doubtful: records were lost after they were accepted."""
+        """Marks all messages as doubtful, because records were lost after they were accepted."""
         for message in self.messages.values():
             message.is_doubtful = True
 
@@ -105,29 +105,29 @@
             self.sizes.remove_message(message)
 
     def drop_old_ejections(self, now_us: int) -> None:
-        """Forgets the ejections that are over since long."""
+        """Drops the ejections that are too old to be kept."""
         oldest_us = now_us - EJECTION_KEPT_US
         self.ejections = {name: ejection for name, ejection in self.ejections.items() if max(ejection) > oldest_us}
 
     def drop_ended_backoffs(self, now_us: int) -> None:
-        """Forgets the key backoffs that are over, once there are many."""
+        """Drops the expired key backoffs if there are many key backoffs."""
         if len(self.key_backoffs) >= MAX_KEY_BACKOFFS:
             self.key_backoffs = {key: until_us for key, until_us in self.key_backoffs.items() if until_us > now_us}
 
     def max_snapshot_bytes(self) -> int:
-        """Returns an upper estimate of the size of a snapshot."""
+        """Returns an upper bound on the size of a snapshot."""
         return self.sizes.max_snapshot_bytes(
             len(self.pending_notices), len(self.ejections), len(self.known_endpoints) + len(self.disabled_endpoints)
         )
 
     def snapshot_records(self, messages: Iterable[AcceptedMessage]) -> Iterator[StoredRecord]:
-        """Yields all that a snapshot holds.
+        """Yields the records of a snapshot.
 
-        The state may change while the records are asked for. What has ended meanwhile is left out; all other changes
-        are in the journal of the snapshot's generation.
+        The state may change while the records are generated. Messages and notices that end in the meantime are left
+        out; all other changes are in the journal of the snapshot's generation.
 
         Args:
-            messages: the messages that the snapshot is to hold.
+            messages: the messages to include in the snapshot.
         """
         yield EndpointListRecord(self.endpoint_list_version, [*self.endpoints.values()])
         yield from (KnownEndpointsRecord(names) for names in _split(self.known_endpoints))
@@ -142,7 +142,7 @@
 
     def _apply_message_accepted(self, record: MessageAcceptedRecord) -> None:
         message = record.message
-        earlier = self.messages.get(message.id)  # a snapshot may have it too
+        earlier = self.messages.get(message.id)  # a snapshot may contain it too
         if earlier is not None:
             self.sizes.remove_message(earlier)
         self.messages[message.id] = message
@@ -203,10 +203,10 @@
 
     def _end_message(self, message_id: str) -> None:
         self.discard_message(message_id)
-        self._add_ended_ids([message_id])  # also without its message: a snapshot may have been written after its end
+        self._add_ended_ids([message_id])  # even without the message: a snapshot may have been written after its end
 
     def _add_ended_ids(self, message_ids: list[str]) -> None:
-        """Remembers ids, so that their messages are not accepted, and sent, a second time."""
+        """Adds ids of ended messages, so that the same messages are not accepted and sent again."""
         for message_id in message_ids:
             if message_id not in self.ended_ids:
                 self.ended_ids[message_id] = None
@@ -225,6 +225,6 @@
 
 
 def _split(names: Iterable[str]) -> list[list[str]]:
-    """Returns the names in lists that are short enough for one record each."""
+    """Splits the names into lists that are short enough for one record each."""
     all_names = [*names]
     return [all_names[first : first + NAMES_PER_RECORD] for first in range(0, len(all_names), NAMES_PER_RECORD)]
--- a/tests/storage/test_schema.py
+++ b/tests/storage/test_schema.py
@@ -1,4 +1,4 @@
-"""Stored records: what commit e0ee873 wrote is decoded, and encoded again to the same bytes."""
+"""Tests that records written by commit e0ee873 are decoded, and encoded again to the same bytes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("name", JOURNALS)
-def test_every_stored_record_is_encoded_to_the_bytes_that_it_was_read_from(name: str) -> None:
+def test_every_stored_record_is_encoded_to_the_bytes_it_was_decoded_from(name: str) -> None:
     data = (DATA / name).read_bytes()
     scan = scan_journal(data)
     assert scan.salt is not None
@@ -51,7 +51,7 @@
     assert encoded == data
 
 
-def test_the_fixtures_hold_every_kind_of_record() -> None:
+def test_the_fixtures_contain_every_kind_of_record() -> None:
     kinds = {scanned.line[0] for name in JOURNALS for scanned in scan_journal((DATA / name).read_bytes()).records}
     assert kinds == set(KINDS.values()) - {KINDS[JournalClosedRecord]}
 
@@ -76,21 +76,21 @@
 
 
 @pytest.mark.parametrize("line", [["unknown", 1], ["attempt", "m", 0], ["taken", "m"], []])
-def test_a_line_of_another_form_is_no_record(line: list[object]) -> None:
+def test_a_line_of_an_unknown_form_is_rejected(line: list[object]) -> None:
     with pytest.raises((KeyError, ValueError, TypeError)):
         decode_record(line, b"", {})
 
 
-def test_more_items_than_a_list_record_has_are_passed_over() -> None:
+def test_extra_items_of_a_list_record_are_ignored() -> None:
     line = ["list", 4, [{"dial": "x"}], 5, 6]
     assert decode_record(line, b"", {}) == EndpointListRecord(4, [{"dial": "x"}])
 
 
-def test_a_pending_notice_is_stored_in_the_words_of_the_first_release() -> None:
+def test_a_pending_notice_is_stored_under_the_names_of_the_first_release() -> None:
     assert encode_record(NoticePendingRecord("m", "returned", 500, "k")) == ("owed", "m", "returned", 500, "k")
 
 
-def test_identity_and_clock_anchor_are_stored_in_the_words_of_the_first_release() -> None:
+def test_identity_and_clock_anchor_are_stored_under_the_names_of_the_first_release() -> None:
     identity, anchor = Identity("n1", "ab", 3, 99), ClockAnchor("boot", 5, 7)
     assert [*encode_identity(identity).items()] == [("name", "n1"), ("id", "ab"), ("starts", 3), ("salt", 99)]
     assert [*encode_clock_anchor(anchor).items()] == [("boot", "boot"), ("monotonic_ns", 5), ("clock_ns", 7)]
@@ -99,10 +99,10 @@
 
 
 @pytest.mark.parametrize("stored", [{}, [], {"name": "n1", "id": "ab", "starts": "3", "salt": 9}, {"boot": "b"}])
-def test_fields_of_another_form_are_corrupt(stored: object) -> None:
-    with pytest.raises(CorruptFileError, match="not the fields"):
+def test_fields_of_an_unknown_form_are_corrupt(stored: object) -> None:
+    with pytest.raises(CorruptFileError, match="invalid fields of an identity"):
         decode_identity(stored)
-    with pytest.raises(CorruptFileError, match="not the fields"):
+    with pytest.raises(CorruptFileError, match="invalid fields of a clock anchor"):
         decode_clock_anchor(stored)
 
 
