--- a/forwarder/storage/__init__.py
+++ b/forwarder/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What outlasts the process: the journal, snapshots and small files in `$LB_STATE`."""
+"""Persistent state: the journal, snapshots and small files in `$LB_STATE`."""
--- a/forwarder/storage/clock.py
+++ b/forwarder/storage/clock.py
@@ -1,13 +1,12 @@
-"""The clock of the state folder: microseconds that go on evenly over restarts, whatever is done to the wall clock.
+"""The clock of the state folder: it advances steadily across restarts, even when the wall clock is changed.
 
-Within a process it follows the monotonic clock, which nobody sets. Over a restart it goes on from the anchor, a small
-file that says which monotonic time stood for which time of this clock, beside the id of the machine's boot. During one
-boot the two clocks never part, so the anchor is written once a boot.
+Within a process it follows the monotonic clock, which cannot be set. After a restart it continues from the anchor, a
+small file that stores a monotonic time, the matching time of this clock and the boot id of the machine. The offset
+between the two clocks is constant during one boot, so the anchor is written once per boot.
 
-The first anchor is taken from the wall clock. After another boot only the wall clock knows how long the machine was
-down, and it may have been stepped. Then this clock goes on by what the wall clock says, but never by less than the new
-boot is old, and never back: a message has at most the time that it had, and at least what is left of it by the wall
-clock.
+The first anchor is taken from the wall clock. After a reboot only the wall clock shows how long the machine was down,
+and it may have been stepped. This clock then follows the wall clock, but it advances by at least the uptime of the new
+boot and never goes back: a message gets no more time than it had left, and no less than it has left by the wall clock.
 """
 
 from __future__ import annotations
@@ -26,50 +25,51 @@
 
 
 def read_anchor(folder: Path) -> ClockAnchor | None:
-    """Returns the folder's anchor; None if there is none or it is corrupt.
+    """Returns the folder's anchor; None if it is missing or corrupt.
 
     Raises:
-        OSError: it cannot be read just now: to go by the wall clock then might end all messages at once, or none.
+        OSError: the anchor cannot be read at the moment. Falling back to the wall clock could expire all messages at
+            once, or none.
     """
     try:
         stored = read_small_file(folder / ANCHOR_FILE)
         return None if stored is None else decode_clock_anchor(stored)
     except CorruptFileError as error:
-        log.error("the clock's anchor is not sound: %s", error)
+        log.error("clock anchor is corrupt: %s", error)
         return None
 
 
 def write_anchor(folder: Path, anchor: ClockAnchor) -> None:
-    """Puts an anchor in the old one's place.
+    """Replaces the stored anchor.
 
     Raises:
-        OSError: the old one is still there.
+        OSError: the write failed; the old anchor is still in place.
     """
     write_small_file(folder / ANCHOR_FILE, encode_clock_anchor(anchor))
 
 
 def is_same_boot(anchor: ClockAnchor, boot_id: str, monotonic_ns: int) -> bool:
-    """Returns whether the monotonic clock is still the one of the anchor.
+    """Returns whether the anchor was written during the current boot, so that its monotonic time still applies.
 
-    Where one of the boot ids is not known, it is unless it has gone back.
+    If either boot id is unknown, the boot counts as the same one unless the monotonic clock has gone back.
 
     Args:
-        anchor: an anchor of this machine.
-        boot_id: the id of the machine's boot now; empty if it is not known.
-        monotonic_ns: the monotonic clock now.
+        anchor: the stored anchor.
+        boot_id: id of the current boot; empty if unknown.
+        monotonic_ns: current monotonic time.
     """
     may_be_same = anchor.boot_id == boot_id or not boot_id or not anchor.boot_id
     return may_be_same and anchor.monotonic_ns <= monotonic_ns
 
 
 def clock_offset_ns(anchor: ClockAnchor | None, boot_id: str, monotonic_ns: int, wall_ns: int) -> int:
-    """Returns what to add to the monotonic clock so that the clock goes on from the anchor.
+    """Returns the offset from the monotonic clock that makes this clock continue from the anchor.
 
     Args:
         anchor: the folder's anchor, if it has one.
-        boot_id: the id of the machine's boot now; empty if it is not known.
-        monotonic_ns: the monotonic clock now.
-        wall_ns: the wall clock now, of Unix time.
+        boot_id: id of the current boot; empty if unknown.
+        monotonic_ns: current monotonic time.
+        wall_ns: current wall clock time, as Unix time.
     """
     if anchor is None:
         return wall_ns - monotonic_ns
@@ -79,13 +79,13 @@
 
 
 class Clock:
-    """Microseconds of Unix time as the wall clock showed it once. It never goes back."""
+    """A clock in microseconds of Unix time that is set from the wall clock once and never goes back."""
 
     is_anchored = True
-    """Whether a restart goes on by it."""
+    """Whether a restart can continue this clock from a stored anchor."""
 
     def __init__(self, offset_ns: int | None = None) -> None:
-        """Begins at the wall clock's time, or goes on by the offset of another process's clock."""
+        """Starts at the wall clock time, or continues the clock of another process from its offset."""
         self.offset_ns = time.time_ns() - time.monotonic_ns() if offset_ns is None else offset_ns
 
     def __call__(self) -> int:
@@ -94,14 +94,14 @@
 
 
 class AnchoredClock(Clock):
-    """A clock that goes on over the restarts of one folder."""
+    """A clock that continues across the restarts of one folder."""
 
     def __init__(self, folder: Path, offset_ns: int | None = None) -> None:
-        """Goes on from the folder's anchor, and writes nothing.
+        """Continues from the folder's anchor without writing to the folder.
 
         Args:
             folder: the state folder.
-            offset_ns: that of the process which this one takes over from.
+            offset_ns: the offset of the process that handed over to this one, if any.
 
         Raises:
             OSError: the anchor cannot be read.
@@ -120,7 +120,7 @@
         )
 
     def store_anchor(self) -> None:
-        """Writes the anchor, if the folder has not got it. A folder that cannot be written is tried again later."""
+        """Writes the anchor if the folder does not have it. After a failed write the next call tries again."""
         if self.is_anchored:
             return
         now_ns = time.monotonic_ns()
@@ -128,4 +128,4 @@
             write_anchor(self.folder, ClockAnchor(self.boot_id, now_ns, self.offset_ns + now_ns))
             self.is_anchored = True
         except OSError as error:
-            log.error("the clock's anchor cannot be written: %s", error)
+            log.error("clock anchor cannot be written: %s", error)
--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -1,15 +1,16 @@
-"""`[journal]` of the extensions file: whether accepted messages outlast more than the process, such as a power cut.
+"""The `[journal]` table of the extensions file: whether accepted messages also survive events such as a power cut.
 
-- `none`: plain writes, as without the table: all outlasts the process, a power cut may take the newest.
-- `interval`: synced at intervals; a power cut takes at most what came in one.
-- `data`: nothing leaves that a record precedes before that record is synced: no 202, no call, no notice. One sync
-  serves all that has come meanwhile (group commit).
+- `none`: plain writes, as without the table. All records survive the end of the process; a power cut may lose the
+  newest ones.
+- `interval`: the journal is synced at intervals. A power cut loses at most the records of one interval.
+- `data`: no 202, call or notice leaves before the records that precede it are synced. One sync covers all records that
+  were written in the meantime (group commit).
 
-Syncs run on a thread of their own, so that the event loop does not stand still for them.
+Each sync runs on a separate thread, so that it does not block the event loop.
 
-A sync that failed is never taken for one that worked, nor tried again on the same file, whose pages may be marked clean
-though they were not written: the whole journal is written to a new file, and that one is synced. Until that works
-nothing that waits is released.
+A failed sync never counts as a successful one and is not retried on the same file, because the kernel may mark pages
+clean that were not written. Instead the whole journal is written to a new file and that file is synced. No waiting
+callback is called until this succeeds.
 """
 
 from __future__ import annotations
@@ -32,12 +33,12 @@
 from forwarder.storage.store import MessageStore
 
 REWRITE_RETRY_S = 0.5
-"""After a failed sync the journal is written anew this often, until that works."""
+"""Delay before each attempt to rewrite the journal after a failed sync."""
 log = logging.getLogger("forwarder.durable")
 
 
 class Durability(Enum):
-    """The values of `durability`."""
+    """The values of the key `durability`."""
 
     NONE = "none"
     INTERVAL = "interval"
@@ -46,16 +47,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DurabilityExtensionFactory:
-    """The table `[journal]`."""
+    """The settings of the table `[journal]`."""
 
     durability: Durability
     interval_s: float
-    """Between two syncs with `interval`."""
+    """Time between two syncs at the level `interval`."""
     descriptors: int = 0
-    """How many descriptors the extension needs."""
+    """Number of descriptors that the extension needs."""
 
     def __call__(self, engine: ExtensionHost) -> DurabilityExtension:
-        """Makes the extension for one engine."""
+        """Creates the extension for one engine."""
         return DurabilityExtension(engine, self)
 
 
@@ -63,7 +64,7 @@
     """Reads the table.
 
     Raises:
-        ConfigError: a value is wrong; names its key.
+        ConfigError: a value is invalid; the message names its key.
     """
     value = table.take("durability", None)
     values = [durability.value for durability in Durability]
@@ -73,20 +74,20 @@
 
 
 class Syncer:
-    """Syncs the journal, and calls what waits for that, in its order. Used by the event loop's thread alone."""
+    """Syncs the journal and then calls the waiting callbacks in order. Use it only on the thread of the event loop."""
 
     def __init__(self, store: MessageStore, sync: Callable[[int], None] = os.fdatasync) -> None:
-        """Begins with nothing that waits.
+        """Starts without waiting callbacks.
 
         Args:
-            store: whose journal is synced.
-            sync: waits until a descriptor's data outlasts a power cut; raises OSError.
+            store: the store whose journal is synced.
+            sync: waits until the data of a descriptor would survive a power cut; raises OSError.
         """
         self.store = store
         self.sync = sync
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[tuple[int, Callable[[], None]]] = deque()
-        """What waits, each for all that was written up to its number."""
+        """Waiting callbacks, each with the number of the last write that must be synced before its call."""
         self.last_written = 0
         self.is_syncing = False
         self.sync_failed = False
@@ -98,19 +99,20 @@
 
     @property
     def may_lack_records(self) -> bool:
-        """Whether the files may lack what was written.
+        """Whether records that were written may be missing from the files.
 
-        That is after a failed sync here, or a failed write or sync of the store's, such as at the switch to a new
-        journal. No later sync of the same file can tell.
+        This is so after a sync failed here, or after a write or sync of the store failed, for example at the switch to
+        a new journal. A later sync of the same file does not report such a loss.
         """
         return self.sync_failed or self.store.write_failed
 
     def call_when_synced(self, callback: Callable[[], None], wrote: bool = True) -> None:
-        """Calls back once all that is written now is synced.
+        """Calls the callback once everything written so far is synced.
 
         Args:
-            callback: what waits.
-            wrote: whether something was written since the last call; if not, and nothing waits, it is called at once.
+            callback: the function to call.
+            wrote: whether anything was written since the previous call; if not, and no callback is waiting, the
+                callback is called immediately.
         """
         if not wrote and not self.waiting:
             callback()
@@ -128,9 +130,9 @@
             self.loop.call_later(REWRITE_RETRY_S, self._rewrite)
             return
         try:
-            fd = os.dup(self.store.fd)  # a compaction may close the store's own meanwhile
+            fd = os.dup(self.store.fd)  # a compaction may close the store's descriptor during the sync
             threading.Thread(target=self._sync_on_thread, args=(fd, self.last_written), daemon=True).start()
-        except (OSError, RuntimeError) as error:  # no descriptor, or no thread, is to be had just now
+        except (OSError, RuntimeError) as error:  # out of descriptors or threads at the moment
             self._note_failure(error)
             self.loop.call_later(REWRITE_RETRY_S, self._rewrite)
 
@@ -144,7 +146,7 @@
         finally:
             os.close(fd)
         duration_s = time.monotonic() - started_s
-        with suppress(RuntimeError):  # the loop has ended: nothing waits any more
+        with suppress(RuntimeError):  # the loop has ended, so no callback is waiting
             self.loop.call_soon_threadsafe(self._end_sync, last_written, failure, duration_s)
 
     def _end_sync(self, last_written: int, failure: OSError | None, duration_s: float) -> None:
@@ -153,24 +155,24 @@
         self.longest_sync_s = max(self.longest_sync_s, duration_s)
         if failure is not None:
             self._note_failure(failure)
-        elif not self.may_lack_records:  # the store may have failed meanwhile
+        elif not self.may_lack_records:  # the store may have failed during the sync
             self._release(last_written)
         self._begin_sync()
 
     def _note_failure(self, error: Exception) -> None:
         self.failure_count += 1
         if not self.sync_failed:
-            log.error("journal: cannot be synced: %s; nothing is acknowledged or sent until it is", error)
+            log.error("journal: sync failed: %s; nothing is acknowledged or sent until a sync succeeds", error)
         self.sync_failed = True
 
     def _rewrite(self) -> None:
-        """Writes the journal to a new file, which is synced before it takes the old one's place."""
+        """Writes the journal to a new file, which is synced before it replaces the old one."""
         self.is_syncing = False
         if self.is_closed:
             return
         last_written = self.last_written
         if self.store.compact():
-            log.warning("journal: written anew and synced")
+            log.warning("journal: rewritten and synced")
             self.sync_failed = False
             self._release(last_written)
         else:
@@ -178,23 +180,23 @@
         self._begin_sync()
 
     def _release(self, last_written: int) -> None:
-        """Calls back what waits for no more than this number."""
+        """Calls the callbacks that wait for this write or an earlier one."""
         while self.waiting and self.waiting[0][0] <= last_written:
             self.waiting.popleft()[1]()
 
     def close(self) -> None:
-        """Syncs a last time.
+        """Syncs for the last time.
 
-        Nothing is written anew from here on: after a hand-over the journal is another process's.
+        The journal is not rewritten after this: following a hand-over it belongs to another process.
         """
         self.is_closed = True
         try:
             self.sync(self.store.fd)
         except OSError as error:
-            log.error("journal: the last sync failed: %s", error)
+            log.error("journal: final sync failed: %s", error)
 
     def sync_now(self) -> bool:
-        """Syncs on the caller's thread, and calls back all that waits; returns whether that worked."""
+        """Syncs on the calling thread and calls all waiting callbacks; returns whether the sync succeeded."""
         last_written = self.last_written
         try:
             if self.may_lack_records:
@@ -210,12 +212,12 @@
 
 
 class DurabilityExtension(BaseExtension):
-    """The durability that the table asks for."""
+    """Provides the durability that the table configures."""
 
     name = "journal"
 
     def __init__(self, engine: ExtensionHost, settings: DurabilityExtensionFactory) -> None:
-        """Makes the store sync what replaces other files, if anything is to be synced."""
+        """Makes the store sync the files that replace others, unless the level is `none`."""
         self.engine = engine
         self.settings = settings
         self.syncer: Syncer | None = None
@@ -224,7 +226,7 @@
         self.commands: CommandTable = {}
 
     async def open(self) -> None:
-        """Syncs what the start has written, and begins."""
+        """Syncs the records written during the start, and starts regular syncs."""
         if self.settings.durability is Durability.NONE:
             return
         self.syncer = Syncer(self.engine.store)
@@ -235,21 +237,21 @@
             self.tick()
 
     def tick(self) -> None:
-        """Begins one sync an interval, if the one before has ended."""
+        """Starts one sync per interval if the previous one has ended."""
         assert self.syncer is not None
         if not self.syncer.waiting:
             self.syncer.call_when_synced(lambda: None)
         self.timer = asyncio.get_running_loop().call_later(self.settings.interval_s, self.tick)
 
     def abort(self) -> None:
-        """Ends the intervals, and syncs a last time."""
+        """Stops the interval timer and syncs for the last time."""
         if self.timer is not None:
             self.timer.cancel()
         if self.syncer is not None:
             self.syncer.close()
 
     def describe_state(self) -> str:
-        """Returns what is shown to operators."""
+        """Returns the status shown to operators."""
         level = self.settings.durability.value
         syncer = self.syncer
         if syncer is None:
--- a/forwarder/storage/errors.py
+++ b/forwarder/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the stored state."""
+"""Errors raised for the stored state."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class StorageError(ForwarderError):
-    """The state folder cannot be used as it is."""
+    """The state folder cannot be used in its present condition."""
 
 
 class NewerFormatError(StorageError):
-    """A file was written in a format version that this program does not know."""
+    """A file has a format version that this program does not support."""
 
 
 class ForeignStateError(StorageError):
-    """The state folder belongs to another forwarder; the text says to which."""
+    """The state folder belongs to another forwarder, which the message names."""
 
 
 class CorruptFileError(StorageError, ValueError):
-    """A file does not hold what was written to it."""
+    """The content of a file is not what was written to it."""
--- a/forwarder/storage/file_io.py
+++ b/forwarder/storage/file_io.py
@@ -1,4 +1,4 @@
-"""Operations on file descriptors that the stored files share."""
+"""File operations that the storage modules share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def write_all(fd: int, data: bytes) -> None:
-    """Writes all of the data.
+    """Writes all of the data, repeating short writes.
 
     Raises:
         OSError: a write failed; part of the data may have been written.
@@ -23,27 +23,26 @@
 def close_descriptor(fd: int) -> None:
     """Closes a descriptor.
 
-    Errors are passed over: Linux frees the descriptor in any case, and an error of earlier writes shows at the next
-    sync.
+    Errors are ignored: Linux frees the descriptor in any case, and the next sync reports an error of earlier writes.
     """
     with suppress(OSError):
         os.close(fd)
 
 
 def sync_data(fd: int) -> None:
-    """Waits until what was written to the file outlasts a power cut.
+    """Waits until the data written to the file would survive a power cut.
 
     Raises:
-        OSError: it may not outlast one.
+        OSError: the data may be lost in a power cut.
     """
     os.fdatasync(fd)
 
 
 def sync_folder(path: Path) -> None:
-    """Waits until the names in a folder outlast a power cut.
+    """Waits until the directory entries of a folder would survive a power cut.
 
     Raises:
-        OSError: they may not outlast one.
+        OSError: the entries may be lost in a power cut.
     """
     folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
@@ -53,9 +52,9 @@
 
 
 def disk_bytes(path: Path) -> int:
-    """Returns what a file takes of the disk, which is given out in whole blocks.
+    """Returns the disk space of a file, which is allocated in whole blocks.
 
     Raises:
-        OSError: the file is not there.
+        OSError: the file does not exist or cannot be examined.
     """
     return -(-path.stat().st_size // DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES
--- a/forwarder/storage/identity.py
+++ b/forwarder/storage/identity.py
@@ -1,8 +1,8 @@
-"""The owner of a state folder: the forwarder's name, an id drawn at its first start, and how often it was started.
+"""The owner of a state folder: the forwarder's name, a random id from its first start, and its number of starts.
 
-The identity is a small file beside the journal. It tells a first start from a restart, refuses another forwarder's
-folder, and keeps the journal's salt where the journal's own headers are damaged. A folder that was set back to an older
-copy does not show it: only another machine that remembers a higher count of starts can tell.
+The identity is a small file next to the journal. It distinguishes a first start from a restart, prevents the use of
+another forwarder's folder, and preserves the salt of the journal in case the journal headers are damaged. A folder that
+was restored from an older copy cannot be recognized here: only another machine that has seen a higher start count can.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class StartKind(Enum):
-    """What a start finds in its folder; the values are shown to operators."""
+    """The kind of start, as determined from the folder; the values are shown to operators."""
 
     FIRST = "a first start, or the folder was lost"
     AGAIN = "a restart"
@@ -31,39 +31,39 @@
 
 
 def read_identity(folder: Path) -> Identity | None:
-    """Returns the folder's identity; None if there is none or it is corrupt.
+    """Returns the folder's identity; None if it is missing or corrupt.
 
     Raises:
-        OSError: it cannot be read just now.
+        OSError: the file cannot be read at the moment.
     """
     try:
         stored = read_small_file(folder / IDENTITY_FILE)
         return None if stored is None else decode_identity(stored)
     except CorruptFileError as error:
-        log.error("identity: not sound: %s", error)
+        log.error("identity: file is corrupt: %s", error)
         return None
 
 
 def write_identity(folder: Path, identity: Identity, durable: bool = False) -> None:
-    """Puts an identity in the old one's place.
+    """Replaces the stored identity.
 
     Args:
         folder: the state folder.
-        identity: what to write.
-        durable: whether it is to outlast a power cut.
+        identity: the new identity.
+        durable: whether to sync the file, so that it survives a power cut.
 
     Raises:
-        OSError: the old one is still there.
+        OSError: the write failed; the old identity may still be in place.
     """
     write_small_file(folder / IDENTITY_FILE, encode_identity(identity), durable)
 
 
 def claim_folder(folder: Path, forwarder_name: str) -> tuple[Identity | None, StartKind]:
-    """Returns what a start of this forwarder finds in the folder; writes nothing.
+    """Checks that the folder is unused or belongs to this forwarder; writes nothing.
 
     Raises:
         ForeignStateError: the folder belongs to another forwarder.
-        OSError: the folder cannot be read just now.
+        OSError: the folder cannot be read at the moment.
     """
     identity = read_identity(folder)
     if identity is None:
@@ -74,12 +74,12 @@
 
 
 def count_start(identity: Identity | None, forwarder_name: str, salt: int) -> Identity:
-    """Returns the identity from this start on; writes nothing.
+    """Returns the identity with this start counted, or a new identity; writes nothing.
 
     Args:
-        identity: what `claim_folder` found.
-        forwarder_name: the name of a new identity.
-        salt: what the journal's checksums begin from.
+        identity: the identity that `claim_folder` returned.
+        forwarder_name: the name for a new identity.
+        salt: the initial value of the journal checksums.
     """
     if identity is None:
         return Identity(forwarder_name, secrets.token_hex(FOLDER_ID_BYTES), 1, salt)
@@ -87,12 +87,12 @@
 
 
 def record_start(counted: Identity, folder: Path, durable: bool = False) -> None:
-    """Writes the identity of this start. A folder that cannot be written costs the count, and not the start.
+    """Writes the identity of this start. If the write fails, the start goes on without being counted.
 
     Args:
-        counted: what `count_start` returned.
+        counted: the identity that `count_start` returned.
         folder: the state folder.
-        durable: whether the count is to outlast a power cut.
+        durable: whether to sync the file, so that the count survives a power cut.
     """
     try:
         write_identity(folder, counted, durable)
@@ -101,11 +101,11 @@
 
 
 def is_identity_corrupt(folder: Path, identity: Identity | None) -> bool:
-    """Returns whether there is an identity that could not be read as one.
+    """Returns whether the identity file exists but is corrupt.
 
     Args:
         folder: the state folder.
-        identity: what `read_identity` returned.
+        identity: the result of `read_identity`.
     """
     return identity is None and (folder / IDENTITY_FILE).exists()
 
--- a/forwarder/storage/lease.py
+++ b/forwarder/storage/lease.py
@@ -1,11 +1,12 @@
-"""How long no other forwarder can have taken this one's quota share, kept over a restart in the file `lease`.
+"""The lease file: the time until which no other forwarder can take over this one's quota share, kept across restarts.
 
-The end stands on the machine's clock since its boot, which nobody sets and which goes on while no process is up, beside
-the id of that boot: after another boot, or on another machine, it says nothing. A file that was lost, damaged or set
-back to an older copy has no end or an earlier one, which is on the safe side.
+The file `lease` stores the end of the lease on the machine's boot-time clock, together with the boot id. That clock
+cannot be set and keeps running while the process is down. After a reboot, or on another machine, the stored end does
+not apply. If the file is lost, damaged or restored from an older copy, there is no end or an earlier one; both are
+safe.
 
-The line always has the same length and is written over in place: a file that is truncated and written again each second
-makes the file system write it out at once, and the event loop would wait for the disk.
+The line always has the same length and is overwritten in place: if the file were truncated and written again every
+second, the file system would flush it immediately and the event loop would wait for the disk.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 LEASE_FILE = "lease"
 RENEW_INTERVAL_US = 500_000
-"""An end that is later than the one in the file is written once it is later by this much; an earlier one at once."""
+"""A later end is written once it exceeds the stored one by this much; an earlier end is written immediately."""
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 BOOT_ID_READ_ATTEMPTS = 5
 BOOT_ID_READ_PAUSE_S = 0.02
@@ -29,14 +30,14 @@
 
 
 def time_since_boot_us() -> int:
-    """Returns the time since the machine's boot, the time it was suspended included."""
+    """Returns the time since the machine booted, including the time it was suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def read_boot_id() -> str:
-    """Returns the id of the machine's boot; empty if the machine has none.
+    """Returns the id of the current boot; empty if it is not available.
 
-    A read that fails is made again, since another answer would stand for another boot.
+    A failed read is repeated, because a different result would look like another boot.
     """
     for _ in range(BOOT_ID_READ_ATTEMPTS):
         try:
@@ -49,10 +50,10 @@
 
 
 class Lease:
-    """The lease of one folder. Its ends are on the caller's clock, in microseconds."""
+    """The lease of one folder. Its end is expressed in the time of the caller's clock, in microseconds."""
 
     def __init__(self, folder: Path, clock: Callable[[], int]) -> None:
-        """Opens nothing yet.
+        """Prepares the lease; the file is opened at the first write.
 
         Args:
             folder: the state folder.
@@ -62,18 +63,18 @@
         self.clock = clock
         self.boot_id = read_boot_id()
         self.end_us = 0
-        """The end that was last written."""
+        """The end that was written last."""
         self.write_failed = False
         self.fd = -1
 
     def read_end_us(self, max_remaining_us: int) -> int:
-        """Returns when the lease of the process before ends.
+        """Returns the end of the previous process's lease.
 
         Args:
-            max_remaining_us: a lease that remains for longer than this cannot be right.
+            max_remaining_us: a lease with more remaining time than this is invalid.
 
         Returns:
-            Its end; 0 if there is none that counts.
+            The end; 0 if there is no valid lease.
         """
         try:
             checksum, boot_id, end = self.path.read_bytes().split()
@@ -85,7 +86,7 @@
         return self.clock() + remaining_us if 0 < remaining_us <= max_remaining_us else 0
 
     def renew(self, end_us: int) -> None:
-        """Writes the end, if it has changed by enough. A file that cannot be written costs the lease, and no more."""
+        """Writes the end if it has changed enough. A failed write is logged; only the lease is lost after a restart."""
         if not self.boot_id or self.end_us <= end_us < self.end_us + RENEW_INTERVAL_US:
             return
         self.end_us = end_us
@@ -95,7 +96,7 @@
             self._write(b"%08x %s %s\n" % (zlib.crc32(boot_id + end), boot_id, end))
         except OSError as error:
             if not self.write_failed:
-                log.error("the lease cannot be written: %s", error)
+                log.error("lease cannot be written: %s", error)
             self.write_failed = True
 
     def _write(self, line: bytes) -> None:
--- a/forwarder/storage/messages.py
+++ b/forwarder/storage/messages.py
@@ -1,4 +1,4 @@
-"""The state that is kept of each message: until it ends, and until its end is acknowledged."""
+"""The state that is stored for each message until it ends, and then until its end is acknowledged."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from forwarder.decisions.settings import Effect, MessageClass
 
 RECORD_OVERHEAD_BYTES = 400
-"""What the records of an accepted message may take in a snapshot beside its body and ids."""
+"""Upper bound on the size of an accepted message in a snapshot, apart from its body and ids."""
 
 
 class AttemptInFlight(NamedTuple):
-    """An attempt that was started and whose outcome is not recorded."""
+    """A started attempt without a recorded outcome."""
 
     started_us: int
     endpoint: str
 
 
 class PendingNotice(NamedTuple):
-    """A message's end that the platform has not acknowledged; the next message of its key waits for that."""
+    """The end of a message that the platform has not acknowledged; the next message of its key waits for that."""
 
     state: str
     retry_after_ms: int
@@ -27,7 +27,7 @@
 
 
 class Ejection(NamedTuple):
-    """When an endpoint was ejected, and since when it recovers; -1 while it is still ejected."""
+    """The times when an endpoint was ejected and when its recovery started; the latter is -1 while it is ejected."""
 
     ejected_at_us: int
     recovering_since_us: int
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class AcceptedMessage:
-    """A message that was accepted and has not ended, with all that is needed to deliver it after a restart."""
+    """An accepted message that has not ended, with everything needed to deliver it after a restart."""
 
     id: str
     message_class: MessageClass
@@ -45,27 +45,27 @@
     tenant: str | None
     body: bytes
     attempts: int = 0
-    """Attempts that were started, those that failed locally among them."""
+    """The number of started attempts, including those that failed locally."""
     local_failures: set[int] = field(default_factory=set)
-    """Numbers of the attempts that this machine could not make: they do not count as attempts at an endpoint."""
+    """Numbers of the attempts that failed on this machine; they do not count as attempts at an endpoint."""
     maybe_ran_at_us: int = -1
-    """When the first attempt that may have taken effect was started; -1 if none may have."""
+    """The start time of the first attempt that may have taken effect; -1 if there is none."""
     maybe_ran_on: str = ""
     """The endpoint of that attempt."""
     in_flight: dict[int, AttemptInFlight] = field(default_factory=dict)
     """Attempts without a recorded outcome, by number."""
     idempotency_key: str | None = None
     is_doubtful: bool = False
-    """Records were lost after it was accepted: it may have taken effect, and it may have ended."""
+    """Whether records were lost after the message was accepted, so that it may have taken effect or ended."""
 
     @property
     def local_failure_count(self) -> int:
-        """How many attempts this machine could not make."""
+        """The number of attempts that failed on this machine."""
         return len(self.local_failures)
 
     @property
     def stored_bytes(self) -> int:
-        """An upper estimate of what the message takes in a snapshot."""
+        """An upper bound on the size of the message in a snapshot."""
         return len(self.body) + len(self.id) + len(self.idempotency_key or "") + RECORD_OVERHEAD_BYTES
 
     def start_attempt(self, number: int, started_us: int, endpoint: str) -> None:
@@ -74,7 +74,7 @@
         self.attempts = max(self.attempts, number + 1)
 
     def end_attempt(self, number: int, may_have_run: bool) -> None:
-        """Removes an attempt in flight, and remembers the earliest one that may have taken effect."""
+        """Removes an attempt in flight, and records the earliest one that may have taken effect."""
         attempt = self.in_flight.pop(number, None)
         if attempt is None or not may_have_run:
             return
@@ -83,11 +83,11 @@
             self.maybe_ran_on = attempt.endpoint
 
     def fail_attempt_locally(self, number: int) -> None:
-        """Removes an attempt in flight that this machine could not make."""
+        """Removes an attempt in flight that failed on this machine."""
         self.in_flight.pop(number, None)
         self.local_failures.add(number)
 
 
 def may_resend_after_loss(message_class: MessageClass) -> bool:
-    """Returns whether a message that may have taken effect, and may have ended, may be sent again all the same."""
+    """Returns whether a message may be sent again although it may have taken effect or ended."""
     return message_class.effect is Effect.REPEATABLE
--- a/forwarder/storage/small_file.py
+++ b/forwarder/storage/small_file.py
@@ -1,4 +1,4 @@
-"""Small files of JSON with a checksum, read and replaced as a whole."""
+"""Small JSON files with a checksum, which are read and replaced as a whole."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def read_small_file(path: Path) -> object:
-    """Returns what a file holds; None if there is none.
+    """Returns the decoded content of a file; None if the file does not exist.
 
     Raises:
-        CorruptFileError: the file is not as it was written.
-        OSError: it cannot be read just now, which does not mean that there is none.
+        CorruptFileError: the content is not what was written.
+        OSError: the file exists or may exist, but cannot be read at the moment.
     """
     try:
         data = path.read_bytes()
@@ -30,20 +30,20 @@
     except ValueError as error:
         raise CorruptFileError(str(error)) from None
     if not is_intact:
-        raise CorruptFileError("its checksum does not hold")
+        raise CorruptFileError("checksum mismatch")
     return decoded
 
 
 def write_small_file(path: Path, content: Mapping[str, object], durable: bool = False) -> None:
-    """Puts a file in the old one's place.
+    """Replaces a file.
 
     Args:
         path: the file.
-        content: what it holds.
-        durable: whether it is to outlast a power cut.
+        content: the new content.
+        durable: whether to sync the file and its folder, so that the content survives a power cut.
 
     Raises:
-        OSError: the old one is still there.
+        OSError: the write failed; the old file may still be in place.
     """
     data = json.dumps(content, separators=(",", ":")).encode()
     new_path = path.with_name(f"{path.name}.new")
--- a/forwarder/storage/state_check.py
+++ b/forwarder/storage/state_check.py
@@ -1,7 +1,7 @@
-"""Reports on a forwarder's state folder, also one in use: python -m forwarder state check|show DIR. Reads only.
+"""Reports on a forwarder's state folder: `python -m forwarder state check|show DIR`.
 
-Prints JSON, or lines for people with --human. The output keeps the names that operators know from the pages.
-Exit status: 0 sound, 1 damaged, 2 unreadable.
+The command only reads, and also works on a folder that is in use. It prints JSON, or readable lines with --human. The
+names in the output are those of the operator documentation. Exit status: 0 sound, 1 damaged, 2 unreadable.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 READ_ATTEMPTS = 5
 Report: TypeAlias = dict[str, object]
-"""What is printed, in the order in which it is printed."""
+"""The fields to print, in order."""
 
 
 class Verdict(IntEnum):
-    """What is found of a folder; the values are the exit status."""
+    """The result of a check; the values are the exit statuses."""
 
     SOUND = 0
     DAMAGED = 1
@@ -39,26 +39,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderCheck:
-    """What a start would find in a folder."""
+    """The result of a check: what a start would find in the folder."""
 
     verdict: Verdict
     report: Report
     store: MessageStore | None = None
-    """The state itself; None if it is unreadable."""
+    """The recovered state; None if it is unreadable."""
 
 
-def read_unchanging(folder: Path, salt: int | None) -> MessageStore:
-    """Returns the state of a folder whose files were not replaced while they were read.
+def read_consistent_state(folder: Path, salt: int | None) -> MessageStore:
+    """Returns the state of a folder, read while none of its files was replaced.
 
-    A folder in use is read again, a few times.
+    If files were replaced, because the folder is in use, it is read again a few times.
 
     Args:
         folder: the state folder.
-        salt: its salt, if its identity tells it.
+        salt: the folder's salt from its identity, if known.
 
     Raises:
-        OSError: it cannot be read.
-        NewerFormatError: it is of a version that this program does not know.
+        OSError: the folder cannot be read.
+        NewerFormatError: a file has a format version that this program does not support.
     """
     for _ in range(READ_ATTEMPTS - 1):
         names_before = _file_names(folder)
@@ -70,7 +70,7 @@
 
 
 def check_folder(folder: Path) -> FolderCheck:
-    """Returns what a start would find in the folder.
+    """Checks what a start would find in the folder.
 
     Raises:
         OSError: the identity cannot be read.
@@ -79,7 +79,7 @@
         return _unreadable(f"{folder} is no folder")
     identity = read_identity(folder)
     try:
-        store = read_unchanging(folder, None if identity is None else identity.salt)
+        store = read_consistent_state(folder, None if identity is None else identity.salt)
     except (OSError, NewerFormatError) as error:
         return _unreadable(str(error))
     is_corrupt = is_identity_corrupt(folder, identity)
@@ -96,7 +96,7 @@
 
 
 def show_state(store: MessageStore) -> Report:
-    """Returns the state itself."""
+    """Returns the messages, notices, disabled endpoints, ejections and endpoint list of the state."""
     return {
         "messages": [_show_message(message) for message in store.messages.values()],
         "owed": {
@@ -110,7 +110,7 @@
 
 
 def human_lines(report: Mapping[str, object], indent: str = "") -> list[str]:
-    """Returns a report as lines for people."""
+    """Returns a report as readable lines."""
     lines = []
     for key, value in report.items():
         if isinstance(value, dict):
@@ -121,7 +121,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the command with these arguments, and returns its exit status."""
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(prog="python -m forwarder state")
     parser.add_argument("what", choices=["check", "show"])
     parser.add_argument("folder", type=Path, metavar="DIR")
@@ -157,7 +157,7 @@
         "missing_files": recovered.missing_files,
         "records": store.replay.records_read,
         "torn_bytes": recovered.torn_bytes,
-        "damaged": [list(damaged) for damaged in recovered.damaged_ranges],
+        "damaged": [list(damaged_range) for damaged_range in recovered.damaged_ranges],
         "missing_records": recovered.missing_records,
         "more_missing_at_end": recovered.is_tail_lost,
     }
--- a/forwarder/storage/store.py
+++ b/forwarder/storage/store.py
@@ -1,10 +1,11 @@
-"""The durable store of messages and of what the forwarder has learned: a write-ahead journal in the state folder.
+"""The durable store of messages and learned state: a write-ahead journal in the state folder.
 
-The state is kept in memory and changed here; each change is a record (see `schema`) that is gathered and written by
-`flush`, before anything leaves that the record precedes. Plain writes are enough for the state to outlast the process.
+The state is kept in memory. Each change is a record (see `schema`) that is buffered and then written by `flush`, before
+any response, call or notice that depends on the record leaves. Plain writes are enough for the state to survive the end
+of the process.
 
-Retry-After times are not stored: a restart ends them. Concurrency windows and call times are not either: they are soon
-learned anew.
+Retry-After times are not stored, so a restart ends them. Concurrency windows and call times are not stored either,
+because they are soon learned again.
 """
 
 from __future__ import annotations
@@ -42,11 +43,11 @@
 )
 
 MAX_FILES = 8
-"""How many files there are at most, each of which may take a block more than its size."""
+"""Maximum number of files, each of which may occupy one block more than its size."""
 
 
 class MessageStore:
-    """The state in memory, and its journal. Changes are gathered until `flush` writes them."""
+    """The state in memory and its journal. Changes are buffered until `flush` writes them."""
 
     def __init__(
         self,
@@ -56,18 +57,18 @@
         salt: int | None = None,
         acquire: Callable[[], None] = lambda: None,
     ) -> None:
-        """Reads the journal, and writes nothing.
+        """Reads the journal without writing to the folder.
 
         Args:
             folder: the state folder.
-            max_bytes: what its files together may take.
-            classes: message classes by name, for journals that have only the name of one.
-            salt: the folder's salt as its identity tells it.
-            acquire: makes sure that no other process writes the folder; raises OSError where it cannot just now.
+            max_bytes: disk space that its files together may use.
+            classes: message classes by name, for journals that store only the name of a class.
+            salt: the folder's salt from its identity, if known.
+            acquire: ensures that no other process writes to the folder; raises OSError if it cannot at the moment.
 
         Raises:
             OSError: the journal cannot be read.
-            NewerFormatError: it is of a version that this program does not know.
+            NewerFormatError: a file has a format version that this program does not support.
         """
         self.files = JournalFiles(folder, max_bytes - MAX_FILES * DISK_BLOCK_BYTES)
         self.recovered = recover_journal(self.files.names(), self.files.read, salt)
@@ -78,49 +79,49 @@
         self.writer = JournalWriter(self.files, self.recovered, self.state, self.salt, acquire)
 
     def take_ownership(self) -> MessageStore:
-        """Begins to write the journal, which this process alone does from here on.
+        """Opens the journal for writing; from now on only this process may write it.
 
-        A folder that cannot be written just now costs new messages, and is tried again.
+        If the folder cannot be written at the moment, new messages are rejected and the writes are retried later.
 
         Returns:
             The store itself.
 
         Raises:
-            OSError: the folder is of an older version, and cannot be written anew.
+            OSError: the folder has an older format version and cannot be rewritten.
         """
         try:
             self.writer.take_ownership()
         except OSError as error:
             self.writer.note_failure(error)
         if self.recovered.version < FORMAT_VERSION and self.write_failed:
-            raise OSError(f"{self.files.folder} is of an older version, and cannot be written anew")
+            raise OSError(f"{self.files.folder} has an older format version and cannot be rewritten")
         return self
 
     # The state
 
     @property
     def messages(self) -> dict[str, AcceptedMessage]:
-        """Messages that were accepted and have not ended, by id."""
+        """Accepted messages that have not ended, by id."""
         return self.state.messages
 
     @property
     def ended_ids(self) -> dict[str, None]:
-        """Ids of messages that have ended, the oldest first."""
+        """Ids of messages that have ended, oldest first."""
         return self.state.ended_ids
 
     @property
     def pending_notices(self) -> dict[str, PendingNotice]:
-        """Ends that the platform has not acknowledged, by message id."""
+        """Notices that the platform has not acknowledged, by message id."""
         return self.state.pending_notices
 
     @property
     def ejections(self) -> dict[str, Ejection]:
-        """Endpoints that were ejected, by name."""
+        """Ejections of endpoints, by endpoint name."""
         return self.state.ejections
 
     @property
     def endpoints(self) -> dict[str, EndpointFields]:
-        """The newest endpoint list, by name."""
+        """The endpoints of the newest endpoint list, by name."""
         return self.state.endpoints
 
     @property
@@ -130,30 +131,30 @@
 
     @property
     def known_endpoints(self) -> dict[str, None]:
-        """Names of all endpoints that were ever listed."""
+        """Names of endpoints that were ever listed."""
         return self.state.known_endpoints
 
     @property
     def disabled_endpoints(self) -> dict[str, int]:
-        """Since when operators have endpoints disabled, in microseconds, by name."""
+        """The time in microseconds when operators disabled an endpoint, by name."""
         return self.state.disabled_endpoints
 
     @property
     def key_backoffs(self) -> dict[str, int]:
-        """Until when the next message of a key waits, in microseconds, by key; some are over."""
+        """The time in microseconds until which the next message of a key waits, by key; may include expired ones."""
         return self.state.key_backoffs
 
     @property
     def orphaned_ids(self) -> set[str]:
-        """Ids that records tell of whose message itself is lost."""
+        """Ids that occur in records although the message itself is lost."""
         return self.replay.orphaned_ids
 
     def knows(self, message_id: str) -> bool:
-        """Returns whether a message of that id was accepted, whether or not it has ended."""
+        """Returns whether a message with this id was accepted, including one that has ended."""
         return self.state.knows(message_id)
 
     def describe_damage(self) -> str:
-        """Returns what is wrong with the journal as it was found, in words; empty if nothing is."""
+        """Returns a description of the damage that was found in the journal; empty if there is none."""
         return self.replay.describe_damage()
 
     # Changes of the state
@@ -164,49 +165,49 @@
         self._change(MessageAcceptedRecord(message))
 
     def undo_accept(self, message_id: str) -> None:
-        """Removes a message whose acceptance could not be written: its client is answered that it is rejected."""
+        """Removes a message whose acceptance could not be written, so that its client can be told it was rejected."""
         self.writer.unrecorded.accepted_ids.discard(message_id)
         self.state.discard_message(message_id)
 
     def record_attempt(self, message: AcceptedMessage, number: int, started_us: int, endpoint: str) -> None:
-        """Adds an attempt that is about to send its first byte."""
+        """Records an attempt that is about to send its first byte."""
         message.start_attempt(number, started_us, endpoint)
         self.writer.append(AttemptStartedRecord(message.id, number, started_us, endpoint))
 
     def record_outcome(self, message: AcceptedMessage, number: int, may_have_run: bool) -> None:
-        """Ends an attempt that did not end its message."""
+        """Records the outcome of an attempt that did not end its message."""
         message.end_attempt(number, may_have_run)
         self.writer.append(AttemptEndedRecord(message.id, number, may_have_run))
 
     def record_local_failure(self, message: AcceptedMessage, number: int) -> None:
-        """Ends an attempt that this machine could not make."""
+        """Records that an attempt failed on this machine."""
         message.fail_attempt_locally(number)
         self.writer.append(LocalFailureRecord(message.id, number))
 
     def back_off_key(self, key: str, until_us: int, now_us: int) -> None:
-        """Lets the next message of a key wait until then, also after a restart."""
+        """Makes the next message of a key wait until this time, even after a restart."""
         self.state.drop_ended_backoffs(now_us)
         self._change(KeyBackoffRecord(key, until_us))
 
     def end_message(self, message_id: str) -> None:
-        """Ends a message that needs no notice, such as one that was delivered or withdrawn."""
+        """Ends a message that needs no notice, for example because it was delivered or withdrawn."""
         if message_id in self.messages:
             self._change(MessageEndedRecord(message_id))
 
     def add_pending_notice(self, message_id: str, state: str, retry_after_ms: int) -> None:
-        """Ends a message by a notice, which is pending until the platform acknowledges it.
+        """Ends a message with a notice, which is pending until the platform acknowledges it.
 
         Args:
             message_id: a message that has not ended.
-            state: the end that the notice tells.
-            retry_after_ms: after how long the client may submit it again; 0 for any time.
+            state: the final state that the notice reports.
+            retry_after_ms: delay after which the client may submit the message again; 0 for none.
         """
         message = self.messages[message_id]
         self.writer.unrecorded.ended_due_us[message_id] = message.due_us
         self._change(NoticePendingRecord(message_id, state, retry_after_ms, message.key))
 
     def add_orphan_notice(self, message_id: str, state: str) -> None:
-        """Ends a message whose acceptance was lost, and of which later records tell, by a notice."""
+        """Ends a message with a notice if its acceptance record was lost but later records mention it."""
         self._change(EndedMessagesRecord([message_id]))
         self._change(NoticePendingRecord(message_id, state, 0, None))
 
@@ -216,51 +217,51 @@
             self._change(NoticeAcknowledgedRecord(message_id))
 
     def record_endpoint_list(self, version: int, endpoints: Mapping[str, EndpointFields], now_us: int) -> None:
-        """Replaces the endpoint list, and forgets ejections that are over since long.
+        """Replaces the endpoint list, and drops ejections that are too old to be kept.
 
         Args:
             version: the list's version.
             endpoints: the listed endpoints by name.
-            now_us: the time.
+            now_us: the current time.
         """
         self.state.drop_old_ejections(now_us)
         self.state.sizes.endpoint_list_bytes = self._change(EndpointListRecord(version, [*endpoints.values()]))
 
     def record_known_endpoints(self, names: Iterable[str]) -> None:
-        """Adds endpoints that were listed elsewhere than in a recorded list."""
+        """Adds the names of endpoints that were listed, but not in a recorded list."""
         new_names = [name for name in names if name not in self.known_endpoints]
         if new_names:
             self._change(KnownEndpointsRecord(new_names))
 
     def record_ejection(self, endpoint: str, ejected_at_us: int, recovering_since_us: int) -> None:
-        """Sets when an endpoint was ejected and since when it recovers; a negative first time removes the ejection."""
+        """Records when an endpoint was ejected and began to recover; a negative first time removes the ejection."""
         self._change(EjectionRecord(endpoint, ejected_at_us, recovering_since_us))
 
     def disable_endpoint(self, endpoint: str, since_us: int) -> None:
-        """Disables an endpoint for operators."""
+        """Records that an operator disabled an endpoint."""
         self._change(EndpointDisabledRecord(endpoint, since_us))
 
     def enable_endpoint(self, endpoint: str) -> None:
-        """Ends `disable_endpoint`."""
+        """Records that an operator enabled an endpoint again."""
         self._change(EndpointDisabledRecord(endpoint, NOT_SET_US))
 
     def _change(self, record: StoredRecord) -> int:
-        """Changes the state by a record and gathers it; returns the size of the record in bytes."""
+        """Applies a record to the state and buffers it; returns the size of the record in bytes."""
         self.state.apply(record)
         return self.writer.append(record)
 
-    # What may be done by what is on record
+    # Decisions that depend on the written records
 
     def has_capacity_for(self, message_bytes: int) -> bool:
-        """Returns whether one more message of that size may be accepted: capacity remains for a compaction then."""
+        """Returns whether a message of this size can be accepted while leaving enough space for a compaction."""
         available_bytes = self.files.max_bytes - self.set_aside_bytes
         return not self.write_failed and fits(self.state.max_snapshot_bytes(), message_bytes, available_bytes)
 
     def may_notify(self, message_id: str, now_us: int) -> bool:
-        """Returns whether the platform may be notified of a message's end.
+        """Returns whether the platform may be notified of the end of a message.
 
-        It may once the end is on record, or the message's time is over: a restart that finds the message again can only
-        end it too then.
+        It may be notified once the end is written or the message's deadline has passed: a restart that finds the
+        message again could then only end it as well.
         """
         return not self.write_failed or self.writer.unrecorded.ended_due_us.get(message_id, now_us) <= now_us
 
@@ -268,78 +269,79 @@
 
     @property
     def fd(self) -> int:
-        """The descriptor of the journal that is written to."""
+        """The descriptor of the active journal."""
         return self.files.journal.fd
 
     @property
     def recovery_bytes(self) -> int:
-        """How much a start would read."""
+        """The number of bytes that a start would read."""
         return self.files.recovery_bytes()
 
     @property
     def message_bytes(self) -> int:
-        """What the messages take in a snapshot."""
+        """The size of all messages in a snapshot."""
         return self.state.sizes.message_bytes
 
     @property
     def set_aside_bytes(self) -> int:
-        """What damaged files take that are kept for people."""
+        """The size of the damaged files that are set aside for inspection."""
         return self.files.damaged.size_bytes
 
     @property
     def durable(self) -> bool:
-        """Whether what replaces other files is synced before, and the folder after."""
+        """Whether files are synced before they replace others, and the folder afterwards."""
         return self.files.durable
 
     @durable.setter
     def durable(self, durable: bool) -> None:
-        """Sets it."""
+        """Sets whether files and the folder are synced."""
         self.files.durable = durable
 
     @property
     def has_unwritten_records(self) -> bool:
-        """Whether records wait for the next flush."""
+        """Whether buffered records wait for the next flush."""
         return bool(self.writer.unwritten_records)
 
     @property
     def write_failed(self) -> bool:
-        """Whether the files may lack what memory has, until all is written anew."""
+        """Whether changes may be missing from the files; reset when the whole state is rewritten."""
         return self.writer.write_failed
 
     @property
     def write_failures(self) -> int:
-        """How often a write has failed."""
+        """The number of failed writes."""
         return self.writer.write_failures
 
     @property
     def compactions(self) -> int:
-        """How often the state was written anew."""
+        """The number of completed snapshots and rewrites of the whole state."""
         return self.writer.compactions
 
     def flush(self) -> bool:
-        """Writes what was gathered, and a little more of a snapshot that is being written.
+        """Writes the buffered records, and one step of the current snapshot.
 
         Returns:
-            Whether all that was ever gathered is written now: nothing may leave that an unwritten record precedes.
+            Whether all records buffered so far are written. If not, nothing that depends on an unwritten record may
+            leave.
         """
         return self.writer.flush()
 
     def retry(self) -> bool:
-        """Writes all anew after a failure, if it is time; returns whether the files have everything now."""
+        """Rewrites the whole state after a failure, once the pause is over; returns whether the files are complete."""
         return self.writer.retry()
 
     def write_snapshot_step(self) -> None:
-        """Begins a snapshot where one is due, or writes a little more of the one that was begun."""
+        """Writes one step of the current snapshot, or starts a snapshot if one is due."""
         self.writer.write_snapshot_step()
 
     def begin_snapshot(self) -> None:
-        """Begins a snapshot, which is written in steps from here on."""
+        """Starts a snapshot, which is then written in steps."""
         self.writer.begin_snapshot()
 
     def compact(self) -> bool:
-        """Writes the whole state anew, in place of all files; returns whether all is on record now."""
+        """Rewrites the whole state to replace all files; returns whether all changes are now in the files."""
         return self.writer.compact()
 
     def close(self) -> None:
-        """Writes what was gathered, and closes the files."""
+        """Writes the buffered records and closes the files."""
         self.writer.close()
