--- a/tests/storage/folders.py
+++ b/tests/storage/folders.py
@@ -1,4 +1,4 @@
-"""Folders of stored state that the tests of the storage share."""
+"""State folders with sample content, and helpers to inspect them, shared by the storage tests."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 ONCE = MessageClass("once", 10**6, 10**7, Effect.ONCE, in_order=True)
 MAX_BYTES = 3_000_000
 
-MESSAGES = {"a", "b", "c", "f", "g", "h"}
-"""The messages of `fill_folder` that have not ended."""
+LIVE_MESSAGE_IDS = {"a", "b", "c", "f", "g", "h"}
+"""Ids of the messages of `fill_folder` that have not ended."""
 
 SNAPSHOT = "snapshot-2"
 
 
-def accepted_message(name: str, message_class: MessageClass = ONCE, body: bytes = b"body\n\0") -> AcceptedMessage:
-    """A message as it was accepted; one that keeps its order has a key of its own."""
-    key = f"k-{name}" if message_class is ONCE else None
-    return AcceptedMessage(name, message_class, 7, 10**15, key, None, body * 3)
+def accepted_message(message_id: str, message_class: MessageClass = ONCE, body: bytes = b"body\n\0") -> AcceptedMessage:
+    """Returns a newly accepted message; one of an ordered class has its own key."""
+    key = f"k-{message_id}" if message_class is ONCE else None
+    return AcceptedMessage(message_id, message_class, 7, 10**15, key, None, body * 3)
 
 
 def fill_folder(folder: Path) -> MessageStore:
-    """A snapshot and a journal with nearly every kind of record."""
+    """Writes a snapshot and a journal with nearly every kind of record."""
     store = MessageStore(folder, MAX_BYTES, salt=1234).take_ownership()
     store.accept(accepted_message("old"))
     store.end_message("old")
@@ -34,8 +34,8 @@
     store.flush()
     assert store.compact()
     store.record_endpoint_list(41, {"s1": {"host": "s1", "health": "up"}, "s2": {"host": "s2", "health": "up"}}, 10)
-    for name, cls in (("a", ONCE), ("b", SAFE), ("c", ONCE), ("d", ONCE), ("e", SAFE)):
-        store.accept(accepted_message(name, cls))
+    for message_id, message_class in (("a", ONCE), ("b", SAFE), ("c", ONCE), ("d", ONCE), ("e", SAFE)):
+        store.accept(accepted_message(message_id, message_class))
     store.record_attempt(store.messages["a"], 0, 50, "s1")
     store.record_attempt(store.messages["b"], 0, 50, "s1")
     store.record_outcome(store.messages["b"], 0, True)
@@ -52,33 +52,33 @@
     return store
 
 
-def reread(folder: Path, data: bytes, name: str = "journal") -> MessageStore:
-    """The store that a start finds once a file holds this."""
+def reopen_with(folder: Path, data: bytes, name: str = "journal") -> MessageStore:
+    """Replaces the content of a file and returns the store that a start would recover."""
     (folder / name).write_bytes(data)
     return MessageStore(folder, MAX_BYTES, salt=1234)
 
 
-def assert_nothing_wrong_is_believed(back: MessageStore, whole: MessageStore) -> None:
-    """Every message is as it was, and none that may have run can run again unless it is doubtful."""
-    for name, message in back.messages.items():
-        assert name in MESSAGES or message.is_doubtful, f"{name} has ended"
-        if name in whole.messages:
-            original = whole.messages[name]
+def assert_recovered_state_is_valid(reopened: MessageStore, original: MessageStore) -> None:
+    """Checks that messages are unchanged, and that one that may have run is known as such or doubtful."""
+    for message_id, message in reopened.messages.items():
+        assert message_id in LIVE_MESSAGE_IDS or message.is_doubtful, f"{message_id} has ended"
+        if message_id in original.messages:
+            expected = original.messages[message_id]
             assert (message.body, message.message_class, message.due_us, message.key) == (
-                original.body,
-                original.message_class,
-                original.due_us,
-                original.key,
+                expected.body,
+                expected.message_class,
+                expected.due_us,
+                expected.key,
             )
-    attempted = back.messages.get("a")
+    attempted = reopened.messages.get("a")
     if attempted is not None and not attempted.is_doubtful:
         assert attempted.in_flight or attempted.maybe_ran_at_us >= 0, "an attempt was forgotten"
-    assert set(back.pending_notices) <= {"e"}
-    assert set(back.disabled_endpoints) <= {"s2"}
+    assert set(reopened.pending_notices) <= {"e"}
+    assert set(reopened.disabled_endpoints) <= {"s2"}
 
 
-def two_generations(folder: Path) -> MessageStore:
-    """Two snapshots that count, with journals before, between and after them."""
+def write_two_generations(folder: Path) -> MessageStore:
+    """Writes two valid snapshots, with journals before, between and after them."""
     store = MessageStore(folder, MAX_BYTES, salt=1234).take_ownership()
     for n in range(40):
         store.accept(accepted_message(f"m{n}", ONCE if n % 2 else SAFE))
@@ -94,15 +94,20 @@
 
 
 def file_names(folder: Path) -> set[str]:
-    """The names of all files in a folder."""
+    """Returns the names of all files in a folder."""
     return {path.name for path in folder.iterdir()}
 
 
-def has_same_state(back: MessageStore, whole: MessageStore) -> bool:
-    """Whether messages, ended ids, pending notices and disabled endpoints are the same, and their sizes."""
-    return (back.messages, back.ended_ids.keys(), back.pending_notices, back.disabled_endpoints) == (
-        whole.messages,
-        whole.ended_ids.keys(),
-        whole.pending_notices,
-        whole.disabled_endpoints,
-    ) and back.message_bytes == whole.message_bytes
+def has_same_state(reopened: MessageStore, original: MessageStore) -> bool:
+    """Returns whether messages, their size, ended ids, pending notices and disabled endpoints are equal."""
+    return (
+        reopened.messages,
+        reopened.ended_ids.keys(),
+        reopened.pending_notices,
+        reopened.disabled_endpoints,
+    ) == (
+        original.messages,
+        original.ended_ids.keys(),
+        original.pending_notices,
+        original.disabled_endpoints,
+    ) and reopened.message_bytes == original.message_bytes
--- a/tests/storage/power_cut_disk.py
+++ b/tests/storage/power_cut_disk.py
@@ -1,4 +1,4 @@
-"""A stand-in for `os` that loses what was not synced when the power is cut, in any order."""
+"""A replacement for `os` that simulates a power cut: data that was not synced may be lost, in any order."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     """The power was cut."""
 
 
-class Disk:
-    """Stands in for `os` in the store.
+class PowerCutDisk:
+    """Replaces `os` in the storage modules.
 
-    Knows what of each file is surely on the disk, and which names of the folder are. At a given call, counted from the
-    start, the power is cut, or the call fails.
+    Tracks which content of each file and which directory entries are synced. The power is cut at a given call, counted
+    from the start. Calls can also be made to fail.
     """
 
-    def __init__(self, folder: Path, chance: random.Random) -> None:
-        self.folder, self.chance = folder, chance
-        self.calls, self.dies_at = 0, -1
-        self.fails: dict[str, int] = {}
+    def __init__(self, folder: Path, rng: random.Random) -> None:
+        self.folder, self.rng = folder, rng
+        self.call_count, self.power_cut_at_call = 0, -1
+        self.failures_left: dict[str, int] = {}
         self.names: dict[int, Path] = {}
-        self.contents: dict[str, bytes] = {}
-        """Of each file, by its inode, what is synced."""
-        self.entries: dict[str, str] = {}
-        """Names that are synced, and the inodes behind them."""
-        self.pending: list[tuple[str, str]] = []
-        """Names that were given since the folder was last synced, in their order."""
+        self.synced_contents: dict[str, bytes] = {}
+        """The synced content of each file, by inode."""
+        self.synced_entries: dict[str, str] = {}
+        """The synced directory entries: inodes by file name."""
+        self.unsynced_entries: list[tuple[str, str]] = []
+        """Directory entries changed since the last sync of the folder, in order; the inode is empty if removed."""
 
     def __getattr__(self, name: str) -> Any:
         real = getattr(os, name)
-        play = {
+        simulated = {
             "open": self._open,
             "write": self._write,
             "replace": self._replace,
@@ -48,73 +48,74 @@
             "ftruncate": os.ftruncate,
             "close": os.close,
         }.get(name)
-        if play is None:
+        if simulated is None:
             return real
 
-        def counted(*args: Any) -> Any:
-            self.calls += 1
-            if self.calls == self.dies_at:
+        def counted_call(*args: Any) -> Any:
+            self.call_count += 1
+            if self.call_count == self.power_cut_at_call:
                 raise PowerCutError(name)
-            if self.fails.get(name, 0) > 0:
-                self.fails[name] -= 1
+            if self.failures_left.get(name, 0) > 0:
+                self.failures_left[name] -= 1
                 raise OSError(errno.EIO, f"{name} failed")
-            return play(*args)
+            return simulated(*args)
 
-        return counted
+        return counted_call
 
     @staticmethod
     def inode(fd: int) -> str:
         return str(os.fstat(fd).st_ino)
 
     def _open(self, path: Any, flags: int, mode: int = 0o777) -> int:
-        new = not Path(path).exists()
+        is_new = not Path(path).exists()
         fd = os.open(path, flags, mode)
-        if new:
-            self.contents[self.inode(fd)] = b""
-            self.pending.append((Path(path).name, self.inode(fd)))
+        if is_new:
+            self.synced_contents[self.inode(fd)] = b""
+            self.unsynced_entries.append((Path(path).name, self.inode(fd)))
         return fd
 
     def _write(self, fd: int, data: Any) -> int:
-        return os.write(fd, bytes(data)[: self.chance.randrange(1, len(data) + 1)])  # short writes are allowed
+        return os.write(fd, bytes(data)[: self.rng.randrange(1, len(data) + 1)])  # may be a short write
 
     def _replace(self, old: Any, new: Any) -> None:
-        self.pending += [(Path(new).name, str(Path(old).stat().st_ino)), (Path(old).name, "")]
+        self.unsynced_entries += [(Path(new).name, str(Path(old).stat().st_ino)), (Path(old).name, "")]
         os.replace(old, new)
 
     def _unlink(self, path: Any) -> None:
         os.unlink(path)
-        self.pending.append((Path(path).name, ""))
+        self.unsynced_entries.append((Path(path).name, ""))
 
     def _fdatasync(self, fd: int) -> None:
         with open(f"/proc/self/fd/{fd}", "rb") as file:
-            self.contents[self.inode(fd)] = file.read()
+            self.synced_contents[self.inode(fd)] = file.read()
 
     def _fsync(self, fd: int) -> None:
-        """Of the folder."""
-        self.entries.update(self.pending)
-        self.pending.clear()
-
-    def after_the_cut(self, to: Path) -> None:
-        """What a disk may hold: names up to any point, and of each file what was synced and any part of the rest."""
-        now = {str(p.stat().st_ino): p.read_bytes() for p in self.folder.iterdir() if p.is_file()}
-        entries = dict(self.entries)
-        entries.update(self.pending[: self.chance.randrange(len(self.pending) + 1)])
-        to.mkdir()
-        for name, inode in entries.items():
+        """Syncs the directory entries; only the folder is passed to `fsync`."""
+        self.synced_entries.update(self.unsynced_entries)
+        self.unsynced_entries.clear()
+
+    def write_state_after_power_cut(self, target: Path) -> None:
+        """Writes a possible disk state: entries up to a random point, the synced content, and any part of the rest."""
+        current_contents = {str(p.stat().st_ino): p.read_bytes() for p in self.folder.iterdir() if p.is_file()}
+        surviving_entries = dict(self.synced_entries)
+        surviving_entries.update(self.unsynced_entries[: self.rng.randrange(len(self.unsynced_entries) + 1)])
+        target.mkdir()
+        for name, inode in surviving_entries.items():
             if not inode:
-                continue  # it was given away, or removed
-            synced = self.contents.get(inode, b"")
-            rest = now.get(inode, synced)
-            if rest[: len(synced)] != synced:
-                rest = synced
-            data = bytearray(rest[: self.chance.randrange(len(synced), len(rest) + 1)])
-            for at in range(len(synced), len(data), 64):  # blocks may come in any order: some are not there yet
-                if self.chance.random() < 0.3:
-                    data[at : at + 64] = bytes(len(data[at : at + 64]))
-            (to / name).write_bytes(data)
-
-
-def use_os(monkeypatch: pytest.MonkeyPatch, disk: Any) -> None:
-    """Lets the modules that write the journal use this in place of `os`, or `os` again."""
+                continue  # the file was renamed or removed
+            synced = self.synced_contents.get(inode, b"")
+            current = current_contents.get(inode, synced)
+            if current[: len(synced)] != synced:
+                current = synced
+            data = bytearray(current[: self.rng.randrange(len(synced), len(current) + 1)])
+            # Blocks reach the disk in any order, so some may still be missing.
+            for offset in range(len(synced), len(data), 64):
+                if self.rng.random() < 0.3:
+                    data[offset : offset + 64] = bytes(len(data[offset : offset + 64]))
+            (target / name).write_bytes(data)
+
+
+def replace_os(monkeypatch: pytest.MonkeyPatch, disk: Any) -> None:
+    """Makes the modules that write the journal use this object in place of `os`; pass `os` to undo it."""
     for module in (damaged_files, file_io, journal_file, journal_files):
         monkeypatch.setattr(module, "os", disk)
--- a/tests/storage/test_clock.py
+++ b/tests/storage/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock over restarts and boots, whatever the wall clock shows."""
+"""Tests that the clock continues across restarts and reboots, whatever the wall clock shows."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return ClockAnchor(boot_id, monotonic_s * SECOND_NS, clock_s * SECOND_NS)
 
 
-STARTS = {  # anchor, boot id now, monotonic clock and wall clock now in seconds; the clock's seconds now
+STARTS = {  # anchor, current boot id, monotonic and wall clock time in seconds, expected clock time in seconds
     "no anchor": (None, "boot-1", 5, 1000, 1000),
     "same boot, wall an hour ahead": (anchor_at("boot-1", 5, 1000), "boot-1", 8, 4603, 1003),
     "same boot, wall an hour behind": (anchor_at("boot-1", 5, 1000), "boot-1", 8, -2597, 1003),
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("anchor", "boot_id", "monotonic_s", "wall_s", "clock_s"), STARTS.values(), ids=STARTS)
-def test_the_clock_goes_on_over_restarts(
+def test_the_clock_continues_across_restarts(
     anchor: ClockAnchor | None, boot_id: str, monotonic_s: int, wall_s: int, clock_s: int
 ) -> None:
     offset_ns = clock_offset_ns(anchor, boot_id, monotonic_s * SECOND_NS, wall_s * SECOND_NS)
--- a/tests/storage/test_damaged_files.py
+++ b/tests/storage/test_damaged_files.py
@@ -1,4 +1,4 @@
-"""Damaged files are kept for people, and not too many of them."""
+"""Tests that damaged files are set aside, and that only a limited number of them is kept."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_durability.py
+++ b/tests/storage/test_durability.py
@@ -1,4 +1,4 @@
-"""Syncs: one serves many, a failed one is made up for; and a process at each level of durability."""
+"""Tests of the syncer (group commit, failed syncs), and of a process at each durability level."""
 
 from __future__ import annotations
 
@@ -19,174 +19,174 @@
 from tests.platforms import Platform
 from tests.sockets import OK, PATIENCE, Peer, always
 from tests.storage.folders import MAX_BYTES, accepted_message
-from tests.storage.power_cut_disk import Disk, use_os
+from tests.storage.power_cut_disk import PowerCutDisk, replace_os
 
 
 class SlowSync:
-    """A sync that ends when the test lets it, well or badly."""
+    """A sync that waits until the test lets it succeed or fail."""
 
     def __init__(self) -> None:
-        self.begun = threading.Semaphore(0)
-        self.go = threading.Semaphore(0)
-        self.fails = False
+        self.started = threading.Semaphore(0)
+        self.may_end = threading.Semaphore(0)
+        self.should_fail = False
 
     def __call__(self, fd: int) -> None:
         os.fstat(fd)
-        self.begun.release()
-        assert self.go.acquire(timeout=PATIENCE)
-        if self.fails:
-            raise OSError(errno.EIO, "no such block")
+        self.started.release()
+        assert self.may_end.acquire(timeout=PATIENCE)
+        if self.should_fail:
+            raise OSError(errno.EIO, "simulated I/O error")
 
 
-def syncing(tmp_path: Path, scene: Callable[[MessageStore, Syncer, SlowSync], Any]) -> None:
-    async def played() -> None:
+def run_with_syncer(tmp_path: Path, scenario: Callable[[MessageStore, Syncer, SlowSync], Any]) -> None:
+    async def run() -> None:
         store = MessageStore(tmp_path, MAX_BYTES).take_ownership()
         store.durable = True
-        slow = SlowSync()
+        slow_sync = SlowSync()
         async with asyncio.timeout(PATIENCE):
-            await scene(store, Syncer(store, slow), slow)
+            await scenario(store, Syncer(store, slow_sync), slow_sync)
         store.close()
 
-    asyncio.run(played())
+    asyncio.run(run())
 
 
-async def until(test: Callable[[], bool]) -> None:
-    while not test():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.005)
 
 
-def test_one_sync_serves_all_that_came_while_another_ran_and_in_order(tmp_path: Path) -> None:
-    async def scene(store: MessageStore, syncer: Syncer, slow: SlowSync) -> None:
-        done: list[int] = []
-        syncer.call_when_synced(lambda: done.append(0))
-        await asyncio.to_thread(slow.begun.acquire)
+def test_one_sync_covers_all_callbacks_added_during_the_previous_one_in_order(tmp_path: Path) -> None:
+    async def scenario(store: MessageStore, syncer: Syncer, slow_sync: SlowSync) -> None:
+        called: list[int] = []
+        syncer.call_when_synced(lambda: called.append(0))
+        await asyncio.to_thread(slow_sync.started.acquire)
         for n in range(1, 50):
-            syncer.call_when_synced(lambda n=n: done.append(n))  # type: ignore[misc]
-        assert done == []
-        slow.go.release()
-        await until(lambda: done == [0])
-        slow.go.release()
-        await until(lambda: done == [*range(50)])
+            syncer.call_when_synced(lambda n=n: called.append(n))  # type: ignore[misc]
+        assert called == []
+        slow_sync.may_end.release()
+        await wait_until(lambda: called == [0])
+        slow_sync.may_end.release()
+        await wait_until(lambda: called == [*range(50)])
         assert syncer.sync_count == 2
         assert syncer.max_waiting >= 49
 
-    syncing(tmp_path, scene)
+    run_with_syncer(tmp_path, scenario)
 
 
-def test_a_failed_sync_is_not_tried_again_on_the_same_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_sync_is_not_retried_on_the_same_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("forwarder.storage.durability.REWRITE_RETRY_S", 0.01)
 
-    async def scene(store: MessageStore, syncer: Syncer, slow: SlowSync) -> None:
-        done: list[str] = []
+    async def scenario(store: MessageStore, syncer: Syncer, slow_sync: SlowSync) -> None:
+        called: list[str] = []
         store.accept(accepted_message("a"))
         store.flush()
-        slow.fails, inode = True, os.fstat(store.fd).st_ino
-        slow.go.release()
-        syncer.call_when_synced(lambda: done.append("a"))
-        compacted = store.compact
-        monkeypatch.setattr(store, "compact", lambda: False)  # the new file cannot be had either
-        await until(lambda: syncer.failure_count >= 3)
-        assert done == []
+        slow_sync.should_fail, inode = True, os.fstat(store.fd).st_ino
+        slow_sync.may_end.release()
+        syncer.call_when_synced(lambda: called.append("a"))
+        real_compact = store.compact
+        monkeypatch.setattr(store, "compact", lambda: False)  # rewriting the journal fails too
+        await wait_until(lambda: syncer.failure_count >= 3)
+        assert called == []
         assert syncer.sync_failed
         assert not syncer.sync_now()
-        monkeypatch.setattr(store, "compact", compacted)
-        await until(lambda: done == ["a"])
+        monkeypatch.setattr(store, "compact", real_compact)
+        await wait_until(lambda: called == ["a"])
         assert os.fstat(store.fd).st_ino != inode
         assert not syncer.sync_failed
         assert MessageStore(tmp_path, MAX_BYTES).knows("a")
         assert syncer.sync_count == 1
 
-    syncing(tmp_path, scene)
+    run_with_syncer(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("what", ["write", "fdatasync"])
-def test_what_the_store_failed_to_write_or_sync_is_not_released_by_a_later_sync(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, what: str
+@pytest.mark.parametrize("failing_call", ["write", "fdatasync"])
+def test_a_later_sync_does_not_release_records_that_the_store_failed_to_write_or_sync(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing_call: str
 ) -> None:
-    """The disk is full at a round's records; or the sync of a journal that is being closed fails."""
+    """The write of a round's records fails on a full disk, or the sync of a journal that is being closed fails."""
     monkeypatch.setattr("forwarder.storage.durability.REWRITE_RETRY_S", 0.01)
 
-    async def scene(store: MessageStore, syncer: Syncer, slow: SlowSync) -> None:
-        done: list[str] = []
-        disk = Disk(tmp_path, random.Random(1))
-        use_os(monkeypatch, disk)
-        disk.fails = {what: 1, "open": 10**6}  # nor can it be written anew
+    async def scenario(store: MessageStore, syncer: Syncer, slow_sync: SlowSync) -> None:
+        called: list[str] = []
+        disk = PowerCutDisk(tmp_path, random.Random(1))
+        replace_os(monkeypatch, disk)
+        disk.failures_left = {failing_call: 1, "open": 10**6}  # rewriting the journal fails too
         store.accept(accepted_message("a"))
-        store.begin_snapshot() if what == "fdatasync" else store.flush()
+        store.begin_snapshot() if failing_call == "fdatasync" else store.flush()
         assert store.write_failed
         for _ in range(3):
-            slow.go.release()
-        syncer.call_when_synced(lambda: done.append("a"))
-        await until(lambda: syncer.failure_count >= 3)
-        assert done == []
+            slow_sync.may_end.release()
+        syncer.call_when_synced(lambda: called.append("a"))
+        await wait_until(lambda: syncer.failure_count >= 3)
+        assert called == []
         assert not syncer.sync_now()
-        assert "nothing is let go" in extension_with(syncer).describe_state()
-        disk.fails = {}
-        await until(lambda: done == ["a"])
-        use_os(monkeypatch, os)
+        assert "nothing is let go" in extension_using(syncer).describe_state()
+        disk.failures_left = {}
+        await wait_until(lambda: called == ["a"])
+        replace_os(monkeypatch, os)
         assert MessageStore(tmp_path, MAX_BYTES).knows("a")
         assert not store.write_failed
 
-    syncing(tmp_path, scene)
+    run_with_syncer(tmp_path, scenario)
 
 
-def extension_with(syncer: Syncer) -> DurabilityExtension:
+def extension_using(syncer: Syncer) -> DurabilityExtension:
     extension = DurabilityExtension.__new__(DurabilityExtension)
     extension.settings = DurabilityExtensionFactory(Durability.DATA, 1.0)
     extension.syncer = syncer
     return extension
 
 
-def test_sync_now_releases_all_that_waits_and_after_the_end_nothing_is_released(
+def test_sync_now_releases_all_waiting_callbacks_and_none_are_released_after_close(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def scene(store: MessageStore, syncer: Syncer, slow: SlowSync) -> None:
-        done: list[int] = []
-        syncer.call_when_synced(lambda: done.append(1))
-        await asyncio.to_thread(slow.begun.acquire)
+    async def scenario(store: MessageStore, syncer: Syncer, slow_sync: SlowSync) -> None:
+        called: list[int] = []
+        syncer.call_when_synced(lambda: called.append(1))
+        await asyncio.to_thread(slow_sync.started.acquire)
         for _ in range(3):
-            slow.go.release()
+            slow_sync.may_end.release()
         assert syncer.sync_now()
-        assert done == [1]
-        await until(lambda: not syncer.is_syncing)
-        assert done == [1], "once"
+        assert called == [1]
+        await wait_until(lambda: not syncer.is_syncing)
+        assert called == [1], "the callback was called again"
         monkeypatch.setattr(store, "compact", lambda: pytest.fail("the journal is another process's by then"))
-        slow.fails = True
-        slow.go.release()
+        slow_sync.should_fail = True
+        slow_sync.may_end.release()
         syncer.close()
-        syncer.call_when_synced(lambda: done.append(2))
+        syncer.call_when_synced(lambda: called.append(2))
         await asyncio.sleep(0.02)
-        assert done == [1]
+        assert called == [1]
 
-    syncing(tmp_path, scene)
+    run_with_syncer(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("level", ["data", "interval"])
-def test_a_process_serves_dies_and_goes_on_at_each_level(tmp_path: Path, level: str) -> None:
-    async def played() -> None:
+def test_a_process_serves_and_continues_after_a_kill_and_a_hand_over_at_each_level(tmp_path: Path, level: str) -> None:
+    async def run() -> None:
         platform = Platform()
         await platform.start()
-        peer = await Peer(always(OK)).start()
-        platform.add_endpoint("s1", peer.port)
+        endpoint = await Peer(always(OK)).start()
+        platform.add_endpoint("s1", endpoint.port)
         (tmp_path / "parts.toml").write_text(f'[journal]\ndurability = "{level}"\ninterval_s = 0.05\n')
         node = Node(tmp_path, platform)
         node.arguments = ["--parts", str(tmp_path / "parts.toml")]
         await node.start()
         for n in range(5):
             assert (await node.submit(f"a{n}"))[0] == 202
-        await peer.wait_for_requests(5)
+        await endpoint.wait_for_requests(5)
         assert (await node.call(b"OFFLINE s1\n")).startswith("ok")
         assert (await node.submit("held"))[0] == 202
         await node.end()
         await node.start()
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
-        await peer.wait_for_requests(6)
-        other = node.successor()
-        await other.start()
+        await endpoint.wait_for_requests(6)
+        successor = node.successor()
+        await successor.start()
         async with asyncio.timeout(PATIENCE):
-            assert await node.process.wait() == 0, "it handed over"
-        assert (await other.submit("after"))[0] == 202
-        await peer.wait_for_requests(7)
-        assert await other.end(15) == 0
+            assert await node.process.wait() == 0, "exit status after the hand-over"
+        assert (await successor.submit("after"))[0] == 202
+        await endpoint.wait_for_requests(7)
+        assert await successor.end(15) == 0
 
-    asyncio.run(played())
+    asyncio.run(run())
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -1,4 +1,4 @@
-"""Whose a folder is, and how often it was started."""
+"""Tests of the identity of a state folder: its owner and its start count."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from forwarder.storage.schema import Identity
 
 
-def test_a_folder_shows_its_owner_and_how_often_it_was_started(tmp_path: Path) -> None:
+def test_a_folder_records_its_owner_and_its_start_count(tmp_path: Path) -> None:
     found, start = identity.claim_folder(tmp_path, "n1")
     assert found is None
     assert start is identity.StartKind.FIRST
@@ -27,10 +27,10 @@
     with pytest.raises(ForeignStateError, match="folder of n1, not of n2"):
         identity.claim_folder(tmp_path, "n2")
     data = bytearray((tmp_path / "identity").read_bytes())
-    for at in range(len(data)):
-        spoilt = bytearray(data)
-        spoilt[at] ^= 4
-        (tmp_path / "identity").write_bytes(spoilt)
+    for offset in range(len(data)):
+        corrupted = bytearray(data)
+        corrupted[offset] ^= 4
+        (tmp_path / "identity").write_bytes(corrupted)
         found = identity.read_identity(tmp_path)
         assert found is None or found == Identity("n1", first.folder_id, 2, 99)
     (tmp_path / "identity").write_bytes(b"")
--- a/tests/storage/test_journal_writer.py
+++ b/tests/storage/test_journal_writer.py
@@ -1,4 +1,4 @@
-"""Writing the journal: snapshots in steps, compaction within the limit, failed writes."""
+"""Tests of writing the journal: snapshots in steps, compaction within the size limit, failed writes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_a_snapshot_is_written_in_steps_while_records_go_on(tmp_path: Path) -> None:
+def test_a_snapshot_is_written_in_steps_while_records_are_appended(tmp_path: Path) -> None:
     store = MessageStore(tmp_path, 60 * MAX_BYTES).take_ownership()
     for n in range(1500):
         store.accept(accepted_message(f"m{n}", SAFE, b"x" * 3000))
@@ -42,43 +42,43 @@
     assert store.compactions == 1
 
 
-def test_within_the_limit_older_generations_are_removed_before_all_is_written_anew(tmp_path: Path) -> None:
-    limit, seen = 900_000, set[str]()
-    store = MessageStore(tmp_path, limit).take_ownership()
+def test_the_files_stay_within_the_limit_while_generations_are_removed_and_compacted(tmp_path: Path) -> None:
+    max_bytes, seen_names = 900_000, set[str]()
+    store = MessageStore(tmp_path, max_bytes).take_ownership()
     for n in range(4000):
         if store.has_capacity_for(600):
             store.accept(accepted_message(f"m{n}", SAFE, b"x" * 200))
         if len(store.messages) > (20 if n < 1500 else 400):
             store.end_message(next(iter(store.messages)))
         store.flush()
-        seen |= file_names(tmp_path)
-        assert sum(disk_bytes(path) for path in tmp_path.iterdir()) <= limit, n
+        seen_names |= file_names(tmp_path)
+        assert sum(disk_bytes(path) for path in tmp_path.iterdir()) <= max_bytes, n
     assert not store.write_failed
     assert store.compactions > 3
     assert len(store.messages) > 200
-    assert has_same_state(MessageStore(tmp_path, limit), store)
-    assert any(name.startswith("journal-") for name in seen)
+    assert has_same_state(MessageStore(tmp_path, max_bytes), store)
+    assert any(name.startswith("journal-") for name in seen_names)
 
 
 @pytest.mark.parametrize("call", ["open", "write", "replace", "unlink"])
-def test_a_failed_call_while_files_change_loses_nothing(
+def test_a_failed_call_while_files_are_replaced_loses_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    """The disk full, or an error, at each call of a snapshot, a switch and a compaction, one after the other."""
-    for at in range(1, 12):
-        folder = tmp_path / str(at)
-        store, left = MessageStore(folder, MAX_BYTES, salt=9).take_ownership(), [at]
+    """Fails one call at a time in snapshots, journal switches and a compaction, as on a full disk."""
+    for failing_call_number in range(1, 12):
+        folder = tmp_path / str(failing_call_number)
+        store, calls_left = MessageStore(folder, MAX_BYTES, salt=9).take_ownership(), [failing_call_number]
         real = getattr(os, call)
 
-        def fails(*args: Any, real: Any = real, left: list[int] = left, **named: Any) -> Any:
-            left[0] -= 1
-            if left[0] == 0:
+        def fail_once(*args: Any, real: Any = real, calls_left: list[int] = calls_left, **kwargs: Any) -> Any:
+            calls_left[0] -= 1
+            if calls_left[0] == 0:
                 raise OSError(28, "no space left on device")
-            return real(*args, **named)
+            return real(*args, **kwargs)
 
         store.accept(accepted_message("a"))
         store.flush()
-        monkeypatch.setattr(os, call, fails)
+        monkeypatch.setattr(os, call, fail_once)
         for n in range(6):
             store.accept(accepted_message(f"b{n}"))
             if n in (1, 3):
@@ -89,14 +89,14 @@
         monkeypatch.setattr(os, call, real)
         store.accept(accepted_message("c"))
         store.flush()
-        back = MessageStore(folder, MAX_BYTES)
-        assert back.messages.keys() == store.messages.keys(), at
-        assert not store.write_failed, at
-        assert not any(m.is_doubtful for m in back.messages.values())
+        reopened = MessageStore(folder, MAX_BYTES)
+        assert reopened.messages.keys() == store.messages.keys(), failing_call_number
+        assert not store.write_failed, failing_call_number
+        assert not any(m.is_doubtful for m in reopened.messages.values())
         store.close()
 
 
-def test_a_folder_that_becomes_read_only_ends_nothing_and_is_written_anew_later(
+def test_a_folder_that_becomes_read_only_loses_nothing_and_is_rewritten_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     store = MessageStore(tmp_path, MAX_BYTES).take_ownership()
@@ -105,11 +105,11 @@
     store.flush()
     store.begin_snapshot()
 
-    def refused(*args: Any, **named: Any) -> None:
+    def fail_read_only(*args: Any, **kwargs: Any) -> None:
         raise OSError(30, "Read-only file system")
 
     for call in ("write", "ftruncate", "unlink", "replace", "open"):
-        monkeypatch.setattr(os, call, refused)
+        monkeypatch.setattr(os, call, fail_read_only)
     for name in ("a", "b"):
         store.accept(accepted_message(name, SAFE))
         store.flush()
@@ -117,8 +117,8 @@
     assert not store.has_capacity_for(10)
     assert store.files.snapshot_writer is None
     monkeypatch.undo()
-    patience = time.monotonic() + 20
-    while not store.retry() and time.monotonic() < patience:  # with no new work, and no sooner than its pause is over
+    deadline_s = time.monotonic() + 20
+    while not store.retry() and time.monotonic() < deadline_s:  # without new records, once the retry pause is over
         time.sleep(0.01)
     store.end_message("m0")
     assert store.flush()
--- a/tests/storage/test_power_cut.py
+++ b/tests/storage/test_power_cut.py
@@ -1,4 +1,4 @@
-"""What was promised outlasts a power cut, or the process's death, at any call to the operating system."""
+"""Tests that synced state survives a power cut, and written state the process's death, at any system call."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 from forwarder.storage.store import MessageStore
 from tests.storage.folders import MAX_BYTES, accepted_message
-from tests.storage.power_cut_disk import Disk, PowerCutError, use_os
+from tests.storage.power_cut_disk import PowerCutDisk, PowerCutError, replace_os
 
 
-class Promise(NamedTuple):
-    """What a sync has promised to outlast a power cut."""
+class SyncedState(NamedTuple):
+    """The state at a sync, which must survive a power cut."""
 
     known_ids: set[str]
     attempts: dict[str, set[int]]
     """Numbers of the attempts in flight, by message id."""
 
 
-def promise_of(store: MessageStore) -> Promise:
+def synced_state_of(store: MessageStore) -> SyncedState:
     attempts = {message.id: {*message.in_flight} for message in store.messages.values()}
-    return Promise({*store.messages, *store.ended_ids}, attempts)
+    return SyncedState({*store.messages, *store.ended_ids}, attempts)
 
 
-def assert_keeps_promise(back: MessageStore, promise: Promise, run: str) -> None:
-    assert all(back.knows(name) or name in back.pending_notices for name in promise.known_ids), run
-    for name, numbers in promise.attempts.items():
-        message = back.messages.get(name)
+def assert_contains_synced_state(reopened: MessageStore, synced: SyncedState, run: str) -> None:
+    assert all(reopened.knows(name) or name in reopened.pending_notices for name in synced.known_ids), run
+    for name, numbers in synced.attempts.items():
+        message = reopened.messages.get(name)
         if message is None or message.is_doubtful or message.maybe_ran_at_us >= 0:
             continue
         assert numbers <= {*message.in_flight}, (run, name)
 
 
-def use_store(store: MessageStore, promised: Callable[[], None], chance: random.Random) -> Iterator[None]:
-    """Accepts, calls and ends messages; after most rounds it syncs, and notes what that promises."""
+def run_workload(store: MessageStore, sync: Callable[[], None], rng: random.Random) -> Iterator[None]:
+    """Accepts and ends messages and starts attempts, and calls `sync` after most rounds."""
     for n in range(60):
         store.accept(accepted_message(f"m{n}"))
         if n % 3:
@@ -50,88 +50,92 @@
         if n % 20 in (3, 8) and store.files.snapshot_writer is None:
             store.begin_snapshot()
         store.flush()
-        if chance.random() < 0.7:
-            promised()
+        if rng.random() < 0.7:
+            sync()
         yield
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_what_was_promised_is_there_after_a_power_cut_at_any_call(
+def test_synced_state_survives_a_power_cut_at_any_call(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for n in range(14):
         folder = tmp_path / f"life{n}"
         folder.mkdir()
-        disk = Disk(folder, chance)
-        use_os(monkeypatch, disk)
+        disk = PowerCutDisk(folder, rng)
+        replace_os(monkeypatch, disk)
         store = MessageStore(folder, MAX_BYTES, salt=7)
         store.durable = True
-        sure: list[Promise] = []
+        synced_states: list[SyncedState] = []
 
-        def promised(disk: Disk = disk, store: MessageStore = store, sure: list[Promise] = sure) -> None:
+        def sync(
+            disk: PowerCutDisk = disk,
+            store: MessageStore = store,
+            synced_states: list[SyncedState] = synced_states,
+        ) -> None:
             disk.fdatasync(store.fd)
-            sure.append(promise_of(store))
+            synced_states.append(synced_state_of(store))
 
-        disk.dies_at = chance.randrange(5, 400)
+        disk.power_cut_at_call = rng.randrange(5, 400)
         try:
             store.take_ownership()
             disk.fdatasync(store.fd)
-            for _ in use_store(store, promised, chance):
+            for _ in run_workload(store, sync, rng):
                 pass
         except PowerCutError:
             pass
-        use_os(monkeypatch, os)
-        disk.after_the_cut(tmp_path / f"disk{n}")
-        back = MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7)
-        if sure:
-            assert_keeps_promise(back, sure[-1], f"seed {seed}, run {n}")
-        back.take_ownership()
-        back.accept(accepted_message("afterwards"))
-        back.flush()
+        replace_os(monkeypatch, os)
+        disk.write_state_after_power_cut(tmp_path / f"disk{n}")
+        reopened = MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7)
+        if synced_states:
+            assert_contains_synced_state(reopened, synced_states[-1], f"seed {seed}, run {n}")
+        reopened.take_ownership()
+        reopened.accept(accepted_message("afterwards"))
+        reopened.flush()
         assert MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7).knows("afterwards")
 
 
 @pytest.mark.parametrize("first", range(5, 13))
-def test_a_process_that_dies_at_any_call_finds_all_it_wrote_and_no_damage(
+def test_after_a_kill_at_any_call_all_written_state_is_found_undamaged(
     tmp_path: Path, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without the power going: what was written is there. Every eighth call from the first on."""
-    for dies_at in range(first, 400, 8):
-        folder = tmp_path / str(dies_at)
+    """Without a power cut, written state is not lost. Each parameter covers every eighth call from `first` on."""
+    for killed_at_call in range(first, 400, 8):
+        folder = tmp_path / str(killed_at_call)
         folder.mkdir()
-        disk = Disk(folder, random.Random(dies_at))
-        use_os(monkeypatch, disk)
+        disk = PowerCutDisk(folder, random.Random(killed_at_call))
+        replace_os(monkeypatch, disk)
         store, written = MessageStore(folder, MAX_BYTES, salt=7), set[str]()
-        disk.dies_at = dies_at
+        disk.power_cut_at_call = killed_at_call
         try:
-            for _ in use_store(store.take_ownership(), lambda: None, disk.chance):
+            for _ in run_workload(store.take_ownership(), lambda: None, disk.rng):
                 written = {*store.messages, *store.ended_ids}
         except PowerCutError:
             pass
-        use_os(monkeypatch, os)
-        for again in ("afterwards", "and again"):
-            back = MessageStore(folder, MAX_BYTES, salt=7)
-            assert not back.recovered.is_damaged, dies_at
-            assert all(back.knows(name) for name in written), dies_at
-            assert not any(m.is_doubtful for m in back.messages.values())
-            back.take_ownership().accept(accepted_message(again))
-            back.close()
-            written.add(again)
-
-
-def test_without_the_sync_what_was_promised_may_be_gone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The disk does lose: it would find out a store that promises too much."""
+        replace_os(monkeypatch, os)
+        for new_id in ("afterwards", "and again"):
+            reopened = MessageStore(folder, MAX_BYTES, salt=7)
+            assert not reopened.recovered.is_damaged, killed_at_call
+            assert all(reopened.knows(name) for name in written), killed_at_call
+            assert not any(m.is_doubtful for m in reopened.messages.values())
+            reopened.take_ownership().accept(accepted_message(new_id))
+            reopened.close()
+            written.add(new_id)
+
+
+def test_without_a_sync_the_simulated_power_cut_loses_messages(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Checks the simulation itself: it must lose unsynced data, or the tests above would prove nothing."""
     lost = 0
     for n in range(10):
         folder = tmp_path / f"life{n}"
         folder.mkdir()
-        disk = Disk(folder, random.Random(n))
-        use_os(monkeypatch, disk)
+        disk = PowerCutDisk(folder, random.Random(n))
+        replace_os(monkeypatch, disk)
         store = MessageStore(folder, MAX_BYTES, salt=7).take_ownership()
-        for _ in use_store(store, lambda: None, disk.chance):
+        for _ in run_workload(store, lambda: None, disk.rng):
             pass
-        use_os(monkeypatch, os)
-        disk.after_the_cut(tmp_path / f"disk{n}")
+        replace_os(monkeypatch, os)
+        disk.write_state_after_power_cut(tmp_path / f"disk{n}")
         lost += len({*store.messages} - {*MessageStore(tmp_path / f"disk{n}", MAX_BYTES, salt=7).messages})
     assert lost > 50
--- a/tests/storage/test_store.py
+++ b/tests/storage/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a plain model, over crashes and snapshots."""
+"""Compares the store with a simple model, across crashes and snapshots."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class StoreAndModel:
-    """A store, and what it should hold. Each step does nothing where it makes no sense."""
+    """A store and its expected content. A step does nothing where it is not applicable."""
 
     def __init__(self, folder: Path, torn_bytes: int) -> None:
         self.folder = folder
         self.torn_bytes = torn_bytes
         self.store = MessageStore(folder, MAX_BYTES).take_ownership()
         self.messages: dict[str, tuple[int, int]] = {}
-        """Attempts that were started, and those in flight, by message."""
+        """Numbers of started attempts and of attempts in flight, by message id."""
         self.pending: set[str] = set()
         self.disabled: set[str] = set()
         self.ended: set[str] = set()
@@ -98,7 +98,7 @@
         self.store = MessageStore(self.folder, MAX_BYTES).take_ownership()
 
     def crash_in_a_write(self, name: str) -> None:
-        """The last record is torn: so many bytes of it are there."""
+        """Simulates a torn write: only the first `torn_bytes` of the last record are in the file."""
         self.store.close()
         line = encode_record(MessageEndedRecord(name))
         record = encode_record_frame(self.store.salt, self.store.writer.record_number + 1, line)
@@ -130,10 +130,10 @@
     tmp_path_factory: pytest.TempPathFactory, steps: list[tuple[str, str]], torn_bytes: int
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(journal_writer, "SNAPSHOT_STEP_BYTES", 1)  # one record of a snapshot a round
-        both = StoreAndModel(tmp_path_factory.mktemp("s"), torn_bytes)
+        patch.setattr(journal_writer, "SNAPSHOT_STEP_BYTES", 1)  # one snapshot record per round
+        store_and_model = StoreAndModel(tmp_path_factory.mktemp("s"), torn_bytes)
         for step, name in steps:
-            getattr(both, step)(name)
-            both.store.flush()
-            both.check()
-        both.store.close()
+            getattr(store_and_model, step)(name)
+            store_and_model.store.flush()
+            store_and_model.check()
+        store_and_model.store.close()
