--- a/forwarder/storage/journal_writer.py
+++ b/forwarder/storage/journal_writer.py
@@ -25,7 +25,7 @@
 GROWTH_BEFORE_COMPACTION = 4
 """A snapshot is started once a start would read this many times the size of a snapshot."""
 SNAPSHOT_STEP_BYTES = 64 * 1024
-"""Size of one write, small enough not to block the event loop for long."""
+"""Size of one step, small enough not to block the event loop for long."""
 MIN_FREE_BYTES = RESERVED_BYTES // 2
 """With less free space than this, files are removed or compacted before records are appended."""
 log = logging.getLogger("forwarder.store")
--- a/forwarder/storage/recovery.py
+++ b/forwarder/storage/recovery.py
@@ -140,7 +140,7 @@
             recovered.journal_generation = generation
             _add_journal(recovered, JOURNAL, scan, follows_gap=generation > expected)
             return recovered
-    # While a journal is being replaced, an empty `journal.new` exists.
+    # While a journal is being replaced, a `journal.new` without records exists.
     if not is_first_journal and NEW_JOURNAL not in present:
         recovered.missing_files += 1
         recovered.is_tail_lost = True
