--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -69,7 +69,7 @@
         self.decisions = GossipExtension(host.dispatcher, quota, slots)
         host.dispatcher.extensions.append(self.decisions)
         self._protocol: MembershipProtocol | None = None
-        self._folder_was_lost = host.start_kind is not StartKind.AGAIN
+        self._folder_was_lost = host.start_kind is not StartKind.RESTART
         self._is_querying = True
         self._disabled_announced: dict[str, int] = {}
         self._holding_announced: frozenset[str] = frozenset()
--- a/forwarder/storage/identity.py
+++ b/forwarder/storage/identity.py
@@ -26,7 +26,7 @@
     """The kind of start, as determined from the folder; the values are shown to operators."""
 
     FIRST = "a first start, or the folder was lost"
-    AGAIN = "a restart"
+    RESTART = "a restart"
     UNKNOWN = "a restart, but whose folder it is was not readable"
 
 
@@ -70,7 +70,7 @@
         return None, StartKind.UNKNOWN if _is_used(folder) else StartKind.FIRST
     if identity.forwarder_name != forwarder_name:
         raise ForeignStateError(f"{folder} is the folder of {identity.forwarder_name}, not of {forwarder_name}")
-    return identity, StartKind.AGAIN
+    return identity, StartKind.RESTART
 
 
 def count_start(identity: Identity | None, forwarder_name: str, salt: int) -> Identity:
--- a/tests/storage/test_identity.py
+++ b/tests/storage/test_identity.py
@@ -19,7 +19,7 @@
     identity.record_start(first, tmp_path)
     again, start = identity.claim_folder(tmp_path, "n1")
     assert again == first
-    assert start is identity.StartKind.AGAIN
+    assert start is identity.StartKind.RESTART
     second = identity.count_start(again, "n1", 99)
     identity.record_start(second, tmp_path)
     assert second.start_count == 2
