--- a/forwarder/decisions/backoff.py
+++ b/forwarder/decisions/backoff.py
@@ -1,4 +1,4 @@
-"""Retry-After, and the exponential backoff after rejections that come without it."""
+"""Applies Retry-After, and an exponential backoff to rejections without one."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from forwarder.decisions.records import LimitScope
 
 MIN_BACKOFF_US = 150_000
-"""First backoff, for each MAX_SMALL_FLEET forwarders."""
+"""Shortest backoff per MAX_SMALL_FLEET forwarders."""
 
 MAX_BACKOFF_US = 1_500_000
-"""Longest backoff, for each MAX_SMALL_FLEET forwarders: an outage should not last much longer because of it."""
+"""Longest backoff per MAX_SMALL_FLEET forwarders. Limited so that it does not prolong an outage by much."""
 
 BACKOFF_FACTOR = 4
-"""By which each further rejection lengthens the backoff."""
+"""Multiplies the backoff on each further rejection."""
 
 BACKOFF_JITTER_RANGE = (0.5, 1.5)
-"""Factors by which a backoff is varied."""
+"""Range of the random factor applied to a backoff."""
 
 
 class Backoff:
-    """Keeps calls away from scopes that rejected one."""
+    """Delays calls to limit scopes that rejected a call."""
 
     def __init__(self, context: RoundContext) -> None:
         self.context = context
 
     def apply_retry_after(self, scope: LimitScope, retry_after_us: int) -> None:
-        """Follows a Retry-After; 0 is none.
+        """Applies a Retry-After; 0 means that none was given.
 
-        It ends for all forwarders at once, so in a large fleet each adds a random backoff. Where no limit is reported,
-        only the backoff spreads their calls.
+        A Retry-After ends for all forwarders at the same time, so in a large fleet each forwarder adds a random
+        backoff. If the endpoint reports no limit, only this backoff spreads their calls.
         """
         context = self.context
         ends_at_us = context.now_us + retry_after_us
@@ -38,11 +38,14 @@
             scope.backoff_until_us = scope.retry_after_until_us + int(context.random.random() * spread_us)
 
     def reset(self, scope: LimitScope) -> None:
-        """Begins with the shortest backoff again, after a success."""
+        """Resets the backoff after a success, so that the next one is the shortest."""
         scope.backoff_us = 0
 
     def lengthen(self, scope: LimitScope) -> None:
-        """Lengthens the backoff after a rejection, in proportion to the fleet: each retry meets all others' retries."""
+        """Lengthens the backoff after a rejection.
+
+        The bounds grow with the fleet, because each retry competes with those of all other forwarders.
+        """
         fleet_factor = max(1, self.context.settings.forwarders // MAX_SMALL_FLEET)
         scope.backoff_us = min(
             fleet_factor * MAX_BACKOFF_US, max(fleet_factor * MIN_BACKOFF_US, BACKOFF_FACTOR * scope.backoff_us)
--- a/forwarder/decisions/call_learning.py
+++ b/forwarder/decisions/call_learning.py
@@ -1,4 +1,4 @@
-"""What the outcome of a call tells of its endpoint and its limit scope."""
+"""Updates the learned state of an endpoint and its limit scope from the outcome of a call."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from forwarder.decisions.slow_start import SlowStart
 
 MIN_CALL_WEIGHT = 0.35
-"""Least weight of the newest call in an endpoint's error rate."""
+"""Smallest weight of the latest call in an endpoint's error rate."""
 
 MAX_CALL_WEIGHT = 0.55
-"""Its weight after a long time without calls: there one failure is enough to eject."""
+"""Weight of the latest call after a long time without calls. Such a call ejects the endpoint if it fails."""
 
 REJECTION_WEIGHT = 0.15
-"""Weight of a rejection that no limit explains: five running eject an endpoint."""
+"""Weight of a rejection that no limit explains. Five in a row eject an endpoint."""
 
 
 class CallLearning:
-    """Adapts window, quota, backoff, expected call and error rate by the outcomes of calls."""
+    """Adapts window, quota, backoff, expected call duration and error rate to the outcomes of calls."""
 
     def __init__(
         self,
@@ -43,9 +43,10 @@
         self.idle_connections = idle_connections
 
     def learn_from_message_call(self, call: Call, message: Message, event: AttemptEnded) -> None:
-        """Learns from a call of messages: its duration, and what any call tells.
+        """Learns from the duration and the outcome of a call that carried messages.
 
-        Attempts that were given little time and lost idle connections tell nothing of the endpoint.
+        Ignores timeouts of attempts that had little time, and lost idle connections: neither reflects the state of
+        the endpoint.
         """
         scope = call.endpoint.limit_scope
         message_class = message.message_class
@@ -61,7 +62,7 @@
         self.learn_from_call(call, event.outcome, event.retry_after_us)
 
     def learn_from_call(self, call: Call, outcome: Outcome, retry_after_us: int) -> None:
-        """Learns from any call: window, quota, backoff, and whether the endpoint is ejected or recovers."""
+        """Updates window, quota, backoff and error rate, and ejects the endpoint or starts its recovery."""
         endpoint = call.endpoint
         scope = endpoint.limit_scope
         is_overload = call.sent_at_us > scope.window_cut_at_us and outcome in TOO_MUCH
@@ -71,8 +72,8 @@
             self.limits.halve(scope)
         if outcome is Outcome.REJECTED:
             self._learn_from_rejection(scope, is_overload, retry_after_us)
-            if self.context.is_large_fleet and self._limit_is_used_up(scope, retry_after_us):
-                return  # of a large fleet some forwarders meet a used-up limit five times running
+            if self.context.is_large_fleet and self._is_limit_exhausted(scope, retry_after_us):
+                return  # in a large fleet, some forwarders hit an exhausted limit five times in a row
         self._update_error_rate(endpoint, outcome, call.since_previous_us)
         self.slow_start.update(endpoint, outcome)
 
@@ -90,7 +91,7 @@
         if not retry_after_us:
             self.backoff.start(scope)
 
-    def _limit_is_used_up(self, scope: LimitScope, retry_after_us: int) -> bool:
+    def _is_limit_exhausted(self, scope: LimitScope, retry_after_us: int) -> bool:
         return retry_after_us > 0 or (scope.limit_per_s > 0 and scope.limit_left <= AMPLE_LIMIT_LEFT)
 
     def _update_error_rate(self, endpoint: Endpoint, outcome: Outcome, since_previous_us: int) -> None:
--- a/forwarder/decisions/concurrency_window.py
+++ b/forwarder/decisions/concurrency_window.py
@@ -1,4 +1,4 @@
-"""How many calls may be in flight: the slots of all destinations and the window of each limit scope."""
+"""Limits the calls in flight by the slots of all destinations and the window of each limit scope."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 """Share of the slots that one destination may use."""
 
 MAX_DEGRADED_SLOT_SHARE = 0.5
-"""Share of the slots that a destination may use while it fails or is slow."""
+"""Share of the slots that a destination may use while it is failing or slow."""
 
 SLOW_CALL_FACTOR = 4
 """An expected call above this many times its initial value counts as slow."""
 
 FORGET_WINDOW_US = 30 * SECOND_US
-"""A window is opened anew after this time without calls."""
+"""Time without calls after which a window is reset."""
 
 
 class ConcurrencyLimits:
-    """A window for each limit scope that grows by each success and is halved by overload, within the slots of all."""
+    """Limits all calls to the slots, and the calls of each limit scope to a window.
+
+    A success increases the window by one, and overload halves it.
+    """
 
     def __init__(self, context: RoundContext, endpoint_table: EndpointTable, slow_start: SlowStart) -> None:
         self.context = context
@@ -32,13 +35,13 @@
         self.calls_in_flight = 0
 
     def has_free_slot(self) -> bool:
-        """Returns whether one more call may be sent, as far as the slots of all destinations go."""
+        """Returns whether the slots of all destinations allow one more call."""
         return self.calls_in_flight < self.context.settings.slots
 
     def hold_reason(self, endpoint: Endpoint) -> HoldReason | None:
-        """Returns which limit of calls in flight is reached for an endpoint; None if there is capacity for one more.
+        """Returns which limit on calls in flight an endpoint has reached; None if there is capacity for one more.
 
-        Streams that fill the window never hold messages back: one call of messages fits beside them.
+        Streams that fill the window do not block messages: one call with messages is allowed in addition to them.
         """
         slots = self.context.settings.slots
         in_flight = 0
@@ -63,7 +66,7 @@
         return max(1.0, share * self.context.settings.slots)
 
     def grow(self, scope: LimitScope) -> None:
-        """Enlarges the window after a success."""
+        """Increases the window after a success."""
         scope.concurrency_window = min(scope.concurrency_window + 1, self.cap(scope))
 
     def halve(self, scope: LimitScope) -> None:
@@ -72,6 +75,6 @@
         scope.window_cut_at_us = self.context.now_us
 
     def reset_if_unused(self, scope: LimitScope, used_at_us: int) -> None:
-        """Opens the window anew where the scope was last used long ago."""
+        """Resets the window if the scope has not been used for FORGET_WINDOW_US."""
         if self.context.now_us - used_at_us > FORGET_WINDOW_US:
             scope.concurrency_window = 1.0
--- a/forwarder/decisions/expected_call.py
+++ b/forwarder/decisions/expected_call.py
@@ -1,4 +1,4 @@
-"""The expected duration of calls, and by when a message has to be sent because of it."""
+"""Estimates the duration of calls, and the latest time at which a message can still be sent."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from forwarder.units import SECOND_US
 
 OBJECTIVE_PER_INITIAL_CALL = 10
-"""A class's latency objective is taken for this many calls before any was observed."""
+"""Until a call is observed, the expected duration is the latency objective of the class divided by this."""
 
 CALL_DURATION_WEIGHT = 0.2
-"""Weight of the newest call in the moving average: about the last ten calls count."""
+"""Weight of the latest call in the moving average, which thus covers about the last ten calls."""
 
 LEARNING_HALF_LIFE_US = 2 * SECOND_US
-"""Half-life of what was learned of a scope or an endpoint that is not called."""
+"""Half-life of the learned state of a limit scope or an endpoint that receives no calls."""
 
 
 def initial_call_us(message_class: MessageClass) -> float:
-    """Returns the expected duration in microseconds before any call was observed."""
+    """Returns the expected duration in microseconds before any call is observed."""
     return message_class.latency_objective_us / OBJECTIVE_PER_INITIAL_CALL
 
 
 def expected_call_us(scope: LimitScope, message_class: MessageClass, now_us: int) -> float:
     """Returns the expected duration of a call in microseconds.
 
-    It is a moving average, which decays towards the initial value while no call is in flight.
+    This is a moving average that decays towards the initial value while no call is in flight.
     """
     if scope.learned_at_us >= 0 and scope.in_flight:
         return scope.expected_call_us
@@ -39,12 +39,12 @@
 
 
 def observe_call(scope: LimitScope, duration_us: int) -> None:
-    """Takes the duration of a call into a scope's moving average."""
+    """Adds the duration of a call to the moving average of a scope."""
     scope.expected_call_us += CALL_DURATION_WEIGHT * (duration_us - scope.expected_call_us)
 
 
 class CallEstimates:
-    """The shortest expected call of each message, computed once a round for all messages that are alike."""
+    """Estimates the shortest call of each message, once per round for all messages with the same estimate."""
 
     def __init__(self, context: RoundContext, retry_policy: RetryPolicy) -> None:
         self.context = context
@@ -52,13 +52,13 @@
         self.shortest_us: dict[tuple[int, str, int], float] = {}
 
     def begin_round(self) -> None:
-        """Discards the estimates of the round before."""
+        """Discards the estimates of the previous round."""
         self.shortest_us = {}
 
     def shortest_call_us(self, message: Message) -> float:
-        """Returns the shortest expected call among the message's endpoints, in microseconds; 0 without any."""
-        alike = (message.destination, message.message_class.name, message.maybe_ran_on)
-        shortest_us = self.shortest_us.get(alike)
+        """Returns the shortest expected call over the eligible endpoints, in microseconds; 0 if there are none."""
+        cache_key = (message.destination, message.message_class.name, message.maybe_ran_on)
+        shortest_us = self.shortest_us.get(cache_key)
         if shortest_us is None:
             now_us = self.context.now_us
             shortest_us = min(
@@ -68,9 +68,9 @@
                 ),
                 default=0.0,
             )
-            self.shortest_us[alike] = shortest_us
+            self.shortest_us[cache_key] = shortest_us
         return shortest_us
 
     def give_up_at_us(self, message: Message) -> int:
-        """Returns when the time until the message's deadline falls below its shortest expected call."""
+        """Returns when the time left until the deadline becomes shorter than the shortest expected call."""
         return message.due_us - max(int(self.shortest_call_us(message)), MIN_RECHECK_US)
--- a/forwarder/decisions/fleet_messages.py
+++ b/forwarder/decisions/fleet_messages.py
@@ -1,4 +1,4 @@
-"""Events and actions between membership and the decisions. Times are in microseconds of this forwarder's clock."""
+"""Events and actions exchanged with membership. Times are in microseconds of this forwarder's clock."""
 
 from __future__ import annotations
 
@@ -11,79 +11,82 @@
 
 
 class QuorumState(Enum):
-    """How sure a forwarder is of who is up; the values are read by operators."""
+    """How certain a forwarder is of which forwarders are up. Operators read the values."""
 
     AGREED = "agreed"
-    """All that can be up are alive, or have left by their own word."""
+    """All forwarders that can be up are alive or announced that they left."""
     UNSURE = "unsure"
-    """More than half are alive."""
+    """More than half of the forwarders are alive, and the state of some is not known."""
     CUT_OFF = "cut off"
-    """Not more than half are."""
+    """At most half of the forwarders are alive, and not all absent ones announced that they left."""
     ALONE = "alone"
-    """Nobody is heard."""
+    """No other forwarder answers."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """Who is alive, this forwarder among them, and who has left by its own word."""
+    """The forwarders that are alive, including this one, and those that announced that they left."""
 
     alive: frozenset[str]
     left: frozenset[str] = frozenset()
     stale: bool = False
-    """Nobody has answered since the start, or since the process stood still."""
+    """No forwarder has answered since the start or since this process was suspended."""
     has_rival: bool = False
-    """Another process has this forwarder's name, and goes on under it."""
+    """Another process uses the name of this forwarder and keeps it."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetViewChanged(ExtensionEvent):
-    """Membership has a new view, or the old one is a second older."""
+    """The view has changed, or another second has passed without a change."""
 
     view: FleetView
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one other forwarder has observed of an endpoint."""
+    """What another forwarder has observed about an endpoint."""
 
     observer: str
     ejected_at_us: int
-    """Since when it failed there; -1 if it never did, and it was only served by it."""
+    """When the observer ejected the endpoint; -1 if it did not and only reports a success."""
     recovering_since_us: int = -1
-    """Since when it is recovering there, or when it served; -1 if it is not."""
+    """When the endpoint started to recover for the observer, or served it; -1 if it did neither."""
 
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived(ExtensionEvent):
-    """All that others tell and that is not too old; of Retry-After waits only those that are new."""
+    """All gossip of other forwarders that has not expired, but only new Retry-After waits."""
 
     observations: Mapping[int, tuple[Observation, ...]] = field(default_factory=dict)
-    """By endpoint, one of each forwarder that tells something of it."""
+    """By endpoint, one observation of each forwarder that reports on it."""
     retry_afters: tuple[tuple[tuple[int, int], int], ...] = ()
-    """Destination and which of its routes (-1: all), and until when."""
+    """Key of the limit scope (destination and endpoint; -1 for all endpoints), and the end of the wait."""
     holders: Mapping[int, frozenset[str]] = field(default_factory=dict)
-    """Who else holds messages for which endpoint in slow start."""
+    """Other forwarders that hold messages for an endpoint in slow start, by endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeersQueried(ExtensionEvent):
-    """The others have answered what a forwarder without its folder asks first, or the time for it is up."""
+    """The startup query to other forwarders is over: they have answered, or it has timed out.
+
+    A forwarder that starts without its state folder sends this query.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceEjection(ExtensionAction):
-    """This forwarder itself has seen an endpoint fail, or recover, or serve though others have ejected it."""
+    """Announces what this forwarder observed: an endpoint failed, recovered, or served though others ejected it."""
 
     endpoint: int
     ejected_at_us: int
-    """-1: it has served."""
+    """-1 if the endpoint served a call and is not ejected here."""
     recovering_since_us: int
-    """-1: it is not."""
+    """Start of the recovery, or the time of the success if the endpoint is not ejected; -1 if it does not recover."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnnounceRetryAfter(ExtensionAction):
-    """A destination, or one route of it, has told this forwarder to wait until then."""
+    """Announces a Retry-After that this forwarder received for a limit scope."""
 
     limit_scope: tuple[int, int]
     until_us: int
@@ -91,6 +94,6 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceHolding(ExtensionAction):
-    """The endpoints in slow start for which this forwarder holds messages: all, whatever was told before."""
+    """Announces all endpoints in slow start for which this forwarder holds messages; replaces earlier lists."""
 
     endpoints: frozenset[int]
--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -1,21 +1,24 @@
-"""By how many a forwarder divides what all share: limits, slow-start budgets, tenants' quotas. Pure.
-
-The rule of safety: over any set of forwarders that could be up at once, whatever each believes, the sum of their shares
-is at most the whole. N is the most that can be up, by the settings or the view, whichever is more. Each has a base of
-1/N.
-
-- More than half of N (a quorum) may take, beside their own bases, all the bases of those that have left by their own
-  word (no longer ago than `believe_us`) and half the bases of those that failed: only once that has been so, and they
-  have been a quorum, unbroken for `settle_us`.
-- So a forwarder has its base as long as nobody can have taken it: for `settle_us` less `detect_us` (the longest that a
-  cut goes unnoticed) from when it was last sure that all who could take it knew it to be alive; that is when it has had
-  a quorum with it for `detect_us` and `notify_us`. This lease outlasts a restart. Without it: half of its base.
-- Where all that are absent have left by their own word, those that are alive go on as if they were a quorum.
-
-Only one side of a cut has a quorum: its m members take m/N, the n that failed n/2N once their leases are over, and half
-of the bases of those n is what the m may take beside their own: together the whole. Who bridges a cut is heard through
-(indirect probes), so two sides do not both count one member. Slack: who left and is back where it cannot be heard: its
-base, and half the bases of those that believe so, for `believe_us` at most.
+"""Divides what all forwarders share: rate limits, slow-start budgets and tenant quotas. Does no I/O.
+
+Safety rule: for any set of forwarders that could be up at the same time, whatever each of them believes, the sum of
+their shares is at most the whole. N is the maximum number of forwarders that can be up, by the settings or by the view,
+whichever is greater. Each forwarder has a base share of 1/N.
+
+- A quorum (more than half of N) may use, in addition to its own base shares, all base shares of forwarders that
+  announced that they left (at most `believe_us` ago) and half the base shares of forwarders that failed. It may do so
+  once both the absences and the quorum have lasted for `settle_us` without interruption.
+- A forwarder therefore keeps its base share while nobody else can be using it: for `settle_us` minus `detect_us` (the
+  longest time that a network partition goes undetected) after it was last certain that every forwarder that could use
+  its share knew it to be alive. It is certain of this once it has been part of a quorum for `detect_us` plus
+  `notify_us`. This lease survives a restart. Without a lease, a forwarder uses half of its base share.
+- If all absent forwarders announced that they left, the remaining ones act as a quorum.
+
+Only one side of a network partition has a quorum. Its m members use m/N plus half the base shares of the n failed
+members, and those n members use n/2N once their leases have expired; together that is the whole. Indirect probes reach
+a member that both sides can reach, so the sides do not both count it.
+
+Tolerance: if a forwarder left and came back where others cannot reach it, the sum may exceed the whole by its base
+share plus half the base shares of those that still believe that it left, for at most `believe_us`.
 """
 
 from __future__ import annotations
@@ -30,26 +33,26 @@
 
 NO_QUORUM = -1
 NO_LEASE_FACTOR = 2.0
-"""A forwarder without a lease takes half of its base."""
+"""A forwarder without a lease uses half of its base share."""
 FAR_FUTURE_US = 3600 * SECOND_US
-"""Stands for the time of the next change where none is near."""
+"""Delay until the next change if no change is pending."""
 
 
 @dataclass(slots=True)
 class FleetQuota:
-    """Follows the view, and tells by how many to divide. That grows at once, and falls only when that is safe.
+    """Follows the view and computes the divisor, which grows at once but falls only when that is safe.
 
     Attributes:
-        forwarders: number by the settings.
-        settle_us: so long a change must have lasted before more than the base is taken.
-        believe_us: so long another's word that it leaves is believed.
-        detect_us: the longest that a cut, or a death, goes unnoticed.
-        notify_us: by then all have heard of a change.
-        leased_until: by then others may have taken this forwarder's base; at the start, that of its last run.
-        view: the newest view.
-        known: names of all that were ever alive.
-        absent_since_us: since when those that are not alive failed or left, unbroken.
-        quorum_since_us: since when a quorum has been alive, unbroken; NO_QUORUM while there is none.
+        forwarders: number of forwarders in the settings.
+        settle_us: how long a change must last before more than the base share is used.
+        believe_us: how long the announcement of a forwarder that it leaves is trusted.
+        detect_us: longest time that a network partition or a failure goes undetected.
+        notify_us: time in which all reachable forwarders learn of a change.
+        leased_until: when others may start to use this forwarder's base share; initially the value of its last run.
+        view: the latest view.
+        known: names of all forwarders that were ever alive.
+        absent_since_us: since when each absent forwarder has been failed or left without interruption.
+        quorum_since_us: since when a quorum has been alive without interruption; NO_QUORUM while there is none.
     """
 
     forwarders: int
@@ -65,11 +68,14 @@
 
     @property
     def max_members(self) -> int:
-        """N: how many can be up at once."""
+        """N, the maximum number of forwarders that can be up at the same time."""
         return max(self.forwarders, len(self.known))
 
     def update(self, now_us: int, view: FleetView) -> None:
-        """Takes in a view. A change in who is absent, or a stop, begins all waiting anew for those it concerns."""
+        """Applies a view.
+
+        A change in who is absent, or a suspension of this process, restarts the waiting times that it affects.
+        """
         self.view = view
         self.known |= view.alive | view.left
         self.absent_since_us = {name: self.absent_since_us.get(name, now_us) for name in self.known - view.alive}
@@ -82,32 +88,32 @@
         elif view.has_rival:
             self.leased_until = 0
 
-    def _left(self, now_us: int) -> frozenset[str]:
-        """Returns those that have left by a word that is not too old."""
+    def _trusted_left(self, now_us: int) -> frozenset[str]:
+        """Returns the forwarders whose announcement that they left is still trusted."""
         return frozenset(
             name for name in self.view.left if now_us - self.absent_since_us.get(name, now_us) <= self.believe_us
         )
 
     def _is_cut_off(self, now_us: int) -> bool:
         alive = len(self.view.alive)
-        return self.view.stale or (2 * alive <= self.max_members > alive + len(self._left(now_us)))
+        return self.view.stale or (2 * alive <= self.max_members > alive + len(self._trusted_left(now_us)))
 
     def mode(self, now_us: int) -> QuorumState:
-        """Returns how sure this forwarder is of who is up."""
-        if self.view.stale or len(self.view.alive) <= 1 < self.max_members - len(self._left(now_us)):
+        """Returns how certain this forwarder is of which forwarders are up."""
+        if self.view.stale or len(self.view.alive) <= 1 < self.max_members - len(self._trusted_left(now_us)):
             return QuorumState.ALONE
         if self._is_cut_off(now_us):
             return QuorumState.CUT_OFF
-        accounted = len(self.view.alive | self._left(now_us))
-        return QuorumState.AGREED if accounted >= self.max_members else QuorumState.UNSURE
+        known_state_count = len(self.view.alive | self._trusted_left(now_us))
+        return QuorumState.AGREED if known_state_count >= self.max_members else QuorumState.UNSURE
 
     def is_proven(self, now_us: int) -> bool:
-        """Whether there has been a quorum for so long that all who could take this one's base know it is alive."""
-        proven_us = now_us - self.detect_us - self.notify_us
-        return not self._is_cut_off(now_us) and 0 <= self.quorum_since_us <= proven_us
+        """Returns whether all forwarders that could use this one's base share know that it is alive."""
+        latest_start_us = now_us - self.detect_us - self.notify_us
+        return not self._is_cut_off(now_us) and 0 <= self.quorum_since_us <= latest_start_us
 
     def divisor(self, now_us: int) -> float:
-        """Returns what to divide by: 1 over this forwarder's share."""
+        """Returns the number to divide by: the inverse of this forwarder's share."""
         if self.max_members <= 1:
             return 1.0
         if now_us >= self.leased_until:
@@ -115,20 +121,20 @@
         if self._is_cut_off(now_us) or not 0 <= self.quorum_since_us <= now_us - self.settle_us:
             return float(self.max_members)
         settled = {name for name, since_us in self.absent_since_us.items() if now_us - since_us >= self.settle_us}
-        left = len(settled & self._left(now_us))
+        left = len(settled & self._trusted_left(now_us))
         failed = len(settled - self.view.left)
-        still_taking = self.absent_since_us.keys() - settled - self.view.left
-        sharing = len(self.view.alive) + len(still_taking)
-        return self.max_members / (1.0 + (left + failed / 2) / sharing)
+        unsettled_failed = self.absent_since_us.keys() - settled - self.view.left
+        sharing_count = len(self.view.alive) + len(unsettled_failed)
+        return self.max_members / (1.0 + (left + failed / 2) / sharing_count)
 
     def confidence(self, now_us: int) -> float:
-        """Returns the share of those that can be up of whom it is known what they do."""
+        """Returns the fraction of the forwarders that can be up whose state is known."""
         if self.view.stale:
             return 0.0
-        return min(1.0, len(self.view.alive | self._left(now_us)) / self.max_members)
+        return min(1.0, len(self.view.alive | self._trusted_left(now_us)) / self.max_members)
 
     def next_at(self, now_us: int) -> int:
-        """Returns when the divisor may change though the view does not."""
+        """Returns when the divisor may next change without a new view."""
         times_us = [
             self.leased_until,
             self.quorum_since_us + self.settle_us,
@@ -142,24 +148,24 @@
 
 
 class FleetQuotaExtension:
-    """Lets the dispatcher divide by who is alive."""
+    """Sets the fleet size of the dispatcher from the quota."""
 
     def __init__(self, dispatcher: Dispatcher, quota: FleetQuota) -> None:
         self.dispatcher = dispatcher
         self.quota = quota
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Takes in a view."""
+        """Applies a new view of the fleet."""
         if isinstance(event, FleetViewChanged):
             self.quota.update(self.dispatcher.now_us, event.view)
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
-        """Quotas do not depend on outcomes."""
+        """Does nothing: quotas do not depend on outcomes."""
 
     def before_release(self) -> None:
-        """Sets what the dispatcher divides by."""
+        """Sets the fleet size that the dispatcher divides by."""
         self.quota.forwarders = self.dispatcher.settings.forwarders
         self.dispatcher.set_fleet_size(self.quota.divisor(self.dispatcher.now_us))
 
     def after_release(self) -> None:
-        """Nothing follows from a release."""
+        """Does nothing: quotas do not depend on the release."""
--- a/forwarder/decisions/gossip_extension.py
+++ b/forwarder/decisions/gossip_extension.py
@@ -1,8 +1,8 @@
-"""Heeds what other forwarders have observed of endpoints, and tells them what this one has. Pure.
+"""Applies what other forwarders have observed about endpoints, and announces own observations. Does no I/O.
 
-Gossip makes a forwarder more careful; bolder only where an endpoint is said to be recovering, and then within the same
-budget. Nobody's word alone ejects an endpoint, and what this forwarder has observed itself, later than that, goes
-before it.
+Gossip makes a forwarder more cautious. It makes it less cautious only if an endpoint is reported to be recovering, and
+then within the same budget. The report of a single forwarder does not eject an endpoint, and later observations of this
+forwarder take precedence over reports.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 from forwarder.units import SECOND_US
 
 MIN_OBSERVERS = 2
-"""Others that must have observed a failure before an endpoint is ejected here; of one it is only suspected."""
+"""Other forwarders that must report a failure before an endpoint is ejected here; fewer make it suspect."""
 MAX_SUSPECTED_SHARE = 0.25
-"""Part of the destinations that one forwarder's word alone may put under suspicion."""
+"""Fraction of the destinations whose endpoints the reports of a single forwarder may make suspect."""
 HOLDING_GRACE_US = 2 * SECOND_US
-"""A forwarder that held messages so lately still counts as holding some."""
+"""Time after the last held message for which a forwarder still counts as a holder."""
 UNPROVEN_FACTOR = 2.0
-"""A forwarder that has not proved to be alive has the even half of a budget only."""
+"""A forwarder that is not proven to be alive gets a part of only the evenly divided half of a budget."""
 NEVER_EJECTED = -1
 NOT_RECOVERING = -1
 ALL_ROUTES = -1
@@ -46,17 +46,17 @@
         self.slow_start_slots = slow_start_slots
         self.gossip = GossipReceived()
         self.ejected_by_gossip: set[int] = set()
-        """Endpoints that are ejected here, or recovering, by the word of others."""
+        """Endpoints that are ejected or recovering here because of gossip."""
         self.last_success_at_us: dict[int, int] = {}
-        self.touched: set[int] = set()
-        """Endpoints with an outcome in this round."""
+        self.endpoints_with_outcomes: set[int] = set()
+        """Endpoints whose calls had an outcome in this round."""
         self.held_at_us: dict[int, int] = {}
-        """When a message was last held for an endpoint in slow start."""
+        """When a message was last held or in flight for an endpoint in slow start."""
 
     # Events
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Takes in a view, or what others tell."""
+        """Applies a fleet view, gossip, or the end of the startup query."""
         super().apply_event(event)
         dispatcher = self.dispatcher
         if isinstance(event, PeersQueried):
@@ -68,7 +68,7 @@
             self._apply_observations(event)
 
     def _apply_retry_afters(self, gossip: GossipReceived) -> None:
-        """Another's Retry-After puts off the next call, by one interval of this forwarder's own pace at most."""
+        """Delays the next call by the Retry-After of another forwarder, at most by one call interval of this one."""
         dispatcher = self.dispatcher
         for key, until_us in gossip.retry_afters:
             scope = dispatcher.limit_scopes.get(key)
@@ -77,9 +77,9 @@
                 scope.next_call_at_us = max(scope.next_call_at_us, min(until_us, latest_us))
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
-        """What this forwarder observes itself goes before what others tell."""
+        """Records an outcome that this forwarder observed, which takes precedence over gossip."""
         if outcome not in TELLS_NOTHING:
-            self.touched.add(endpoint_id)
+            self.endpoints_with_outcomes.add(endpoint_id)
             self.ejected_by_gossip.discard(endpoint_id)
         if outcome is Outcome.DELIVERED:
             self.last_success_at_us[endpoint_id] = self.dispatcher.now_us
@@ -87,25 +87,26 @@
     def _apply_observations(self, gossip: GossipReceived) -> None:
         endpoints = self.dispatcher.endpoints
         suspected: dict[str, set[int]] = {}
-        for number, observations in gossip.observations.items():
-            if number in endpoints:
-                self._apply_observations_of(endpoints[number], observations, suspected)
-        for number in self.ejected_by_gossip - gossip.observations.keys():
-            if number not in endpoints:
+        for endpoint_id, observations in gossip.observations.items():
+            if endpoint_id in endpoints:
+                self._apply_endpoint_observations(endpoints[endpoint_id], observations, suspected)
+        for endpoint_id in self.ejected_by_gossip - gossip.observations.keys():
+            if endpoint_id not in endpoints:
                 continue
-            self.ejected_by_gossip.discard(number)
-            if endpoints[number].recovering_since_us < 0:  # the records are too old now, and nothing was seen here
-                self._set_ejection(endpoints[number], NEVER_EJECTED, NOT_RECOVERING)
+            self.ejected_by_gossip.discard(endpoint_id)
+            # The reports have expired, and this forwarder has observed nothing itself.
+            if endpoints[endpoint_id].recovering_since_us < 0:
+                self._set_ejection(endpoints[endpoint_id], NEVER_EJECTED, NOT_RECOVERING)
 
-    def _apply_observations_of(
+    def _apply_endpoint_observations(
         self, endpoint: Endpoint, observations: tuple[Observation, ...], suspected: dict[str, set[int]]
     ) -> None:
-        """Applies what others have observed of one endpoint.
+        """Applies the observations of other forwarders about one endpoint.
 
         Args:
             endpoint: the endpoint.
-            observations: one of each other forwarder that tells something of it.
-            suspected: destinations that are under suspicion by one forwarder's word alone, by its name; added to.
+            observations: one of each other forwarder that reports on the endpoint.
+            suspected: destinations that are suspect by the reports of a single forwarder, by its name. Updated here.
         """
         dispatcher = self.dispatcher
         failures = [observation for observation in observations if observation.ejected_at_us >= 0]
@@ -120,16 +121,16 @@
         ramp_us = dispatcher.settings.slow_start_us
         if recovering_since_us >= 0 and dispatcher.now_us - recovering_since_us >= ramp_us:
             return
-        by_one = suspected.setdefault(failures[0].observer, set())
+        suspected_by_observer = suspected.setdefault(failures[0].observer, set())
         max_suspected = max(1, int(MAX_SUSPECTED_SHARE * len(dispatcher.endpoints_by_destination)))
         if len(failures) >= MIN_OBSERVERS:
             self._set_ejection(endpoint, ejected_at_us, recovering_since_us)
-        elif endpoint.destination in by_one or len(by_one) < max_suspected:
-            by_one.add(endpoint.destination)
+        elif endpoint.destination in suspected_by_observer or len(suspected_by_observer) < max_suspected:
+            suspected_by_observer.add(endpoint.destination)
             endpoint.error_rate = max(endpoint.error_rate, EJECTION_ERROR_RATE)
 
     def _set_ejection(self, endpoint: Endpoint, ejected_at_us: int, recovering_since_us: int) -> None:
-        """By the word of others an endpoint is ejected, or recovering; or it never was (NEVER_EJECTED)."""
+        """Sets from gossip whether an endpoint is ejected or recovering, or clears its ejection (NEVER_EJECTED)."""
         dispatcher = self.dispatcher
         if ejected_at_us >= 0 > recovering_since_us:
             endpoint.error_rate = max(endpoint.error_rate, UNSAFE_RETRY_ERROR_RATE)
@@ -147,38 +148,40 @@
     # Rounds
 
     def before_release(self) -> None:
-        """Divides the budgets of endpoints in slow start, and announces for which of them messages are held."""
+        """Divides the budgets of endpoints in slow start, and announces those for which messages are held."""
         super().before_release()
         dispatcher, now_us = self.dispatcher, self.dispatcher.now_us
-        slots = self.slow_start_slots
-        starting = [e for e in dispatcher.endpoints.values() if dispatcher.slow_start.is_active(e)]
-        for endpoint in starting:
+        slow_start_slots = self.slow_start_slots
+        in_slow_start = [
+            endpoint for endpoint in dispatcher.endpoints.values() if dispatcher.slow_start.is_active(endpoint)
+        ]
+        for endpoint in in_slow_start:
             if endpoint.in_flight or endpoint.destination in dispatcher.held.by_destination:
                 self.held_at_us[endpoint.id] = now_us
         holding = {
             endpoint.id
-            for endpoint in starting
+            for endpoint in in_slow_start
             if now_us - self.held_at_us.get(endpoint.id, -HOLDING_GRACE_US) < HOLDING_GRACE_US
         }
-        announced = slots.holding_since_us.keys()
-        slots.update(now_us, holding, self.gossip)
-        if announced != slots.holding_since_us.keys():
-            dispatcher.actions.append(AnnounceHolding(frozenset(slots.holding_since_us)))
-        size = self.quota.max_members
+        announced = slow_start_slots.holding_since_us.keys()
+        slow_start_slots.update(now_us, holding, self.gossip)
+        if announced != slow_start_slots.holding_since_us.keys():
+            dispatcher.actions.append(AnnounceHolding(frozenset(slow_start_slots.holding_since_us)))
+        max_members = self.quota.max_members
         is_proven = self.quota.is_proven(now_us)
-        for endpoint in starting:
+        for endpoint in in_slow_start:
             if is_proven:
-                endpoint.slow_start_divisor = 1 / slots.share(now_us, endpoint.id, size, self.gossip)
+                endpoint.slow_start_divisor = 1 / slow_start_slots.share(now_us, endpoint.id, max_members, self.gossip)
             else:
-                endpoint.slow_start_divisor = UNPROVEN_FACTOR * size
+                endpoint.slow_start_divisor = UNPROVEN_FACTOR * max_members
 
     def after_release(self) -> None:
-        """Announces what this forwarder has observed itself."""
+        """Announces what this forwarder observed in the round."""
         endpoints = self.dispatcher.endpoints
-        for number in self.touched:
-            if number in endpoints:
-                self._announce(endpoints[number])
-        self.touched.clear()
+        for endpoint_id in self.endpoints_with_outcomes:
+            if endpoint_id in endpoints:
+                self._announce(endpoints[endpoint_id])
+        self.endpoints_with_outcomes.clear()
 
     def _announce(self, endpoint: Endpoint) -> None:
         dispatcher, now_us = self.dispatcher, self.dispatcher.now_us
@@ -186,13 +189,13 @@
             dispatcher.actions.append(
                 AnnounceEjection(endpoint.id, endpoint.ejected_at_us, endpoint.recovering_since_us)
             )
-        elif self.last_success_at_us.get(endpoint.id) == now_us and self._is_ejected_for_others(endpoint):
+        elif self.last_success_at_us.get(endpoint.id) == now_us and self._is_ejected_by_others(endpoint):
             dispatcher.actions.append(AnnounceEjection(endpoint.id, NEVER_EJECTED, now_us))
         scope = endpoint.limit_scope
         if scope.retry_after_until_us > now_us:
             route = endpoint.id if endpoint.separate_route else ALL_ROUTES
             dispatcher.actions.append(AnnounceRetryAfter((scope.destination, route), scope.retry_after_until_us))
 
-    def _is_ejected_for_others(self, endpoint: Endpoint) -> bool:
+    def _is_ejected_by_others(self, endpoint: Endpoint) -> bool:
         observations = self.gossip.observations.get(endpoint.id, ())
         return any(observation.recovering_since_us < 0 for observation in observations)
--- a/forwarder/decisions/learned_state.py
+++ b/forwarder/decisions/learned_state.py
@@ -1,4 +1,4 @@
-"""The state of a dispatcher that a hand-over passes on. Times are integers in microseconds."""
+"""Dispatcher state that a hand-over transfers. Times are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 LearnedFields = Mapping[str, float]
-"""Fields of a record by name. Names that the reader does not know are ignored."""
+"""Fields of a record by name. The reader ignores names it does not know."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallInFlight:
-    """A call in flight, with the message ids and numbers of its attempts without an outcome."""
+    """A call in flight, with the message ids and numbers of its attempts that have no outcome yet."""
 
     endpoint: int
     sent_us: int
@@ -23,15 +23,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What a dispatcher has learned and has in flight, for the one in the process that takes over."""
+    """Learned state and calls in flight of a dispatcher, for the process that takes over."""
 
     limit_scopes: tuple[tuple[int, int, LearnedFields], ...] = ()
-    """Each by its destination and, for a separate route, its endpoint (else -1)."""
+    """Identified by destination and endpoint; the endpoint is -1 unless it has a separate route."""
     endpoints: tuple[tuple[int, LearnedFields], ...] = ()
     key_backoffs: Mapping[str, int] = field(default_factory=dict)
-    """Until when, by key, the next message waits."""
+    """End of the backoff of each key."""
     tenant_buckets: Mapping[str, int] = field(default_factory=dict)
-    """By tenant, when the messages accepted so far are within its quota."""
+    """When the messages accepted so far are within the quota, by tenant."""
     trusted_idle_us: int = 0
-    """For how long idle connections are trusted."""
+    """Longest idle time at which a connection is reused."""
     calls: tuple[CallInFlight, ...] = ()
--- a/forwarder/decisions/learned_state_transfer.py
+++ b/forwarder/decisions/learned_state_transfer.py
@@ -1,4 +1,4 @@
-"""Takes what a dispatcher has learned and has in flight over to the one in the next process."""
+"""Transfers the learned state and the calls in flight of a dispatcher to the next process."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.calls = calls
 
     def capture(self) -> LearnedState:
-        """Returns the present state."""
+        """Returns the current state."""
         limit_scopes = self.endpoint_table.limit_scopes
         return LearnedState(
             tuple((*key, _learned_fields(scope, LIMIT_SCOPE_LEARNED)) for key, scope in limit_scopes.items()),
@@ -72,7 +72,7 @@
         )
 
     def restore(self, state: LearnedState) -> None:
-        """Goes on with a state; its calls hold their slots and their keys until their attempts end."""
+        """Restores a captured state. Its calls occupy their slots and keys until their attempts end."""
         for destination, route, fields in state.limit_scopes:
             if (destination, route) in self.endpoint_table.limit_scopes:
                 _restore_fields(self.endpoint_table.limit_scopes[(destination, route)], LIMIT_SCOPE_LEARNED, fields)
--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -1,17 +1,19 @@
-"""Outlier detection: ejects endpoints that fail more than the others of their destination. Pure; joins the dispatcher.
+"""Ejects endpoints that fail more often than the other endpoints of their destination (outlier detection).
 
-An endpoint's failures are compared with those of the other endpoints of its destination, by rates over samples that
-lose weight with age. One that fails for sure, and surely more than the others, or several times running, is ejected:
-the dispatcher leaves it out. It comes back on trial, in slow start; a failure on trial ejects it again, for longer.
-Never more than a share of a destination's endpoints is ejected: where more look bad, the fault may be this forwarder's
-own, and all stay in use.
+This is an extension of the dispatcher, and does no I/O.
 
-The dispatcher alone passes over an endpoint that has just failed for as long as others have capacity, so there would
-never be enough samples. Here an endpoint that is no more than suspect is called again after a while, and one that the
-dispatcher has ejected after a failure or two goes on in slow start, where others are well.
+The failure rate of an endpoint is compared with that of the other endpoints of its destination, over samples that lose
+weight with age. An endpoint is ejected if its failure rate is significant and significantly higher than that of the
+others, or if it fails several times in a row; the dispatcher then sends it no calls. It comes back on trial, in slow
+start. A failure on trial ejects it again, for longer. At most a share of the endpoints of a destination is ejected: if
+more of them look bad, the cause may be this forwarder itself, and all of them stay in use.
 
-Rejections are no evidence: a limit that is reached says nothing of health. Nor are timeouts that came to light after
-the own event loop stood still. A quick failure counts as any other.
+Without this extension, the dispatcher avoids an endpoint that has just failed while others have capacity, so there
+would never be enough samples. Here an endpoint that is only suspect is called again after a while. An endpoint that the
+dispatcher has ejected after one or two failures continues in slow start if other endpoints are healthy.
+
+Rejections do not count as failures, because a limit that is reached says nothing about health. Timeouts that are
+noticed after the event loop of this process stalled do not count either. A failure counts the same however fast it is.
 """
 
 from __future__ import annotations
@@ -30,21 +32,23 @@
 FAILURES = frozenset({Outcome.FAILED, Outcome.UNREADABLE, Outcome.TIMED_OUT, Outcome.NO_CONNECTION, Outcome.RESET})
 """Outcomes that count against an endpoint."""
 CONFIDENCE_STANDARD_ERRORS = 2.0
-"""Standard errors by which a failure rate must stand out."""
+"""Width of the confidence interval of a failure rate, in standard errors to each side."""
 MAX_ROUND_INTERVAL_US = SECOND_US
-"""A round comes at least this often."""
+"""Longest time between two rounds."""
 MIN_STALL_US = SECOND_US // 2
-"""A round that is so late shows that the own process stood still."""
-HEARTBEAT = -2
-"""Stands for a destination in the timer queue: the next round at the latest."""
+"""If a round is late by more than this, the process has stalled."""
+NEXT_ROUND_TIMER = -2
+"""Used as the destination of the timer that starts the next round at the latest."""
 TRIAL_FAILED = -1
-"""Stands for the trial calls that are left: the next success begins a new trial."""
+"""Value of `trial_calls_left` after a failure on trial: the next success starts a new trial."""
 EJECTION_JITTER = (1.0, 1.5)
+"""Range of the random factor applied to the length of an ejection."""
 MAX_DOUBLINGS = 20
+"""Limits the exponent by which ejections get longer."""
 
 
 class Verdict(Enum):
-    """What an endpoint is; the values are read by operators."""
+    """Health verdict on an endpoint. Operators read the values."""
 
     HEALTHY = "healthy"
     SUSPECT = "suspect"
@@ -54,45 +58,46 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierSettings:
-    """The table `[health.passive]`, checked."""
+    """Validated settings of the table `[health.passive]`."""
 
     half_life_us: int
-    """In this time a sample loses half of its weight."""
+    """Time in which a sample loses half of its weight."""
     min_samples: float
-    """Weight of samples without which rates are not compared."""
+    """Total weight of the samples below which failure rates are not compared."""
     consecutive_failures: int
-    """So many failures running are enough, whatever went before."""
+    """Failures in a row that eject an endpoint whatever its failure rate."""
     min_failure_rate: float
-    """A lower rate ejects nobody."""
+    """An endpoint with a lower failure rate is not ejected."""
     max_ejected_share: float
-    """Of a destination's endpoints, at most this share is ejected at once, and never the last."""
+    """Largest share of a destination's endpoints that is ejected at the same time; one always stays in use."""
     ejection_us: int
-    """The first ejection's length; each further one is twice as long, with jitter."""
+    """Length of the first ejection, before jitter; each further one is twice as long."""
     max_ejection_us: int
     retry_us: int
-    """An endpoint that has failed, and is not ejected, is called again after this."""
+    """Time without calls after which an endpoint that failed, but is not ejected, is called again."""
     trial_calls: int
-    """Calls that must succeed, one after the other, until a trial is over."""
+    """Calls in a row that must succeed to end a trial."""
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """What is known of one endpoint."""
+    """Samples and ejections of one endpoint."""
 
     successes: float = 0.0
-    """Weight of the samples that succeeded."""
+    """Weight of the successful samples."""
     failures: float = 0.0
+    """Weight of the failed samples."""
     consecutive_failures: int = 0
-    """Failures running, up to the newest call."""
-    weighed_at_us: int = 0
+    """Failures in a row, up to the latest call."""
+    decayed_at_us: int = 0
     ejected_until_us: int = -1
-    """The end of its ejection; -1 where it is not ejected."""
+    """End of the ejection; -1 if the endpoint is not ejected."""
     ejections: int = 0
-    """Ejections, but for those that good conduct has wiped out."""
+    """Ejections since the count was last reset by a long time without a new verdict."""
     trial_calls_left: int = 0
-    """Calls still to succeed on trial; 0 where it is not on trial, TRIAL_FAILED after a failure."""
+    """Calls that must still succeed on trial; 0 if the endpoint is not on trial, TRIAL_FAILED after a failure."""
     verdict_at_us: int = 0
-    """When the newest verdict was given."""
+    """When the endpoint was last ejected or readmitted."""
     reason: str = ""
 
     @property
@@ -101,11 +106,11 @@
         return self.successes + self.failures
 
     def decay(self, now_us: int, half_life_us: int) -> None:
-        """Takes weight off the samples by the time that has passed."""
-        factor = 0.5 ** ((now_us - self.weighed_at_us) / half_life_us)
+        """Reduces the weight of the samples by the time that has passed."""
+        factor = 0.5 ** ((now_us - self.decayed_at_us) / half_life_us)
         self.successes *= factor
         self.failures *= factor
-        self.weighed_at_us = now_us
+        self.decayed_at_us = now_us
 
     def add(self, failed: bool, trial_calls: int) -> None:
         """Counts one outcome."""
@@ -122,106 +127,108 @@
             self.trial_calls_left = trial_calls
 
     def describe(self) -> str:
-        """Returns the samples in words."""
+        """Returns a description of the samples."""
         return f"failed {self.failures:.1f} of {self.samples:.1f}"
 
 
 def failure_rate_bounds(failures: float, samples: float) -> tuple[float, float]:
-    """Returns the least and the greatest failure rate that the samples leave likely (Wilson's interval)."""
+    """Returns the bounds of the confidence interval of the failure rate (Wilson score interval)."""
     if samples <= 0:
         return 0.0, 1.0
     rate = failures / samples
-    squared = CONFIDENCE_STANDARD_ERRORS * CONFIDENCE_STANDARD_ERRORS
-    middle = rate + squared / (2 * samples)
-    variance = rate * (1 - rate) / samples + squared / (4 * samples * samples)
-    spread = CONFIDENCE_STANDARD_ERRORS * math.sqrt(variance)
-    return (middle - spread) / (1 + squared / samples), (middle + spread) / (1 + squared / samples)
+    z_squared = CONFIDENCE_STANDARD_ERRORS * CONFIDENCE_STANDARD_ERRORS
+    center = rate + z_squared / (2 * samples)
+    variance = rate * (1 - rate) / samples + z_squared / (4 * samples * samples)
+    margin = CONFIDENCE_STANDARD_ERRORS * math.sqrt(variance)
+    return (center - margin) / (1 + z_squared / samples), (center + margin) / (1 + z_squared / samples)
 
 
 @dataclass(slots=True)
 class OutlierDetector:
-    """Follows the outcomes of all calls, and ejects and readmits endpoints."""
+    """Tracks the outcomes of all calls, and ejects and readmits endpoints."""
 
     dispatcher: Dispatcher
     settings: OutlierSettings
     records: dict[int, CallRecord] = field(default_factory=dict)
-    """By endpoint."""
-    touched_destinations: set[int] = field(default_factory=set)
-    """Destinations with new outcomes, for this round's decision."""
+    """Call records by endpoint."""
+    destinations_with_outcomes: set[int] = field(default_factory=set)
+    """Destinations whose calls had an outcome in this round."""
     doubted_since_us: dict[int, int] = field(default_factory=dict)
-    """Destinations where too many look bad, since when."""
+    """Since when too many endpoints of a destination look bad to eject any, by destination."""
     next_round_us: int = -1
-    """When the next round comes at the latest, unless the own process stands still."""
+    """When the next round is due at the latest; -1 before the first round."""
     ejection_count: int = 0
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Takes none: it follows outcomes alone."""
+        """Does nothing: this extension uses outcomes only."""
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
-        """Counts one outcome, if it tells something of the endpoint."""
+        """Counts an outcome if it reflects the health of the endpoint."""
         endpoint = self.dispatcher.endpoints.get(endpoint_id)
         if endpoint is None or (outcome is not Outcome.DELIVERED and outcome not in FAILURES):
             return
         stalled = 0 <= self.next_round_us < self.dispatcher.now_us - MIN_STALL_US
         if stalled and outcome is Outcome.TIMED_OUT:
             return
-        self.weighed_record(endpoint_id).add(outcome in FAILURES, self.settings.trial_calls)
-        self.touched_destinations.add(endpoint.destination)
+        self.decayed_record(endpoint_id).add(outcome in FAILURES, self.settings.trial_calls)
+        self.destinations_with_outcomes.add(endpoint.destination)
 
-    def weighed_record(self, endpoint_id: int) -> CallRecord:
-        """Returns an endpoint's record, its samples weighed by their age."""
+    def decayed_record(self, endpoint_id: int) -> CallRecord:
+        """Returns the record of an endpoint, after reducing the weight of its samples by their age."""
         record = self.records.setdefault(endpoint_id, CallRecord())
         record.decay(self.dispatcher.now_us, self.settings.half_life_us)
         return record
 
     def before_release(self) -> None:
-        """Ends ejections whose time is over, and compares endpoints that have new outcomes."""
+        """Ends ejections that have expired, and compares the endpoints of destinations with new outcomes."""
         dispatcher = self.dispatcher
         for endpoint_id, record in self.records.items():
             if 0 <= record.ejected_until_us <= dispatcher.now_us:
                 self.readmit(endpoint_id, record)
-        for destination in sorted(self.touched_destinations):
+        for destination in sorted(self.destinations_with_outcomes):
             self.compare_endpoints(destination)
-        self.touched_destinations.clear()
-        dispatcher.timers.add(dispatcher.now_us + MAX_ROUND_INTERVAL_US, HEARTBEAT)
-        self.next_round_us = dispatcher.timers.earliest[HEARTBEAT]
-        if len(self.records) > len(dispatcher.endpoints):  # some are of endpoints that the dispatcher has forgotten
-            known = dispatcher.endpoints
-            self.records = {number: record for number, record in self.records.items() if number in known}
+        self.destinations_with_outcomes.clear()
+        dispatcher.timers.add(dispatcher.now_us + MAX_ROUND_INTERVAL_US, NEXT_ROUND_TIMER)
+        self.next_round_us = dispatcher.timers.earliest[NEXT_ROUND_TIMER]
+        if len(self.records) > len(dispatcher.endpoints):  # some belong to endpoints that the dispatcher has removed
+            endpoints = dispatcher.endpoints
+            self.records = {
+                endpoint_id: record for endpoint_id, record in self.records.items() if endpoint_id in endpoints
+            }
 
     def after_release(self) -> None:
-        """Nothing: all is decided before the release."""
+        """Does nothing: ejections are decided before the release."""
 
     def compare_endpoints(self, destination: int) -> None:
-        """Compares a destination's endpoints, and ejects the outliers among them as far as allowed."""
-        endpoints = self._serving(destination)
+        """Compares the endpoints of a destination, and ejects outliers unless there are too many."""
+        endpoints = self._serving_endpoints(destination)
         outliers = [endpoint for endpoint in endpoints if endpoint.excluded or self.is_outlier(endpoint, endpoints)]
         max_ejected = min(int(self.settings.max_ejected_share * len(endpoints)), len(endpoints) - 1)
         if len(outliers) > max_ejected:
-            self._doubt(destination, endpoints, outliers)
+            self._suspend_ejections(destination, endpoints, outliers)
             return
         self.doubted_since_us.pop(destination, None)
         for endpoint in endpoints:
             if endpoint in outliers and not endpoint.excluded:
                 self.eject(endpoint)
             else:
-                self._keep_sampling(endpoint, is_outlier=endpoint in outliers, is_alone=len(endpoints) <= 1)
+                self._keep_sampling(endpoint, is_outlier=endpoint in outliers, is_only_endpoint=len(endpoints) <= 1)
 
-    def _serving(self, destination: int) -> list[Endpoint]:
+    def _serving_endpoints(self, destination: int) -> list[Endpoint]:
         endpoints = self.dispatcher.endpoints.values()
         return [endpoint for endpoint in endpoints if endpoint.destination == destination and endpoint.serving]
 
-    def _keep_sampling(self, endpoint: Endpoint, *, is_outlier: bool, is_alone: bool) -> None:
-        """Lets an endpoint be called again that the dispatcher passes over, so that there are samples to judge by."""
+    def _keep_sampling(self, endpoint: Endpoint, *, is_outlier: bool, is_only_endpoint: bool) -> None:
+        """Lets the dispatcher call an endpoint again that it avoids, so that there are enough samples to compare."""
         dispatcher = self.dispatcher
         is_ejected = dispatcher.slow_start.is_active(endpoint) and endpoint.recovering_since_us < 0
-        if not is_outlier and is_ejected and not is_alone:
-            dispatcher.slow_start.readmit(endpoint)  # ejected by the dispatcher, after a failure or two
+        if not is_outlier and is_ejected and not is_only_endpoint:
+            dispatcher.slow_start.readmit(endpoint)  # the dispatcher ejected it after one or two failures
         elif not endpoint.excluded and dispatcher.now_us - endpoint.last_call_at_us > self.settings.retry_us:
             endpoint.error_rate = 0.0
 
-    def _doubt(self, destination: int, endpoints: list[Endpoint], outliers: list[Endpoint]) -> None:
-        """Too many look bad: none is ejected, and those that are come back."""
+    def _suspend_ejections(self, destination: int, endpoints: list[Endpoint], outliers: list[Endpoint]) -> None:
+        """Readmits all ejected endpoints of a destination, because too many of its endpoints look bad."""
         dispatcher = self.dispatcher
         if destination not in self.doubted_since_us and len(endpoints) > 1:
             text = f"{len(outliers)} of {len(endpoints)} endpoints of destination {destination} look bad"
@@ -232,25 +239,25 @@
                 self.readmit(endpoint.id, self.records[endpoint.id])
 
     def is_outlier(self, endpoint: Endpoint, endpoints: list[Endpoint]) -> bool:
-        """Whether an endpoint fails for sure, and surely more than the others of its destination do."""
+        """Returns whether an endpoint fails significantly, and significantly more than the others."""
         settings = self.settings
-        record = self.weighed_record(endpoint.id)
+        record = self.decayed_record(endpoint.id)
         if record.trial_calls_left < 0 or record.consecutive_failures >= settings.consecutive_failures:
             return True
         if record.samples < settings.min_samples:
             return False
-        lowest, _ = failure_rate_bounds(record.failures, record.samples)
-        others = [self.weighed_record(other.id) for other in endpoints if other is not endpoint and not other.excluded]
+        lower_bound, _ = failure_rate_bounds(record.failures, record.samples)
+        others = [self.decayed_record(other.id) for other in endpoints if other is not endpoint and not other.excluded]
         samples = sum(other.samples for other in others)
-        _, highest_of_others = failure_rate_bounds(sum(other.failures for other in others), samples)
+        _, upper_bound_of_others = failure_rate_bounds(sum(other.failures for other in others), samples)
         if not any(other.samples for other in others):
-            highest_of_others = settings.min_failure_rate  # nothing to compare with
-        return lowest > max(settings.min_failure_rate, min(highest_of_others, 1 - settings.min_failure_rate))
+            upper_bound_of_others = settings.min_failure_rate  # there are no samples to compare with
+        return lower_bound > max(settings.min_failure_rate, min(upper_bound_of_others, 1 - settings.min_failure_rate))
 
     def eject(self, endpoint: Endpoint) -> None:
-        """Leaves an endpoint out for a time that grows with each ejection."""
+        """Ejects an endpoint for a time that grows with each ejection."""
         dispatcher, settings = self.dispatcher, self.settings
-        record = self.weighed_record(endpoint.id)
+        record = self.decayed_record(endpoint.id)
         now_us = dispatcher.now_us
         if now_us - record.verdict_at_us > settings.max_ejection_us:
             record.ejections = 0
@@ -268,7 +275,7 @@
         dispatcher.actions.append(LogLine(text))
 
     def readmit(self, endpoint_id: int, record: CallRecord) -> None:
-        """Puts an endpoint back in use, on trial: its ejection is over, or cannot be upheld."""
+        """Puts an endpoint back in use, on trial."""
         dispatcher = self.dispatcher
         record.ejected_until_us = -1
         record.trial_calls_left = self.settings.trial_calls
@@ -282,8 +289,8 @@
             dispatcher.actions.append(LogLine(f"health: target {endpoint_id} is on trial"))
 
     def verdict(self, endpoint: Endpoint) -> tuple[Verdict, str]:
-        """Returns what operators are told of an endpoint: the verdict and its reason."""
-        record, dispatcher = self.weighed_record(endpoint.id), self.dispatcher
+        """Returns the verdict on an endpoint and the reason for it, for operators."""
+        record, dispatcher = self.decayed_record(endpoint.id), self.dispatcher
         samples = record.describe()
         if endpoint.excluded:
             left_s = max(0, record.ejected_until_us - dispatcher.now_us) / SECOND_US
@@ -293,5 +300,5 @@
         if dispatcher.slow_start.is_active(endpoint):
             verdict = Verdict.SUSPECT if endpoint.recovering_since_us < 0 else Verdict.ON_TRIAL
             return verdict, f"{samples}; cold after an outage"
-        is_outlier = self.is_outlier(endpoint, self._serving(endpoint.destination))
+        is_outlier = self.is_outlier(endpoint, self._serving_endpoints(endpoint.destination))
         return (Verdict.SUSPECT if is_outlier else Verdict.HEALTHY), samples
--- a/forwarder/decisions/quota_pacing.py
+++ b/forwarder/decisions/quota_pacing.py
@@ -1,4 +1,4 @@
-"""This forwarder's part of the rate limits that all forwarders share, and the pace of its calls."""
+"""Adapts this forwarder's share of the rate limits common to all forwarders, and paces its calls by it."""
 
 from __future__ import annotations
 
@@ -12,46 +12,47 @@
 from forwarder.units import SECOND_US
 
 QUOTA_DECREASE_FACTOR = 0.85
-"""Applied to our share of a limit by a rejection above it."""
+"""Multiplies our share of a limit on a rejection."""
 
 MIN_QUOTA_OF_EVEN_SHARE = 0.4
-"""Least share of a limit, in even shares."""
+"""Smallest share of a limit, as a fraction of an even share."""
 
 QUOTA_INCREASE = 0.03
-"""Added to our share in a small fleet by a success with much of the limit left."""
+"""Added to our share on a success in a small fleet while more than AMPLE_LIMIT_LEFT is left."""
 
 AMPLE_LIMIT_LEFT = 0.4
-"""Share of a limit left that counts as much."""
+"""Remaining fraction of a limit above which it counts as not exhausted."""
 
 TARGET_LIMIT_LEFT = 0.5
-"""Share of a limit that the forwarders of a large fleet aim to leave: the mean where the limit is just used up."""
+"""Remaining fraction of a limit that a large fleet aims for: the mean while the limit is just used up."""
 
 QUOTA_GROWTH_PER_S = 2.0
-"""Growth of the logarithm of our share in a second, for each unit of the limit left above the target."""
+"""Growth per second of the logarithm of our share, per unit of the remaining fraction above the target."""
 
 SPARE_LIMIT_SPEEDUP = 2.0
-"""Logarithm of the factor by which a large fleet calls faster, for each unit of the limit left above the target."""
+"""Logarithm of the speedup of calls in a large fleet, per unit of the remaining fraction above the target."""
 
 MAX_BURST_US = 700_000
-"""Time in which unused calls add up."""
+"""Time over which unused calls accumulate."""
 
 MIN_RATE_PER_S = 1e-9
-"""Avoids a division by zero."""
+"""Lower bound of the call rate, which avoids a division by zero."""
 
 
 class QuotaPacing:
-    """Adapts the share of each limit by load reports, successes and rejections, and paces the calls by it."""
+    """Adapts our share of each limit to load reports, successes and rejections, and paces calls by it."""
 
     def __init__(self, context: RoundContext, held: HeldMessages) -> None:
         self.context = context
         self.held = held
 
     def apply_load_report(self, scope: LimitScope, report: LoadReport) -> None:
-        """Follows a report of a limit.
+        """Applies a reported limit.
 
-        In a large fleet the share follows what the limit has left: all forwarders use it up together, and all are
-        told the same. It changes with time, not with the number of reports, so that many forwarders with few calls
-        adapt as fast as few with many. It grows only while messages are held, since else it is not used up.
+        In a large fleet the share follows the remaining fraction of the limit, because all forwarders use the limit
+        together and receive the same reports. The share changes with time and not with the number of reports, so that
+        many forwarders with few calls adapt as fast as few forwarders with many calls. It grows only while messages
+        are held, because otherwise it is not used up.
         """
         context = self.context
         scope.limit_per_s = report.limit_per_s
@@ -68,26 +69,26 @@
     def call_interval_us(self, scope: LimitScope) -> float:
         """Returns the time in microseconds between our calls at our share of the limit; 0 without a limit.
 
-        Of a large fleet most forwarders hold nothing for a scope at most times: while much of the limit is left, those
-        that do call faster.
+        In a large fleet, most forwarders hold no message for a given scope at any time. While much of the limit is
+        left, those that hold messages call faster.
         """
         if not scope.limit_per_s:
             return 0.0
-        spare = max(0.0, scope.limit_left - TARGET_LIMIT_LEFT) if self.context.is_large_fleet else 0.0
-        rate_per_s = scope.quota_share * scope.limit_per_s * math.exp(SPARE_LIMIT_SPEEDUP * spare)
+        spare_limit = max(0.0, scope.limit_left - TARGET_LIMIT_LEFT) if self.context.is_large_fleet else 0.0
+        rate_per_s = scope.quota_share * scope.limit_per_s * math.exp(SPARE_LIMIT_SPEEDUP * spare_limit)
         return SECOND_US / max(rate_per_s, MIN_RATE_PER_S)
 
     def reserve_call(self, scope: LimitScope, max_interval_us: float) -> None:
-        """Takes a call out of our share; puts the next one off by the maximum at most."""
+        """Takes a call from our share, and delays the next one by at most `max_interval_us`."""
         interval_us = min(max_interval_us, self.call_interval_us(scope))
         scope.next_call_at_us = take_token(self.context.now_us, scope.next_call_at_us, interval_us, MAX_BURST_US)
 
     def increase_share(self, scope: LimitScope) -> None:
-        """Increases our share after a success, in a small fleet and while much of the limit is left."""
+        """Increases our share after a success, if the fleet is small and much of the limit is left."""
         if not self.context.is_large_fleet and scope.limit_left > AMPLE_LIMIT_LEFT:
             scope.quota_share = min(1.0, scope.quota_share + QUOTA_INCREASE)
 
     def decrease_share(self, scope: LimitScope) -> None:
         """Decreases our share after a rejection."""
-        least = MIN_QUOTA_OF_EVEN_SHARE / self.context.fleet_size
-        scope.quota_share = max(least, scope.quota_share * QUOTA_DECREASE_FACTOR)
+        min_share = MIN_QUOTA_OF_EVEN_SHARE / self.context.fleet_size
+        scope.quota_share = max(min_share, scope.quota_share * QUOTA_DECREASE_FACTOR)
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -1,11 +1,11 @@
-"""Which endpoint a stream goes to, or that it is rejected. Pure; joins the dispatcher.
+"""Routes streams to endpoints or rejects them. Extends the dispatcher, and does no I/O.
 
-A stream is one HTTP exchange that passes through while it arrives. It counts as a call in all that the dispatcher
-keeps: slots, concurrency windows, Retry-After, backoff, quotas, slow start, disabled and draining endpoints.
+A stream is an HTTP exchange that is passed on while it arrives. The dispatcher treats it as a call in every respect:
+slots, concurrency windows, Retry-After, backoff, quotas, slow start, disabled and draining endpoints.
 
-Messages go first: streams hold their share of the slots at most, begin only where no message is held for the
-destination, and leave at each destination a slot to messages. They are not held: one that cannot go now is rejected
-with a Retry-After.
+Messages take precedence: streams use at most their share of the slots, start only if no message is held for the
+destination, and leave one slot of each destination to messages. Streams are not held: a stream that cannot start now is
+rejected with a Retry-After.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from forwarder.decisions.records import Call, Endpoint
 from forwarder.units import NEVER_US, SECOND_US
 
-MAX_PACE_US = SECOND_US
-"""One stream puts off the next call under this forwarder's quota by no more."""
+MAX_PACING_DELAY_US = SECOND_US
+"""Longest time by which a stream delays the next call under this forwarder's quota."""
 RETRY_AFTER_JITTER = (1.0, 1.5)
-"""Factors of a Retry-After: many streams may be rejected at once."""
+"""Range of the random factor applied to a Retry-After, because many streams may be rejected at once."""
 
 
 # Events
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamRequested(ExtensionEvent):
-    """A client asks for a stream, or one has failed at an endpoint and may go to another."""
+    """A client requests a stream, or a stream has failed at one endpoint and may go to another."""
 
     stream: int
     destination: int
     avoid_endpoint: int = -1
-    """The endpoint that it was sent to before."""
+    """Endpoint of the previous attempt; -1 if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamAttemptEnded(ExtensionEvent):
-    """What a stream's endpoint has shown: by the head of its answer, or by failing."""
+    """The attempt of a stream has an outcome: the endpoint sent the head of its response, or failed."""
 
     stream: int
     outcome: Outcome
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEnded(ExtensionEvent):
-    """A stream holds its slot no longer."""
+    """A stream has ended and releases its slot."""
 
     stream: int
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteStream(ExtensionAction):
-    """A stream goes to an endpoint."""
+    """Sends a stream to an endpoint."""
 
     stream: int
     endpoint: int
@@ -70,33 +70,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectStream(ExtensionAction):
-    """A stream is rejected: no endpoint has capacity for it."""
+    """Rejects a stream for which no endpoint has capacity."""
 
     stream: int
     retry_after_us: int
 
 
 def max_streams(slots: int, share: float) -> int:
-    """Returns how many streams hold slots at once; 0 where the slots do not suffice for messages and streams."""
+    """Returns how many streams may use slots; 0 if there are too few slots for both messages and streams."""
     return int(share * slots) if int(MAX_DESTINATION_SLOT_SHARE * slots) > 1 else 0
 
 
 class StreamRouter:
-    """Decides for streams, after the messages of a round."""
+    """Routes or rejects streams, after the messages of a round are released."""
 
     def __init__(self, dispatcher: Dispatcher, share: float) -> None:
-        """`share`: the part of the slots that streams may hold."""
+        """`share` is the fraction of the slots that streams may use."""
         self.dispatcher = dispatcher
         self.share = share
         self.requested: dict[int, StreamRequested] = {}
-        """Requests that are decided on at the end of the round, by stream."""
+        """Requests to decide at the end of the round, by stream."""
         self.calls: dict[int, Call] = {}
-        """Streams in progress, each as a call of the dispatcher's."""
+        """Calls of the streams in progress, by stream."""
         self.last_used_us: dict[int, int] = {}
-        """When a destination last had a stream."""
+        """When a stream of a destination last started or ended, by destination."""
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Takes in what has become of streams."""
+        """Applies an event of a stream."""
         match event:
             case StreamRequested(stream):
                 self.end_stream(stream)
@@ -108,13 +108,13 @@
                 self.end_stream(stream)
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
-        """Nothing: what streams depend on, the dispatcher has learned."""
+        """Does nothing: the dispatcher has learned all that streams depend on."""
 
     def before_release(self) -> None:
-        """Nothing: streams come after the messages."""
+        """Does nothing: streams are routed after the release of messages."""
 
     def end_stream(self, stream: int) -> None:
-        """Frees the slot of a stream, if it has one."""
+        """Releases the slot of a stream, if it has one."""
         call = self.calls.pop(stream, None)
         if call is not None:
             self.last_used_us[call.endpoint.destination] = self.dispatcher.now_us
@@ -122,7 +122,10 @@
             self.dispatcher.calls.end(call)
 
     def learn_from_stream(self, call: Call, ended: StreamAttemptEnded) -> None:
-        """Learns as from a call of messages, but for its duration: a stream's length tells nothing of the next."""
+        """Learns from a stream as from a call with messages, except from its duration.
+
+        The duration of a stream says nothing about that of the next call.
+        """
         dispatcher, scope = self.dispatcher, call.endpoint.limit_scope
         if ended.report is not None:
             dispatcher.pacing.apply_load_report(scope, ended.report)
@@ -132,31 +135,28 @@
         dispatcher.backoff.apply_retry_after(scope, ended.retry_after_us)
 
     def after_release(self) -> None:
-        """Routes or rejects each stream that was requested in the round."""
+        """Routes or rejects each stream requested in the round."""
         requested, self.requested = self.requested, {}
         for request in requested.values():
-            self._decide(request)
+            self._route_or_reject(request)
         destinations = self.dispatcher.endpoints_by_destination
-        if len(self.last_used_us) > len(destinations):  # some have left the list
+        if len(self.last_used_us) > len(destinations):  # some are no longer listed
             self.last_used_us = {
                 destination: at_us for destination, at_us in self.last_used_us.items() if destination in destinations
             }
 
-    def _decide(self, request: StreamRequested) -> None:
+    def _route_or_reject(self, request: StreamRequested) -> None:
         dispatcher = self.dispatcher
         endpoints = dispatcher.endpoints_by_destination.get(request.destination, [])
         openings_us = {endpoint.id: self.endpoint_opening(endpoint) for endpoint in endpoints}
-        free = [endpoint for endpoint in endpoints if openings_us[endpoint.id] <= dispatcher.now_us]
-        if free:
-            self.start_stream(request, min(free, key=lambda endpoint: self.preference(request, endpoint)))
+        available = [endpoint for endpoint in endpoints if openings_us[endpoint.id] <= dispatcher.now_us]
+        if available:
+            self.start_stream(request, min(available, key=lambda endpoint: self.preference(request, endpoint)))
         else:
             dispatcher.actions.append(RejectStream(request.stream, self.retry_after_us(openings_us)))
 
     def endpoint_opening(self, endpoint: Endpoint) -> int:
-        """Returns when one more stream may go to an endpoint, in microseconds.
-
-        NEVER_US while only an event can let it.
-        """
+        """Returns when an endpoint takes one more stream, in microseconds; NEVER_US if this depends on an event."""
         dispatcher, scope = self.dispatcher, endpoint.limit_scope
         slots = dispatcher.settings.slots
         siblings = dispatcher.endpoints_by_destination[endpoint.destination]
@@ -173,9 +173,10 @@
         return opening_us
 
     def preference(self, request: StreamRequested, endpoint: Endpoint) -> tuple[float, ...]:
-        """Returns the rank of an endpoint that is free; the least is chosen.
+        """Returns the sort key of an available endpoint; the smallest is chosen.
 
-        A healthy one goes first, then another than before, a cheap one, one with few errors, an idle one.
+        In order of precedence: not ejected, not the previous endpoint, low zone fee, low error rate, few calls in
+        flight.
         """
         settings = self.dispatcher.settings
         zone_fee = settings.zone_fees.get(endpoint.zone, 0.0) if endpoint.separate_route else 0.0
@@ -189,20 +190,20 @@
         )
 
     def start_stream(self, request: StreamRequested, endpoint: Endpoint) -> None:
-        """Routes a stream to an endpoint, and takes a slot for it."""
+        """Routes a stream to an endpoint and takes a slot for it."""
         dispatcher, scope = self.dispatcher, endpoint.limit_scope
         if not scope.streams_in_flight:
             last_used_us = self.last_used_us.get(endpoint.destination, -1)
             dispatcher.limits.reset_if_unused(scope, max(scope.learned_at_us, last_used_us))
-        self.calls[request.stream] = dispatcher.calls.start(endpoint, MAX_PACE_US)
+        self.calls[request.stream] = dispatcher.calls.start(endpoint, MAX_PACING_DELAY_US)
         self.last_used_us[endpoint.destination] = dispatcher.now_us
         scope.streams_in_flight += 1
         dispatcher.actions.append(RouteStream(request.stream, endpoint.id))
 
     def retry_after_us(self, openings_us: dict[int, int]) -> int:
-        """Returns when a rejected client may come back: as soon as an endpoint opens, where that is known."""
+        """Returns the Retry-After of a rejected stream: the time until an endpoint takes one, if that is known."""
         dispatcher = self.dispatcher
         known_us = [opening_us for opening_us in openings_us.values() if opening_us < NEVER_US]
-        soonest_us = min(known_us, default=dispatcher.now_us) - dispatcher.now_us
-        wait_us = max(MIN_RETRY_AFTER_US, soonest_us) * dispatcher.random.uniform(*RETRY_AFTER_JITTER)
+        earliest_us = min(known_us, default=dispatcher.now_us) - dispatcher.now_us
+        wait_us = max(MIN_RETRY_AFTER_US, earliest_us) * dispatcher.random.uniform(*RETRY_AFTER_JITTER)
         return int(min(wait_us, dispatcher.settings.max_retry_after_us or wait_us))
