--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -133,7 +133,7 @@
             return 0.0
         return min(1.0, len(self.view.alive | self._trusted_left(now_us)) / self.max_members)
 
-    def next_at(self, now_us: int) -> int:
+    def next_change_at_us(self, now_us: int) -> int:
         """Returns when the divisor may next change without a new view."""
         times_us = [
             self.leased_until,
--- a/forwarder/membership/status.py
+++ b/forwarder/membership/status.py
@@ -100,7 +100,7 @@
     divisor = quota.divisor(now_us)
     pending = ""
     if quota.absent_since_us or now_us - quota.quorum_since_us < quota.settle_us:
-        left_s = (quota.next_at(now_us) - now_us) / SECOND_US
+        left_s = (quota.next_change_at_us(now_us) - now_us) / SECOND_US
         pending = f"; {len(quota.absent_since_us)} not there, shares may change in {left_s:.1f} s"
     held_back = ""
     if divisor > quota.forwarders:
--- a/tests/decisions/test_fleet_quota.py
+++ b/tests/decisions/test_fleet_quota.py
@@ -197,7 +197,7 @@
     for second in range(70):
         shares.update(second * S, seen(10 if second < 40 else 8))
     assert shares.divisor(69 * S) == 10.0
-    assert shares.next_at(69 * S) == 70 * S
+    assert shares.next_change_at_us(69 * S) == 70 * S
     shares.update(70 * S, seen(8))
     assert shares.divisor(70 * S) == pytest.approx(10 / (1 + 1 / 8))
     shares.update(71 * S, seen(10))
