--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -98,7 +98,7 @@
         alive = len(self.view.alive)
         return self.view.stale or (2 * alive <= self.max_members > alive + len(self._trusted_left(now_us)))
 
-    def mode(self, now_us: int) -> QuorumState:
+    def quorum_state(self, now_us: int) -> QuorumState:
         """Returns how certain this forwarder is of which forwarders are up."""
         if self.view.stale or len(self.view.alive) <= 1 < self.max_members - len(self._trusted_left(now_us)):
             return QuorumState.ALONE
--- a/forwarder/membership/status.py
+++ b/forwarder/membership/status.py
@@ -108,6 +108,6 @@
     if divisor == quota.max_members and not quota.is_proven(now_us):  # nobody can have taken it yet
         held_back += f"; its share is its own for {(quota.leased_until - now_us) / SECOND_US:.1f} s more"
     return (
-        f"{quota.mode(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
+        f"{quota.quorum_state(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
         f"confidence {quota.confidence(now_us):.2f}{held_back}{pending}"
     )
--- a/tests/decisions/test_fleet_quota.py
+++ b/tests/decisions/test_fleet_quota.py
@@ -187,7 +187,7 @@
     for second in range(after_s + 1):
         shares.update(second * S, view)
     now = after_s * S
-    assert (shares.divisor(now), shares.mode(now)) == (pytest.approx(size), mode)
+    assert (shares.divisor(now), shares.quorum_state(now)) == (pytest.approx(size), mode)
     assert mode.value in describe_quota(shares, now)
     assert 0 <= shares.confidence(now) <= 1
 
