--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -48,7 +48,7 @@
         believe_us: how long the announcement of a forwarder that it leaves is trusted.
         detect_us: longest time that a network partition or a failure goes undetected.
         notify_us: time in which all reachable forwarders learn of a change.
-        leased_until: when others may start to use this forwarder's base share; initially the value of its last run.
+        leased_until_us: when others may start to use this forwarder's base share; initially the value of its last run.
         view: the latest view.
         known: names of all forwarders that were ever alive.
         absent_since_us: since when each absent forwarder has been failed or left without interruption.
@@ -60,7 +60,7 @@
     believe_us: int
     detect_us: int
     notify_us: int
-    leased_until: int = 0
+    leased_until_us: int = 0
     view: FleetView = field(default_factory=lambda: FleetView(frozenset(), stale=True))
     known: set[str] = field(default_factory=set)
     absent_since_us: dict[str, int] = field(default_factory=dict)
@@ -84,9 +84,9 @@
         elif self.quorum_since_us < 0:
             self.quorum_since_us = now_us
         if self.is_proven(now_us):
-            self.leased_until = now_us + self.settle_us - self.detect_us
+            self.leased_until_us = now_us + self.settle_us - self.detect_us
         elif view.has_rival:
-            self.leased_until = 0
+            self.leased_until_us = 0
 
     def _trusted_left(self, now_us: int) -> frozenset[str]:
         """Returns the forwarders whose announcement that they left is still trusted."""
@@ -116,7 +116,7 @@
         """Returns the number to divide by: the inverse of this forwarder's share."""
         if self.max_members <= 1:
             return 1.0
-        if now_us >= self.leased_until:
+        if now_us >= self.leased_until_us:
             return NO_LEASE_FACTOR * self.max_members
         if self._is_cut_off(now_us) or not 0 <= self.quorum_since_us <= now_us - self.settle_us:
             return float(self.max_members)
@@ -136,7 +136,7 @@
     def next_change_at_us(self, now_us: int) -> int:
         """Returns when the divisor may next change without a new view."""
         times_us = [
-            self.leased_until,
+            self.leased_until_us,
             self.quorum_since_us + self.settle_us,
             self.quorum_since_us + self.detect_us + self.notify_us,
         ]
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -86,7 +86,7 @@
             settings.believe_us,
             settings.detect_us,
             settings.notify_us,
-            leased_until=self._lease.read_end_us(settings.settle_us - settings.detect_us),
+            leased_until_us=self._lease.read_end_us(settings.settle_us - settings.detect_us),
         )
         if settings.gossip_enabled:
             self.gossip = GossipBridge(host, self.quota, settings.notify_us, settings.query_us)
@@ -220,7 +220,7 @@
     def apply_actions(self, actions: Iterable[Action]) -> None:
         """Keeps the lease, and tells the others what a round has observed."""
         if self.quota is not None and self._lease is not None:
-            self._lease.renew(self.quota.leased_until)
+            self._lease.renew(self.quota.leased_until_us)
         if self.gossip is not None and self.protocol is not None:
             self.gossip.apply_actions(self.now_us(), actions)
             if self.protocol.state.outbox:
--- a/tests/decisions/test_fleet_quota.py
+++ b/tests/decisions/test_fleet_quota.py
@@ -18,8 +18,8 @@
 SETTLE, BELIEVE, DETECT, TOLD = 30 * S, 90 * S, 9 * S, 9 * S
 
 
-def shares_of(size: int, leased_until: int = 0, settle: int = SETTLE, detect: int = DETECT) -> FleetQuota:
-    return FleetQuota(size, settle, BELIEVE, detect, TOLD if detect else 0, leased_until)
+def shares_of(size: int, leased_until_us: int = 0, settle: int = SETTLE, detect: int = DETECT) -> FleetQuota:
+    return FleetQuota(size, settle, BELIEVE, detect, TOLD if detect else 0, leased_until_us)
 
 
 class Model:
@@ -52,7 +52,7 @@
             for other in self.shares:
                 if self.part[other] == self.part[name]:
                     self.heard_left[other].add(name)
-        self.leases[name] = self.shares[name].leased_until
+        self.leases[name] = self.shares[name].leased_until_us
         del self.shares[name]
         self.change(name)
 
@@ -208,7 +208,7 @@
     shares = shares_of(10)
     for second in range(41):
         shares.update(second * S, seen(10))
-    assert shares.leased_until == 61 * S
+    assert shares.leased_until_us == 61 * S
     shares.update(41 * S, seen(3))
     assert (shares.divisor(60 * S), shares.divisor(61 * S)) == (10.0, 20.0)
     assert "its share is its own for 5.0 s more" in describe_quota(shares, 56 * S)
