--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -83,7 +83,7 @@
             self.quorum_since_us = NO_QUORUM
         elif self.quorum_since_us < 0:
             self.quorum_since_us = now_us
-        if self.is_proven(now_us):
+        if self.is_proven_alive(now_us):
             self.leased_until_us = now_us + self.settle_us - self.detect_us
         elif view.has_rival:
             self.leased_until_us = 0
@@ -107,7 +107,7 @@
         known_state_count = len(self.view.alive | self._trusted_left(now_us))
         return QuorumState.AGREED if known_state_count >= self.max_members else QuorumState.UNSURE
 
-    def is_proven(self, now_us: int) -> bool:
+    def is_proven_alive(self, now_us: int) -> bool:
         """Returns whether all forwarders that could use this one's base share know that it is alive."""
         latest_start_us = now_us - self.detect_us - self.notify_us
         return not self._is_cut_off(now_us) and 0 <= self.quorum_since_us <= latest_start_us
--- a/forwarder/decisions/gossip_extension.py
+++ b/forwarder/decisions/gossip_extension.py
@@ -168,9 +168,9 @@
         if announced != slow_start_slots.holding_since_us.keys():
             dispatcher.actions.append(AnnounceHolding(frozenset(slow_start_slots.holding_since_us)))
         max_members = self.quota.max_members
-        is_proven = self.quota.is_proven(now_us)
+        is_proven_alive = self.quota.is_proven_alive(now_us)
         for endpoint in in_slow_start:
-            if is_proven:
+            if is_proven_alive:
                 endpoint.slow_start_divisor = 1 / slow_start_slots.share(now_us, endpoint.id, max_members, self.gossip)
             else:
                 endpoint.slow_start_divisor = UNPROVEN_FACTOR * max_members
