--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -153,7 +153,7 @@
     """Call records by endpoint."""
     destinations_with_outcomes: set[int] = field(default_factory=set)
     """Destinations whose calls had an outcome in this round."""
-    doubted_since_us: dict[int, int] = field(default_factory=dict)
+    ejections_suspended_since_us: dict[int, int] = field(default_factory=dict)
     """Since when too many endpoints of a destination look bad to eject any, by destination."""
     next_round_us: int = -1
     """When the next round is due at the latest; -1 before the first round."""
@@ -207,7 +207,7 @@
         if len(outliers) > max_ejected:
             self._suspend_ejections(destination, endpoints, outliers)
             return
-        self.doubted_since_us.pop(destination, None)
+        self.ejections_suspended_since_us.pop(destination, None)
         for endpoint in endpoints:
             if endpoint in outliers and not endpoint.excluded:
                 self.eject(endpoint)
@@ -230,10 +230,10 @@
     def _suspend_ejections(self, destination: int, endpoints: list[Endpoint], outliers: list[Endpoint]) -> None:
         """Readmits all ejected endpoints of a destination, because too many of its endpoints look bad."""
         dispatcher = self.dispatcher
-        if destination not in self.doubted_since_us and len(endpoints) > 1:
+        if destination not in self.ejections_suspended_since_us and len(endpoints) > 1:
             text = f"{len(outliers)} of {len(endpoints)} endpoints of destination {destination} look bad"
             dispatcher.actions.append(LogLine(f"health: {text}; all stay in use"))
-        self.doubted_since_us.setdefault(destination, dispatcher.now_us)
+        self.ejections_suspended_since_us.setdefault(destination, dispatcher.now_us)
         for endpoint in outliers:
             if endpoint.excluded:
                 self.readmit(endpoint.id, self.records[endpoint.id])
--- a/forwarder/health/extension.py
+++ b/forwarder/health/extension.py
@@ -88,5 +88,5 @@
         counts = ", ".join(f"{count} {verdict}" for verdict, count in sorted(verdicts.items()))
         return (
             f"{counts or 'no endpoints'}; {self._detector.ejection_count} ejections; "
-            f"{len(self._detector.doubted_since_us)} destinations in doubt"
+            f"{len(self._detector.ejections_suspended_since_us)} destinations in doubt"
         )
