--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -26,7 +26,7 @@
 )
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.outlier_detection import OutlierDetector
-from tests.decisions.test_outlier_detection import LIMITS
+from tests.decisions.test_outlier_detection import OUTLIER_SETTINGS
 from tests.scripts import MS, S, ask, settings
 
 PAIRS = 9
@@ -61,7 +61,7 @@
         self.outcome_of = outcome_of
         self.messages_per_s = messages_per_s
         self.dispatcher = Dispatcher(settings(slots=8, forwarders=1, slow_start_us=10 * S), seed, 0)
-        self.detector = OutlierDetector(self.dispatcher, LIMITS)
+        self.detector = OutlierDetector(self.dispatcher, OUTLIER_SETTINGS)
         if detects:
             self.dispatcher.extensions.append(self.detector)
         entries = tuple(EndpointEntry(number, DESTINATION, "north", "plain") for number in range(1, endpoints + 1))
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -21,7 +21,7 @@
 from tests.scripts import MS, S, ask, end, sends, settings
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request
 
-LIMITS = OutlierSettings(
+OUTLIER_SETTINGS = OutlierSettings(
     half_life_us=10 * S,
     min_samples=5,
     consecutive_failures=5,
@@ -38,7 +38,7 @@
 class Fleet:
     """A dispatcher with health and one destination, driven by messages that end as a test says."""
 
-    def __init__(self, endpoints: int, limits: OutlierSettings = LIMITS, seed: int = 3) -> None:
+    def __init__(self, endpoints: int, limits: OutlierSettings = OUTLIER_SETTINGS, seed: int = 3) -> None:
         self.d = Dispatcher(settings(slots=8, forwarders=1, max_attempts=50), seed, 0)
         self.health = OutlierDetector(self.d, limits)
         self.d.extensions.append(self.health)
@@ -126,7 +126,7 @@
 
 
 def test_the_last_endpoint_is_never_ejected_whatever_the_share() -> None:
-    limits = replace(LIMITS, max_ejected_share=1.0)
+    limits = replace(OUTLIER_SETTINGS, max_ejected_share=1.0)
     for endpoints in (1, 2, 3):
         fleet = Fleet(endpoints, limits).run(30, failing(*range(1, endpoints + 1)))
         assert fleet.most_out < endpoints
