--- a/tests/decisions/test_concurrency_window.py
+++ b/tests/decisions/test_concurrency_window.py
@@ -18,53 +18,53 @@
 from tests.scripts import MS, S, ask, end, sends, settings, started
 
 
-def test_window_starts_at_one_and_grows_by_each_success() -> None:
+def test_the_window_starts_at_one_and_grows_with_each_success() -> None:
     dispatcher = started(ONE_ENDPOINT)
     batch = [ask(f"m{n}") for n in range(9)]
-    out = sends(dispatcher.handle(0, batch))
-    assert len(out) == 1
-    out = sends(dispatcher.handle(100 * MS, [end(out[0], Outcome.DELIVERED)]))
-    assert len(out) == 2
+    in_flight = sends(dispatcher.handle(0, batch))
+    assert len(in_flight) == 1
+    in_flight = sends(dispatcher.handle(100 * MS, [end(in_flight[0], Outcome.DELIVERED)]))
+    assert len(in_flight) == 2
 
 
-def test_window_is_halved_by_a_rejection_and_a_destination_never_takes_all_slots() -> None:
+def test_a_rejection_halves_the_window_and_a_destination_never_uses_all_slots() -> None:
     dispatcher = started(ONE_ENDPOINT)
-    out = sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(60)]))
-    most = 0
-    now = 0
-    while len(out) < 6 and now < 3 * S:
-        now += 100 * MS
-        out = out[1:] + sends(dispatcher.handle(now, [end(out[0], Outcome.DELIVERED)]))
-        most = max(most, len(out))
-    assert most == 6  # three quarters of eight
-    dispatcher.handle(now + MS, [end(out[0], Outcome.REJECTED)])
-    kept = sends(dispatcher.handle(now + 2 * S, [end(o, Outcome.DELIVERED) for o in out[1:]]))
-    assert len(kept) <= 6
+    in_flight = sends(dispatcher.handle(0, [ask(f"m{n}") for n in range(60)]))
+    max_in_flight = 0
+    now_us = 0
+    while len(in_flight) < 6 and now_us < 3 * S:
+        now_us += 100 * MS
+        in_flight = in_flight[1:] + sends(dispatcher.handle(now_us, [end(in_flight[0], Outcome.DELIVERED)]))
+        max_in_flight = max(max_in_flight, len(in_flight))
+    assert max_in_flight == 6  # three quarters of eight
+    dispatcher.handle(now_us + MS, [end(in_flight[0], Outcome.REJECTED)])
+    sent_after_rejection = sends(dispatcher.handle(now_us + 2 * S, [end(o, Outcome.DELIVERED) for o in in_flight[1:]]))
+    assert len(sent_after_rejection) <= 6
 
 
 def test_separate_routes_together_leave_a_quarter_of_the_slots() -> None:
-    """Each route has a window of its own; together they must leave slots to other destinations."""
+    """Each route has its own window, but together they must leave slots to other destinations."""
     dispatcher = Dispatcher(settings(), 1, 0)
     dispatcher.handle(
         0,
         [EndpointListReceived(EndpointListKind.SAVED, tuple(EndpointEntry(n, 12, "north", "ways") for n in range(4)))],
     )
-    out = sends(dispatcher.handle(0, [ask(f"m{n}", 12, due=60 * S) for n in range(90)]))
-    most = now = 0
-    while now < 2 * S:
-        now += 100 * MS
-        out = out[1:] + sends(dispatcher.handle(now, [end(out[0], Outcome.DELIVERED)]))
-        most = max(most, len(out))
-    assert most == 6  # three quarters of eight
+    in_flight = sends(dispatcher.handle(0, [ask(f"m{n}", 12, due=60 * S) for n in range(90)]))
+    max_in_flight = now_us = 0
+    while now_us < 2 * S:
+        now_us += 100 * MS
+        in_flight = in_flight[1:] + sends(dispatcher.handle(now_us, [end(in_flight[0], Outcome.DELIVERED)]))
+        max_in_flight = max(max_in_flight, len(in_flight))
+    assert max_in_flight == 6  # three quarters of eight
 
 
-def limits_of(context: RoundContext) -> ConcurrencyLimits:
+def make_limits(context: RoundContext) -> ConcurrencyLimits:
     table = make_endpoint_table(context)
     return ConcurrencyLimits(context, table, SlowStart(context, table))
 
 
-def test_the_limit_that_is_reached_is_named() -> None:
-    limits = limits_of(make_context(slots=8))
+def test_the_hold_reason_names_the_limit_that_is_reached() -> None:
+    limits = make_limits(make_context(slots=8))
     endpoint = limits.endpoint_table.endpoints[1]
     scope = endpoint.limit_scope
 
@@ -80,8 +80,8 @@
     assert limits.hold_reason(endpoint) is HoldReason.SLOTS
 
 
-def test_streams_never_hold_messages_back() -> None:
-    limits = limits_of(make_context(slots=8))
+def test_streams_that_fill_the_window_do_not_block_messages() -> None:
+    limits = make_limits(make_context(slots=8))
     endpoint = limits.endpoint_table.endpoints[1]
     endpoint.limit_scope.in_flight = 3
     endpoint.limit_scope.streams_in_flight = 3
@@ -90,7 +90,7 @@
 
 
 def test_the_window_is_halved_to_one_and_grows_to_its_cap() -> None:
-    limits = limits_of(make_context(slots=8))
+    limits = make_limits(make_context(slots=8))
     scope = limits.endpoint_table.endpoints[1].limit_scope
     for _ in range(10):
         limits.grow(scope)
@@ -101,8 +101,8 @@
     assert scope.concurrency_window == 1.0
 
 
-def test_a_window_that_was_not_used_for_long_is_opened_anew() -> None:
-    limits = limits_of(make_context(now_us=FORGET_WINDOW_US + 1))
+def test_a_window_is_reset_after_a_long_time_without_calls() -> None:
+    limits = make_limits(make_context(now_us=FORGET_WINDOW_US + 1))
     scope = limits.endpoint_table.endpoints[1].limit_scope
     scope.concurrency_window = 4.0
 
--- a/tests/decisions/test_expected_call.py
+++ b/tests/decisions/test_expected_call.py
@@ -20,34 +20,34 @@
 
 
 def test_a_round_computes_each_expected_call_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With many messages held, those that are alike share the computation."""
+    """Guards the cost of a round with many held messages: messages with the same estimate share the computation."""
     entries = tuple(EndpointEntry(n, n // 2, "north", "plain") for n in range(26))
     dispatcher = Dispatcher(settings(slots=9), 1, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
-    out = sends(dispatcher.handle(0, [ask(f"m{n}", n % 13, due=60 * S) for n in range(700)]))
-    observed: list[str] = []
+    in_flight = sends(dispatcher.handle(0, [ask(f"m{n}", n % 13, due=60 * S) for n in range(700)]))
+    function_calls: list[str] = []
 
-    def counted(owner: object, name: str) -> None:
-        plain = getattr(owner, name)
+    def count_calls(owner: object, name: str) -> None:
+        original = getattr(owner, name)
 
-        def count(*args: object) -> object:
-            observed.append(name)
-            return plain(*args)
+        def record_call(*args: object) -> object:
+            function_calls.append(name)
+            return original(*args)
 
-        monkeypatch.setattr(owner, name, count)
+        monkeypatch.setattr(owner, name, record_call)
 
-    for user in (expected_call, call_learning, release):
-        counted(user, "expected_call_us")
-    counted(EndpointAvailability, "hold_reason")
-    while len(out) < 9:
-        out += sends(dispatcher.handle(MS, [end(out.pop(0), Outcome.DELIVERED)]))
-    observed.clear()
-    assert sends(dispatcher.handle(2 * MS, [end(out[0], Outcome.DELIVERED)]))
-    assert observed.count("expected_call_us") < 60
-    assert observed.count("hold_reason") < 60
+    for module in (expected_call, call_learning, release):
+        count_calls(module, "expected_call_us")
+    count_calls(EndpointAvailability, "hold_reason")
+    while len(in_flight) < 9:
+        in_flight += sends(dispatcher.handle(MS, [end(in_flight.pop(0), Outcome.DELIVERED)]))
+    function_calls.clear()
+    assert sends(dispatcher.handle(2 * MS, [end(in_flight[0], Outcome.DELIVERED)]))
+    assert function_calls.count("expected_call_us") < 60
+    assert function_calls.count("hold_reason") < 60
 
 
-def test_an_expected_call_decays_to_its_initial_value_while_none_is_in_flight() -> None:
+def test_the_expected_call_decays_to_its_initial_value_while_no_call_is_in_flight() -> None:
     message_class = make_message().message_class
     initial_us = initial_call_us(message_class)
     scope = LimitScope(DESTINATION, 1.0, expected_call_us=3 * initial_us, learned_at_us=0)
@@ -58,14 +58,14 @@
     assert expected_call_us(scope, message_class, LEARNING_HALF_LIFE_US) == 3 * initial_us
 
 
-def test_without_an_observed_call_the_initial_value_is_expected() -> None:
+def test_the_expected_call_is_the_initial_value_until_a_call_is_observed() -> None:
     message_class = make_message().message_class
     scope = LimitScope(DESTINATION, 1.0, expected_call_us=1.0, in_flight=1)
 
     assert expected_call_us(scope, message_class, S) == initial_call_us(message_class) == 200 * MS
 
 
-def test_observed_calls_move_the_average_towards_them() -> None:
+def test_the_average_moves_towards_the_observed_calls() -> None:
     scope = LimitScope(DESTINATION, 1.0, expected_call_us=100.0)
     for _ in range(30):
         observe_call(scope, 200)
--- a/tests/decisions/test_learned_state_transfer.py
+++ b/tests/decisions/test_learned_state_transfer.py
@@ -9,7 +9,7 @@
 from tests.scripts import MS, S, ask, end, sends, settings, started
 
 
-def test_a_state_that_is_captured_and_restored_is_the_same() -> None:
+def test_a_restored_state_equals_the_captured_one() -> None:
     before = started(ONE_ENDPOINT)
     [send] = sends(before.handle(0, [ask("a", cls="turns", due=9 * S, key="k", tenant="big")]))
     before.handle(100 * MS, [end(send, Outcome.TIMED_OUT, took=100 * MS)])
@@ -24,7 +24,7 @@
     assert after.calls_in_flight == 1
 
 
-def test_a_call_without_a_known_message_is_not_restored() -> None:
+def test_a_call_is_not_restored_if_its_messages_are_unknown() -> None:
     before = started(ONE_ENDPOINT)
     sends(before.handle(0, [ask("a")]))
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Verdicts of endpoints: the policy alone with seeded evidence, and the real program over sockets."""
+"""Tests of outlier detection: alone with seeded outcomes, and in the whole program over sockets."""
 
 from __future__ import annotations
 
@@ -32,181 +32,204 @@
     retry_us=S,
     trial_calls=3,
 )
-Fate = Callable[[int, int], Outcome]
+OutcomeOf = Callable[[int, int], Outcome]
 
 
-class Fleet:
-    """A dispatcher with health and one destination, driven by messages that end as a test says."""
+class DetectorScript:
+    """Drives a dispatcher with outlier detection and one destination; the test chooses the outcome of each call."""
 
-    def __init__(self, endpoints: int, limits: OutlierSettings = OUTLIER_SETTINGS, seed: int = 3) -> None:
-        self.d = Dispatcher(settings(slots=8, forwarders=1, max_attempts=50), seed, 0)
-        self.health = OutlierDetector(self.d, limits)
-        self.d.extensions.append(self.health)
-        self.d.handle(
+    def __init__(self, endpoints: int, outlier_settings: OutlierSettings = OUTLIER_SETTINGS, seed: int = 3) -> None:
+        self.dispatcher = Dispatcher(settings(slots=8, forwarders=1, max_attempts=50), seed, 0)
+        self.detector = OutlierDetector(self.dispatcher, outlier_settings)
+        self.dispatcher.extensions.append(self.detector)
+        self.dispatcher.handle(
             0,
             [
                 EndpointListReceived(
                     EndpointListKind.SAVED,
-                    tuple(EndpointEntry(n, 10, "north", "plain") for n in range(1, endpoints + 1)),
+                    tuple(EndpointEntry(endpoint_id, 10, "north", "plain") for endpoint_id in range(1, endpoints + 1)),
                 )
             ],
         )
-        self.now, self.number = 0, 0
+        self.now_us, self.message_count = 0, 0
         self.calls: Counter[int] = Counter()
         self.attempts: Counter[str] = Counter()
-        self.owed: list[Event] = []
-        self.notes: list[str] = []
-        self.most_out = 0
-
-    def run(self, seconds: float, fate: Fate, gap: int = 50 * MS) -> Fleet:
-        """A message each gap, and each call's outcome a little later."""
-        until = self.now + int(seconds * S)
-        while self.now < until:
-            self.now += gap
-            self.number += 1
-            arrived = ask(f"m{self.number}", due=self.now + 3 * S)
-            actions = self.d.handle(self.now, [*self.owed, arrived])
-            self.owed = []
-            for s in sends(actions):
-                self.calls[s.endpoint] += 1
-                assert not self.d.endpoints[s.endpoint].excluded
-                self.owed.append(end(s, fate(s.endpoint, self.now), self.attempts[s.message_id], took=MS))
-                self.attempts[s.message_id] += 1
-            self.notes += [a.text for a in actions if isinstance(a, LogLine)]
-            self.most_out = max(self.most_out, sum(t.excluded for t in self.d.endpoints.values()))
+        self.pending_outcomes: list[Event] = []
+        self.log_texts: list[str] = []
+        self.max_excluded = 0
+
+    def run(self, seconds: float, outcome_of: OutcomeOf, interval_us: int = 50 * MS) -> DetectorScript:
+        """Sends a message per interval; the outcome of each call follows one interval later."""
+        until_us = self.now_us + int(seconds * S)
+        while self.now_us < until_us:
+            self.now_us += interval_us
+            self.message_count += 1
+            message = ask(f"m{self.message_count}", due=self.now_us + 3 * S)
+            actions = self.dispatcher.handle(self.now_us, [*self.pending_outcomes, message])
+            self.pending_outcomes = []
+            for send in sends(actions):
+                self.calls[send.endpoint] += 1
+                assert not self.dispatcher.endpoints[send.endpoint].excluded
+                self.pending_outcomes.append(
+                    end(send, outcome_of(send.endpoint, self.now_us), self.attempts[send.message_id], took=MS)
+                )
+                self.attempts[send.message_id] += 1
+            self.log_texts += [a.text for a in actions if isinstance(a, LogLine)]
+            self.max_excluded = max(
+                self.max_excluded, sum(endpoint.excluded for endpoint in self.dispatcher.endpoints.values())
+            )
         return self
 
-    def until_ejected(self, number: int, fate: Fate) -> Fleet:
+    def run_until_ejected(self, endpoint_id: int, outcome_of: OutcomeOf) -> DetectorScript:
         for _ in range(1000):
-            if self.d.endpoints[number].excluded:
+            if self.dispatcher.endpoints[endpoint_id].excluded:
                 return self
-            self.run(0.1, fate)
-        raise AssertionError("never ejected")
+            self.run(0.1, outcome_of)
+        raise AssertionError("endpoint was not ejected")
 
     def verdicts(self) -> list[Verdict]:
-        return [self.health.verdict(t)[0] for _, t in sorted(self.d.endpoints.items())]
+        return [self.detector.verdict(endpoint)[0] for _, endpoint in sorted(self.dispatcher.endpoints.items())]
 
 
-def failing(*numbers: int, outcome: Outcome = Outcome.FAILED) -> Fate:
-    return lambda target, now: outcome if target in numbers else Outcome.DELIVERED
+def failing(*endpoint_ids: int, outcome: Outcome = Outcome.FAILED) -> OutcomeOf:
+    return lambda endpoint, now_us: outcome if endpoint in endpoint_ids else Outcome.DELIVERED
 
 
 @pytest.mark.parametrize("endpoints", [2, 3, 8])
 @pytest.mark.parametrize(
     "outcome", [Outcome.FAILED, Outcome.UNREADABLE, Outcome.RESET, Outcome.TIMED_OUT, Outcome.NO_CONNECTION]
 )
-def test_one_that_fails_is_ejected_and_the_others_are_not(endpoints: int, outcome: Outcome) -> None:
-    fleet = Fleet(endpoints).run(20, failing(2, outcome=outcome))
-    assert fleet.verdicts()[1] in (Verdict.EJECTED, Verdict.ON_TRIAL)
-    assert fleet.health.records[2].ejections
-    assert set(fleet.verdicts()[:1] + fleet.verdicts()[2:]) == {Verdict.HEALTHY}
-    assert fleet.most_out == 1
-    assert fleet.calls[2] <= 12
-    assert fleet.d.slow_start.is_active(fleet.d.endpoints[2])  # what the Dispatcher knows of it is the same
-
-
-def test_a_share_of_failures_is_enough_where_the_others_have_none() -> None:
-    """Half of its calls fail: no two running need to, and the Dispatcher's own sign may not show."""
-    r = random.Random(5)
-    fleet = Fleet(3).run(30, lambda t, now: Outcome.FAILED if t == 2 and r.random() < 0.5 else Outcome.DELIVERED)
-    assert fleet.health.records[2].ejections >= 1
-    assert fleet.health.records[1].ejections == 0
-
-
-def test_of_a_single_endpoint_none_is_ejected_and_of_two_that_both_fail_neither() -> None:
-    alone = Fleet(1).run(10, failing(1))
-    assert alone.most_out == 0
-    assert alone.verdicts() == [Verdict.SUSPECT]
-    both = Fleet(2).run(30, failing(1, 2))
-    assert not any(t.excluded for t in both.d.endpoints.values())
-    assert [n for n in both.notes if "2 of 2 endpoints of destination 10 look bad; all stay in use" in n]
-    one = both.run(30, failing(2))
-    assert one.verdicts()[0] is not Verdict.EJECTED
-    assert one.health.records[2].ejections >= 1
-
-
-def test_the_last_endpoint_is_never_ejected_whatever_the_share() -> None:
-    limits = replace(OUTLIER_SETTINGS, max_ejected_share=1.0)
+def test_a_failing_endpoint_is_ejected_and_the_others_are_not(endpoints: int, outcome: Outcome) -> None:
+    script = DetectorScript(endpoints).run(20, failing(2, outcome=outcome))
+    assert script.verdicts()[1] in (Verdict.EJECTED, Verdict.ON_TRIAL)
+    assert script.detector.records[2].ejections
+    assert set(script.verdicts()[:1] + script.verdicts()[2:]) == {Verdict.HEALTHY}
+    assert script.max_excluded == 1
+    assert script.calls[2] <= 12
+    # The dispatcher considers the endpoint ejected, too.
+    assert script.dispatcher.slow_start.is_active(script.dispatcher.endpoints[2])
+
+
+def test_an_endpoint_with_a_high_failure_rate_is_ejected_if_the_others_do_not_fail() -> None:
+    """Half of its calls fail, not necessarily two in a row, so the dispatcher alone may not eject it."""
+    rng = random.Random(5)
+    script = DetectorScript(3).run(
+        30, lambda endpoint, now_us: Outcome.FAILED if endpoint == 2 and rng.random() < 0.5 else Outcome.DELIVERED
+    )
+    assert script.detector.records[2].ejections >= 1
+    assert script.detector.records[1].ejections == 0
+
+
+def test_a_single_endpoint_is_not_ejected_and_neither_are_two_that_both_fail() -> None:
+    single_endpoint = DetectorScript(1).run(10, failing(1))
+    assert single_endpoint.max_excluded == 0
+    assert single_endpoint.verdicts() == [Verdict.SUSPECT]
+    both_failing = DetectorScript(2).run(30, failing(1, 2))
+    assert not any(endpoint.excluded for endpoint in both_failing.dispatcher.endpoints.values())
+    assert [
+        text
+        for text in both_failing.log_texts
+        if "2 of 2 endpoints of destination 10 look bad; all stay in use" in text
+    ]
+    one_failing = both_failing.run(30, failing(2))
+    assert one_failing.verdicts()[0] is not Verdict.EJECTED
+    assert one_failing.detector.records[2].ejections >= 1
+
+
+def test_the_last_endpoint_is_never_ejected_whatever_the_allowed_share() -> None:
+    outlier_settings = replace(OUTLIER_SETTINGS, max_ejected_share=1.0)
     for endpoints in (1, 2, 3):
-        fleet = Fleet(endpoints, limits).run(30, failing(*range(1, endpoints + 1)))
-        assert fleet.most_out < endpoints
-        assert fleet.d.endpoints_by_destination[10]
+        script = DetectorScript(endpoints, outlier_settings).run(30, failing(*range(1, endpoints + 1)))
+        assert script.max_excluded < endpoints
+        assert script.dispatcher.endpoints_by_destination[10]
 
 
-def test_chance_failures_eject_nobody() -> None:
-    """Two minutes at 20 messages a second with one call in twenty failing by chance, five times over."""
+def test_random_failures_eject_no_endpoint() -> None:
+    """Five seeds of two minutes each, at 20 messages per second of which 5 % fail at random."""
     for seed in range(5):
-        r = random.Random(seed)
-
-        def fate(target: int, now: int, r: random.Random = r) -> Outcome:
-            return Outcome.FAILED if r.random() < 0.05 else Outcome.DELIVERED
-
-        assert Fleet(3, seed=seed).run(120, fate).health.ejection_count == 0
-
-
-def test_refusals_are_no_sickness() -> None:
-    fleet = Fleet(3).run(20, failing(2, outcome=Outcome.REJECTED))
-    assert fleet.most_out == 0
-    assert fleet.health.records[2].failures == 0
-
-
-def test_time_outs_after_a_stall_of_our_own_are_nobodys() -> None:
-    fleet = Fleet(3).run(2, failing())
-    out = sends(fleet.d.handle(fleet.now + 50 * MS, [ask(f"s{n}", due=fleet.now + 3 * S) for n in range(6)]))
-    assert len(out) > 2
-    late = fleet.now + 3 * S  # the loop stood still: all that was due comes to light at once
-    fleet.d.handle(late, [end(s, Outcome.TIMED_OUT, took=3 * S) for s in out])
-    assert sum(r.failures for r in fleet.health.records.values()) == 0
-    assert sum(r.successes for r in fleet.health.records.values()) > 0
-
-
-def test_ejections_grow_and_a_good_trial_ends_them() -> None:
-    fleet = Fleet(3).until_ejected(2, failing(2))
-    lengths: list[int] = []
-    while len(lengths) < 4:
-        if (r := fleet.health.records[2]).ejected_until_us >= 0 and (
-            r.ejected_until_us - r.verdict_at_us
-        ) not in lengths:
-            lengths.append(r.ejected_until_us - r.verdict_at_us)
-        fleet.run(0.5, failing(2))
-    for n, length in enumerate(lengths):
-        assert 5 * 2**n * S <= length <= 1.5 * 5 * 2**n * S
-    fleet.run(100, failing())
-    assert fleet.verdicts() == [Verdict.HEALTHY] * 3
-    assert [n for n in fleet.notes if n == "health: target 2 is on trial"]
-
-
-def test_a_returning_endpoint_is_on_trial_with_few_calls() -> None:
-    fleet = Fleet(3).until_ejected(2, failing(2))
-    while fleet.d.endpoints[2].excluded:
-        fleet.run(0.1, failing(2))
-    t = fleet.d.endpoints[2]
-    assert t.recovering_since_us >= 0
-    assert fleet.d.slow_start.is_active(t)
-    before = fleet.calls[2]
-    fleet.run(1, failing())
-    assert fleet.calls[2] - before < 5  # of 20 messages
-
-
-def test_flapping_and_noise_never_eject_more_than_the_share() -> None:
-    for seed in range(30):
-        r = random.Random(seed)
-        sick = {n: r.random() for n in range(1, 9)}
-        period = r.choice((1, 3, 7)) * S
+        rng = random.Random(seed)
+
+        def outcome_of(endpoint: int, now_us: int, rng: random.Random = rng) -> Outcome:
+            return Outcome.FAILED if rng.random() < 0.05 else Outcome.DELIVERED
+
+        assert DetectorScript(3, seed=seed).run(120, outcome_of).detector.ejection_count == 0
+
 
-        def fate(
-            target: int, now: int, r: random.Random = r, sick: dict[int, float] = sick, period: int = period
+def test_rejections_do_not_count_as_failures() -> None:
+    script = DetectorScript(3).run(20, failing(2, outcome=Outcome.REJECTED))
+    assert script.max_excluded == 0
+    assert script.detector.records[2].failures == 0
+
+
+def test_timeouts_after_a_stall_of_this_process_do_not_count_as_failures() -> None:
+    script = DetectorScript(3).run(2, failing())
+    sent = sends(
+        script.dispatcher.handle(
+            script.now_us + 50 * MS, [ask(f"s{index}", due=script.now_us + 3 * S) for index in range(6)]
+        )
+    )
+    assert len(sent) > 2
+    late_us = script.now_us + 3 * S  # the event loop stalled: all pending timeouts are noticed at once
+    script.dispatcher.handle(late_us, [end(send, Outcome.TIMED_OUT, took=3 * S) for send in sent])
+    assert sum(record.failures for record in script.detector.records.values()) == 0
+    assert sum(record.successes for record in script.detector.records.values()) > 0
+
+
+def test_ejections_get_longer_until_a_trial_succeeds() -> None:
+    script = DetectorScript(3).run_until_ejected(2, failing(2))
+    lengths_us: list[int] = []
+    while len(lengths_us) < 4:
+        if (record := script.detector.records[2]).ejected_until_us >= 0 and (
+            record.ejected_until_us - record.verdict_at_us
+        ) not in lengths_us:
+            lengths_us.append(record.ejected_until_us - record.verdict_at_us)
+        script.run(0.5, failing(2))
+    for index, length_us in enumerate(lengths_us):
+        assert 5 * 2**index * S <= length_us <= 1.5 * 5 * 2**index * S
+    script.run(100, failing())
+    assert script.verdicts() == [Verdict.HEALTHY] * 3
+    assert [text for text in script.log_texts if text == "health: target 2 is on trial"]
+
+
+def test_a_readmitted_endpoint_gets_few_calls_while_on_trial() -> None:
+    script = DetectorScript(3).run_until_ejected(2, failing(2))
+    while script.dispatcher.endpoints[2].excluded:
+        script.run(0.1, failing(2))
+    endpoint = script.dispatcher.endpoints[2]
+    assert endpoint.recovering_since_us >= 0
+    assert script.dispatcher.slow_start.is_active(endpoint)
+    calls_before = script.calls[2]
+    script.run(1, failing())
+    assert script.calls[2] - calls_before < 5  # of 20 messages
+
+
+def test_intermittent_and_random_failures_never_eject_more_than_the_allowed_share() -> None:
+    for seed in range(30):
+        rng = random.Random(seed)
+        failure_rates = {endpoint: rng.random() for endpoint in range(1, 9)}
+        period_us = rng.choice((1, 3, 7)) * S
+
+        def outcome_of(
+            endpoint: int,
+            now_us: int,
+            rng: random.Random = rng,
+            failure_rates: dict[int, float] = failure_rates,
+            period_us: int = period_us,
         ) -> Outcome:
-            return Outcome.FAILED if now // period % 2 and r.random() < sick[target] else Outcome.DELIVERED
+            return (
+                Outcome.FAILED
+                if now_us // period_us % 2 and rng.random() < failure_rates[endpoint]
+                else Outcome.DELIVERED
+            )
 
-        fleet = Fleet(8, seed=seed).run(20, fate)
-        assert fleet.most_out <= 4
+        script = DetectorScript(8, seed=seed).run(20, outcome_of)
+        assert script.max_excluded <= 4
 
 
-def test_the_list_may_replace_or_drop_an_ejected_endpoint() -> None:
-    fleet = Fleet(3).until_ejected(2, failing(2))
-    fleet.d.handle(
-        fleet.now,
+def test_an_endpoint_list_may_move_or_remove_an_ejected_endpoint() -> None:
+    script = DetectorScript(3).run_until_ejected(2, failing(2))
+    script.dispatcher.handle(
+        script.now_us,
         [
             EndpointListReceived(
                 EndpointListKind.WHOLE,
@@ -217,29 +240,31 @@
                 ),
             )
         ],
-    )  # the id now serves another destination
-    assert not fleet.d.endpoints[2].excluded
-    fleet.run(20, failing())
-    fleet.d.handle(fleet.now, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(1, 10, "north", "plain"),))])
-    fleet.run(5, failing())
-    assert fleet.verdicts()[0] is Verdict.HEALTHY
-
-
-def test_the_interval_of_a_share_holds_it() -> None:
-    for bad, count in ((0, 5), (1, 5), (5, 5), (30, 60)):
-        least, most = failure_rate_bounds(bad, count)
-        assert -1e-9 <= least <= bad / count + 1e-9
-        assert bad / count - 1e-9 <= most <= 1 + 1e-9
+    )  # the id now belongs to another destination
+    assert not script.dispatcher.endpoints[2].excluded
+    script.run(20, failing())
+    script.dispatcher.handle(
+        script.now_us, [EndpointListReceived(EndpointListKind.WHOLE, (EndpointEntry(1, 10, "north", "plain"),))]
+    )
+    script.run(5, failing())
+    assert script.verdicts()[0] is Verdict.HEALTHY
+
+
+def test_the_confidence_interval_contains_the_observed_failure_rate() -> None:
+    for failures, samples in ((0, 5), (1, 5), (5, 5), (30, 60)):
+        lower_bound, upper_bound = failure_rate_bounds(failures, samples)
+        assert -1e-9 <= lower_bound <= failures / samples + 1e-9
+        assert failures / samples - 1e-9 <= upper_bound <= 1 + 1e-9
     assert failure_rate_bounds(0, 0) == (0.0, 1.0)
 
 
 # Over sockets
 
 
-def test_a_quick_wrong_endpoint_is_told_and_returns_when_mended(tmp_path: Path) -> None:
-    """As an operator sees it: break one of three, read the verdict and its reason, mend it, see it return."""
+def test_operators_see_a_failing_endpoint_ejected_and_readmitted_after_its_repair(tmp_path: Path) -> None:
+    """Breaks one of three endpoints, reads its verdict and reason, repairs it, and waits until it is healthy."""
 
-    async def scene() -> None:
+    async def run_scenario() -> None:
         broken = {"s2": True}
         platform = Platform()
         await platform.start()
@@ -257,28 +282,28 @@
         )
         node.arguments = ["--parts", str(tmp_path / "parts.toml")]
         await node.start()
-        number = 0
+        message_count = 0
 
-        async def until(verdict: str) -> str:
-            nonlocal number
+        async def wait_for_verdict(verdict: str) -> str:
+            nonlocal message_count
             async with asyncio.timeout(PATIENCE):
                 while True:
-                    number += 1
-                    assert (await node.submit(f"m{number}", "status"))[0] == 202
-                    told = await node.call(b"VERDICT s2\n")
-                    if f"s2 {verdict}" in told:
-                        return told
+                    message_count += 1
+                    assert (await node.submit(f"m{message_count}", "status"))[0] == 202
+                    answer = await node.call(b"VERDICT s2\n")
+                    if f"s2 {verdict}" in answer:
+                        return answer
 
         try:
-            assert "failed" in await until("ejected")
+            assert "failed" in await wait_for_verdict("ejected")
             assert (await node.call(b"VERDICT s1\n")).startswith("ok s1 healthy: failed 0.0 of ")
             assert (await node.call(b"VERDICT nobody\n")).startswith("fail no endpoint of that id")
             broken.clear()
-            await until("on trial")
-            await until("healthy")
+            await wait_for_verdict("on trial")
+            await wait_for_verdict("healthy")
             assert not platform.notices
             assert any("health: target" in line and "ejected for" in line for line in node.log)
         finally:
             await node.end()
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
