--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -38,13 +38,13 @@
 MIN_STALL_US = SECOND_US // 2
 """If a round is late by more than this, the process has stalled."""
 NEXT_ROUND_TIMER = -2
-"""Used as the destination of the timer that starts the next round at the latest."""
+"""Stands in for a destination in the timer that starts the next round at the latest."""
 TRIAL_FAILED = -1
 """Value of `trial_calls_left` after a failure on trial: the next success starts a new trial."""
 EJECTION_JITTER = (1.0, 1.5)
 """Range of the random factor applied to the length of an ejection."""
 MAX_DOUBLINGS = 20
-"""Limits the exponent by which ejections get longer."""
+"""Maximum number of times that the length of an ejection is doubled."""
 
 
 class Verdict(Enum):
