--- a/forwarder/membership/status.py
+++ b/forwarder/membership/status.py
@@ -100,14 +100,14 @@
     divisor = quota.divisor(now_us)
     pending = ""
     if quota.absent_since_us or now_us - quota.quorum_since_us < quota.settle_us:
-        left_s = (quota.next_at(now_us) - now_us) / SECOND_US
+        left_s = (quota.next_change_at_us(now_us) - now_us) / SECOND_US
         pending = f"; {len(quota.absent_since_us)} not there, shares may change in {left_s:.1f} s"
     held_back = ""
     if divisor > quota.forwarders:
         held_back = f"; {1 - quota.forwarders / divisor:.0%} of its share held back"
-    if divisor == quota.max_members and not quota.is_proven(now_us):  # nobody can have taken it yet
-        held_back += f"; its share is its own for {(quota.leased_until - now_us) / SECOND_US:.1f} s more"
+    if divisor == quota.max_members and not quota.is_proven_alive(now_us):  # nobody can have taken it yet
+        held_back += f"; its share is its own for {(quota.leased_until_us - now_us) / SECOND_US:.1f} s more"
     return (
-        f"{quota.mode(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
+        f"{quota.quorum_state(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
         f"confidence {quota.confidence(now_us):.2f}{held_back}{pending}"
     )
