--- a/forwarder/decisions/attempt_outcomes.py
+++ b/forwarder/decisions/attempt_outcomes.py
@@ -13,7 +13,7 @@
 from forwarder.decisions.extension import DecisionExtension
 from forwarder.decisions.key_queues import KeyQueues
 from forwarder.decisions.message_table import MessageTable
-from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, TELLS_NOTHING, Outcome
+from forwarder.decisions.outcomes import MAY_STILL_RUN, NEVER_RAN, UNINFORMATIVE_OUTCOMES, Outcome
 from forwarder.decisions.quota_pacing import QuotaPacing
 from forwarder.decisions.records import Call, Endpoint, Message
 
@@ -75,7 +75,7 @@
             self.availability.local_attempt_failed()
         else:
             self.notify_extensions(call.endpoint, event.outcome)
-        if not call.counted and event.outcome not in TELLS_NOTHING:
+        if not call.counted and event.outcome not in UNINFORMATIVE_OUTCOMES:
             call.counted = True
             self.learning.learn_from_message_call(call, message, event)
         self.backoff.apply_retry_after(scope, event.retry_after_us)
--- a/forwarder/decisions/gossip_extension.py
+++ b/forwarder/decisions/gossip_extension.py
@@ -19,7 +19,7 @@
     PeersQueried,
 )
 from forwarder.decisions.fleet_quota import FleetQuota, FleetQuotaExtension
-from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
+from forwarder.decisions.outcomes import UNINFORMATIVE_OUTCOMES, Outcome
 from forwarder.decisions.records import Endpoint
 from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, UNSAFE_RETRY_ERROR_RATE
 from forwarder.decisions.slow_start_slots import SlowStartSlots
@@ -78,7 +78,7 @@
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
         """What this forwarder observes itself goes before what others tell."""
-        if outcome not in TELLS_NOTHING:
+        if outcome not in UNINFORMATIVE_OUTCOMES:
             self.touched.add(endpoint_id)
             self.ejected_by_gossip.discard(endpoint_id)
         if outcome is Outcome.DELIVERED:
--- a/forwarder/decisions/outcomes.py
+++ b/forwarder/decisions/outcomes.py
@@ -34,5 +34,5 @@
 """Outcomes that overload can cause."""
 
 
-TELLS_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.LOCAL_FAILURE, Outcome.CANCELED, Outcome.UNREADABLE})
+UNINFORMATIVE_OUTCOMES = frozenset({Outcome.NOT_SENT, Outcome.LOCAL_FAILURE, Outcome.CANCELED, Outcome.UNREADABLE})
 """Outcomes that tell nothing of the endpoint's capacity and health."""
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -17,7 +17,7 @@
 from forwarder.decisions.dispatcher import Dispatcher
 from forwarder.decisions.events import ExtensionEvent, LoadReport
 from forwarder.decisions.load_shedding import MIN_RETRY_AFTER_US
-from forwarder.decisions.outcomes import TELLS_NOTHING, Outcome
+from forwarder.decisions.outcomes import UNINFORMATIVE_OUTCOMES, Outcome
 from forwarder.decisions.records import Call, Endpoint
 from forwarder.units import NEVER_US, SECOND_US
 
@@ -127,7 +127,7 @@
         if ended.report is not None:
             dispatcher.pacing.apply_load_report(scope, ended.report)
         dispatcher.outcomes.notify_extensions(call.endpoint, ended.outcome)
-        if ended.outcome not in TELLS_NOTHING:
+        if ended.outcome not in UNINFORMATIVE_OUTCOMES:
             dispatcher.learning.learn_from_call(call, ended.outcome, ended.retry_after_us)
         dispatcher.backoff.apply_retry_after(scope, ended.retry_after_us)
 
