--- a/forwarder/decisions/call_learning.py
+++ b/forwarder/decisions/call_learning.py
@@ -8,7 +8,7 @@
 from forwarder.decisions.events import AttemptEnded
 from forwarder.decisions.expected_call import LEARNING_HALF_LIFE_US, expected_call_us, initial_call_us, observe_call
 from forwarder.decisions.idle_connections import IdleConnections
-from forwarder.decisions.outcomes import TOO_MUCH, Outcome
+from forwarder.decisions.outcomes import OVERLOAD_OUTCOMES, Outcome
 from forwarder.decisions.quota_pacing import AMPLE_LIMIT_LEFT, QuotaPacing
 from forwarder.decisions.records import Call, Endpoint, LimitScope, Message
 from forwarder.decisions.slow_start import SlowStart
@@ -64,7 +64,7 @@
         """Learns from any call: window, quota, backoff, and whether the endpoint is ejected or recovers."""
         endpoint = call.endpoint
         scope = endpoint.limit_scope
-        is_overload = call.sent_at_us > scope.window_cut_at_us and outcome in TOO_MUCH
+        is_overload = call.sent_at_us > scope.window_cut_at_us and outcome in OVERLOAD_OUTCOMES
         if outcome is Outcome.DELIVERED:
             self._learn_from_success(endpoint)
         if is_overload:
--- a/forwarder/decisions/outcomes.py
+++ b/forwarder/decisions/outcomes.py
@@ -30,7 +30,7 @@
 """Outcomes after which the attempt may still run: the next message of its key waits."""
 
 
-TOO_MUCH = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
+OVERLOAD_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
 """Outcomes that overload can cause."""
 
 
