--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -96,9 +96,9 @@
                 return NEVER_US, capacity_reason
         elif endpoint.recovering_since_us >= 0 or not self.slow_start.is_active(endpoint):
             return now_us, None
-        return self.pacing_opening(endpoint)
+        return self.pacing_availability(endpoint)
 
-    def pacing_opening(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
+    def pacing_availability(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
         """Returns when Retry-After, backoff, quota and slow start allow a call, and the last of them to do so."""
         scope = endpoint.limit_scope
         opens_at_us = scope.retry_after_until_us
--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -169,7 +169,7 @@
             or dispatcher.limits.hold_reason(endpoint) is not None
         ):
             return NEVER_US
-        opening_us, _ = dispatcher.availability.pacing_opening(endpoint)
+        opening_us, _ = dispatcher.availability.pacing_availability(endpoint)
         return opening_us
 
     def preference(self, request: StreamRequested, endpoint: Endpoint) -> tuple[float, ...]:
--- a/tests/decisions/test_availability.py
+++ b/tests/decisions/test_availability.py
@@ -51,4 +51,4 @@
     scope.backoff_until_us = 3 * S
     scope.next_call_at_us = 2 * S
 
-    assert dispatcher.availability.pacing_opening(dispatcher.endpoints[1]) == (3 * S, HoldReason.BACKOFF)
+    assert dispatcher.availability.pacing_availability(dispatcher.endpoints[1]) == (3 * S, HoldReason.BACKOFF)
