--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -59,7 +59,7 @@
             return key_reason
         if not self.retry_policy.may_attempt(message) or self._is_unsafe(message, endpoint):
             return HoldReason.UNSAFE_RETRY
-        return self.endpoint_opening(endpoint)[1]
+        return self.endpoint_availability(endpoint)[1]
 
     def _is_unsafe(self, message: Message, endpoint: Endpoint) -> bool:
         """Returns whether a message that must run at most once should wait, in its first half, for the endpoint."""
@@ -74,14 +74,14 @@
         opens_at_us = NEVER_US
         reason: HoldReason | None = None
         for endpoint in self.endpoint_table.by_destination.get(destination, []):
-            endpoint_opens_at_us, endpoint_reason = self.endpoint_opening(endpoint)
+            endpoint_opens_at_us, endpoint_reason = self.endpoint_availability(endpoint)
             if endpoint_opens_at_us < opens_at_us or (opens_at_us == NEVER_US and reason is None):
                 opens_at_us, reason = endpoint_opens_at_us, endpoint_reason
         if reason is None and opens_at_us == NEVER_US:
             reason = self.endpoint_table.missing_reason(destination)
         return opens_at_us, reason
 
-    def endpoint_opening(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
+    def endpoint_availability(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
         """Returns when an endpoint takes a message, in a new call or in one that is forming, and why not before."""
         now_us = self.context.now_us
         unknown_until_us = max(self.peers_queried_until_us, self.list_awaited_until_us)
