--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -69,7 +69,7 @@
             and message.due_us - self.context.now_us >= message.message_class.deadline_us / 2
         )
 
-    def destination_opening(self, destination: int) -> tuple[int, HoldReason | None]:
+    def destination_availability(self, destination: int) -> tuple[int, HoldReason | None]:
         """Returns when the first endpoint of a destination takes a call, and what holds messages until then."""
         opens_at_us = NEVER_US
         reason: HoldReason | None = None
--- a/forwarder/decisions/release.py
+++ b/forwarder/decisions/release.py
@@ -79,7 +79,7 @@
             ]
             if endpoints:
                 self._send_attempt(message, min(endpoints, key=lambda endpoint: self._preference(message, endpoint)))
-            elif self.availability.destination_opening(message.destination)[1] is not None:
+            elif self.availability.destination_availability(message.destination)[1] is not None:
                 closed.add(message.destination)
 
     def _preference(self, message: Message, endpoint: Endpoint) -> tuple[float, ...]:
@@ -132,7 +132,7 @@
 
     def _schedule(self, destination: int) -> None:
         """Sets when a destination is decided on again, and what holds its messages until then."""
-        opens_at_us, reason = self.availability.destination_opening(destination)
+        opens_at_us, reason = self.availability.destination_availability(destination)
         held = self.messages.held.by_destination[destination].values()
         for message in held:
             self.messages.hold_times.set_reason(message, self._hold_reason(message, reason), self.context.now_us)
--- a/tests/decisions/test_availability.py
+++ b/tests/decisions/test_availability.py
@@ -14,7 +14,7 @@
 def test_nothing_is_sent_until_the_awaited_list_is_there() -> None:
     dispatcher = started(ONE_ENDPOINT)
     assert not sends(dispatcher.handle(0, [EndpointListAwaited(2 * S), ask("m")]))
-    assert dispatcher.availability.destination_opening(10) == (2 * S, HoldReason.STARTING)
+    assert dispatcher.availability.destination_availability(10) == (2 * S, HoldReason.STARTING)
 
     actions = dispatcher.handle(S, [EndpointListReceived(EndpointListKind.CHANGES)])
 
@@ -28,7 +28,7 @@
     dispatcher.handle(MS, [end(send, Outcome.LOCAL_FAILURE)])
 
     until_us = MS + LOCAL_FAILURE_BACKOFF_US
-    assert dispatcher.availability.destination_opening(11) == (until_us, HoldReason.LOCAL_FAILURE)
+    assert dispatcher.availability.destination_availability(11) == (until_us, HoldReason.LOCAL_FAILURE)
 
 
 def test_of_several_endpoints_the_one_that_opens_first_counts() -> None:
@@ -37,11 +37,11 @@
     first.limit_scope.retry_after_until_us = 3 * S
     second.limit_scope.backoff_until_us = 2 * S
 
-    assert dispatcher.availability.destination_opening(12) == (2 * S, HoldReason.BACKOFF)
+    assert dispatcher.availability.destination_availability(12) == (2 * S, HoldReason.BACKOFF)
     second.limit_scope.in_flight = 1
-    assert dispatcher.availability.destination_opening(12) == (3 * S, HoldReason.RETRY_AFTER)
+    assert dispatcher.availability.destination_availability(12) == (3 * S, HoldReason.RETRY_AFTER)
     first.limit_scope.in_flight = 1
-    assert dispatcher.availability.destination_opening(12) == (NEVER_US, HoldReason.CONCURRENCY_WINDOW)
+    assert dispatcher.availability.destination_availability(12) == (NEVER_US, HoldReason.CONCURRENCY_WINDOW)
 
 
 def test_the_hold_reason_that_ends_last_is_named() -> None:
