--- a/tests/decisions/fleets.py
+++ b/tests/decisions/fleets.py
@@ -19,7 +19,7 @@
 from tests.scripts import MS, S, ask, end, settings
 
 ONE_ENDPOINT = (EndpointEntry(1, 10, "north", "plain"),)
-LISTED = (EndpointEntry(1, 10, "north", "plain", weight=10.0),)
+ONE_WEIGHTED_ENDPOINT = (EndpointEntry(1, 10, "north", "plain", weight=10.0),)
 CLASSES = {c.name: c for c in settings().classes}
 SLOW_START_CALLS = 6.0
 """10 calls a second x 0.2 from the start x factor 2 x 1.5 s: what endpoint 1 takes in the overload window."""
@@ -34,7 +34,7 @@
     known = settings(forwarders=number, weights_reported=True, slots=3, max_attempts=10**6, **changes)
     made = [Dispatcher(known, seed, 0) for seed in range(number)]
     for dispatcher in made:
-        dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, LISTED)])
+        dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ONE_WEIGHTED_ENDPOINT)])
     return made
 
 
--- a/tests/decisions/test_idle_connections.py
+++ b/tests/decisions/test_idle_connections.py
@@ -21,7 +21,7 @@
 from forwarder.decisions.outcomes import Outcome
 from forwarder.decisions.records import Call
 from tests.decisions.builders import make_context, make_endpoint
-from tests.decisions.fleets import LISTED, fleet
+from tests.decisions.fleets import ONE_WEIGHTED_ENDPOINT, fleet
 from tests.scripts import MS, S, ask, end, sends
 
 
@@ -72,7 +72,11 @@
     dispatcher = fleet(60, idle_timeout_us=5 * S)[0]
     dispatcher.handle(
         0,
-        [EndpointListReceived(EndpointListKind.WHOLE, (*LISTED, EndpointEntry(2, 11, "north", "plain", weight=10.0)))],
+        [
+            EndpointListReceived(
+                EndpointListKind.WHOLE, (*ONE_WEIGHTED_ENDPOINT, EndpointEntry(2, 11, "north", "plain", weight=10.0))
+            )
+        ],
     )
     for n in range(6):
         out = sends(dispatcher.handle(n * 3 * S, [ask(f"m{n}", 11, due=60 * S)]))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -22,8 +22,8 @@
 from forwarder.decisions.slow_start import EJECTION_ERROR_RATE, SLOT_JITTER_RANGE, SlowStart
 from tests.decisions.builders import DESTINATION, make_context, make_endpoint_table
 from tests.decisions.fleets import (
-    LISTED,
     ONE_ENDPOINT,
+    ONE_WEIGHTED_ENDPOINT,
     SLOW_START_CALLS,
     call_times_of_a_failing_fleet,
     max_calls_within,
@@ -79,7 +79,11 @@
         dispatcher = Dispatcher(settings(forwarders=number, weights_reported=True, slots=3), seed * 10_000 + n, 100 * S)
         actions = dispatcher.handle(
             100 * S,
-            [EndpointListReceived(EndpointListKind.SAVED, LISTED), EjectionRecovered(1, 80 * S), ask("m", due=900 * S)],
+            [
+                EndpointListReceived(EndpointListKind.SAVED, ONE_WEIGHTED_ENDPOINT),
+                EjectionRecovered(1, 80 * S),
+                ask("m", due=900 * S),
+            ],
         )
         while not sends(actions):
             [timer] = [a for a in actions if isinstance(a, SetTimer)]
