--- a/forwarder/decisions/__init__.py
+++ b/forwarder/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a forwarder: a pure state machine, events in and actions out."""
+"""The decisions of a forwarder: a pure state machine that takes events and returns actions."""
--- a/forwarder/decisions/actions.py
+++ b/forwarder/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the dispatcher returns, to be carried out in order. Times are integers in microseconds."""
+"""Actions that the dispatcher returns; the caller carries them out in order. Times are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -10,37 +10,37 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send a message to an endpoint. A message's attempts count from 0 in the order of these actions."""
+    """Send a message to an endpoint. The attempts of a message are numbered from 0 in the order of these actions."""
 
     message_id: str
     endpoint: int
     timeout_us: int
-    """After this the attempt ends as timed out."""
+    """Duration after which the attempt ends as timed out."""
     send_before_us: int = NEVER_US
-    """Nothing may be sent from this time on: the retry window of a message that may have run is over."""
+    """Time from which nothing may be sent: the retry window of a message that may have run ends then."""
 
 
 @dataclass(frozen=True, slots=True)
 class RejectMessage:
-    """Give a message back to its client, who may submit it again."""
+    """Return a message to its client, which may submit it again."""
 
     message_id: str
     retry_after_us: int
-    """The client is asked to wait for so long; 0 where nothing is said."""
+    """How long the client is asked to wait; 0 if the answer has no Retry-After."""
     hold_reason: HoldReason | None = None
-    """What held it last; None where nothing did."""
+    """What held the message last; None if nothing did."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailMessage:
-    """End a message as failed: it may have run, and must not be submitted again."""
+    """End a message as failed: it may have run and must not be submitted again."""
 
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """End an attempt in flight, as canceled."""
+    """End an attempt in flight as canceled."""
 
     message_id: str
     attempt: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Have a TimerFired event, and so a round, after some time. Timers set before stay."""
+    """Request a TimerFired event, and thus a round, after a delay. Timers that were set earlier remain."""
 
     delay_us: int
     token: str
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEndpointList:
-    """Ask for the endpoint list; an EndpointListReceived answers."""
+    """Request the endpoint list; an EndpointListReceived event is the answer."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,25 +82,25 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionChanged:
-    """Store an endpoint's ejection, or the beginning of its recovery, for the time after a restart."""
+    """Store an endpoint's ejection, or the start of its recovery, for use after a restart."""
 
     endpoint: int
     ejected_at_us: int
-    """-1 where the endpoint was not ejected after all."""
+    """-1 if the endpoint was not ejected after all."""
     recovering_since_us: int = -1
     """-1 while it is ejected."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyBackoffStarted:
-    """Store until when the next message of a key waits, for the time after a restart: an attempt may still run."""
+    """Store the end of a key's backoff for use after a restart: an earlier attempt may still run."""
 
     key: str
     until_us: int
 
 
 class ExtensionAction:
-    """Base of the actions of optional extensions; only the extension carries them out."""
+    """Base class of the actions of optional extensions; only the extension carries them out."""
 
     __slots__ = ()
 
@@ -119,4 +119,4 @@
     | LogLine
     | ExtensionAction
 )
-"""Everything that `Dispatcher.handle` returns."""
+"""Every action that `Dispatcher.handle` returns."""
--- a/forwarder/decisions/attempt_outcomes.py
+++ b/forwarder/decisions/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Takes in how attempts ended."""
+"""Handles the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptOutcomes:
-    """Follows the outcome of an attempt: for its call, its message, its key, its endpoint and this machine."""
+    """Applies the outcome of an attempt to its call, its message, its key, its endpoint and this machine."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.extensions: list[DecisionExtension] = []
 
     def end_attempt(self, event: AttemptEnded) -> None:
-        """Takes in an outcome. The message is over if it is final; else it is held again."""
+        """Handles an outcome. The message ends if the outcome is final; otherwise it is held again."""
         attempt = self.calls.attempts.pop((event.message_id, event.attempt), None)
         if attempt is None:
             return
@@ -66,13 +66,13 @@
             self.messages.held.add(message)
 
     def _learn(self, message: Message, call: Call, event: AttemptEnded) -> None:
-        """Learns what an outcome tells; of a call only the first outcome that tells something counts."""
+        """Learns from an outcome; only the first informative outcome of a call is used."""
         scope = call.endpoint.limit_scope
         if event.report is not None:
             self.pacing.apply_load_report(scope, event.report)
         if event.outcome is Outcome.LOCAL_FAILURE:
             message.local_failures += 1
-            self.availability.local_attempt_failed()
+            self.availability.start_local_backoff()
         else:
             self.notify_extensions(call.endpoint, event.outcome)
         if not call.counted and event.outcome not in UNINFORMATIVE_OUTCOMES:
@@ -81,6 +81,6 @@
         self.backoff.apply_retry_after(scope, event.retry_after_us)
 
     def notify_extensions(self, endpoint: Endpoint, outcome: Outcome) -> None:
-        """Passes the outcome of a message or a stream on to the extensions."""
+        """Passes the outcome of a message or a stream to the extensions."""
         for extension in self.extensions:
             extension.on_outcome(endpoint.id, outcome)
--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -1,4 +1,4 @@
-"""When an endpoint takes one more call, and what holds messages until then."""
+"""When an endpoint accepts another call, and what holds messages until then."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from forwarder.units import NEVER_US
 
 LOCAL_FAILURE_BACKOFF_US = 50_000
-"""Nothing is sent for so long after an attempt that this machine could not make: the next would fail alike."""
+"""How long nothing is sent after an attempt that this machine could not send: the next one would fail too."""
 
 
 class EndpointAvailability:
-    """The check that every attempt passes.
+    """The check that every attempt has to pass.
 
-    The parts that are the same for all messages are answered with a time: when the endpoint takes a call, which is
-    NEVER_US where only an event can tell, and the hold reason until then, which is None if it takes one now.
+    The parts of the check that do not depend on the message return a pair: the time from which a call is accepted, or
+    NEVER_US if it depends on a future event, and the hold reason until then, or None if a call is accepted now.
     """
 
     def __init__(
@@ -43,13 +43,13 @@
         self.key_queues = key_queues
         self.retry_policy = retry_policy
         self.list_awaited_until_us = context.now_us
-        """A current endpoint list is awaited; by the saved one nothing is sent until then."""
+        """End of the wait for a current endpoint list; nothing is sent by the saved list before it."""
         self.peers_queried_until_us = context.now_us
-        """Other forwarders were asked for what they have observed; nothing is sent until then."""
+        """End of the wait for the observations of other forwarders; nothing is sent before it."""
         self.local_backoff_until_us = context.now_us
 
-    def local_attempt_failed(self) -> None:
-        """Backs off from all endpoints after an attempt that this machine could not make."""
+    def start_local_backoff(self) -> None:
+        """Backs off from all endpoints after an attempt that this machine could not send."""
         self.local_backoff_until_us = self.context.now_us + LOCAL_FAILURE_BACKOFF_US
 
     def hold_reason(self, message: Message, endpoint: Endpoint) -> HoldReason | None:
@@ -62,7 +62,7 @@
         return self.endpoint_availability(endpoint)[1]
 
     def _is_unsafe(self, message: Message, endpoint: Endpoint) -> bool:
-        """Returns whether a message that must run at most once should wait, in its first half, for the endpoint."""
+        """Returns whether an at-most-once message should avoid a failing endpoint, in the first half of its time."""
         return (
             endpoint.error_rate > UNSAFE_RETRY_ERROR_RATE
             and message.message_class.effect is Effect.ONCE
@@ -70,23 +70,23 @@
         )
 
     def destination_availability(self, destination: int) -> tuple[int, HoldReason | None]:
-        """Returns when the first endpoint of a destination takes a call, and what holds messages until then."""
-        opens_at_us = NEVER_US
+        """Returns when the first endpoint of a destination accepts a message, and what holds messages until then."""
+        available_at_us = NEVER_US
         reason: HoldReason | None = None
         for endpoint in self.endpoint_table.by_destination.get(destination, []):
-            endpoint_opens_at_us, endpoint_reason = self.endpoint_availability(endpoint)
-            if endpoint_opens_at_us < opens_at_us or (opens_at_us == NEVER_US and reason is None):
-                opens_at_us, reason = endpoint_opens_at_us, endpoint_reason
-        if reason is None and opens_at_us == NEVER_US:
-            reason = self.endpoint_table.missing_reason(destination)
-        return opens_at_us, reason
+            endpoint_available_at_us, endpoint_reason = self.endpoint_availability(endpoint)
+            if endpoint_available_at_us < available_at_us or (available_at_us == NEVER_US and reason is None):
+                available_at_us, reason = endpoint_available_at_us, endpoint_reason
+        if reason is None and available_at_us == NEVER_US:
+            reason = self.endpoint_table.unavailable_reason(destination)
+        return available_at_us, reason
 
     def endpoint_availability(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
-        """Returns when an endpoint takes a message, in a new call or in one that is forming, and why not before."""
+        """Returns when an endpoint accepts a message, in a new or a forming call, and what holds it until then."""
         now_us = self.context.now_us
-        unknown_until_us = max(self.peers_queried_until_us, self.list_awaited_until_us)
-        if now_us < unknown_until_us:
-            return unknown_until_us, HoldReason.STARTING
+        startup_wait_until_us = max(self.peers_queried_until_us, self.list_awaited_until_us)
+        if now_us < startup_wait_until_us:
+            return startup_wait_until_us, HoldReason.STARTING
         if now_us < self.local_backoff_until_us:
             return self.local_backoff_until_us, HoldReason.LOCAL_FAILURE
         call = self.calls.forming.get(endpoint.id)
@@ -99,19 +99,19 @@
         return self.pacing_availability(endpoint)
 
     def pacing_availability(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
-        """Returns when Retry-After, backoff, quota and slow start allow a call, and the last of them to do so."""
+        """Returns when Retry-After, backoff, quota and slow start allow a call, and which of them ends last."""
         scope = endpoint.limit_scope
-        opens_at_us = scope.retry_after_until_us
+        available_at_us = scope.retry_after_until_us
         reason = HoldReason.RETRY_AFTER
-        if scope.backoff_until_us > opens_at_us:
-            opens_at_us = scope.backoff_until_us
+        if scope.backoff_until_us > available_at_us:
+            available_at_us = scope.backoff_until_us
             reason = HoldReason.BACKOFF
-        if scope.next_call_at_us > opens_at_us:
-            opens_at_us = scope.next_call_at_us
+        if scope.next_call_at_us > available_at_us:
+            available_at_us = scope.next_call_at_us
             reason = HoldReason.QUOTA_PACE
         if self.slow_start.is_active(endpoint):
             slot_us = self.slow_start.next_slot_us(endpoint)
-            if slot_us > opens_at_us:
-                opens_at_us = slot_us
+            if slot_us > available_at_us:
+                available_at_us = slot_us
                 reason = HoldReason.EJECTED if endpoint.recovering_since_us < 0 else HoldReason.SLOW_START
-        return opens_at_us, reason if opens_at_us > self.context.now_us else None
+        return available_at_us, reason if available_at_us > self.context.now_us else None
--- a/forwarder/decisions/call_tracker.py
+++ b/forwarder/decisions/call_tracker.py
@@ -1,4 +1,4 @@
-"""The calls and attempts in flight."""
+"""Tracks the calls and attempts in flight."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallTracker:
-    """Starts and ends calls, and counts them at their endpoint, their limit scope and the slots."""
+    """Starts and ends calls, and counts them for their endpoint, their limit scope and the slots."""
 
     def __init__(
         self,
@@ -27,27 +27,27 @@
         self.slow_start = slow_start
         self.idle_connections = idle_connections
         self.attempts: dict[tuple[str, int], Attempt] = {}
-        """The attempts in flight, by message id and number."""
+        """The attempts in flight, by message id and attempt number."""
         self.forming: dict[int, Call] = {}
-        """The newest call of this round, by endpoint; messages may join it up to the endpoint's batch size."""
+        """The newest call of this round, by endpoint; messages may join it up to the endpoint's maximum batch."""
         self.ended: list[Call] = []
         """The calls that ended in this round."""
 
     def begin_round(self) -> None:
-        """Forgets the calls of the round before that were formed or ended."""
+        """Clears the forming and ended calls of the previous round."""
         self.forming = {}
         self.ended = []
 
     def any_forming(self) -> bool:
-        """Returns whether a call of this round has capacity for one more message."""
+        """Returns whether a call of this round has capacity for another message."""
         return any(call.batch_size < call.endpoint.max_batch for call in self.forming.values())
 
     def start(self, endpoint: Endpoint, max_interval_us: float) -> Call:
-        """Starts a call, whatever it carries.
+        """Starts a call for messages or a stream.
 
         Args:
-            endpoint: Where it goes.
-            max_interval_us: The pace of our quota puts the next call to the scope off by this at most.
+            endpoint: The endpoint that is called.
+            max_interval_us: Maximum time by which quota pacing delays the next call to the limit scope.
         """
         now_us = self.context.now_us
         idle_us = 0 if endpoint.in_flight or endpoint.idle_since_us < 0 else now_us - endpoint.idle_since_us
@@ -60,7 +60,7 @@
         return call
 
     def add_attempt(self, message: Message, call: Call, number: int) -> None:
-        """Takes note of an attempt, by its number among the message's, that is sent with a call."""
+        """Records an attempt that a call carries, under its number among the attempts of the message."""
         call.batch_size += 1
         call.open_messages += 1
         self.attempts[(message.id, number)] = Attempt(message, call)
@@ -68,7 +68,7 @@
         message.in_flight += 1
 
     def end_message(self, call: Call) -> None:
-        """Takes note that one message of a call has its outcome; the last one ends the call."""
+        """Records that one message of a call has its outcome; the last one ends the call."""
         call.open_messages -= 1
         if call.open_messages:
             self.context.due_destinations.add(call.endpoint.destination)
@@ -77,17 +77,17 @@
             self.end(call)
 
     def end(self, call: Call) -> None:
-        """Ends a call, whatever it carried, and frees its slot."""
+        """Ends a call of messages or a stream, and frees its slot."""
         self._count(call.endpoint, -1)
         self.ended.append(call)
         self.context.due_destinations.add(call.endpoint.destination)
 
     def resume(self, call: Call) -> None:
-        """Counts a call that the process before has started."""
+        """Counts a call that the previous process started."""
         self._count(call.endpoint, 1)
 
     def close_idle_connections(self) -> None:
-        """Closes the connections that calls of this round left to endpoints which are called too seldom."""
+        """Closes the connections that calls of this round left idle, if their endpoints are called too rarely."""
         for call in self.ended:
             if not call.endpoint.in_flight:
                 self.idle_connections.close_untrusted(call.endpoint, call.since_previous_us)
--- a/forwarder/decisions/dispatcher.py
+++ b/forwarder/decisions/dispatcher.py
@@ -1,8 +1,8 @@
-"""Decides for one forwarder: events (forwarder/decisions/events.py) in, actions out.
+"""The dispatcher of one forwarder: takes events (forwarder/decisions/events.py) and returns actions.
 
-A dispatcher is a pure state machine: it reads no clock and does no input or output. In each round it takes in all
-events, ends the messages that cannot be delivered any more, and releases held ones. Each step belongs to a
-collaborator with a module of its own; the dispatcher connects them.
+A dispatcher is a pure state machine: it reads no clock and performs no I/O. In each round it applies all events, ends
+the messages that can no longer be delivered, and releases held messages. Each step is implemented by a collaborator in
+its own module; the dispatcher connects them.
 """
 
 from __future__ import annotations
@@ -59,13 +59,13 @@
 from forwarder.decisions.timer_queue import MIN_RECHECK_US, TimerQueue
 
 ROUND_TIMER = "look"
-"""Token of the timer that asks for the next round."""
+"""Token of the timer that starts the next round."""
 
 
 class Dispatcher:
-    """Decides what is sent, when and where.
+    """Decides which messages are sent, when, and to which endpoints.
 
-    Pass every event to `handle`, and carry out the actions that it returns in their order.
+    Pass every event to `handle`, and carry out the returned actions in order.
     """
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
@@ -99,7 +99,7 @@
             context, messages, key_queues, timers, retry_policy, estimates, limits, calls, availability
         )
 
-        # What the engine, the operators' commands and the extensions read.
+        # The engine, the admin commands and the extensions read these attributes.
         self.endpoints = endpoint_table.endpoints
         self.endpoints_by_destination = endpoint_table.by_destination
         self.limit_scopes = endpoint_table.limit_scopes
@@ -111,7 +111,7 @@
 
     @property
     def now_us(self) -> int:
-        """The time of the round."""
+        """The time of the current round, in microseconds."""
         return self.context.now_us
 
     @property
@@ -121,53 +121,53 @@
 
     @property
     def random(self) -> Random:
-        """The source of all random draws, seeded."""
+        """The seeded random generator of all decisions."""
         return self.context.random
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the round so far."""
+        """The actions of the current round so far."""
         return self.context.actions
 
     @property
     def errors(self) -> list[Exception]:
-        """The errors of the round's steps so far, for the caller to report."""
+        """The errors raised by steps of the current round so far, for the caller to report."""
         return self.context.errors
 
     @property
     def due_destinations(self) -> set[int]:
-        """Destinations that are decided on in this round."""
+        """Destinations whose held messages are reconsidered in this round."""
         return self.context.due_destinations
 
     @property
     def fleet_size(self) -> float:
-        """Forwarders among whom limits and budgets are divided."""
+        """Number of forwarders among which limits and budgets are divided."""
         return self.context.fleet_size
 
     @property
     def calls_in_flight(self) -> int:
-        """Calls and streams that use a slot."""
+        """Calls, including streams, that use a slot."""
         return self.limits.calls_in_flight
 
     @property
     def peers_queried_until_us(self) -> int:
-        """Until when the answers of other forwarders are awaited; nothing is sent before."""
+        """End of the wait for answers of other forwarders; nothing is sent before it."""
         return self.availability.peers_queried_until_us
 
     @peers_queried_until_us.setter
     def peers_queried_until_us(self, until_us: int) -> None:
-        """Awaits the answers of other forwarders until then."""
+        """Sets the end of the wait for answers of other forwarders."""
         self.availability.peers_queried_until_us = until_us
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Takes in the events of one round, then decides once.
+        """Applies the events of one round, then makes the decisions of the round.
 
-        An error in a step is kept in `errors` and costs that step alone: the other events still count, and the
-        destinations that were due are due again.
+        An error in a step is added to `errors` and affects only that step: the other events are still applied, and the
+        destinations that were due become due again.
 
         Args:
-            now_us: The time of the round; it never goes back.
-            events: What has happened since the round before, in order.
+            now_us: The time of the round; it never decreases.
+            events: What has happened since the previous round, in order.
 
         Returns:
             The actions to carry out, in order.
@@ -179,7 +179,7 @@
             self.context.run_step(extension.before_release)
         if self.endpoint_list_poll.is_due():
             self.actions.append(RequestEndpointList())
-        self.context.run_step(self._end_undeliverable_messages)
+        self.context.run_step(self._end_messages_without_delivery)
         self.context.run_step(self.release.release_messages)
         for extension in self.extensions:
             self.context.run_step(extension.after_release)
@@ -199,14 +199,14 @@
         self.estimates.begin_round()
 
     def _set_timer(self) -> None:
-        """Asks for a round at the earliest time of the queue, unless one was asked for that is as early."""
+        """Requests a round at the earliest time in the queue, unless a pending timer fires by then."""
         now_us = self.now_us
         if self.timers.entries and not now_us < self.timer_at_us <= self.timers.entries[0][0]:
             self.timer_at_us = self.timers.entries[0][0]
             self.actions.append(SetTimer(max(1, self.timer_at_us - now_us), ROUND_TIMER))
 
     def _apply_event(self, event: Event) -> None:
-        """Takes in one event; what follows from it is decided once all are in."""
+        """Applies one event; the decisions follow once all events of the round are applied."""
         match event:
             case MessageArrived():
                 self.message_table.accept(event)
@@ -234,7 +234,7 @@
                 self._apply_recovery_event(event)
 
     def _apply_recovery_event(self, event: Event) -> None:
-        """Takes in what is known from before a restart or a hand-over."""
+        """Applies an event that restores state from before a restart or a hand-over."""
         match event:
             case MessageRecovered():
                 self.message_table.recover(event)
@@ -248,7 +248,7 @@
                 self._state_transfer().restore(event.learned_state)
 
     def _apply_settings(self, settings: Settings) -> None:
-        """Uses settings, the first or new ones. Held messages keep the class that they came with."""
+        """Applies the first or changed settings. Held messages keep the class with which they were accepted."""
         self.context.apply_settings(settings)
         self.message_table.apply_settings(settings)
         self.endpoint_table.apply_settings(settings)
@@ -264,28 +264,28 @@
             self.availability.list_awaited_until_us = self.now_us
         self.endpoint_table.apply_list(event)
 
-    def _end_undeliverable_messages(self) -> None:
+    def _end_messages_without_delivery(self) -> None:
         self.key_queues.discard_unused()
-        self.load_shedder.end_hopeless_messages()
+        self.load_shedder.end_undeliverable_messages()
         self.load_shedder.shed_load()
 
     def set_fleet_size(self, size: float) -> None:
-        """Divides limits and budgets among so many forwarders from now on."""
+        """Sets the number of forwarders among which limits and budgets are divided."""
         if size != self.fleet_size:
             for scope in self.limit_scopes.values():
                 scope.quota_share = min(1.0, scope.quota_share * self.fleet_size / size)
             self.context.fleet_size = size
 
     def hold_times_of(self, message_id: str) -> list[tuple[HoldReason, int]]:
-        """Returns how long each reason has held a message, in microseconds, the present one first.
+        """Returns how long each reason has held a message, in microseconds, the current reason first.
 
         Raises:
-            KeyError: The message is over, or was never accepted.
+            KeyError: The message has ended, or was never accepted.
         """
         return hold_times_of(self.messages[message_id], self.now_us)
 
     def learned_state(self) -> LearnedState:
-        """Returns what was learned and is in flight, for the process that takes over."""
+        """Returns the learned state and the calls in flight, for the process that takes over."""
         return self._state_transfer().capture()
 
     def _state_transfer(self) -> LearnedStateTransfer:
--- a/forwarder/decisions/endpoint_list_poll.py
+++ b/forwarder/decisions/endpoint_list_poll.py
@@ -1,4 +1,4 @@
-"""When to ask for the endpoint list."""
+"""The schedule for polling the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from forwarder.decisions.timer_queue import POLL_TIMER, TimerQueue
 
 MIN_POLL_BACKOFF_US = 500_000
-"""First backoff after a poll that failed."""
+"""Initial backoff after a failed poll, before jitter."""
 
 MAX_POLL_BACKOFF_US = 4 * MIN_POLL_BACKOFF_US
-"""Longest backoff: a change of the list has to be followed within 6 s."""
+"""Maximum backoff, before jitter: a change of the list has to be applied within 6 s."""
 
 
 class EndpointListPoll:
-    """The poll schedule: at the start, and after a failure with an exponential backoff and jitter."""
+    """Schedules a poll at the start, and after each failed poll with an exponential backoff and jitter."""
 
     def __init__(self, context: RoundContext, timers: TimerQueue) -> None:
         self.context = context
@@ -23,7 +23,7 @@
             timers.add(context.now_us, POLL_TIMER)
 
     def is_due(self) -> bool:
-        """Returns whether the list is to be asked for in this round."""
+        """Returns whether the list has to be requested in this round."""
         return POLL_TIMER in self.context.due_destinations
 
     def poll_failed(self) -> None:
--- a/forwarder/decisions/endpoint_table.py
+++ b/forwarder/decisions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that a dispatcher knows, with their limit scopes and which of them may be called."""
+"""The endpoints that a dispatcher knows, their limit scopes, and which endpoints may be called."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from forwarder.decisions.settings import DestinationKind, Settings
 
 MAX_ENDPOINTS = 2000
-"""Endpoints kept at most, those that have left the list among them."""
+"""Number of endpoints above which unused endpoints that drain or have left the list are removed."""
 
 
 class EndpointTable:
-    """Follows the endpoint list, and the operators who disable endpoints."""
+    """Tracks the endpoint list, and which endpoints operators have disabled."""
 
     def __init__(self, context: RoundContext, held: HeldMessages) -> None:
         self.context = context
@@ -23,25 +23,25 @@
         self.by_destination: dict[int, list[Endpoint]] = {}
         """The endpoints that may be called."""
         self.disabled_since_us: dict[int, int] = {}
-        """Endpoints that operators disabled, and when."""
+        """When operators disabled an endpoint, by endpoint."""
         self.limit_scopes: dict[tuple[int, int], LimitScope] = {}
-        """By destination and, for separate routes, endpoint (else SHARED_SCOPE)."""
+        """By destination and, for separate routes, endpoint; otherwise SHARED_SCOPE."""
         self.lists_received = 0
         self.destination_kinds: dict[str, DestinationKind] = {}
 
     def apply_settings(self, settings: Settings) -> None:
-        """Uses the kinds of destinations of new settings. The list, which follows, applies them."""
+        """Uses the destination kinds of new settings. The endpoint list that follows applies them."""
         self.destination_kinds = {kind.name: kind for kind in settings.kinds}
 
     def apply_list(self, event: EndpointListReceived) -> None:
-        """Follows a list or its changes. An endpoint that drains or has left gets nothing from this round on."""
+        """Applies a list or its changes. Endpoints that drain or have left receive nothing from this round on."""
         self.lists_received += 1
         if event.kind is not EndpointListKind.CHANGES:
             for endpoint in self.endpoints.values():
                 endpoint.serving = False
         for entry in event.entries:
             self._apply_entry(entry)
-        self._forget_surplus()
+        self._remove_unused_endpoints()
         self.rebuild_index()
 
     def _apply_entry(self, entry: EndpointEntry) -> None:
@@ -62,8 +62,8 @@
         new_scope = LimitScope(destination, 1.0, quota_share=1.0 / self.context.fleet_size)
         return self.limit_scopes.setdefault((destination, route), new_scope)
 
-    def _forget_surplus(self) -> None:
-        """Forgets endpoints that left the list, so that replaced ones do not add up over months."""
+    def _remove_unused_endpoints(self) -> None:
+        """Removes endpoints that drain or have left the list, so that replaced ones do not accumulate over months."""
         surplus = len(self.endpoints) - MAX_ENDPOINTS
         if surplus > 0:
             unused = [
@@ -73,7 +73,7 @@
                 del self.endpoints[endpoint_id]
 
     def rebuild_index(self) -> None:
-        """Finds again which endpoints may be called; all held messages are decided on in this round."""
+        """Rebuilds the index of endpoints that may be called; all held messages are reconsidered in this round."""
         self.by_destination.clear()
         for endpoint in self.endpoints.values():
             if endpoint.serving and not endpoint.excluded and endpoint.id not in self.disabled_since_us:
@@ -81,15 +81,15 @@
         self.context.due_destinations.update(self.held.by_destination)
 
     def disable(self, endpoint_id: int, since_us: int) -> None:
-        """Gives nothing more to an endpoint, whatever the list says. The time of an earlier call stays."""
+        """Stops calls to an endpoint, whatever the list says. If it is disabled already, the earlier time stays."""
         self.disabled_since_us.setdefault(endpoint_id, since_us)
         self.rebuild_index()
 
     def unlisted_endpoint(self, endpoint_id: int, destination: int) -> Endpoint:
-        """Returns a record of an endpoint that left the list while a call to it is in flight, for that call alone."""
+        """Returns a record, for a call in flight only, of its endpoint that has left the list in the meantime."""
         return Endpoint(endpoint_id, destination, "", 0.0, self._scope(destination, SHARED_SCOPE), serving=False)
 
-    def missing_reason(self, destination: int) -> HoldReason:
+    def unavailable_reason(self, destination: int) -> HoldReason:
         """Returns why no endpoint of a destination may be called."""
         known = [endpoint for endpoint in self.endpoints.values() if endpoint.destination == destination]
         if any(endpoint.serving for endpoint in known):
--- a/forwarder/decisions/events.py
+++ b/forwarder/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events that the dispatcher takes in. Times are integers in microseconds, by the caller's clock."""
+"""Events that the dispatcher handles. Times are integers in microseconds on the caller's clock."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list says."""
+    """What an endpoint list contains."""
 
     CHANGES = "changes"
     """Only entries that have changed."""
     WHOLE = "whole"
-    """All entries; endpoints that are not among them have left."""
+    """All entries; endpoints without an entry have left the list."""
     SAVED = "saved"
-    """All entries, as they were saved before a restart; a current list may differ."""
+    """All entries as saved before a restart; the current list may differ."""
     FAILED = "failed"
-    """The list could not be had."""
+    """The list could not be fetched."""
 
 
 class EndpointState(Enum):
-    """The state of an endpoint by the list."""
+    """The state of an endpoint according to the list."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    """It finishes its calls and takes no new ones."""
+    """The endpoint finishes its calls and accepts no new ones."""
     REMOVED = "removed"
 
 
@@ -43,12 +43,12 @@
     """The name of a DestinationKind."""
     state: EndpointState = EndpointState.SERVING
     weight: float = 0.0
-    """Its capacity in calls a second, where weights are reported."""
+    """Its capacity in calls per second, if weights are reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """The endpoint list, what changed in it, or that a poll of it failed."""
+    """The endpoint list, its changes, or the failure of a poll."""
 
     kind: EndpointListKind
     entries: tuple[EndpointEntry, ...] = ()
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListAwaited:
-    """At a start, discovery was asked for the list, and nothing may be sent by the saved one until it answers."""
+    """The list was requested from discovery at startup; the saved list must not be used until discovery answers."""
 
     until_us: int
-    """Without an answer, the saved list is used from this time on."""
+    """Time from which the saved list is used if there is no answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """A client submitted a message, and it was accepted."""
+    """A message that a client submitted was accepted."""
 
     message_id: str
     destination: int
@@ -73,29 +73,29 @@
     key: str | None = None
     tenant: str | None = None
     resent: bool = False
-    """The client says that it submitted it before."""
+    """The client states that it has submitted the message before."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRecovered:
-    """A message that was accepted before a restart, with what is known of its attempts until then."""
+    """A message that was accepted before a restart, with the known history of its attempts."""
 
     message_id: str
     destination: int
     message_class: MessageClass
-    """The class that it was accepted with, whatever the settings say now."""
+    """The class with which it was accepted, even if the settings have changed since."""
     due_us: int
     key: str | None = None
     tenant: str | None = None
     attempts: int = 0
     maybe_ran_at_us: int = -1
-    """When its first attempt that may have run was sent; -1 while none may have."""
+    """When its first attempt that may have run was sent; -1 if no attempt may have run."""
     maybe_ran_on: int = -1
-    """That attempt's endpoint; -1 where there is none."""
+    """The endpoint of that attempt; -1 if there is none."""
     interrupted: bool = False
-    """An attempt was in flight when the process ended: it may still run."""
+    """An attempt was in flight when the process ended, and may still run."""
     local_failures: int = 0
-    """Attempts that this machine could not make; they do not count against the allowed number."""
+    """Attempts that this machine could not send; they do not count towards the maximum."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,21 +109,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverReceived:
-    """The state of the process before, at a hand-over. It comes after the list and the messages."""
+    """The learned state of the previous process at a hand-over. It follows the endpoint list and the messages."""
 
     learned_state: LearnedState
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings are in use from now on; an endpoint list follows. Accepted messages keep their class."""
+    """New settings apply from now on; an endpoint list follows. Accepted messages keep their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """Operators disabled an endpoint: it gets nothing new, whatever the list says."""
+    """Operators disabled an endpoint: it receives no new calls, whatever the list says."""
 
     endpoint: int
     since_us: int
@@ -131,48 +131,48 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEnabled:
-    """Operators enabled an endpoint again; it may have been restarted meanwhile."""
+    """Operators enabled an endpoint again; it may have been restarted in the meantime."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint reported of its rate limit."""
+    """The state of an endpoint's rate limit, as the endpoint reported it."""
 
     limit_left: float
     """Share of the limit that is left."""
     limit_per_s: float
-    """Calls a second that the limit allows to all forwarders; 0 where there is none."""
+    """Calls per second that the limit allows to all forwarders together; 0 if there is no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome."""
+    """An attempt has ended."""
 
     message_id: str
     attempt: int
-    """Its number among the message's attempts, from 0 in the order of their SendAttempt actions."""
+    """Its number among the attempts of the message, from 0 in the order of their SendAttempt actions."""
     endpoint: int
     outcome: Outcome
     duration_us: int
     is_final: bool = False
-    """The message is over with it."""
+    """The message ends with this attempt."""
     retry_after_us: int = 0
-    """The Retry-After of a rejection; 0 is none."""
+    """The Retry-After of a rejection; 0 if there is none."""
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client of a message does not wait for it any more."""
+    """The client of a message no longer waits for it."""
 
     message_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoticeAcknowledged:
-    """The notice of a message with a key, which the dispatcher ended, was acknowledged."""
+    """The notice for a message with a key that the dispatcher ended was acknowledged."""
 
     message_id: str
     key: str
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingNoticeRecovered:
-    """The notice of a message with a key, which was ended before a restart, is not acknowledged yet."""
+    """The notice for a message with a key that was ended before a restart is not acknowledged yet."""
 
     message_id: str
     key: str
@@ -188,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyBackoffRecovered:
-    """A backoff that was stored by KeyBackoffStarted before a restart."""
+    """The backoff of a key that was stored by KeyBackoffStarted before a restart."""
 
     key: str
     until_us: int
@@ -196,14 +196,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of SetTimer has run out."""
+    """A timer that was set by SetTimer has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check has its outcome."""
+    """A health check has ended."""
 
     endpoint: int
     outcome: Outcome
@@ -212,7 +212,7 @@
 
 
 class ExtensionEvent:
-    """Base of the events of optional extensions; only the extension knows them."""
+    """Base class of the events of optional extensions; only the extension interprets them."""
 
     __slots__ = ()
 
@@ -236,4 +236,4 @@
     | HealthCheckEnded
     | ExtensionEvent
 )
-"""Everything that `Dispatcher.handle` takes in."""
+"""Every event that `Dispatcher.handle` accepts."""
--- a/forwarder/decisions/extension.py
+++ b/forwarder/decisions/extension.py
@@ -9,16 +9,16 @@
 
 
 class DecisionExtension(Protocol):
-    """The decisions of an optional extension, called by the dispatcher in whose `extensions` it is."""
+    """The decisions of an optional extension. A dispatcher calls each entry of its `extensions`."""
 
     def apply_event(self, event: ExtensionEvent) -> None:
-        """Takes in an event; ignores those of other extensions."""
+        """Applies an event; ignores events of other extensions."""
 
     def on_outcome(self, endpoint_id: int, outcome: Outcome) -> None:
-        """Takes in the outcome of a message or a stream at an endpoint."""
+        """Handles the outcome of a message or a stream at an endpoint."""
 
     def before_release(self) -> None:
-        """Decides, once a round, what the release of messages depends on."""
+        """Runs once per round, and decides what the release of messages depends on."""
 
     def after_release(self) -> None:
-        """Decides, once a round, after the release of messages."""
+        """Runs once per round, after the release of messages."""
--- a/forwarder/decisions/held_messages.py
+++ b/forwarder/decisions/held_messages.py
@@ -9,17 +9,17 @@
 
 @dataclass(slots=True)
 class HeldMessages:
-    """Messages without an attempt in flight, by destination and by the number under which they were accepted."""
+    """Messages without an attempt in flight, by destination and sequence number."""
 
     by_destination: dict[int, dict[int, Message]] = field(default_factory=dict)
-    """Only destinations for which a message is held."""
+    """Only destinations with at least one held message."""
 
     def add(self, message: Message) -> None:
-        """Holds a message."""
+        """Adds a message."""
         self.by_destination.setdefault(message.destination, {})[message.sequence_number] = message
 
     def remove(self, message: Message) -> None:
-        """Holds a message no longer; does nothing if it was not held."""
+        """Removes a message; does nothing if it is not held."""
         messages = self.by_destination.get(message.destination, {})
         messages.pop(message.sequence_number, None)
         if not messages:
--- a/forwarder/decisions/hold_times.py
+++ b/forwarder/decisions/hold_times.py
@@ -1,4 +1,4 @@
-"""Accounting of how long messages were held, and for which reason."""
+"""Accounting of how long messages are held, and for which reason."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from forwarder.decisions.records import Message
 
 MAX_HOLD_TIME_ROWS = 256
-"""Pairs of destination and class with sums of their own; further ones share the row of OTHER_DESTINATIONS."""
+"""Maximum number of pairs of destination and class with their own row; further pairs share one row."""
 
 OTHER_DESTINATIONS = -1
-"""Stands in place of a destination in the row that further pairs share."""
+"""Replaces the destination in the row that further pairs share."""
 
 
 @dataclass(slots=True)
@@ -21,11 +21,11 @@
     sums_us: dict[tuple[int, str], dict[HoldReason, int]] = field(default_factory=dict)
 
     def set_reason(self, message: Message, reason: HoldReason | None, now_us: int) -> None:
-        """Sets what holds a message from now on, and adds the time until now to the reason before.
+        """Sets the reason that holds a message from now on, and adds the elapsed time to the previous reason.
 
         Args:
             message: The message.
-            reason: What holds it; None where it is not held.
+            reason: What holds it; None if it is not held.
             now_us: The time of the round.
         """
         if message.hold_reason is reason:
@@ -42,7 +42,7 @@
         message.held_since_us = now_us
 
     def totals(self, destination: int | None = None) -> list[tuple[HoldReason, int]]:
-        """Returns the sums in microseconds of one destination or, with None, of all; the largest first."""
+        """Returns the sums in microseconds for one destination or, with None, for all; the largest first."""
         totals_us: dict[HoldReason, int] = {}
         for (row_destination, _), sums_us in self.sums_us.items():
             if destination is None or row_destination == destination:
@@ -52,7 +52,7 @@
 
 
 def hold_times_of(message: Message, now_us: int) -> list[tuple[HoldReason, int]]:
-    """Returns the hold times of one message in microseconds, the present reason first, then the longest."""
+    """Returns the hold times of one message in microseconds, the current reason first, then the longest."""
     times_us = dict(message.hold_times_us)
     if message.hold_reason is not None:
         times_us[message.hold_reason] = times_us.get(message.hold_reason, 0) + now_us - message.held_since_us
--- a/forwarder/decisions/key_queues.py
+++ b/forwarder/decisions/key_queues.py
@@ -1,4 +1,4 @@
-"""Queues of messages with the same ordering key: one of a key in flight at a time, in the order of acceptance."""
+"""Queues of messages with the same ordering key, of which one is in flight at a time, in the order of acceptance."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from forwarder.units import SECOND_US
 
 DISCARD_INTERVAL_US = SECOND_US
-"""Time between two searches for queues that are no longer in use."""
+"""Time between two searches for unused queues."""
 
 
 @dataclass(slots=True)
 class KeyQueue:
-    """The messages of one key, in the order of acceptance, and what blocks the key beside them."""
+    """The messages of one key, in the order of acceptance, and what else blocks the key."""
 
     messages: deque[Message] = field(default_factory=deque)
     in_flight: int = 0
     """Attempts in flight."""
     backoff_until_us: int = 0
-    """No first attempt before this: an earlier attempt may still run."""
+    """No message may have its first attempt before this time: an earlier attempt may still run."""
     unacknowledged_ends: dict[str, int] = field(default_factory=dict)
-    """Sequence numbers of messages that were ended and whose notice is not acknowledged, by message id."""
+    """Sequence numbers of ended messages whose notice is not acknowledged yet, by message id."""
 
     def is_in_use(self) -> bool:
-        """Returns whether the queue has messages, attempts or notices; a backoff may be left without them."""
+        """Returns whether the queue has messages, attempts in flight or pending notices, regardless of a backoff."""
         return bool(self.messages or self.in_flight or self.unacknowledged_ends)
 
 
 class KeyQueues:
-    """The queues of all keys in use."""
+    """The queues of all keys that are in use."""
 
     def __init__(self, context: RoundContext, timers: TimerQueue) -> None:
         self.context = context
@@ -43,18 +43,18 @@
         self.discarded_at_us = context.now_us
 
     def queue(self, key: str) -> KeyQueue:
-        """Returns the queue of a key, a new one if there is none."""
+        """Returns the queue of a key; creates it if there is none."""
         return self.by_key.setdefault(key, KeyQueue())
 
     def remove(self, message: Message) -> None:
-        """Removes a message that has ended, and schedules the next of its key."""
+        """Removes a message that has ended, and schedules the next message of its key."""
         if message.key is not None:
             queue = self.by_key[message.key]
             queue.messages.remove(message)
             self.schedule_next(queue)
 
     def hold_reason(self, message: Message) -> HoldReason | None:
-        """Returns why a message has to wait for its key; None if it need not."""
+        """Returns why a message has to wait for its key; None if it does not have to."""
         if message.key is None:
             return None
         queue = self.by_key[message.key]
@@ -68,19 +68,19 @@
         return HoldReason.KEY_BACKOFF if is_backing_off else None
 
     def schedule_next(self, queue: KeyQueue) -> None:
-        """Has the destination of a queue's first message decided on in this round and after the backoff."""
+        """Makes the destination of a queue's first message due in this round and after the backoff."""
         if queue.messages and not queue.in_flight:
             destination = queue.messages[0].destination
             self.context.due_destinations.add(destination)
             self.timers.add(max(self.context.now_us, queue.backoff_until_us), destination)
 
     def start_attempt(self, message: Message) -> None:
-        """Takes note that an attempt is in flight; no other message of its key may go meanwhile."""
+        """Records that an attempt is in flight; until it ends, no other message of its key may be sent."""
         if message.key is not None:
             self.by_key[message.key].in_flight += 1
 
     def end_attempt(self, key: str, *, may_still_run: bool) -> None:
-        """Takes note that an attempt of a key has ended."""
+        """Records that an attempt of a key has ended."""
         queue = self.by_key[key]
         queue.in_flight -= 1
         if may_still_run:
@@ -88,7 +88,7 @@
         self.schedule_next(queue)
 
     def back_off(self, key: str) -> None:
-        """Starts the backoff of a key after an attempt that may still run; it holds across a restart."""
+        """Starts the backoff of a key after an attempt that may still run; it is stored for use after a restart."""
         queue = self.by_key[key]
         until_us = self.context.now_us + self.context.settings.key_backoff_us
         if until_us > max(self.context.now_us, queue.backoff_until_us):
@@ -96,12 +96,12 @@
             self.context.actions.append(KeyBackoffStarted(key, until_us))
 
     def restore_backoff(self, key: str, until_us: int) -> None:
-        """Goes on with a backoff that was started before a restart or a hand-over."""
+        """Restores a backoff that was started before a restart or a hand-over."""
         queue = self.queue(key)
         queue.backoff_until_us = max(queue.backoff_until_us, until_us)
 
     def await_notice(self, message: Message) -> None:
-        """Blocks the key of a message that was ended until its notice is acknowledged."""
+        """Blocks the key of an ended message until its notice is acknowledged."""
         if message.key is not None:
             self.by_key[message.key].unacknowledged_ends[message.id] = message.sequence_number
 
@@ -110,14 +110,14 @@
         self.queue(key).unacknowledged_ends[message_id] = 0
 
     def acknowledge_notice(self, key: str, message_id: str) -> None:
-        """Unblocks a key after the notice of one of its messages was acknowledged."""
+        """Stops blocking a key for a notice that was acknowledged."""
         queue = self.by_key.get(key)
         if queue is not None:
             queue.unacknowledged_ends.pop(message_id, None)
             self.schedule_next(queue)
 
     def discard_unused(self) -> None:
-        """Discards, once in a while, the queues that have no messages and no backoff."""
+        """Discards the queues that are not in use and have no backoff, once per DISCARD_INTERVAL_US at most."""
         now_us = self.context.now_us
         if now_us - self.discarded_at_us >= DISCARD_INTERVAL_US:
             self.discarded_at_us = now_us
--- a/forwarder/decisions/load_shedding.py
+++ b/forwarder/decisions/load_shedding.py
@@ -1,4 +1,4 @@
-"""Ends messages without a delivery: those that cannot be delivered in time, and some when too many are open."""
+"""Ends messages that cannot be delivered in time, and sheds load when too many messages are open."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from forwarder.units import SECOND_US
 
 SHEDDING_SHARE = 0.85
-"""Share of the allowed open messages above which load is shed."""
+"""Share of the maximum number of open messages above which load is shed."""
 
 SHEDDING_LOG_INTERVAL_US = 30 * SECOND_US
-"""Time between two log lines on load shedding."""
+"""Minimum time between two log lines about load shedding."""
 
 MIN_RETRY_AFTER_US = SECOND_US
-"""A client of a rejected message is asked to stay away for this long at least."""
+"""Minimum Retry-After for the client of a rejected message."""
 
 DEFAULT_RETRY_AFTER_US = SECOND_US
-"""The Retry-After where the message has no endpoint."""
+"""Retry-After for the client of a message without an endpoint."""
 
 
 class LoadShedder:
@@ -42,15 +42,15 @@
         self.estimates = estimates
         self.logged_at_us = context.now_us - SHEDDING_LOG_INTERVAL_US
 
-    def end_hopeless_messages(self) -> None:
-        """Ends messages of the due destinations that will not be delivered in time or may not be attempted again."""
+    def end_undeliverable_messages(self) -> None:
+        """Ends messages of the due destinations that cannot be delivered in time or must not be attempted again."""
         by_destination = self.messages.held.by_destination
         for destination in sorted(self.context.due_destinations):
             for message in list(by_destination.get(destination, {}).values()):
-                if self._is_hopeless(message):
+                if self._is_undeliverable(message):
                     self._end_message(message)
 
-    def _is_hopeless(self, message: Message) -> bool:
+    def _is_undeliverable(self, message: Message) -> bool:
         return (
             self.context.now_us >= self.estimates.give_up_at_us(message)
             or not self.retry_policy.may_attempt(message)
@@ -58,17 +58,17 @@
         )
 
     def _retry_after_outlasts(self, message: Message) -> bool:
-        """Returns whether every endpoint of the message has a Retry-After that ends too late for it."""
+        """Returns whether every eligible endpoint has a Retry-After that ends too late for the message."""
         ends_us = [
             endpoint.limit_scope.retry_after_until_us for endpoint in self.retry_policy.eligible_endpoints(message)
         ]
         return bool(ends_us) and min(ends_us) > self.estimates.give_up_at_us(message)
 
     def shed_load(self) -> None:
-        """Ends messages of the destination with the most held ones, if too many messages are open.
+        """Ends messages of the destination with the most held messages, if too many messages are open.
 
-        So a single destination that does not keep up leaves capacity to the others. Of its messages those leave that
-        would be sent last; ones that may have run stay as long as others can leave, and one always stays.
+        This keeps capacity for the others if a single destination does not keep up. The messages that would be sent
+        last are ended first. Messages that may have run are ended only after all others, and one message always stays.
         """
         by_destination = self.messages.held.by_destination
         surplus = len(self.messages.by_id) - SHEDDING_SHARE * self.context.settings.max_open_messages
@@ -86,12 +86,12 @@
         )
         if self.context.now_us - self.logged_at_us >= SHEDDING_LOG_INTERVAL_US:
             self.logged_at_us = self.context.now_us
-            self.context.actions.append(LogLine(f"buffer nearly full: destination {largest} gives up its last"))
+            self.context.actions.append(LogLine(f"too many open messages: destination {largest} sheds load"))
         for message in candidates[1:][-max(1, int(surplus)) :]:
             self._end_message(message)
 
     def _end_message(self, message: Message) -> None:
-        """Gives a message its final answer: a rejection where submitting it again does no harm, else a failure."""
+        """Ends a message: rejects it if submitting it again cannot cause a second effect, otherwise fails it."""
         if self.retry_policy.is_safe_to_resubmit(message):
             self.context.actions.append(RejectMessage(message.id, self._retry_after_us(message), message.hold_reason))
         else:
@@ -101,7 +101,7 @@
         self.messages.remove(message)
 
     def _retry_after_us(self, message: Message) -> int:
-        """Returns how long the client should stay away: until an endpoint's Retry-After and backoff are over."""
+        """Returns how long the client should wait: until the Retry-After and the backoff of an endpoint have ended."""
         settings = self.context.settings
         if not settings.retry_after_allowed:
             return 0
--- a/forwarder/decisions/message_table.py
+++ b/forwarder/decisions/message_table.py
@@ -1,4 +1,4 @@
-"""The messages that are not over: their intake and their removal."""
+"""The open messages, which are accepted and have not ended."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MessageTable:
-    """All messages that are not over, by id, with those among them that are held."""
+    """Adds accepted messages and removes ended ones; keeps the open messages by id."""
 
     def __init__(
         self, context: RoundContext, held: HeldMessages, key_queues: KeyQueues, tenant_quotas: TenantQuotas
@@ -27,14 +27,14 @@
         self.by_id: dict[str, Message] = {}
         self.classes: dict[str, MessageClass] = {}
         self.accepted_count = 0
-        """Messages accepted since the start; the newest one's sequence number."""
+        """Number of messages accepted since the start, which is the sequence number of the newest one."""
 
     def apply_settings(self, settings: Settings) -> None:
         """Uses the classes of new settings for messages that arrive from now on."""
         self.classes = {message_class.name: message_class for message_class in settings.classes}
 
     def accept(self, event: MessageArrived) -> None:
-        """Holds a new message; fails it if its class is unknown, since then its effect is."""
+        """Adds a new message; fails it if its class, and therefore its effect, is unknown."""
         message_class = self.classes.get(event.class_name)
         if message_class is None:
             self.context.actions.append(FailMessage(event.message_id))
@@ -42,7 +42,7 @@
             self._add(event, message_class)
 
     def recover(self, event: MessageRecovered) -> None:
-        """Holds a message of before a restart, with what its attempts did until then."""
+        """Adds a message from before a restart, with the history of its attempts."""
         message = self._add(event, event.message_class)
         message.attempts = event.attempts
         message.local_failures = event.local_failures
@@ -73,12 +73,12 @@
         return message
 
     def stop_holding(self, message: Message) -> None:
-        """Takes note that a message is held no longer: an attempt is in flight, or it is over."""
+        """Records that a message is no longer held: an attempt is in flight, or the message has ended."""
         self.held.remove(message)
         self.hold_times.set_reason(message, None, self.context.now_us)
 
     def remove(self, message: Message) -> None:
-        """Removes a message that is over, and has the next of its key decided on."""
+        """Removes a message that has ended, and schedules the next message of its key."""
         del self.by_id[message.id]
         self.stop_holding(message)
         self.key_queues.remove(message)
--- a/forwarder/decisions/outcomes.py
+++ b/forwarder/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt to deliver a message can end, and what each outcome proves."""
+"""The outcomes of an attempt to deliver a message, and what each outcome proves."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended. The values are read by operators."""
+    """How an attempt ended. Operators read the values."""
 
     DELIVERED = "delivered"
     FAILED = "failed"
     UNREADABLE = "unreadable"
-    """An answer came that cannot be read: the message may have run, and the endpoint is up."""
+    """An answer arrived that cannot be parsed: the message may have run, and the endpoint is up."""
     REJECTED = "full"
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
@@ -19,15 +19,15 @@
     CANCELED = "canceled"
     NOT_SENT = "not sent"
     LOCAL_FAILURE = "held back"
-    """This machine could not or may not send it, which tells nothing of the endpoint."""
+    """This machine could not or must not send the attempt, which says nothing about the endpoint."""
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT, Outcome.LOCAL_FAILURE})
-"""Outcomes that prove the attempt had no effect."""
+"""Outcomes that prove that the attempt had no effect."""
 
 
 MAY_STILL_RUN = frozenset({Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELED})
-"""Outcomes after which the attempt may still run: the next message of its key waits."""
+"""Outcomes after which the attempt may still run, so that the next message of its key has to wait."""
 
 
 OVERLOAD_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NO_CONNECTION})
@@ -35,4 +35,4 @@
 
 
 UNINFORMATIVE_OUTCOMES = frozenset({Outcome.NOT_SENT, Outcome.LOCAL_FAILURE, Outcome.CANCELED, Outcome.UNREADABLE})
-"""Outcomes that tell nothing of the endpoint's capacity and health."""
+"""Outcomes that say nothing about the endpoint's capacity and health."""
--- a/forwarder/decisions/records.py
+++ b/forwarder/decisions/records.py
@@ -1,4 +1,4 @@
-"""Records of the messages, endpoints, limit scopes and calls that one dispatcher knows. They decide nothing."""
+"""Records of the messages, endpoints, limit scopes and calls of one dispatcher. They make no decisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from forwarder.decisions.settings import MessageClass
 
 SHARED_SCOPE = -1
-"""Stands in place of an endpoint in the key of a limit scope that all endpoints of a destination share."""
+"""Replaces the endpoint in the key of a limit scope that all endpoints of a destination share."""
 
 LIMIT_SCOPE_LEARNED = (
     "concurrency_window",
@@ -25,7 +25,7 @@
     "reported_at_us",
     "next_call_at_us",
 )
-"""Fields of a limit scope that the process which takes over goes on with."""
+"""Fields of a limit scope that are passed on at a hand-over."""
 
 ENDPOINT_LEARNED = (
     "error_rate",
@@ -35,12 +35,12 @@
     "recovering_since_us",
     "slow_start_jitter",
 )
-"""Fields of an endpoint that the process which takes over goes on with."""
+"""Fields of an endpoint that are passed on at a hand-over."""
 
 
 @dataclass(slots=True)
 class Message:
-    """A message that was accepted and is not over."""
+    """An open message, which is accepted and has not ended."""
 
     id: str
     destination: int
@@ -49,28 +49,28 @@
     """Its deadline."""
     arrived_us: int
     sequence_number: int
-    """Its place in the order of acceptance."""
+    """Its position in the order of acceptance."""
     key: str | None
-    """Its ordering key; None where its class has no order."""
+    """Its ordering key; None if its class is not delivered in order."""
     over_quota: bool
-    """It was accepted beyond its tenant's quota."""
+    """It was accepted above its tenant's quota."""
     attempts: int = 0
     local_failures: int = 0
-    """Attempts that this machine could not make; they do not count against the allowed number."""
+    """Attempts that this machine could not send; they do not count towards the maximum."""
     in_flight: int = 0
     """Attempts in flight."""
     maybe_ran_at_us: int = -1
-    """When the first attempt that may have run was sent; -1 while none may have."""
+    """When its first attempt that may have run was sent; -1 if no attempt may have run."""
     maybe_ran_on: int = -1
-    """The endpoint of that attempt; -1 while there is none."""
+    """The endpoint of that attempt; -1 if there is none."""
     avoid_endpoint: int = -1
-    """The endpoint of the last attempt that failed; -1 while there is none."""
+    """The endpoint of the last failed attempt; -1 if there is none."""
     hold_reason: HoldReason | None = None
     """What holds it now; None while an attempt is in flight."""
     held_since_us: int = 0
-    """Since when the hold reason is the present one."""
+    """When the current hold reason began to apply."""
     hold_times_us: dict[HoldReason, int] = field(default_factory=dict)
-    """How long it was held for each reason, without the present one."""
+    """How long each reason has held it, without the time since `held_since_us`."""
 
 
 @dataclass(slots=True)
@@ -81,53 +81,53 @@
     destination: int
     zone: str
     weight: float
-    """Its capacity in calls a second, where weights are reported."""
+    """Its capacity in calls per second, if weights are reported."""
     limit_scope: LimitScope
     max_batch: int = 1
-    """Messages in one call at most."""
+    """Maximum number of messages in one call."""
     separate_route: bool = False
-    """It has a limit scope of its own."""
+    """It has its own limit scope."""
     serving: bool = True
-    """The list has it, and it does not drain."""
+    """It is in the list and does not drain."""
     excluded: bool = False
     """An extension has ejected it as an outlier."""
     in_flight: int = 0
     """Calls in flight."""
     error_rate: float = 0.0
-    """Moving average of the share of its calls that failed."""
+    """Moving average of the share of its calls that fail."""
     last_call_at_us: int = -(1 << 40)
-    """When the newest call to it was sent; long ago before the first."""
+    """When the newest call to it was sent; far in the past before the first call."""
     idle_since_us: int = -1
-    """When a call to it last ended and left an idle connection; -1 before the first."""
+    """When a call to it last ended and left an idle connection; -1 before the first call."""
     ejected_at_us: int = -1
-    """When it was ejected; -1 where it was not."""
+    """When it was ejected; -1 if it was not."""
     recovering_since_us: int = -1
-    """When its recovery ramp began; -1 while it is ejected, and where it was not."""
+    """When its recovery ramp began; -1 while it is ejected, and if it was not ejected."""
     connect_failures: int = 0
-    """Calls running, up to the newest, that got no connection."""
+    """Number of consecutive calls, up to the newest, that got no connection."""
     slow_start_jitter: float = 1.0
-    """The interval until its next call in slow start, as a factor of the mean interval."""
+    """Factor on the mean interval that gives the interval until its next call in slow start."""
     slow_start_divisor: float = 0.0
-    """By how many its slow-start budget is divided, where an extension knows; 0: by the size of the fleet."""
+    """Divisor of its slow-start budget, set by an extension; with 0 the divisor is the size of the fleet."""
 
 
 @dataclass(slots=True)
 class LimitScope:
-    """What shares a rate limit, a Retry-After and a window: a destination, or one of its separate routes."""
+    """A destination, or one of its separate routes, with its own rate limit, Retry-After and concurrency window."""
 
     destination: int
     concurrency_window: float
-    """Calls that may be in flight."""
+    """Number of calls that may be in flight."""
     expected_call_us: float = 0.0
-    """Moving average of the duration of calls."""
+    """Moving average of the duration of calls, in microseconds."""
     initial_call_us: float = 0.0
-    """What the average began with."""
+    """The initial value of that average."""
     learned_at_us: int = -1
-    """When a call was last observed; -1 before the first."""
+    """When the duration of a call was last observed; -1 before the first call."""
     in_flight: int = 0
-    """Calls in flight, with streams."""
+    """Calls in flight, including streams."""
     streams_in_flight: int = 0
-    """Streams among them."""
+    """Streams among the calls in flight."""
     retry_after_until_us: int = 0
     """End of the Retry-After."""
     backoff_until_us: int = 0
@@ -135,40 +135,40 @@
     backoff_us: int = 0
     """Length of the backoff before jitter; 0 after a success."""
     window_cut_at_us: int = -1
-    """When the window was last halved: calls that were sent before do not halve it again."""
+    """When the window was last halved; calls that were sent before then do not halve it again."""
     limit_per_s: float = 0.0
-    """Calls a second that the limit allows to all forwarders; 0 where no limit is reported."""
+    """Calls per second that the limit allows to all forwarders together; 0 if no limit is reported."""
     limit_left: float = 1.0
-    """Share of the limit that is left, by the newest load report."""
+    """Share of the limit that is left, according to the newest load report."""
     quota_share: float = 1.0
-    """Our share of the limit."""
+    """This forwarder's share of the limit."""
     reported_at_us: int = 0
-    """When the newest load report came."""
+    """When the newest load report arrived."""
     next_call_at_us: int = 0
-    """When our share of the limit allows the next call."""
+    """When this forwarder's share of the limit allows the next call."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One call in flight: messages that were released in one round to one endpoint, or a stream."""
+    """One call in flight: messages released to one endpoint in one round, or a stream."""
 
     endpoint: Endpoint
     sent_at_us: int
     connection_idle_us: int = 0
-    """How long the connection that it may use had been idle."""
+    """How long the connection that it may use had been idle, in microseconds."""
     since_previous_us: int = 0
-    """Time since the call before it to the same endpoint."""
+    """Time since the previous call to the same endpoint, in microseconds."""
     open_messages: int = 0
-    """Messages without an outcome."""
+    """Messages of this call without an outcome."""
     batch_size: int = 0
-    """Messages that it carries."""
+    """Messages that this call carries."""
     counted: bool = False
-    """Its outcome was learned from."""
+    """An outcome of this call was already learned from."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One message's part of a call."""
+    """One message's share of a call."""
 
     message: Message
     call: Call
--- a/forwarder/decisions/release.py
+++ b/forwarder/decisions/release.py
@@ -1,4 +1,4 @@
-"""Sends held messages: each to the best of the endpoints that take a message now."""
+"""Sends each held message to the best endpoint that accepts a message now."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from forwarder.decisions.timer_queue import MIN_RECHECK_US, TimerQueue
 
 MIN_TIMEOUT_CALLS = 6
-"""Expected calls that an attempt may take in any case."""
+"""Minimum timeout of an attempt, in expected call durations."""
 
 MAX_TIMEOUT_CALLS = 10
-"""Expected calls that an attempt may take at most, however long its latency objective is."""
+"""Maximum timeout of an attempt, in expected call durations, however long its latency objective is."""
 
 ONCE_TIMEOUT_OBJECTIVES = 2
-"""Latency objectives that an attempt may take that must run at most once: to give it up is to lose the message."""
+"""Timeout of an attempt that must run at most once, in latency objectives: its timeout loses the message."""
 
 
 class MessageRelease:
-    """Releases held messages once a round."""
+    """Releases held messages once per round."""
 
     def __init__(
         self,
@@ -53,10 +53,10 @@
         self.availability = availability
         self.order = ReleaseOrder(context, messages, limits, calls, estimates)
         self.slots_exhausted = False
-        """All slots were in use at the end of the last round: the next free one may go to any destination."""
+        """All slots were in use at the end of the last round: the next free slot may go to any destination."""
 
     def release_messages(self) -> None:
-        """Sends what may be sent, and sets the hold reasons and the next times of the due destinations."""
+        """Sends all messages that may be sent, and updates the hold reasons and timers of the due destinations."""
         if self.limits.has_free_slot():
             self._send_messages()
         self.slots_exhausted = not self.limits.has_free_slot()
@@ -68,9 +68,9 @@
 
     def _send_messages(self) -> None:
         destinations = self.messages.held.by_destination if self.slots_exhausted else self._due_destinations()
-        closed: set[int] = set()  # a destination without capacity has none for the rest of a round
+        exhausted: set[int] = set()  # destinations without capacity gain none during a round
         for message in self.order.iterate(destinations):
-            if message.destination in closed:
+            if message.destination in exhausted:
                 continue
             endpoints = [
                 endpoint
@@ -80,10 +80,14 @@
             if endpoints:
                 self._send_attempt(message, min(endpoints, key=lambda endpoint: self._preference(message, endpoint)))
             elif self.availability.destination_availability(message.destination)[1] is not None:
-                closed.add(message.destination)
+                exhausted.add(message.destination)
 
     def _preference(self, message: Message, endpoint: Endpoint) -> tuple[float, ...]:
-        """Returns the sort key of an endpoint: healthy, not the one that just failed, forming a call, cheap, idle."""
+        """Returns the sort key of an endpoint; the smallest key is the best.
+
+        Preferred, in this order: not ejected, not the endpoint of the last failed attempt, with a forming call, with a
+        low zone fee, with a low error rate, with few calls in flight.
+        """
         zone_fee = self.context.settings.zone_fees.get(endpoint.zone, 0.0) if endpoint.separate_route else 0.0
         return (
             endpoint.ejected_at_us >= 0 and endpoint.recovering_since_us < 0,
@@ -121,26 +125,28 @@
         return self.calls.start(endpoint, message_class.latency_objective_us)
 
     def _attempt_timeout_us(self, message: Message, endpoint: Endpoint) -> int:
-        """Returns how long an attempt may take: some expected calls, and the message's deadline at most."""
+        """Returns the timeout of an attempt: several expected call durations, but no later than the deadline."""
         message_class = message.message_class
         now_us = self.context.now_us
         objectives = ONCE_TIMEOUT_OBJECTIVES if message_class.effect is Effect.ONCE else 1
         objective_us = message_class.latency_objective_us * objectives
-        usual_us = expected_call_us(endpoint.limit_scope, message_class, now_us)
-        timeout_us = max(min(objective_us, MAX_TIMEOUT_CALLS * usual_us), MIN_TIMEOUT_CALLS * usual_us)
+        expected_us = expected_call_us(endpoint.limit_scope, message_class, now_us)
+        timeout_us = max(min(objective_us, MAX_TIMEOUT_CALLS * expected_us), MIN_TIMEOUT_CALLS * expected_us)
         return min(message.due_us - now_us, int(timeout_us))
 
     def _schedule(self, destination: int) -> None:
-        """Sets when a destination is decided on again, and what holds its messages until then."""
-        opens_at_us, reason = self.availability.destination_availability(destination)
+        """Sets when a destination is reconsidered, and what holds its messages until then."""
+        available_at_us, reason = self.availability.destination_availability(destination)
         held = self.messages.held.by_destination[destination].values()
         for message in held:
             self.messages.hold_times.set_reason(message, self._hold_reason(message, reason), self.context.now_us)
-        first_ends_at_us = min(self.estimates.give_up_at_us(message) for message in held)
-        self.timers.add(max(self.context.now_us + MIN_RECHECK_US, min(first_ends_at_us, opens_at_us)), destination)
+        first_give_up_at_us = min(self.estimates.give_up_at_us(message) for message in held)
+        self.timers.add(
+            max(self.context.now_us + MIN_RECHECK_US, min(first_give_up_at_us, available_at_us)), destination
+        )
 
     def _hold_reason(self, message: Message, destination_reason: HoldReason | None) -> HoldReason:
-        """Returns what holds a message: its key, its destination, or the first of its endpoints' reasons."""
+        """Returns what holds a message: its key, its destination, or the first of its endpoints that has a reason."""
         reason = self.key_queues.hold_reason(message) or destination_reason
         if reason is not None:
             return reason
--- a/forwarder/decisions/release_order.py
+++ b/forwarder/decisions/release_order.py
@@ -13,11 +13,11 @@
 from forwarder.decisions.records import Message
 
 DEADLINE_GROUP_SHARE = 0.4
-"""A group reaches from the earliest deadline this share of the time left until it further."""
+"""How far a group extends past its earliest deadline, as a share of the time left until that deadline."""
 
 
 class ReleaseOrder:
-    """Orders messages by groups of near deadlines and, in a group, by the shortest expected call."""
+    """Orders messages by groups of similar deadlines and, within a group, by the shortest expected call."""
 
     def __init__(
         self,
@@ -34,9 +34,9 @@
         self.estimates = estimates
 
     def iterate(self, destinations: Iterable[int]) -> Iterator[Message]:
-        """Yields the held messages of some destinations, group by group, while one more message could be sent.
+        """Yields the held messages of some destinations, group by group, until no further message can be sent.
 
-        Messages over their tenant's quota come last. A message past its deadline has a group all the same.
+        Messages over their tenant's quota come last. A message past its deadline still belongs to a group.
         """
         by_destination = self.messages.held.by_destination
         order = sorted(
--- a/forwarder/decisions/retry_policy.py
+++ b/forwarder/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether, until when and where a message may be attempted, by what a second run of it would do."""
+"""Whether, until when and where a message may be attempted, given the effect of a second run."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 
 
 class RetryPolicy:
-    """Rules for attempts of messages that may have run already."""
+    """Rules for attempts of messages that may already have run."""
 
     def __init__(self, context: RoundContext, endpoint_table: EndpointTable) -> None:
         self.context = context
         self.endpoint_table = endpoint_table
 
     def may_attempt(self, message: Message) -> bool:
-        """Returns whether one more attempt is allowed at all."""
+        """Returns whether another attempt is allowed, at any endpoint."""
         attempts = message.attempts - message.local_failures
         return attempts < self.context.settings.max_attempts and self.context.now_us < self.send_before_us(message)
 
     def send_before_us(self, message: Message) -> int:
-        """Returns by when an attempt has to be sent.
+        """Returns the time before which an attempt has to be sent.
 
-        Of a message that may have run: within its retry window if it has an idempotency key, else never.
+        A message that may have run has until the end of its retry window if it has an idempotency key. If it must run
+        at most once, the time is 0: no further attempt is allowed.
         """
         effect = message.message_class.effect
         if message.maybe_ran_at_us < 0 or effect is Effect.REPEATABLE:
@@ -32,9 +33,10 @@
         return message.maybe_ran_at_us + message.message_class.retry_window_us if effect is Effect.KEYED else 0
 
     def eligible_endpoints(self, message: Message) -> list[Endpoint]:
-        """Returns the endpoints that may get the message.
+        """Returns the endpoints that may receive the message.
 
-        These are the ones of its destination and, if it may have run, only those that know its idempotency key.
+        These are the endpoints of its destination. If the message may have run and has an idempotency key, only those
+        that recognize the key are eligible.
         """
         endpoints = self.endpoint_table.by_destination.get(message.destination, [])
         if message.maybe_ran_at_us < 0:
@@ -42,7 +44,8 @@
         key_scope = message.message_class.key_scope
         if message.message_class.effect is not Effect.KEYED or key_scope is Scope.ALL:
             return endpoints
-        first = self.endpoint_table.endpoints.get(message.maybe_ran_on)  # None if it left the list long ago
+        # None if the endpoint left the list and its record was removed.
+        first = self.endpoint_table.endpoints.get(message.maybe_ran_on)
         return [
             endpoint
             for endpoint in endpoints
@@ -50,7 +53,7 @@
         ]
 
     def is_safe_to_resubmit(self, message: Message) -> bool:
-        """Returns whether a client may submit the message again without a second effect."""
+        """Returns whether a client can submit the message again without a second effect."""
         effect = message.message_class.effect
         return (
             effect is Effect.REPEATABLE
--- a/forwarder/decisions/settings.py
+++ b/forwarder/decisions/settings.py
@@ -1,4 +1,4 @@
-"""The settings as the decisions know them. Times are integers in microseconds."""
+"""The settings that the decisions use. Times are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """What a second run of a message of this class would do."""
+    """The effect of running a message of a class a second time."""
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -16,7 +16,7 @@
 
 
 class Scope(Enum):
-    """Which endpoints of a destination know the idempotency key of a message that one of them got."""
+    """Which endpoints of a destination recognize the idempotency key of a message that one of them received."""
 
     ALL = "all"
     ZONE = "zone"
@@ -25,34 +25,34 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """What all messages of a class have in common."""
+    """The properties that all messages of a class share."""
 
     name: str
     latency_objective_us: int
     """A delivery within this time has the full priority weight."""
     deadline_us: int
-    """How long after its submission a message has to be over."""
+    """Time after its submission by which a message has to end."""
     effect: Effect = Effect.REPEATABLE
     key_scope: Scope = Scope.ALL
     retry_window_us: int = 0
-    """For so long after the first attempt an idempotency key is known."""
+    """Time after the first attempt during which an idempotency key is recognized."""
     in_order: bool = False
     """Messages with the same ordering key are delivered in the order of acceptance."""
     priority_weight: float = 1.0
-    """What a delivery is worth."""
+    """The value of a delivery."""
     late_weight: float = 0.0
-    """Share of that which is left at the deadline."""
+    """Share of the priority weight that a delivery at the deadline has."""
 
 
 @dataclass(frozen=True, slots=True)
 class DestinationKind:
-    """What all destinations of a kind have in common."""
+    """The properties that all destinations of a kind share."""
 
     name: str
     max_batch: int = 1
-    """Messages in one call at most."""
+    """Maximum number of messages in one call."""
     separate_routes: bool = False
-    """Each endpoint has a limit scope of its own."""
+    """Each endpoint has its own limit scope."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
     name: str
     quota_per_s: float
-    """Messages a second, summed over all forwarders; 0 is no quota."""
+    """Messages per second, summed over all forwarders; 0 means no quota."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,22 +69,22 @@
     """All settings.
 
     Raises:
-        ValueError: A setting has no meaning; the text names it as the configuration does.
+        ValueError: A setting is invalid; the text names it as the configuration does.
     """
 
     slots: int
-    """Calls in flight at most."""
+    """Maximum number of calls in flight."""
     classes: tuple[MessageClass, ...]
     kinds: tuple[DestinationKind, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     zone_fees: Mapping[str, float] = field(default_factory=dict)
-    """What a call on a separate route costs, by the endpoint's zone."""
+    """The cost of a call on a separate route, by the zone of the endpoint."""
     forwarders: int = 1
-    """The size of the fleet."""
+    """Number of forwarders in the fleet."""
     max_open_messages: int = 1_000_000
-    """Messages that are not over at most."""
+    """Maximum number of open messages, which are accepted and have not ended."""
     max_attempts: int = 1_000_000
-    """Attempts of one message at most."""
+    """Maximum number of attempts for one message."""
     hedging_allowed: bool = False
     """A message may have several attempts in flight."""
     cancel_allowed: bool = False
@@ -92,36 +92,36 @@
     retry_after_allowed: bool = False
     max_retry_after_us: int = 0
     poll_endpoint_list: bool = False
-    """The endpoint list has to be asked for."""
+    """The endpoint list has to be polled."""
     weights_reported: bool = False
-    """Weights of endpoints are capacities."""
+    """The weights of endpoints are their capacities."""
     rejection_cost: float = 0.0
-    """What a call costs that is rejected above a limit."""
+    """The cost of a call that is rejected above a limit."""
     over_quota_weight: float = 1.0
-    """What a delivery over the tenant's quota is worth, as a factor."""
+    """Factor on the value of a delivery over the tenant's quota."""
     notices_acknowledged: bool = False
     """A rejected or failed message blocks its key until its notice is acknowledged."""
     late_weight_halves: bool = False
-    """After the latency objective the weight halves with each further one; else it falls linearly to the deadline."""
+    """The weight halves with each latency objective after the first; otherwise it falls linearly to the deadline."""
     answer_grace_us: int = 0
-    """A message has to be over by so long after its deadline."""
+    """Time after its deadline by which a message has to have its answer."""
     drain_grace_us: int = 0
-    """Nothing may be sent to an endpoint from so long after it began to drain."""
+    """Time after the start of an endpoint's drain from which nothing may be sent to it."""
     list_poll_within_us: int = 0
-    """A forwarder that has not polled for so long counts as informed of what was listed before."""
+    """A forwarder that has not polled for this long counts as informed of the earlier list."""
     overload_factor: float = 0.0
-    """An endpoint in slow start fails again if it is sent this many times its capacity."""
+    """An endpoint in slow start fails again if it receives this many times its capacity."""
     overload_window_us: int = 0
-    """For so long it has to be sent that much."""
+    """Duration of such an overload that makes it fail."""
     slow_start_from: float = 1.0
-    """Share of its capacity that an endpoint has at least as it recovers."""
+    """Minimum share of its capacity that an endpoint has during recovery."""
     slow_start_us: int = 0
-    """The recovery ramp: after this an endpoint has its whole capacity."""
+    """Duration of the recovery ramp, after which an endpoint has its full capacity."""
     key_backoff_us: int = 0
-    """The next message of a key waits for so long after an attempt that may still run."""
+    """How long the next message of a key waits after an attempt that may still run."""
     connect_timeout_us: int = 0
     idle_timeout_us: int = 0
-    """Endpoints close idle connections after this; 0 where none are kept or it is not known."""
+    """Endpoints close idle connections after this time; 0 if they keep none or the time is unknown."""
 
     def __post_init__(self) -> None:
         _check(self.slots >= 1, "slots")
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -43,7 +43,7 @@
     table.disable(1, 5)
 
     assert table.by_destination == {}
-    assert table.missing_reason(DESTINATION) is HoldReason.DISABLED
+    assert table.unavailable_reason(DESTINATION) is HoldReason.DISABLED
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
 
     table.apply_list(EndpointListReceived(EndpointListKind.WHOLE, entries))
 
-    assert table.missing_reason(DESTINATION) is reason
+    assert table.unavailable_reason(DESTINATION) is reason
 
 
 def test_endpoints_that_left_are_forgotten_when_there_are_too_many() -> None:
