--- a/tests/decisions/builders.py
+++ b/tests/decisions/builders.py
@@ -1,4 +1,4 @@
-"""Builds the records that the tests of single collaborators start from."""
+"""Builders of the records that tests of single collaborators use."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 def make_context(now_us: int = 0, **changes: object) -> RoundContext:
-    """A round with the settings of the scripts, changed as given."""
-    known = settings(**changes)
-    context = RoundContext(known, Random(7), now_us)
-    context.apply_settings(known)
+    """Returns the context of a round with the settings of the scripts and the given changes."""
+    context_settings = settings(**changes)
+    context = RoundContext(context_settings, Random(7), now_us)
+    context.apply_settings(context_settings)
     return context
 
 
 def make_endpoint(endpoint_id: int = 1, scope: LimitScope | None = None) -> Endpoint:
-    """A serving endpoint with a capacity of 10 calls a second."""
+    """Returns a serving endpoint with a capacity of 10 calls per second."""
     return Endpoint(endpoint_id, DESTINATION, "north", 10.0, scope or LimitScope(DESTINATION, 1.0))
 
 
 def make_message(
     message_id: str = "m", class_name: str = "safe", number: int = 1, key: str | None = None, due_us: int = 6 * S
 ) -> Message:
-    """A message of one of the scripts' classes."""
-    [message_class] = [known for known in settings().classes if known.name == class_name]
+    """Returns a message of one of the classes in the settings of the scripts."""
+    [message_class] = [candidate for candidate in settings().classes if candidate.name == class_name]
     return Message(message_id, DESTINATION, message_class, due_us, 0, number, key, over_quota=False)
 
 
 def make_endpoint_table(context: RoundContext, *entries: EndpointEntry) -> EndpointTable:
-    """A table with a complete list of the entries, one plain endpoint if there are none."""
+    """Returns a table after a complete list of the entries, or of one plain endpoint if there are none."""
     table = EndpointTable(context, HeldMessages())
     table.apply_settings(context.settings)
     listed = entries or (EndpointEntry(1, DESTINATION, "north", "plain", weight=10.0),)
--- a/tests/decisions/random_script.py
+++ b/tests/decisions/random_script.py
@@ -1,6 +1,6 @@
-"""Random but legal event scripts, and a check of every action against the rules.
+"""Random but valid event scripts, and a check of every action against the rules.
 
-The check knows only the events and actions, and nothing of the dispatcher's insides.
+The check uses only the events and actions, and no internal state of the dispatcher.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
 
 ROUND_US = 5 * MS
 LAST_US = 10**9
-"""By then a script has to come to its end."""
+"""Time in microseconds by which a script has to end."""
 MAX_TOKEN_LENGTH = 64
-MOODS = (Outcome.DELIVERED, Outcome.REJECTED, Outcome.FAILED, Outcome.NO_CONNECTION, Outcome.RESET)
-"""How the calls of a stretch mostly end."""
+USUAL_OUTCOMES = (Outcome.DELIVERED, Outcome.REJECTED, Outcome.FAILED, Outcome.NO_CONNECTION, Outcome.RESET)
+"""The most frequent outcome of failing calls, for 200 rounds each."""
 ARRIVAL_PROBABILITIES = (0.1, 0.5, 0.02)
+"""The probability of another arrival in a round, for 300 rounds each."""
 
 
 @dataclass(slots=True)
 class SentAttempt:
-    """One attempt, as the actions and events tell of it."""
+    """One attempt, according to the actions and events."""
 
     message_id: str
     number: int
@@ -49,14 +50,14 @@
 
 
 class Script:
-    """Drives a dispatcher with random legal events, and asserts the rules on every action."""
+    """Drives a dispatcher with random valid events, and asserts that every action follows the rules."""
 
-    def __init__(self, dispatcher: Dispatcher, known: Settings, seed: int) -> None:
+    def __init__(self, dispatcher: Dispatcher, settings: Settings, seed: int) -> None:
         self.dispatcher = dispatcher
-        self.settings = known
+        self.settings = settings
         self.random = Random(seed)
-        self.classes = {message_class.name: message_class for message_class in known.classes}
-        self.kinds = {kind.name: kind for kind in known.kinds}
+        self.classes = {message_class.name: message_class for message_class in settings.classes}
+        self.kinds = {kind.name: kind for kind in settings.kinds}
         self.now_us = 0
         self.submitted: dict[str, MessageArrived] = {}
         self.open: dict[str, MessageArrived] = {}
@@ -66,7 +67,7 @@
         self.timers: list[tuple[int, str]] = []
         self.entries = {entry.endpoint: entry for entry in ENTRIES}
         self.left_at_us: dict[int, int] = {}
-        """When an endpoint began to drain or left the list."""
+        """When each endpoint that is not serving began to drain or left the list."""
         self.retry_after_until_us: dict[tuple[int, int], int] = defaultdict(int)
         self.key_order: dict[str, list[str]] = defaultdict(list)
         self.key_backoff_until_us: dict[str, int] = defaultdict(int)
@@ -78,21 +79,21 @@
         self.step([EndpointListReceived(EndpointListKind.SAVED, ENTRIES)])
 
     def run(self, rounds: int) -> None:
-        """Plays some rounds with arrivals, and then on until every message is over."""
+        """Plays some rounds with arrivals, and then continues until every message has ended."""
         for number in range(rounds):
-            mood = MOODS[number // 200 % len(MOODS)]
-            self.play_round(ARRIVAL_PROBABILITIES[number // 300 % len(ARRIVAL_PROBABILITIES)], mood)
+            usual_outcome = USUAL_OUTCOMES[number // 200 % len(USUAL_OUTCOMES)]
+            self.play_round(ARRIVAL_PROBABILITIES[number // 300 % len(ARRIVAL_PROBABILITIES)], usual_outcome)
         while self.open or self.in_flight:
             self.play_round(0.0, Outcome.FAILED)
             assert self.now_us < LAST_US
 
-    def play_round(self, arrival_probability: float, mood: Outcome) -> None:
-        """Makes the events of one round and has the dispatcher decide, if there are any."""
+    def play_round(self, arrival_probability: float, usual_outcome: Outcome) -> None:
+        """Creates the events of one round, and passes them to the dispatcher if there are any."""
         self.now_us += ROUND_US
         events: list[Event] = []
         while self.random.random() < arrival_probability:
             events.append(self.submit())
-        events.extend(self.end_attempts(mood))
+        events.extend(self.end_attempts(usual_outcome))
         events.extend(self.change_list())
         events.extend(self.withdraw())
         events.extend(self.fire_timers())
@@ -103,7 +104,7 @@
             assert self.now_us <= latest_us, f"{message_id} not answered in time"
 
     def submit(self) -> MessageArrived:
-        """A message of any class, for any destination, with any time left."""
+        """Submits a message of a random class to a random destination, with a random time left."""
         message_class = self.random.choice(self.settings.classes)
         message_id = f"m{len(self.submitted)}"
         key = f"k{self.random.randrange(4)}" if message_class.in_order else None
@@ -117,22 +118,22 @@
             self.key_order[key].append(message_id)
         return event
 
-    def end_attempts(self, mood: Outcome) -> list[Event]:
-        """Outcomes of attempts whose time is over, and of some others."""
+    def end_attempts(self, usual_outcome: Outcome) -> list[Event]:
+        """Ends attempts whose timeout has expired, and some random others."""
         events: list[Event] = []
         for attempt in list(self.in_flight):
             if self.now_us >= attempt.timeout_at_us:
                 events.append(self.end_attempt(attempt, Outcome.TIMED_OUT))
             elif self.random.random() < 0.03:
-                luck = self.random.random()
-                outcome = Outcome.DELIVERED if luck < 0.5 else mood
-                if luck > 0.9:
+                draw = self.random.random()
+                outcome = Outcome.DELIVERED if draw < 0.5 else usual_outcome
+                if draw > 0.9:
                     outcome = self.random.choice([other for other in Outcome if other is not Outcome.CANCELED])
                 events.append(self.end_attempt(attempt, outcome))
         return events
 
     def end_attempt(self, attempt: SentAttempt, outcome: Outcome) -> AttemptEnded:
-        """The outcome of one attempt, with a Retry-After or a load report at times."""
+        """Ends one attempt, sometimes with a Retry-After or a load report."""
         self.in_flight.remove(attempt)
         attempt.outcome = outcome
         message = self.submitted[attempt.message_id]
@@ -160,13 +161,13 @@
         )
 
     def change_list(self) -> list[Event]:
-        """At times the state of one endpoint changes, or all leave the list."""
+        """Sometimes changes the state of one endpoint, or removes all endpoints from the list."""
         events: list[Event] = []
         if self.random.random() < 0.01:
             number = self.random.choice(list(self.entries))
             state = self.random.choice([EndpointState.SERVING, EndpointState.DRAINING, EndpointState.REMOVED])
-            known = self.entries[number]
-            entry = EndpointEntry(number, known.destination, known.zone, known.kind, state)
+            old_entry = self.entries[number]
+            entry = EndpointEntry(number, old_entry.destination, old_entry.zone, old_entry.kind, state)
             events.append(EndpointListReceived(EndpointListKind.CHANGES, (entry,)))
             if state is EndpointState.SERVING:
                 self.left_at_us.pop(number, None)
@@ -179,7 +180,7 @@
         return events
 
     def withdraw(self) -> list[Event]:
-        """At times a client gives a message up, and may say so twice."""
+        """Sometimes withdraws a message, possibly with two events."""
         if not self.open or self.random.random() >= 0.005:
             return []
         message_id = self.random.choice(list(self.open))
@@ -188,7 +189,7 @@
         return [withdrawn, withdrawn] if self.random.random() < 0.3 else [withdrawn]
 
     def fire_timers(self) -> list[Event]:
-        """The timers whose time has come."""
+        """Fires the timers that are due."""
         due = [timer for timer in self.timers if timer[0] <= self.now_us]
         self.timers = [timer for timer in self.timers if timer[0] > self.now_us]
         return [TimerFired(token) for _, token in due]
@@ -213,80 +214,82 @@
                 self.timers.append((self.now_us + action.delay_us, action.token))
 
     def close(self, message_id: str) -> None:
-        """Takes note that a message is over."""
+        """Records that a message has ended."""
         assert message_id in self.open, f"{message_id} ended twice"
         del self.open[message_id]
         self.ended_at_us[message_id] = self.now_us
 
     def scope_of(self, endpoint: int) -> tuple[int, int]:
-        """The limit scope of an endpoint."""
+        """Returns the limit scope of an endpoint."""
         entry = self.entries[endpoint]
-        has_own = entry.kind in self.kinds and self.kinds[entry.kind].separate_routes
-        return (entry.destination, endpoint if has_own else -1)
+        has_own_scope = entry.kind in self.kinds and self.kinds[entry.kind].separate_routes
+        return (entry.destination, endpoint if has_own_scope else -1)
 
     def maybe_ran(self, message_id: str) -> list[SentAttempt]:
-        """The attempts of a message that may have run."""
+        """Returns the attempts of a message that may have run."""
         return [attempt for attempt in self.attempts[message_id] if attempt.outcome not in NEVER_RAN]
 
     def check_rejection(self, action: RejectMessage) -> None:
-        """A message is given back only where submitting it again does no harm."""
+        """Asserts that a rejected message can be submitted again without a second effect."""
         message_class = self.classes[self.submitted[action.message_id].class_name]
         if message_class.effect is Effect.ONCE:
-            assert not self.maybe_ran(action.message_id), "rejected, though it may have run"
+            assert not self.maybe_ran(action.message_id), "rejected although it may have run"
         if message_class.effect is Effect.KEYED and message_class.key_scope is not Scope.ALL:
-            assert not self.maybe_ran(action.message_id), "rejected, though a repeat elsewhere would take effect"
+            assert not self.maybe_ran(action.message_id), (
+                "rejected although a retry elsewhere would have a second effect"
+            )
 
     def check_send(self, action: SendAttempt) -> None:
-        """An attempt keeps every rule."""
-        assert action.message_id in self.open, "sent after its end"
+        """Asserts that an attempt follows every rule."""
+        assert action.message_id in self.open, "sent after the message had ended"
         message = self.submitted[action.message_id]
         earlier = self.attempts[action.message_id]
         if not self.settings.hedging_allowed:
-            assert all(attempt.outcome is not None for attempt in earlier), "two attempts at once"
+            assert all(attempt.outcome is not None for attempt in earlier), "two attempts in flight"
         self.check_endpoint(message, action.endpoint)
-        self.check_repeat(message, action.endpoint)
+        self.check_retry(message, action.endpoint)
         self.check_key(message)
         assert action.timeout_us > 0
         assert self.now_us + action.timeout_us <= message.due_us
         self.record_attempt(action)
 
     def check_endpoint(self, message: MessageArrived, endpoint: int) -> None:
-        """It goes to its destination, to no endpoint that drains or has left, and not during a Retry-After."""
+        """Asserts that the endpoint belongs to the destination, neither drains nor has left, and has no Retry-After."""
         assert self.entries[endpoint].destination == message.destination
         left_at_us = self.left_at_us.get(endpoint)
         if left_at_us is not None:
             assert self.now_us <= left_at_us + self.settings.drain_grace_us, "sent to a draining endpoint"
         assert self.now_us >= self.retry_after_until_us[self.scope_of(endpoint)], "sent during a Retry-After"
 
-    def check_repeat(self, message: MessageArrived, endpoint: int) -> None:
-        """It is repeated only where a second run has no second effect."""
+    def check_retry(self, message: MessageArrived, endpoint: int) -> None:
+        """Asserts that a message that may have run is sent again only if a second run has no second effect."""
         message_class: MessageClass = self.classes[message.class_name]
         maybe_ran = self.maybe_ran(message.message_id)
         if not maybe_ran:
             return
-        assert message_class.effect is not Effect.ONCE, "sent twice"
+        assert message_class.effect is not Effect.ONCE, "at-most-once message sent again"
         if message_class.effect is Effect.KEYED:
             first = maybe_ran[0]
-            assert self.now_us <= first.sent_at_us + message_class.retry_window_us, "outside its window"
+            assert self.now_us <= first.sent_at_us + message_class.retry_window_us, "sent after its retry window"
             if message_class.key_scope is Scope.ZONE:
-                assert self.entries[endpoint].zone == self.entries[first.endpoint].zone, "outside its scope"
+                assert self.entries[endpoint].zone == self.entries[first.endpoint].zone, "sent outside its key scope"
 
     def check_key(self, message: MessageArrived) -> None:
-        """The messages of a key go one at a time, in order, and after the key's backoff."""
+        """Asserts that the messages of a key are sent one at a time, in order, and after the backoff of the key."""
         if not message.key:
             return
         order = self.key_order[message.key]
-        before = order[: order.index(message.message_id)]
-        for message_id in before:
+        earlier = order[: order.index(message.message_id)]
+        for message_id in earlier:
             assert message_id in self.ended_at_us, "out of order"
             assert all(attempt.outcome is not None for attempt in self.attempts[message_id]), (
                 "an earlier attempt is in flight"
             )
-        if any(self.attempts[message_id] for message_id in before) and not self.attempts[message.message_id]:
-            assert self.now_us >= self.key_backoff_until_us[message.key], "the key is in its backoff"
+        if any(self.attempts[message_id] for message_id in earlier) and not self.attempts[message.message_id]:
+            assert self.now_us >= self.key_backoff_until_us[message.key], "sent during the backoff of its key"
 
     def record_attempt(self, action: SendAttempt) -> None:
-        """Takes note of an attempt; there are not too many of them."""
+        """Records an attempt, and asserts that neither attempts nor calls exceed their maximum."""
         attempts = self.attempts[action.message_id]
         attempt = SentAttempt(
             action.message_id, len(attempts), action.endpoint, self.now_us, self.now_us + action.timeout_us
--- a/tests/decisions/test_attempt_outcomes.py
+++ b/tests/decisions/test_attempt_outcomes.py
@@ -11,7 +11,7 @@
 
 
 class RecordingExtension:
-    """Keeps the outcomes that it gets."""
+    """Records the outcomes that it receives."""
 
     def __init__(self) -> None:
         self.outcomes: list[tuple[int, Outcome]] = []
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("outcome", [outcome for outcome in Outcome if outcome is not Outcome.DELIVERED])
-def test_a_message_may_have_run_unless_the_outcome_proves_the_contrary(outcome: Outcome) -> None:
+def test_a_message_may_have_run_unless_the_outcome_proves_otherwise(outcome: Outcome) -> None:
     dispatcher = started(ONE_ENDPOINT)
     [send] = sends(dispatcher.handle(0, [ask("m")]))
     message = dispatcher.messages["m"]
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize(
     ("outcome", "is_passed_on"), [(Outcome.FAILED, True), (Outcome.NOT_SENT, True), (Outcome.LOCAL_FAILURE, False)]
 )
-def test_extensions_get_all_outcomes_but_local_failures(outcome: Outcome, is_passed_on: bool) -> None:
+def test_extensions_receive_all_outcomes_except_local_failures(outcome: Outcome, is_passed_on: bool) -> None:
     dispatcher = started(ONE_ENDPOINT)
     extension = RecordingExtension()
     dispatcher.extensions.append(extension)
@@ -52,7 +52,7 @@
     assert extension.outcomes == ([(1, outcome)] if is_passed_on else [])
 
 
-def test_of_a_call_only_the_first_outcome_is_learned_from() -> None:
+def test_only_the_first_outcome_of_a_call_is_learned_from() -> None:
     dispatcher = started()
     first, second = sends(dispatcher.handle(0, [ask("a", 11), ask("b", 11)]))
     assert first.endpoint == second.endpoint
--- a/tests/decisions/test_availability.py
+++ b/tests/decisions/test_availability.py
@@ -11,7 +11,7 @@
 from tests.scripts import MS, S, ask, end, sends, started
 
 
-def test_nothing_is_sent_until_the_awaited_list_is_there() -> None:
+def test_nothing_is_sent_until_the_awaited_list_arrives() -> None:
     dispatcher = started(ONE_ENDPOINT)
     assert not sends(dispatcher.handle(0, [EndpointListAwaited(2 * S), ask("m")]))
     assert dispatcher.availability.destination_availability(10) == (2 * S, HoldReason.STARTING)
@@ -31,7 +31,7 @@
     assert dispatcher.availability.destination_availability(11) == (until_us, HoldReason.LOCAL_FAILURE)
 
 
-def test_of_several_endpoints_the_one_that_opens_first_counts() -> None:
+def test_a_destination_is_available_with_its_first_available_endpoint() -> None:
     dispatcher = started()
     first, second = (dispatcher.endpoints[number] for number in (4, 5))
     first.limit_scope.retry_after_until_us = 3 * S
@@ -44,7 +44,7 @@
     assert dispatcher.availability.destination_availability(12) == (NEVER_US, HoldReason.CONCURRENCY_WINDOW)
 
 
-def test_the_hold_reason_that_ends_last_is_named() -> None:
+def test_the_pacing_reason_that_ends_last_is_returned() -> None:
     dispatcher = started(ONE_ENDPOINT)
     scope = dispatcher.endpoints[1].limit_scope
     scope.retry_after_until_us = S
--- a/tests/decisions/test_call_tracker.py
+++ b/tests/decisions/test_call_tracker.py
@@ -13,7 +13,7 @@
 from tests.scripts import MS, S
 
 
-def tracker_of(context: RoundContext) -> CallTracker:
+def make_call_tracker(context: RoundContext) -> CallTracker:
     table = make_endpoint_table(context)
     slow_start = SlowStart(context, table)
     limits = ConcurrencyLimits(context, table, slow_start)
@@ -22,7 +22,7 @@
 
 def test_a_call_is_counted_until_its_last_message_has_an_outcome() -> None:
     context = make_context(now_us=S)
-    calls = tracker_of(context)
+    calls = make_call_tracker(context)
     endpoint = make_endpoint()
 
     call = calls.start(endpoint, max_interval_us=0.0)
@@ -39,21 +39,21 @@
     assert context.due_destinations == {DESTINATION}
 
 
-def test_a_call_knows_how_long_its_connection_was_idle() -> None:
+def test_a_call_records_how_long_its_connection_was_idle() -> None:
     context = make_context(now_us=3 * S)
     endpoint = make_endpoint()
     endpoint.idle_since_us = S
     endpoint.last_call_at_us = 500 * MS
 
-    call = tracker_of(context).start(endpoint, max_interval_us=0.0)
+    call = make_call_tracker(context).start(endpoint, max_interval_us=0.0)
 
     assert call.connection_idle_us == 2 * S
     assert call.since_previous_us == 2500 * MS
     assert endpoint.last_call_at_us == 3 * S
 
 
-def test_an_attempt_is_kept_by_its_number() -> None:
-    calls = tracker_of(make_context())
+def test_an_attempt_is_recorded_under_its_number() -> None:
+    calls = make_call_tracker(make_context())
     message = make_message("a")
     message.attempts = 2
 
--- a/tests/decisions/test_context.py
+++ b/tests/decisions/test_context.py
@@ -7,18 +7,18 @@
 from tests.decisions.builders import make_context
 
 
-def test_an_error_of_a_step_is_kept_and_stops_no_other() -> None:
+def test_an_error_in_a_step_is_recorded_and_does_not_stop_other_steps() -> None:
     context = make_context()
-    done: list[str] = []
+    completed: list[str] = []
 
     def fail() -> None:
         raise ValueError("for the test")
 
     context.run_step(fail)
-    context.run_step(lambda: done.append("second"))
+    context.run_step(lambda: completed.append("second"))
 
     assert [str(error) for error in context.errors] == ["for the test"]
-    assert done == ["second"]
+    assert completed == ["second"]
 
 
 @pytest.mark.parametrize(("forwarders", "is_large"), [(1, False), (8, False), (9, True)])
--- a/tests/decisions/test_dispatcher.py
+++ b/tests/decisions/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of forwarder.decisions.dispatcher, driven through a dispatcher."""
+"""Tests of forwarder.decisions.dispatcher."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
 
-def test_odd_but_legal_events_are_answered() -> None:
+def test_unusual_but_valid_events_are_handled() -> None:
     dispatcher = started()
     assert finals(dispatcher.handle(0, [ask("due", due=-5)])) == [RejectMessage("due", S)]
     assert finals(dispatcher.handle(0, [ask("stranger", cls="no such class")])) == [FailMessage("stranger")]
     assert not sends(dispatcher.handle(0, [ask("nowhere", 99, due=300 * MS)]))
-    assert [a for _, a in run_timers(dispatcher, MS, 400 * MS) if isinstance(a, RejectMessage)]
+    assert [action for _, action in run_timers(dispatcher, MS, 400 * MS) if isinstance(action, RejectMessage)]
     send = sends(dispatcher.handle(S, [ask("a")]))[0]
     dispatcher.handle(S, [MessageWithdrawn("a"), MessageWithdrawn("a"), TimerFired("unheard of")])
     assert not finals(dispatcher.handle(S, [end(send, Outcome.TIMED_OUT, closed=True)]))
@@ -36,20 +36,20 @@
     assert dispatcher.handle(2 * S, []) == []
 
 
-def test_an_event_costs_only_what_its_destination_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The messages that are held for other destinations are neither scanned nor sorted."""
+def test_an_event_examines_only_the_held_messages_of_its_destination(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Messages that are held for other destinations are neither scanned nor sorted."""
     entries = tuple(EndpointEntry(n, n, "north", "plain") for n in range(2000))
     dispatcher = Dispatcher(settings(slots=4000), 1, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     dispatcher.handle(0, [ask(f"m{n}-{k}", n, due=60 * S) for n in range(2000) for k in range(3)])
-    observed: list[int] = []
-    plain = CallEstimates.give_up_at_us
+    examined: list[int] = []
+    original = CallEstimates.give_up_at_us
 
-    def counted(self: CallEstimates, message: Message) -> int:
-        observed.append(message.destination)
-        return plain(self, message)
+    def recording_give_up_at_us(self: CallEstimates, message: Message) -> int:
+        examined.append(message.destination)
+        return original(self, message)
 
-    monkeypatch.setattr(CallEstimates, "give_up_at_us", counted)
+    monkeypatch.setattr(CallEstimates, "give_up_at_us", recording_give_up_at_us)
     dispatcher.handle(MS, [ask("new", 7, due=60 * S)])
-    assert set(observed) == {7}
-    assert len(observed) < 10
+    assert set(examined) == {7}
+    assert len(examined) < 10
--- a/tests/decisions/test_dispatcher_rules.py
+++ b/tests/decisions/test_dispatcher_rules.py
@@ -1,4 +1,4 @@
-"""Random event scripts, checked against the rules by code that knows nothing of the dispatcher's insides."""
+"""Random event scripts, checked against the rules without the dispatcher's internal state."""
 
 from hypothesis import given
 from hypothesis import settings as profile
@@ -10,8 +10,8 @@
 
 
 def play(seed: int, rounds: int = 900, **changes: object) -> Script:
-    known = settings(**changes)
-    script = Script(Dispatcher(known, seed, 0), known, seed)
+    script_settings = settings(**changes)
+    script = Script(Dispatcher(script_settings, seed, 0), script_settings, seed)
     script.run(rounds)
     return script
 
--- a/tests/decisions/test_endpoint_list_poll.py
+++ b/tests/decisions/test_endpoint_list_poll.py
@@ -23,52 +23,54 @@
 def test_list_is_polled_at_the_start_and_after_failures_with_a_backoff() -> None:
     dispatcher = Dispatcher(settings(poll_endpoint_list=True), 1, 0)
     assert RequestEndpointList() in dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ONE_ENDPOINT)])
-    times = []
-    now = 0
+    delays_us = []
+    now_us = 0
     for _ in range(3):
-        dispatcher.handle(now, [EndpointListReceived(EndpointListKind.FAILED)])
-        asked = now
-        while not any(isinstance(a, RequestEndpointList) for a in dispatcher.handle(now, [TimerFired("look")])):
-            now += 50 * MS
-            assert now < 60 * S
-        times.append(now - asked)
-    assert times[0] >= 500 * MS
-    assert times[2] >= 2 * S
+        dispatcher.handle(now_us, [EndpointListReceived(EndpointListKind.FAILED)])
+        failed_at_us = now_us
+        while not any(
+            isinstance(action, RequestEndpointList) for action in dispatcher.handle(now_us, [TimerFired("look")])
+        ):
+            now_us += 50 * MS
+            assert now_us < 60 * S
+        delays_us.append(now_us - failed_at_us)
+    assert delays_us[0] >= 500 * MS
+    assert delays_us[2] >= 2 * S
 
 
-def test_forwarders_whose_polls_failed_at_once_poll_again_apart() -> None:
-    """Discovery may be overloaded: each forwarder polls again later, and at a random time."""
-    asked: list[list[int]] = []
+def test_forwarders_whose_polls_failed_together_poll_again_at_different_times() -> None:
+    """Simultaneous retries could keep discovery overloaded, so each forwarder waits for a backoff with jitter."""
+    polls_us: list[list[int]] = []
     for dispatcher in fleet(48, poll_endpoint_list=True):
-        at: list[int] = []
+        times_us: list[int] = []
         dispatcher.handle(0, [EndpointListReceived(EndpointListKind.FAILED)])
-        for now in range(10 * MS, 8 * S, 10 * MS):
-            failed = now - 10 * MS in at
+        for now_us in range(10 * MS, 8 * S, 10 * MS):
+            has_failed = now_us - 10 * MS in times_us
             actions = dispatcher.handle(
-                now, [EndpointListReceived(EndpointListKind.FAILED) if failed else TimerFired("look")]
+                now_us, [EndpointListReceived(EndpointListKind.FAILED) if has_failed else TimerFired("look")]
             )
-            at += [now for a in actions if isinstance(a, RequestEndpointList)]
-        asked.append(at)
-    assert all(times[0] >= 500 * MS and 2 <= len(times) <= 4 for times in asked)
-    assert all(times[1] - times[0] >= S for times in asked), "each pause is longer"
-    firsts = sorted(times[0] for times in asked)
-    assert max_calls_within(firsts, 0, 50 * MS) <= 12
+            times_us += [now_us for action in actions if isinstance(action, RequestEndpointList)]
+        polls_us.append(times_us)
+    assert all(times_us[0] >= 500 * MS and 2 <= len(times_us) <= 4 for times_us in polls_us)
+    assert all(times_us[1] - times_us[0] >= S for times_us in polls_us), "the second backoff is longer"
+    first_polls_us = sorted(times_us[0] for times_us in polls_us)
+    assert max_calls_within(first_polls_us, 0, 50 * MS) <= 12
 
 
 def test_the_backoff_doubles_to_its_maximum_and_a_success_resets_it() -> None:
     poll = EndpointListPoll(make_context(), TimerQueue())
-    lengths: list[int] = []
+    backoffs_us: list[int] = []
     for _ in range(4):
-        lengths.append(poll.backoff_us)
+        backoffs_us.append(poll.backoff_us)
         poll.poll_failed()
     poll.poll_succeeded()
 
-    assert lengths == [MIN_POLL_BACKOFF_US, 2 * MIN_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US]
+    assert backoffs_us == [MIN_POLL_BACKOFF_US, 2 * MIN_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US, MAX_POLL_BACKOFF_US]
     assert poll.backoff_us == MIN_POLL_BACKOFF_US
 
 
 @pytest.mark.parametrize("is_polled", [True, False])
-def test_the_list_is_polled_at_the_start_only_where_it_has_to_be(is_polled: bool) -> None:
+def test_the_list_is_polled_at_the_start_only_if_the_settings_require_it(is_polled: bool) -> None:
     timers = TimerQueue()
     context = make_context(poll_endpoint_list=is_polled)
     poll = EndpointListPoll(context, timers)
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -15,21 +15,23 @@
 from tests.scripts import MS, S, ask, sends, started
 
 
-def test_draining_endpoint_gets_nothing_and_a_complete_empty_list_removes_all() -> None:
+def test_a_draining_endpoint_receives_nothing_and_an_empty_complete_list_removes_all() -> None:
     dispatcher = started(ONE_ENDPOINT)
     dispatcher.handle(
         0, [EndpointListReceived(EndpointListKind.CHANGES, (EndpointEntry(1, 10, state=EndpointState.DRAINING),))]
     )
     assert not sends(dispatcher.handle(1, [ask("a", due=500 * MS)]))
-    answered = [(t, a) for t, a in run_timers(dispatcher, 20 * MS, S) if isinstance(a, RejectMessage)]
-    assert answered
-    assert answered[0][0] <= 500 * MS
+    rejections = [
+        (now_us, action) for now_us, action in run_timers(dispatcher, 20 * MS, S) if isinstance(action, RejectMessage)
+    ]
+    assert rejections
+    assert rejections[0][0] <= 500 * MS
     dispatcher = started()
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.WHOLE, ())])
     assert not sends(dispatcher.handle(1, [ask("b"), ask("c", 11), ask("d", 12)]))
 
 
-def test_separate_routes_have_limit_scopes_of_their_own() -> None:
+def test_each_separate_route_has_its_own_limit_scope() -> None:
     entries = [EndpointEntry(number, DESTINATION, kind=kind) for number, kind in enumerate(("plain", "plain", "ways"))]
     table = make_endpoint_table(make_context(), *entries)
 
@@ -49,7 +51,7 @@
 @pytest.mark.parametrize(
     ("state", "reason"), [(EndpointState.DRAINING, HoldReason.DRAINING), (None, HoldReason.UNLISTED)]
 )
-def test_the_reason_of_a_missing_endpoint_is_named(state: EndpointState | None, reason: HoldReason) -> None:
+def test_the_reason_for_an_unavailable_destination_is_returned(state: EndpointState | None, reason: HoldReason) -> None:
     table = make_endpoint_table(make_context())
     if state is None:
         table.endpoints.clear()
@@ -60,7 +62,7 @@
     assert table.unavailable_reason(DESTINATION) is reason
 
 
-def test_endpoints_that_left_are_forgotten_when_there_are_too_many() -> None:
+def test_endpoints_that_left_the_list_are_removed_above_the_maximum() -> None:
     table = make_endpoint_table(make_context(), *(EndpointEntry(n, DESTINATION) for n in range(MAX_ENDPOINTS)))
     in_use = table.endpoints[0]
     in_use.in_flight = 1
--- a/tests/decisions/test_held_messages.py
+++ b/tests/decisions/test_held_messages.py
@@ -6,7 +6,7 @@
 from tests.decisions.builders import DESTINATION, make_message
 
 
-def test_a_destination_is_listed_only_while_a_message_is_held_for_it() -> None:
+def test_a_destination_is_kept_only_while_a_message_is_held_for_it() -> None:
     held = HeldMessages()
     message = make_message()
 
--- a/tests/decisions/test_hold_times.py
+++ b/tests/decisions/test_hold_times.py
@@ -1,4 +1,4 @@
-"""Tests of forwarder.decisions.hold_times: hold times are complete, and counted for the right reason."""
+"""Tests of forwarder.decisions.hold_times: hold times are complete and attributed to the right reason."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 
 
 class HoldTimeScript(Script):
-    """Sums up how long each message was held, beside the dispatcher."""
+    """Sums up how long each message was held, independently of the dispatcher."""
 
-    def __init__(self, dispatcher: Dispatcher, known: Settings, seed: int) -> None:
+    def __init__(self, dispatcher: Dispatcher, script_settings: Settings, seed: int) -> None:
         self.held: dict[str, Message] = {}
         self.held_for_us: dict[str, int] = {}
         self.last_step_us = 0
-        super().__init__(dispatcher, known, seed)
+        super().__init__(dispatcher, script_settings, seed)
 
     def step(self, events: list[Event]) -> None:
-        before = self.held
+        held_before = self.held
         elapsed_us = self.now_us - self.last_step_us
         super().step(events)
         self.last_step_us = self.now_us
-        for message_id in before:
+        for message_id in held_before:
             self.held_for_us[message_id] = self.held_for_us.get(message_id, 0) + elapsed_us
         by_destination = self.dispatcher.held.by_destination
         self.held = {message.id: message for held in by_destination.values() for message in held.values()}
-        for message in (before | self.held).values():
+        for message in (held_before | self.held).values():
             self.check(message)
 
     def check(self, message: Message) -> None:
-        present_us = 0 if message.hold_reason is None else self.now_us - message.held_since_us
-        assert sum(message.hold_times_us.values()) + present_us == self.held_for_us.get(message.id, 0), message
+        current_us = 0 if message.hold_reason is None else self.now_us - message.held_since_us
+        assert sum(message.hold_times_us.values()) + current_us == self.held_for_us.get(message.id, 0), message
 
 
 @profile(derandomize=True, max_examples=25, deadline=None)
@@ -68,13 +68,15 @@
     assert sum(us for _, us in script.dispatcher.hold_times.totals()) == sum(script.held_for_us.values())
 
 
-def send_one(dispatcher: Dispatcher, name: str, now: int = 0, cls: str = "safe", **more: object) -> SendAttempt:
-    [send] = sends(dispatcher.handle(now, [ask(name, cls=cls, due=now + 60 * S, **more)]))
+def send_one(
+    dispatcher: Dispatcher, message_id: str, now_us: int = 0, cls: str = "safe", **event_fields: object
+) -> SendAttempt:
+    [send] = sends(dispatcher.handle(now_us, [ask(message_id, cls=cls, due=now_us + 60 * S, **event_fields)]))
     return send
 
 
 def start_with_one_endpoint() -> Dispatcher:
-    """A dispatcher with a single endpoint."""
+    """Returns a dispatcher with a single endpoint."""
     return started((EndpointEntry(1, 10, "north", "plain", weight=10.0),), weights_reported=True)
 
 
@@ -86,15 +88,15 @@
     dispatcher.handle(MS, [end(send_one(dispatcher, "x"), Outcome.REJECTED)])
 
 
-def report_a_used_up_limit(dispatcher: Dispatcher) -> None:
+def use_up_rate_limit(dispatcher: Dispatcher) -> None:
     dispatcher.handle(MS, [end(send_one(dispatcher, "x"), Outcome.DELIVERED, report=LoadReport(0.1, 0.1))])
     dispatcher.handle(2 * MS, [end(send_one(dispatcher, "y", 2 * MS), Outcome.DELIVERED, report=LoadReport(0.1, 0.1))])
 
 
 def eject(dispatcher: Dispatcher) -> None:
     for n in range(4):
-        at = n * 3 * S
-        dispatcher.handle(at + MS, [end(send_one(dispatcher, f"x{n}", at), Outcome.FAILED, closed=True)])
+        at_us = n * 3 * S
+        dispatcher.handle(at_us + MS, [end(send_one(dispatcher, f"x{n}", at_us), Outcome.FAILED, closed=True)])
 
 
 def recover(dispatcher: Dispatcher) -> None:
@@ -154,7 +156,7 @@
 PREPARATIONS: dict[HoldReason, tuple[Callable[[Dispatcher], object], str]] = {
     HoldReason.RETRY_AFTER: (reject_with_retry_after, "safe"),
     HoldReason.BACKOFF: (reject, "safe"),
-    HoldReason.QUOTA_PACE: (report_a_used_up_limit, "safe"),
+    HoldReason.QUOTA_PACE: (use_up_rate_limit, "safe"),
     HoldReason.CONCURRENCY_WINDOW: (lambda dispatcher: send_one(dispatcher, "x"), "safe"),
     HoldReason.DEGRADED_CAP: (slow_down, "safe"),
     HoldReason.SLOTS: (fill_slots, "safe"),
@@ -170,25 +172,25 @@
 
 
 @pytest.mark.parametrize("reason", PREPARATIONS)
-def test_each_reason_is_named_where_it_alone_holds_a_message(reason: HoldReason) -> None:
+def test_each_reason_is_reported_if_it_alone_holds_a_message(reason: HoldReason) -> None:
     dispatcher = start_with_one_endpoint()
     prepare, cls = PREPARATIONS[reason]
     prepare(dispatcher)
-    now = dispatcher.now_us
-    assert not sends(dispatcher.handle(now, [ask("m", cls=cls, due=now + 8 * S, key="k")]))
+    now_us = dispatcher.now_us
+    assert not sends(dispatcher.handle(now_us, [ask("m", cls=cls, due=now_us + 8 * S, key="k")]))
     assert dispatcher.messages["m"].hold_reason is reason
-    dispatcher.handle(now + 20 * MS, [TimerFired("look")])
+    dispatcher.handle(now_us + 20 * MS, [TimerFired("look")])
     assert dispatcher.hold_times_of("m")[0] == (reason, 20 * MS)
 
 
-def test_before_the_first_list_messages_are_held_by_the_start() -> None:
+def test_messages_are_held_as_starting_before_the_first_list() -> None:
     dispatcher = Dispatcher(settings(), 1, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ())])
     dispatcher.handle(0, [ask("m")])
     assert dispatcher.messages["m"].hold_reason is HoldReason.STARTING
 
 
-def test_of_two_reasons_the_one_that_ends_last_counts() -> None:
+def test_the_reason_that_ends_last_is_reported() -> None:
     dispatcher = start_with_one_endpoint()
     reject_with_retry_after(dispatcher)
     dispatcher.limit_scopes[(10, -1)].backoff_until_us = 5 * S
@@ -196,21 +198,23 @@
     assert dispatcher.messages["m"].hold_reason is HoldReason.BACKOFF
 
 
-def test_a_reason_that_ends_within_its_round_counts_nothing() -> None:
+def test_a_reason_that_ends_within_its_round_adds_no_hold_time() -> None:
     dispatcher = start_with_one_endpoint()
     dispatcher.handle(0, [EndpointDisabled(1, 0), ask("m"), EndpointEnabled(1)])
     assert HoldReason.DISABLED not in dict(dispatcher.hold_times.totals())
 
 
-def test_a_rejection_names_its_hold_reason() -> None:
+def test_a_rejection_includes_its_hold_reason() -> None:
     dispatcher = start_with_one_endpoint()
     reject_with_retry_after(dispatcher)
     dispatcher.handle(dispatcher.now_us, [ask("m", due=dispatcher.now_us + 2900 * MS)])
-    refused = [a for a in dispatcher.handle(4 * S, [TimerFired("look")]) if isinstance(a, RejectMessage)]
-    assert [a.hold_reason for a in refused] in ([HoldReason.RETRY_AFTER], [])
+    rejections = [
+        action for action in dispatcher.handle(4 * S, [TimerFired("look")]) if isinstance(action, RejectMessage)
+    ]
+    assert [rejection.hold_reason for rejection in rejections] in ([HoldReason.RETRY_AFTER], [])
 
 
-def test_rows_are_bounded() -> None:
+def test_the_number_of_rows_is_bounded() -> None:
     dispatcher = Dispatcher(settings(max_open_messages=10**6), 1, 0)
     entries = tuple(replace(ENTRIES[0], endpoint=n, destination=n) for n in range(1, 1000))
     dispatcher.handle(
--- a/tests/decisions/test_key_queues.py
+++ b/tests/decisions/test_key_queues.py
@@ -20,19 +20,21 @@
 from tests.scripts import MS, S, ask, end, finals, sends, started
 
 
-def test_messages_of_a_key_go_one_at_a_time_in_order_with_a_backoff_after_a_timeout() -> None:
+def test_messages_of_a_key_are_sent_one_at_a_time_in_order_with_a_backoff_after_a_timeout() -> None:
     dispatcher = started()
-    one = ask("a", 10, "turns", 9 * S, key="k")
-    two = ask("b", 11, "turns", 9 * S, key="k")
-    out = sends(dispatcher.handle(0, [one, two]))
-    assert [s.message_id for s in out] == ["a"]
-    dispatcher.handle(2 * S, [end(out[0], Outcome.TIMED_OUT, took=2 * S), MessageWithdrawn("a")])
-    got = [t for t, a in run_timers(dispatcher, 2 * S + MS, 3 * S) if isinstance(a, SendAttempt)]
-    assert got
-    assert got[0] >= 2 * S + 300 * MS
-
-
-def test_key_backs_off_after_a_restart_interrupted_its_attempt() -> None:
+    first = ask("a", 10, "turns", 9 * S, key="k")
+    second = ask("b", 11, "turns", 9 * S, key="k")
+    attempts = sends(dispatcher.handle(0, [first, second]))
+    assert [send.message_id for send in attempts] == ["a"]
+    dispatcher.handle(2 * S, [end(attempts[0], Outcome.TIMED_OUT, took=2 * S), MessageWithdrawn("a")])
+    later_us = [
+        now_us for now_us, action in run_timers(dispatcher, 2 * S + MS, 3 * S) if isinstance(action, SendAttempt)
+    ]
+    assert later_us
+    assert later_us[0] >= 2 * S + 300 * MS
+
+
+def test_a_key_backs_off_after_a_restart_interrupted_its_attempt() -> None:
     dispatcher = started(ONE_ENDPOINT)
     actions = dispatcher.handle(
         0,
@@ -41,22 +43,22 @@
             ask("b", cls="turns", due=8 * S, key="k"),
         ],
     )
-    assert [a.message_id for a in finals(actions)] == ["a"]
+    assert [action.message_id for action in finals(actions)] == ["a"]
     assert not sends(actions)
-    got = [t for t, a in run_timers(dispatcher, 20 * MS, 2 * S) if isinstance(a, SendAttempt)]
-    assert got
-    assert got[0] >= 300 * MS
+    later_us = [now_us for now_us, action in run_timers(dispatcher, 20 * MS, 2 * S) if isinstance(action, SendAttempt)]
+    assert later_us
+    assert later_us[0] >= 300 * MS
 
 
-def queues_with(context: RoundContext, *message_ids: str) -> KeyQueues:
+def make_key_queues(context: RoundContext, *message_ids: str) -> KeyQueues:
     key_queues = KeyQueues(context, TimerQueue())
     for number, message_id in enumerate(message_ids, 1):
         key_queues.queue("k").messages.append(make_message(message_id, "turns", number, "k"))
     return key_queues
 
 
-def test_only_the_first_message_of_a_key_may_go() -> None:
-    key_queues = queues_with(make_context(), "first", "second")
+def test_only_the_first_message_of_a_key_may_be_sent() -> None:
+    key_queues = make_key_queues(make_context(), "first", "second")
     first, second = key_queues.by_key["k"].messages
 
     assert key_queues.hold_reason(first) is None
@@ -65,7 +67,7 @@
 
 def test_a_pending_notice_of_an_earlier_message_blocks_its_key() -> None:
     context = make_context()
-    key_queues = queues_with(context, "first", "second")
+    key_queues = make_key_queues(context, "first", "second")
     first, second = key_queues.by_key["k"].messages
     key_queues.await_notice(first)
     key_queues.remove(first)
@@ -80,7 +82,7 @@
 
 def test_a_backoff_is_reported_once_and_holds_first_attempts_only() -> None:
     context = make_context(key_backoff_us=300 * MS)
-    key_queues = queues_with(context, "first")
+    key_queues = make_key_queues(context, "first")
     [message] = key_queues.by_key["k"].messages
     key_queues.back_off("k")
     key_queues.back_off("k")
@@ -93,7 +95,7 @@
 
 def test_unused_queues_are_discarded_once_their_backoff_is_over() -> None:
     context = make_context()
-    key_queues = queues_with(context, "first")
+    key_queues = make_key_queues(context, "first")
     key_queues.restore_backoff("short", DISCARD_INTERVAL_US)
     key_queues.restore_backoff("long", 2 * DISCARD_INTERVAL_US)
 
--- a/tests/decisions/test_load_shedding.py
+++ b/tests/decisions/test_load_shedding.py
@@ -22,26 +22,28 @@
 
 
 def test_load_is_shed_from_the_destination_with_the_most_held_messages() -> None:
-    """A single destination that does not keep up must not cost the others their messages."""
+    """A single destination that does not keep up must not cause messages of other destinations to be rejected."""
     dispatcher = started(max_open_messages=20)
     dispatcher.handle(0, [ask(f"a{n}", due=6 * S) for n in range(15)] + [ask("b", 12)])
     actions = dispatcher.handle(MS, [ask("c", 12), ask("d", 12), ask("e", 12)])
-    refused = [a.message_id for a in finals(actions)]
-    assert refused
-    assert all(name.startswith("a") for name in refused)
+    ended = [action.message_id for action in finals(actions)]
+    assert ended
+    assert all(message_id.startswith("a") for message_id in ended)
 
 
-def test_message_is_rejected_at_once_if_every_retry_after_outlasts_it() -> None:
-    """It would block its key, and its client would learn too late that it may come back."""
+def test_message_is_rejected_immediately_if_every_retry_after_outlasts_it() -> None:
+    """Holding the message would block its key, and its client would be told to retry too late."""
     dispatcher = started(ONE_ENDPOINT, max_retry_after_us=3 * S)
     send = sends(dispatcher.handle(0, [ask("first", due=20 * S)]))[0]
     actions = dispatcher.handle(
         MS, [end(send, Outcome.REJECTED, retry_after_us=9 * S), ask("short"), ask("long", due=20 * S)]
     )
     assert finals(actions) == [RejectMessage("short", 3 * S)]
-    assert [a.message_id for a in finals(dispatcher.handle(2 * MS, [ask("next")]))] == ["next"]
-    both = started((*ONE_ENDPOINT, EndpointEntry(9, 10, "south", "ways")))
-    send = next(s for s in sends(both.handle(0, [ask("a"), ask("b")])) if s.endpoint == 1)
-    assert not finals(both.handle(MS, [end(send, Outcome.REJECTED, retry_after_us=9 * S), ask("free")])), (
-        "one endpoint is open"
+    assert [action.message_id for action in finals(dispatcher.handle(2 * MS, [ask("next")]))] == ["next"]
+    with_two_endpoints = started((*ONE_ENDPOINT, EndpointEntry(9, 10, "south", "ways")))
+    send = next(
+        attempt for attempt in sends(with_two_endpoints.handle(0, [ask("a"), ask("b")])) if attempt.endpoint == 1
     )
+    assert not finals(
+        with_two_endpoints.handle(MS, [end(send, Outcome.REJECTED, retry_after_us=9 * S), ask("free")])
+    ), "one endpoint has no Retry-After"
--- a/tests/decisions/test_message_table.py
+++ b/tests/decisions/test_message_table.py
@@ -17,7 +17,7 @@
 from tests.scripts import MS, S, ask, end, finals, sends, settings, started
 
 
-def test_recovered_message_keeps_what_it_did_before_the_restart() -> None:
+def test_recovered_message_keeps_its_attempt_history() -> None:
     dispatcher = started(ONE_ENDPOINT)
     actions = dispatcher.handle(
         MS, [MessageRecovered("once", 10, CLASSES["once"], 8 * S, attempts=1, maybe_ran_at_us=0, maybe_ran_on=1)]
@@ -28,37 +28,37 @@
         S, [MessageRecovered("k", 10, CLASSES["keyed"], 8 * S, attempts=2, maybe_ran_at_us=0, maybe_ran_on=1)]
     )
     send = sends(actions)[0]
-    actions = dispatcher.handle(
-        3 * S, [end(send, Outcome.FAILED, attempt=2)]
-    )  # its key is remembered for 3 s from the first
+    # The retry window of 3 s starts with the first attempt.
+    actions = dispatcher.handle(3 * S, [end(send, Outcome.FAILED, attempt=2)])
     assert not sends(actions)
-    assert [a.message_id for a in finals(actions)] == ["k"]
+    assert [action.message_id for action in finals(actions)] == ["k"]
     cls = CLASSES["zoned"]
     actions = dispatcher.handle(
         8 * S, [MessageRecovered("z", 10, cls, 9 * S, attempts=1, maybe_ran_at_us=7 * S, maybe_ran_on=99)]
     )
-    assert not sends(actions)  # its first endpoint has left, and only that one's zone knows the key
+    # The endpoint of the first attempt has left the list, and only endpoints in its zone recognize the key.
+    assert not sends(actions)
 
 
 def test_message_keeps_its_class_when_the_settings_change() -> None:
     dispatcher = started(ONE_ENDPOINT, max_attempts=6)
     send = sends(dispatcher.handle(0, [ask("old", cls="once", due=8 * S)]))[0]
-    fresh = settings(
+    new_settings = settings(
         max_attempts=2,
         classes=(MessageClass("once", 2 * S, 8 * S), MessageClass("new", 2 * S, 8 * S, Effect.ONCE)),
     )
     actions = dispatcher.handle(
         MS,
         [
-            SettingsChanged(fresh),
+            SettingsChanged(new_settings),
             EndpointListReceived(EndpointListKind.WHOLE, ONE_ENDPOINT),
             ask("gone", cls="safe"),
             ask("new", cls="new", due=8 * S),
             end(send, Outcome.UNREADABLE),
         ],
     )
-    assert sorted(a.message_id for a in finals(actions)) == ["gone", "old"]
-    assert all(isinstance(a, FailMessage) for a in finals(actions))
+    assert sorted(action.message_id for action in finals(actions)) == ["gone", "old"]
+    assert all(isinstance(action, FailMessage) for action in finals(actions))
     send = sends(actions)[0]
     assert send.message_id == "new"
     assert finals(dispatcher.handle(2 * MS, [end(send, Outcome.UNREADABLE)])) == [FailMessage("new")]
--- a/tests/decisions/test_order_model.py
+++ b/tests/decisions/test_order_model.py
@@ -1,7 +1,7 @@
-"""The real engine against what its clients and the platform know, over random events and restarts.
+"""A state machine test of the real engine with random events and restarts, checked against an oracle.
 
-The order of keys is kept, and no message is sent after its end, over any sequence of refusals, calls that this machine
-cannot make, notices, failing writes and restarts.
+The messages of a key must be sent in order, and no message may be sent after its end, for any sequence of rejections,
+local failures, notices, failing writes and restarts. The source of KeyOrder determines the examples.
 """
 
 from __future__ import annotations
@@ -144,8 +144,8 @@
 test_keys_keep_their_order = KeyOrder.TestCase
 
 
-def test_every_accepted_message_comes_to_an_end(tmp_path: Path) -> None:
-    """The model's own check: what it plays comes to an end, and some of it by each way."""
+def test_every_accepted_message_ends(tmp_path: Path) -> None:
+    """Checks the harness itself: every message of a run with a crash ends, and some messages are delivered."""
     harness = ForwarderHarness(tmp_path)
     for n in range(20):
         harness.submit(f"m{n}", [*CLASSES][n % 3], f"k{n % 5}", 2 * SECOND_US)
@@ -163,8 +163,11 @@
     harness.close()
 
 
-def test_a_call_to_an_endpoint_that_has_left_the_list_goes_on_over_a_hand_over(tmp_path: Path) -> None:
-    """Found by the model: who took over forgot the call, tried it again, and let the next of its key go."""
+def test_a_call_to_an_endpoint_that_has_left_the_list_continues_across_a_hand_over(tmp_path: Path) -> None:
+    """The new process must not lose the call, or it sends the message again and releases the next one of its key.
+
+    The state machine above found this failure.
+    """
     harness = ForwarderHarness(tmp_path)
     harness.submit("m1", "once", "k1", 6 * SECOND_US)
     harness.pass_time(10 * MS)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -34,8 +34,10 @@
 def test_at_most_once_message_is_retried_when_it_never_ran(outcome: Outcome) -> None:
     dispatcher = started(ONE_ENDPOINT)
     send = sends(dispatcher.handle(0, [ask("a", cls="once", due=8 * S)]))[0]
-    now = sends(dispatcher.handle(50 * MS, [end(send, outcome)]))
-    assert now or [a for _, a in run_timers(dispatcher, 60 * MS, 4 * S) if isinstance(a, SendAttempt)]
+    retries = sends(dispatcher.handle(50 * MS, [end(send, outcome)]))
+    assert retries or [
+        action for _, action in run_timers(dispatcher, 60 * MS, 4 * S) if isinstance(action, SendAttempt)
+    ]
 
 
 def test_retry_by_idempotency_key_stays_within_the_key_scope() -> None:
@@ -50,19 +52,19 @@
         ],
     )
     dispatcher.handle(50 * MS, [end(send, Outcome.FAILED)])
-    later = [a for _, a in run_timers(dispatcher, 60 * MS, 4 * S)]
-    assert not [a for a in later if isinstance(a, SendAttempt)]
-    assert [a for a in later if isinstance(a, FailMessage)]
+    later = [action for _, action in run_timers(dispatcher, 60 * MS, 4 * S)]
+    assert not [action for action in later if isinstance(action, SendAttempt)]
+    assert [action for action in later if isinstance(action, FailMessage)]
 
 
-def test_fewer_allowed_attempts_apply_to_held_messages() -> None:
+def test_a_lower_maximum_of_attempts_applies_to_held_messages() -> None:
     dispatcher = started(ONE_ENDPOINT, max_attempts=6)
     send = sends(dispatcher.handle(0, [ask("m")]))[0]
     dispatcher.handle(
         MS, [SettingsChanged(settings(max_attempts=1)), EndpointListReceived(EndpointListKind.WHOLE, ONE_ENDPOINT)]
     )
     actions = dispatcher.handle(2 * MS, [end(send, Outcome.FAILED)])
-    assert [a.message_id for a in finals(actions)] == ["m"]
+    assert [action.message_id for action in finals(actions)] == ["m"]
     assert not sends(actions)
 
 
@@ -81,7 +83,9 @@
 
 
 @pytest.mark.parametrize(("class_name", "eligible"), [("safe", [1, 2, 3]), ("keyed", [1, 2, 3]), ("zoned", [1, 3])])
-def test_a_message_that_may_have_run_goes_where_its_key_is_known(class_name: str, eligible: list[int]) -> None:
+def test_a_message_that_may_have_run_is_sent_only_where_its_key_is_recognized(
+    class_name: str, eligible: list[int]
+) -> None:
     context = make_context()
     zones = ("north", "south", "north")
     entries = [EndpointEntry(number, DESTINATION, zone, "plain") for number, zone in enumerate(zones, 1)]
@@ -97,7 +101,7 @@
     ("class_name", "may_have_run", "is_safe"),
     [("safe", True, True), ("keyed", True, True), ("zoned", True, False), ("once", True, False), ("once", False, True)],
 )
-def test_only_what_cannot_have_a_second_effect_is_safe_to_resubmit(
+def test_only_messages_without_a_second_effect_are_safe_to_resubmit(
     class_name: str, may_have_run: bool, is_safe: bool
 ) -> None:
     context = make_context()
@@ -108,7 +112,7 @@
     assert retry_policy.is_safe_to_resubmit(message) is is_safe
 
 
-def test_attempts_that_this_machine_could_not_make_do_not_count() -> None:
+def test_attempts_that_this_machine_could_not_send_do_not_count() -> None:
     context = make_context(max_attempts=2)
     retry_policy = RetryPolicy(context, make_endpoint_table(context))
     message = make_message()
--- a/tests/decisions/test_retry_windows.py
+++ b/tests/decisions/test_retry_windows.py
@@ -1,4 +1,4 @@
-"""Until when what has failed may be sent again."""
+"""Tests of the time until which a failed message may be sent again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "outcome", "window"),
+    ("cls", "outcome", "window_us"),
     [
         ("keyed", Outcome.RESET, 3 * S),
         ("zoned", Outcome.TIMED_OUT, 3 * S),
@@ -21,29 +21,42 @@
         ("safe", Outcome.RESET, None),
     ],
 )
-def test_a_retry_says_by_when_it_has_to_be_sent(cls: str, outcome: Outcome, window: int | None) -> None:
-    d = Dispatcher(settings(), 1, 0)
-    (first,) = sends(d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)]))
+def test_a_retry_states_the_time_before_which_it_has_to_be_sent(
+    cls: str, outcome: Outcome, window_us: int | None
+) -> None:
+    dispatcher = Dispatcher(settings(), 1, 0)
+    (first,) = sends(
+        dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]), ask("m", cls=cls)])
+    )
     assert first.send_before_us == NEVER_US
-    again, now = sends(d.handle(50 * MS, [end(first, outcome)])), 50 * MS
-    while not again:
-        now += 10 * MS
-        again = sends(d.handle(now, []))
-    assert again[0].send_before_us == (NEVER_US if window is None else window)
-    assert now < 2 * S
+    retries, now_us = sends(dispatcher.handle(50 * MS, [end(first, outcome)])), 50 * MS
+    while not retries:
+        now_us += 10 * MS
+        retries = sends(dispatcher.handle(now_us, []))
+    assert retries[0].send_before_us == (NEVER_US if window_us is None else window_us)
+    assert now_us < 2 * S
 
 
-def test_a_clock_that_was_set_back_lets_nothing_run_twice() -> None:
-    """Its first attempt was sent at a time that is still to come: what must not run twice has no time to go again."""
-    d = Dispatcher(settings(), 1, 0)
-    actions = d.handle(
+def test_a_clock_that_was_set_back_does_not_cause_a_second_run() -> None:
+    """An at-most-once message must not be sent again, even if its first attempt has a time in the future."""
+    dispatcher = Dispatcher(settings(), 1, 0)
+    actions = dispatcher.handle(
         0,
         [
             EndpointListReceived(EndpointListKind.SAVED, ENTRIES[:1]),
             MessageRecovered(
-                "m", 10, d.message_table.classes["once"], 6 * S, None, None, 1, 3600 * S, ENTRIES[0].endpoint, False
+                "m",
+                10,
+                dispatcher.message_table.classes["once"],
+                6 * S,
+                None,
+                None,
+                1,
+                3600 * S,
+                ENTRIES[0].endpoint,
+                False,
             ),
         ],
     )
     assert not sends(actions)
-    assert [type(a) for a in finals(actions)] == [FailMessage]
+    assert [type(action) for action in finals(actions)] == [FailMessage]
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of forwarder.decisions.settings, driven through a dispatcher."""
+"""Tests of forwarder.decisions.settings."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_timer_queue.py
+++ b/tests/decisions/test_timer_queue.py
@@ -16,7 +16,7 @@
     assert timers.pop_due(40) == set()
 
 
-def test_only_an_earlier_time_replaces_the_one_of_a_destination() -> None:
+def test_only_an_earlier_time_replaces_the_time_of_a_destination() -> None:
     timers = TimerQueue()
     timers.add(20, 1)
     timers.add(30, 1)
