--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -43,7 +43,7 @@
         self.key_queues = key_queues
         self.retry_policy = retry_policy
         self.list_awaited_until_us = context.now_us
-        """End of the wait for a current endpoint list; nothing is sent by the saved list before it."""
+        """End of the wait for a current endpoint list; the saved list is not used for sending before it."""
         self.peers_queried_until_us = context.now_us
         """End of the wait for the observations of other forwarders; nothing is sent before it."""
         self.local_backoff_until_us = context.now_us
@@ -110,8 +110,8 @@
             available_at_us = scope.next_call_at_us
             reason = HoldReason.QUOTA_PACE
         if self.slow_start.is_active(endpoint):
-            slot_us = self.slow_start.next_slot_us(endpoint)
-            if slot_us > available_at_us:
-                available_at_us = slot_us
+            next_slot_at_us = self.slow_start.next_slot_us(endpoint)
+            if next_slot_at_us > available_at_us:
+                available_at_us = next_slot_at_us
                 reason = HoldReason.EJECTED if endpoint.recovering_since_us < 0 else HoldReason.SLOW_START
         return available_at_us, reason if available_at_us > self.context.now_us else None
--- a/forwarder/decisions/hold_reason.py
+++ b/forwarder/decisions/hold_reason.py
@@ -39,4 +39,4 @@
     STARTING = "first seconds after a start"
     """The forwarder waits for the endpoint list or for the observations of other forwarders."""
     LOCAL_FAILURE = "a failure of this machine"
-    """This machine could not send an attempt shortly before."""
+    """This machine could not send a recent attempt."""
--- a/forwarder/decisions/load_shedding.py
+++ b/forwarder/decisions/load_shedding.py
@@ -106,11 +106,11 @@
         if not settings.retry_after_allowed:
             return 0
         now_us = self.context.now_us
-        opens_at_us = min(
+        available_at_us = min(
             (
                 max(endpoint.limit_scope.retry_after_until_us, endpoint.limit_scope.backoff_until_us)
                 for endpoint in self.retry_policy.eligible_endpoints(message)
             ),
             default=now_us + DEFAULT_RETRY_AFTER_US,
         )
-        return min(max(MIN_RETRY_AFTER_US, opens_at_us - now_us), settings.max_retry_after_us)
+        return min(max(MIN_RETRY_AFTER_US, available_at_us - now_us), settings.max_retry_after_us)
--- a/tests/decisions/random_script.py
+++ b/tests/decisions/random_script.py
@@ -32,7 +32,7 @@
 """Time in microseconds by which a script has to end."""
 MAX_TOKEN_LENGTH = 64
 USUAL_OUTCOMES = (Outcome.DELIVERED, Outcome.REJECTED, Outcome.FAILED, Outcome.NO_CONNECTION, Outcome.RESET)
-"""The most frequent outcome of failing calls, for 200 rounds each."""
+"""The most frequent outcome besides a random delivery, for 200 rounds each."""
 ARRIVAL_PROBABILITIES = (0.1, 0.5, 0.02)
 """The probability of another arrival in a round, for 300 rounds each."""
 
