--- a/forwarder/decisions/load_shedding.py
+++ b/forwarder/decisions/load_shedding.py
@@ -86,7 +86,7 @@
         )
         if self.context.now_us - self.logged_at_us >= SHEDDING_LOG_INTERVAL_US:
             self.logged_at_us = self.context.now_us
-            self.context.actions.append(LogLine(f"too many open messages: destination {largest} sheds load"))
+            self.context.actions.append(LogLine(f"buffer nearly full: destination {largest} gives up its last"))
         for message in candidates[1:][-max(1, int(surplus)) :]:
             self._end_message(message)
 
