--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,7 +1,7 @@
-"""A fleet on one machine: many processes of the program, fake parties for all that it serves, faults between them.
+"""Test laboratory: a fleet of forwarder processes on one machine, with fake peers and injected faults.
 
-Never imported by `forwarder`. Use: docs/lab.md. What decides is pure (`scenario`, `plan`, `endpoint_model`,
-`observed_state`, `rules`, `metrics`); what has sockets and processes is `network`, `endpoints`, `discovery`, `front`,
-`clients` and `forwarder_process`. `testbed` joins the parties, `fault_injection` strikes them, `sampling` samples
-them, and `run` plays it all.
+`forwarder` never imports this package. docs/lab.md describes its use. `scenario`, `plan`, `endpoint_model`,
+`observed_state`, `rules` and `metrics` are free of I/O. `network`, `endpoints`, `discovery`, `front`, `clients` and
+`forwarder_process` use sockets and processes. `testbed` connects the parties, `fault_injection` injects the faults,
+`sampling` samples the run, and `run` executes a whole scenario.
 """
--- a/lab/client_connection.py
+++ b/lab/client_connection.py
@@ -1,4 +1,4 @@
-"""The clients' end of a connection to a forwarder."""
+"""The client side of a connection to a forwarder."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 PARTY = "front"
 RESET_WAIT_S = 0.05
-"""Within this the reset has come that follows the end of a connection whose forwarder never read the request."""
+"""How long to wait for the reset that follows an end of stream if the forwarder closed without reading the request."""
 INBOUND_POLL_S = 0.01
 
 
 class ClientConnection(LinkConnection):
-    """One connection of the clients to a forwarder, with one request at a time."""
+    """One client connection to a forwarder, with one request at a time."""
 
     def __init__(self, network: Network, node: str) -> None:
         super().__init__(network, (node, PARTY))
@@ -30,17 +30,17 @@
         self.request_count = 0
         self.was_reset = False
         self.ended_by_link = False
-        """It has ended, and its forwarder did not end it or cannot be heard."""
+        """An injected fault ended the connection, or it ended while its link was silent or held bytes back."""
 
     def request(self, data: bytes, on_sent: Callable[[], None] | None = None) -> asyncio.Future[int]:
         """Send a request.
 
         Args:
             data: The whole request.
-            on_sent: Called once its last byte was written.
+            on_sent: Called once its last byte is written.
 
         Returns:
-            The answer's status; ConnectionResetError where the connection ends without one.
+            A future with the answer's status; it raises ConnectionResetError if the connection ends without an answer.
         """
         self.answer = asyncio.get_running_loop().create_future()
         self.on_request_sent = on_sent
@@ -50,12 +50,12 @@
         return self.answer
 
     def on_sent(self, data: bytes) -> None:
-        """Tell whoever sent the request that its bytes have left."""
+        """Call the request's `on_sent` callback."""
         if self.on_request_sent is not None:
             self.on_request_sent()
 
     def receive(self, data: bytes) -> None:
-        """Parse bytes of the forwarder."""
+        """Parse bytes from the forwarder."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -64,16 +64,16 @@
     # Called by the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header of the answer."""
+        """Read Retry-After from the answer's headers."""
         if name.lower() == b"retry-after":
             self.retry_after_s = float(value)
 
     def on_headers_complete(self) -> None:
-        """Take the answer's status."""
+        """Read the answer's status."""
         self.status = self.parser.get_status_code()
 
     def on_message_complete(self) -> None:
-        """Give the answer to whoever waits for it."""
+        """Resolve the request's future with the answer's status."""
         self.keeps_alive = self.parser.should_keep_alive()
         if (waiter := self._waiter()) is not None:
             waiter.set_result(self.status)
@@ -81,13 +81,13 @@
     # Called by the event loop
 
     def eof_received(self) -> bool:
-        """Note that the forwarder has ended its side.
+        """Handle the forwarder's end of stream.
 
-        Where a request is unanswered, what follows tells whether it was read: if it was not, its bytes met a closed
-        socket, and a reset comes.
+        If a request is unanswered, keep the connection open for a moment: a reset that follows shows that the request
+        reached a closed socket and was never read.
 
         Returns:
-            Whether the connection stays open for that.
+            Whether the connection stays open.
         """
         if self._waiter() is None:
             return False
@@ -95,13 +95,13 @@
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note how the connection ended."""
+        """Record how the connection ended."""
         self.was_reset = self.was_reset or error is not None
         self.ended_by_link = self.was_cut or bool(self.held_inbound) or self._is_link_silent()
         super().connection_lost(error)
 
     def on_closed(self) -> None:
-        """Fail the request that has no answer, once all has come that the forwarder had sent before."""
+        """Fail an unanswered request, once all delayed bytes that the forwarder sent before the end have arrived."""
         if (waiter := self._waiter()) is None:
             return
         if self._is_late(Direction.TO_PARTY):
@@ -110,7 +110,7 @@
             waiter.set_exception(ConnectionResetError("the connection ended"))
 
     def _arrive(self, deliver: Callable[[bytes], None], data: bytes) -> None:
-        """Deliver delayed bytes; those of a forwarder that has ended the connection behind them too."""
+        """Deliver delayed bytes, even if the forwarder has closed the connection since."""
         if self.transport is not None or deliver == self.receive:
             deliver(data)
 
@@ -119,7 +119,7 @@
         return fault.silent_in or fault.silent_out
 
     def _waiter(self) -> asyncio.Future[int] | None:
-        """Return the request's future while somebody waits for it."""
+        """Return the request's future while it is unresolved."""
         return None if self.answer is None or self.answer.done() else self.answer
 
     def _look_for_reset(self) -> None:
--- a/lab/datagrams.py
+++ b/lab/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between forwarders: all pass a proxy, which loses, doubles, swaps or delays them as the links have it."""
+"""Datagrams between forwarders pass a proxy, which drops, duplicates, reorders or delays them by the links' faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """The address at which one forwarder is reached by the others."""
+    """The socket at which the other forwarders reach one forwarder."""
 
     def __init__(self, exchange: DatagramExchange, node: str) -> None:
         self.exchange = exchange
@@ -19,28 +19,28 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
-        """Pass on a datagram that was sent to this forwarder."""
+        """Forward a datagram that was sent to this forwarder."""
         self.exchange.forward(sender[0], self.node, data)
 
     def error_received(self, error: Exception) -> None:
-        """Count an error of the socket."""
+        """Count a socket error."""
         self.exchange.network.counts["datagram errors"] += 1
 
 
 class DatagramExchange:
-    """The proxies of all forwarders. A sender is known by the address that its datagram comes from."""
+    """The proxies of all forwarders. A datagram's source address identifies its sender."""
 
     def __init__(self, network: Network, real: dict[str, Address], advertised: dict[str, Address]) -> None:
-        """Make the exchange; `open` binds its sockets.
+        """Create the exchange; `open` binds its sockets.
 
         Args:
-            network: The links, and what is wrong with them.
+            network: The links and their faults.
             real: Each forwarder's own UDP address, by name.
-            advertised: The address at which the others reach it, by name.
+            advertised: Each forwarder's proxy address, which the others send to, by name.
         """
         self.network = network
         self.real = real
@@ -48,7 +48,7 @@
         self.names = {address[0]: name for name, address in real.items()}
         self.proxies: dict[str, DatagramProxy] = {}
         self.swapping: dict[Link, bytes] = {}
-        """Datagrams that wait for the next of their link, which goes first."""
+        """By link, a datagram that waits for the next one, to be sent after it."""
         self.sent_bytes: Counter[str] = Counter()
         self.sent_datagrams: Counter[str] = Counter()
 
@@ -56,7 +56,7 @@
         """Bind the address of every proxy.
 
         Raises:
-            OSError: One of them is taken.
+            OSError: An address is in use.
         """
         loop = asyncio.get_running_loop()
         for name, address in self.advertised.items():
@@ -70,7 +70,7 @@
                 proxy.transport.close()
 
     def forward(self, source: str, receiver: str, data: bytes) -> None:
-        """Pass a datagram on, or what the link makes of it."""
+        """Forward a datagram with the fault of its link applied."""
         sender = self.names.get(source)
         if sender is None:
             self.network.counts["datagrams of strangers"] += 1
@@ -91,7 +91,7 @@
                 self._deliver(link, copy)
 
     def _copies(self, link: Link, fault: LinkFault, data: bytes) -> list[bytes]:
-        """Return what leaves now: none while a datagram waits to be swapped, and more where one is doubled."""
+        """Return the datagrams to send now: none while this one waits to be swapped; several if it is duplicated."""
         copies = [data]
         if self.network.rng.random() < fault.doubled:
             self.network.counts["datagrams doubled"] += 1
--- a/lab/discovery.py
+++ b/lab/discovery.py
@@ -1,4 +1,4 @@
-"""Fake discovery with limited capacity, and the platform that takes notices; one listener for each forwarder."""
+"""Fake discovery with limited capacity, and the platform that receives notices; one listener per forwarder."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 ZONE = "oslo-1"
 REMOVED = "removed"
 WHOLE_LIST = -1
-"""The version that a call names which asks for the whole list."""
+"""The version in a request for the whole list."""
 
 
 class ListEntry(msgspec.Struct, frozen=True, rename={"zone": "site", "kind": "class", "destination": "block"}):
-    """An endpoint, as the protocol page lists it ("Discovery")."""
+    """An endpoint in the endpoint list, as the protocol page defines it ("Discovery")."""
 
     host: str
     dial: str
@@ -44,7 +44,7 @@
 
 
 class EndpointList(msgspec.Struct, frozen=True, rename={"version": "seq", "is_whole": "whole", "entries": "hosts"}):
-    """The list of endpoints or what has changed in it, as the protocol page has it ("Discovery")."""
+    """The whole endpoint list or the changes to it, as the protocol page defines it ("Discovery")."""
 
     version: int
     is_whole: bool
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """The end of a message, as a forwarder tells it to the platform."""
+    """A forwarder's report to the platform that a message has ended."""
 
     message_id: str
     state: str
@@ -61,11 +61,11 @@
 
 
 def _ignore(notice: Notice) -> None:
-    """Do nothing about a notice."""
+    """Ignore a notice."""
 
 
 class DiscoveryServer:
-    """The list of endpoints and its changes. The addresses differ from forwarder to forwarder; the names do not."""
+    """Serves the endpoint list and its changes. Each forwarder gets its own addresses for the same endpoint names."""
 
     def __init__(
         self,
@@ -76,15 +76,15 @@
         seed: object,
         addresses: dict[Link, Address],
     ) -> None:
-        """Make a discovery without endpoints.
+        """Create a discovery server without endpoints.
 
         Args:
             network: The links to the forwarders.
-            event_log: Where what is seen goes.
-            settings: The scenario's table.
-            nodes: Size of the fleet, by which the capacity grows.
-            seed: Of the random draws.
-            addresses: Where each forwarder dials each endpoint; may grow later.
+            event_log: Receives the events that the server sees.
+            settings: The scenario's `discovery` table.
+            nodes: Number of forwarders; the capacity is proportional to it.
+            seed: Seed of the random draws.
+            addresses: Where each forwarder dials each endpoint; entries may be added later.
         """
         self.network = network
         self.event_log = event_log
@@ -97,17 +97,17 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.health: dict[str, str] = {}
         self.changes: list[tuple[int, str]] = []
-        """Version and endpoint's name, in order."""
+        """Version and endpoint name of each change, in order."""
         self.watches: set[DiscoveryConnection] = set()
         self.on_notice: Callable[[Notice], None] = _ignore
 
     def make_listener(self, node: str, address: Address) -> Listener:
-        """Make the listener that one forwarder dials."""
+        """Create the listener for one forwarder."""
         link = (node, PARTY)
         return Listener(self.network, link, address, partial(DiscoveryConnection, self, link))
 
     def update_endpoint(self, endpoint: Endpoint, health: str = "up") -> None:
-        """List an endpoint, or change its health; `removed` takes it off."""
+        """Add an endpoint to the list, or change its health; `removed` takes it off the list."""
         self.version += 1
         self.endpoints[endpoint.name] = endpoint
         self.health[endpoint.name] = health
@@ -116,12 +116,12 @@
             asyncio.get_running_loop().call_later(self.rng.uniform(*self.settings.late_s), watch.wake)
 
     def whole_list(self, node: str) -> EndpointList:
-        """Return the whole list, for one forwarder."""
+        """Return the whole list as one forwarder gets it."""
         listed = [name for name in self.endpoints if self.health[name] != REMOVED]
         return EndpointList(self.version, True, self._entries(node, listed))
 
     def changes_since(self, node: str, version: int) -> EndpointList:
-        """Return what has changed after a version, for one forwarder."""
+        """Return the changes after a version as one forwarder gets them."""
         names = dict.fromkeys(name for changed_in, name in self.changes if changed_in > version)
         return EndpointList(self.version, False, self._entries(node, names))
 
@@ -152,7 +152,7 @@
         self.url = ""
         self.body = bytearray()
         self.watched_version: int | None = None
-        """The version that an open watch has; None where there is none."""
+        """The version of the open watch; None without one."""
         self.watch_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -165,7 +165,7 @@
         self._end_watch()
 
     def receive(self, data: bytes) -> None:
-        """Parse bytes of the forwarder."""
+        """Parse bytes from the forwarder."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -174,34 +174,34 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the request's fields."""
         self.url = ""
         self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
-        """Add to the request's URL."""
+        """Append to the request's URL."""
         self.url += url.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Add to the request's body."""
+        """Append to the request's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Answer the request, or begin a watch."""
+        """Answer the request, or start a watch."""
         parts = urlsplit(self.url)
-        if parts.path == NOTICES_PATH:  # taken at once, even while discovery is down
-            self._take_notices()
+        if parts.path == NOTICES_PATH:  # the platform answers at once, even while discovery is down
+            self._handle_notices()
         elif parts.path != LIST_PATH:
             self._answer(HTTPStatus.NOT_FOUND)
         else:
             query = parse_qs(parts.query)
             version = int(query.get("from", [str(WHOLE_LIST)])[0])
             hold_s = float(query.get("hold_ms", ["0"])[0]) / 1000
-            self._take_list_request(version, hold_s)
+            self._handle_list_request(version, hold_s)
 
     # Requests
 
-    def _take_notices(self) -> None:
+    def _handle_notices(self) -> None:
         try:
             notices = [
                 Notice(str(row["id"]), str(row["state"]), float(row.get("after_ms", 0)) / 1000)
@@ -221,11 +221,11 @@
             self.server.on_notice(notice)
         self._answer(HTTPStatus.NO_CONTENT)
 
-    def _take_list_request(self, version: int, hold_s: float) -> None:
+    def _handle_list_request(self, version: int, hold_s: float) -> None:
         server = self.server
         if server.is_down:
             server.event_log.note(EventKind.LIST_REQUESTED, node=self.node, status=0)
-            return  # silent while it is down
+            return  # discovery does not answer while it is down
         if not server.capacity.take(server.event_log.clock()):
             server.event_log.note(EventKind.LIST_REQUESTED, node=self.node, status=HTTPStatus.SERVICE_UNAVAILABLE)
             self._answer(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -240,12 +240,12 @@
             server.watches.add(self)
             self.watch_timer = asyncio.get_running_loop().call_later(hold_s, self.wake, True)
 
-    def wake(self, hold_is_over: bool = False) -> None:
-        """Answer an open watch, if there is a change or its time is over."""
+    def wake(self, hold_expired: bool = False) -> None:
+        """Answer the open watch, if the list has changed or the hold time is over."""
         version = self.watched_version
         if version is None or self.server.is_down:
             return
-        if hold_is_over or version < self.server.version:
+        if hold_expired or version < self.server.version:
             changes = self.server.changes_since(self.node, version)
             self._end_watch()
             self._send_list(changes)
--- a/lab/endpoint_model.py
+++ b/lab/endpoint_model.py
@@ -1,4 +1,4 @@
-"""How a destination and its endpoints behave, by the published pages. Pure: times in, answers out, seeded chance."""
+"""Model of a destination and its endpoints, as the published pages describe them. No I/O; seeded random draws."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from lab.scenario import Endpoints
 
 BURST_S = 0.5
-"""A rate limit lets through at once what it earns in this time."""
+"""The burst of a rate limit, as the time in which the limit earns it."""
 REPORT_MAX_AGE_S = 0.4
-"""Reports of what a limit has left are so old at most (the brief: 230 to 960 ms)."""
+"""Maximum age of a reported remaining limit (the brief: 230 to 960 ms)."""
 FEW_CALLS = 30
-"""The slack for chance is wider for fewer calls than these (BENCH)."""
+"""Below this number of calls, the allowance for random variation is wider (BENCH)."""
 INFORMED_SHARE = 2 / 3
-"""The rule is broken if so many of the calls that overloaded an endpoint came from forwarders that had seen it fail."""
+"""The rule is broken if this share of the calls that overloaded an endpoint came from forwarders that saw it fail."""
 SLOTS_PER_LOAD = 2.0
-"""Slots of an endpoint, over the calls that are under way at its capacity."""
+"""Slots of an endpoint, as a multiple of the concurrent calls at its capacity."""
 MIN_SLOTS = 2
 SERVICE_TIME_SIGMA = 0.28
-"""Spread of the service time, which is distributed log-normally."""
+"""Standard deviation of the logarithm of the service time, which is log-normally distributed."""
 MAX_SERVICE_TIMES = 10
-"""The longest service time, over the usual one."""
+"""Maximum service time, as a multiple of the usual one."""
 
 Waiting = TypeVar("Waiting")
-"""What waits for a slot."""
+"""A call that waits for a slot."""
 
 
 def cold_budget(allowed: float) -> float:
-    """Return the most calls that a warming-up endpoint bears, where the settings allow so many (BENCH, "Rules")."""
+    """Return how many calls a warming-up endpoint tolerates if the settings allow `allowed` calls (BENCH, "Rules")."""
     if allowed < FEW_CALLS:
         return allowed + 3 * math.sqrt(allowed) + 3
     return allowed + 2 * math.sqrt(allowed) + 2
@@ -41,13 +41,13 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A rate limit in calls a second, shared by all forwarders."""
+    """A rate limit in calls per second, shared by all forwarders."""
 
     rate: float
     tokens: float = -1.0
     updated_at_s: float = 0.0
     reported_share: float = 1.0
-    """What the last report told of the tokens that are left, as a share of the burst."""
+    """The remaining tokens in the last report, as a share of the burst."""
     reported_at_s: float = -1.0
 
     def __post_init__(self) -> None:
@@ -55,18 +55,18 @@
 
     @property
     def burst(self) -> float:
-        """Calls that it lets through at once when it is full."""
+        """Number of calls that a full bucket admits at once."""
         return max(1.0, self.rate * BURST_S)
 
     def available(self, now_s: float) -> float:
-        """Return how many calls it would let through at once now."""
+        """Return how many calls the bucket would admit at once now."""
         earned = max(0.0, now_s - self.updated_at_s) * self.rate
         self.tokens = min(self.burst, self.tokens + earned)
         self.updated_at_s = now_s
         return self.tokens
 
     def take(self, now_s: float) -> bool:
-        """Count one more call. Returns whether it is within the limit."""
+        """Take a token for a call. Returns whether the call is within the limit."""
         self.available(now_s)
         if now_s - self.reported_at_s >= REPORT_MAX_AGE_S:
             self.reported_share = self.tokens / self.burst
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallDecision:
-    """What an endpoint makes of a call: a status, and for 200 how long the work takes."""
+    """An endpoint's decision on a call: the status, and for 200 the service time."""
 
     status: HTTPStatus
     retry_after_s: float = 0.0
@@ -88,34 +88,34 @@
 
 @dataclass(slots=True)
 class DestinationModel:
-    """A destination: its rate limit, and how long its refusals tell to wait."""
+    """A destination: its rate limit and the Retry-After of its refusals."""
 
     spec: Destination
     rng: random.Random
     retry_after_range_s: tuple[float, float]
     bucket: TokenBucket | None = None
-    """None: it has no limit but its capacity."""
+    """None without a rate limit; only the capacity limits the calls then."""
     reports_limit: bool = True
-    """Its answers report the limit."""
+    """Whether the answers report the limit."""
 
     def __post_init__(self) -> None:
         if self.spec.limit_per_s and self.bucket is None:
             self.bucket = TokenBucket(self.spec.limit_per_s)
 
     def scale_limit(self, factor: float) -> None:
-        """Set the limit to so many times what the plan gives it."""
+        """Set the limit to a multiple of its value in the plan."""
         if self.bucket is not None:
             self.bucket.rate = self.spec.limit_per_s * factor
             self.bucket.tokens = min(self.bucket.tokens, self.bucket.burst)
 
     def draw_retry_after_s(self) -> float:
-        """Draw the Retry-After of a refusal, in seconds; 0 where it has none."""
+        """Draw the Retry-After of a refusal, in seconds; 0 for none."""
         if self.rng.random() < self.spec.retry_after_share:
             return self.rng.uniform(*self.retry_after_range_s)
         return 0.0
 
     def load_report(self) -> str | None:
-        """Return what an answer reports of the limit, as a header's value; None where it reports nothing."""
+        """Return the header value with which an answer reports the limit; None if the limit is not reported."""
         if self.bucket is None or not self.reports_limit:
             return None
         return f"x0={self.bucket.reported_share:.3f},x1={self.bucket.rate:.3f}"
@@ -139,47 +139,47 @@
     rng: random.Random
     is_down: bool = False
     is_overloaded: bool = False
-    """It went down under too many calls while it was warming up, and does not come back."""
+    """Too many calls during warm-up took it down for the rest of the run."""
     recovered_at_s: float = -1.0
-    """When it came back from an outage; -1 while it has been up for long."""
+    """End of its last outage; -1 before the first outage and during one."""
     busy_slots: int = 0
     queue: deque[Waiting] = field(default_factory=deque)
     """Calls that wait for a slot."""
     recent_calls: deque[RecentCall] = field(default_factory=deque)
     informed_nodes: set[str] = field(default_factory=set)
-    """Forwarders that had a call fail or refused here during the outage."""
+    """Forwarders whose connection broke during the outage or whose call was refused during warm-up."""
     worst_budget_ratio: float = 0.0
-    """The most calls while it was warming up, over its budget in the same window."""
+    """Maximum ratio of the calls in a window of the warm-up to the budget of that window."""
 
     @property
     def slots(self) -> int:
-        """Calls that it works on at once."""
+        """Number of calls that it processes concurrently."""
         return max(MIN_SLOTS, round(SLOTS_PER_LOAD * self.spec.capacity_per_s * self.spec.service_s))
 
     def has_free_slot(self) -> bool:
-        """Whether a call would be worked on at once."""
+        """Whether a call would start without queueing."""
         return self.busy_slots < self.slots
 
     def capacity_share(self, now_s: float) -> float:
-        """Return the share of its capacity that it has now."""
+        """Return the currently available share of its capacity."""
         settings = self.settings
         if self.recovered_at_s < 0 or now_s - self.recovered_at_s >= settings.warm_s:
             return 1.0
         return settings.cold_from + (1 - settings.cold_from) * (now_s - self.recovered_at_s) / settings.warm_s
 
     def is_warming_up(self, now_s: float) -> bool:
-        """Whether it has come back so lately that it bears less than its capacity."""
+        """Whether it is below its full capacity after an outage."""
         return self.capacity_share(now_s) < 1.0
 
     def fail(self) -> None:
-        """Begin an outage."""
+        """Start an outage."""
         self.is_down = True
         self.recovered_at_s = -1.0
         self.informed_nodes.clear()
         self.recent_calls.clear()
 
     def recover(self, now_s: float) -> None:
-        """End an outage: it is up, and warming up."""
+        """End an outage and start the warm-up, unless the endpoint was overloaded."""
         if not self.is_overloaded:
             self.is_down = False
             self.recovered_at_s = now_s
@@ -188,7 +188,7 @@
         """Count a call against the budget of a warming-up endpoint.
 
         Returns:
-            Where the call overloads it: the share of the calls that came from forwarders that had seen it fail.
+            If the call overloads the endpoint, the share of recent calls from forwarders that saw it fail; else None.
         """
         if not self.is_warming_up(now_s):
             return None
@@ -205,7 +205,7 @@
         return sum(call.node in self.informed_nodes for call in self.recent_calls) / len(self.recent_calls)
 
     def decide(self, now_s: float) -> CallDecision:
-        """Accept a call, or say why not. The caller has seen to connections, outages and the budget."""
+        """Accept or refuse a call. The caller has already checked connections, outages and the budget."""
         bucket = self.destination.bucket
         if bucket is not None and not bucket.take(now_s):
             retry_after_s = self.destination.draw_retry_after_s()
--- a/lab/endpoints.py
+++ b/lab/endpoints.py
@@ -1,4 +1,4 @@
-"""Fake endpoints on sockets: one listener for each forwarder, the destination's rate limit shared by all of them."""
+"""Fake endpoints on sockets: one listener per forwarder; all of them share the destination's rate limit."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     first_byte_s: float
     is_batch: bool
     pays_handshake: bool
-    """It is the first on its connection."""
+    """Whether it is the first call on its connection."""
     is_over: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingCall:
-    """A call in an endpoint's queue, and how long its work takes."""
+    """A call in an endpoint's queue, with its service time."""
 
     call: Call
     service_s: float
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingAnswer:
-    """An answer that was decided on and has not left yet."""
+    """An answer that was decided but is not written yet."""
 
     call: Call
     status: HTTPStatus
@@ -61,7 +61,7 @@
 
 
 def _ignore(message_id: str) -> None:
-    """Do nothing about a message."""
+    """Ignore a message."""
 
 
 @dataclass(slots=True, eq=False)
@@ -72,11 +72,11 @@
     network: Network
     event_log: EventLog
     is_submitted: Callable[[str, str, int], bool]
-    """Whether a client submitted a message (its id) to a forwarder (its name), for a destination."""
+    """Returns whether a client submitted a message (id) to a forwarder (name) for a destination."""
     on_started: Callable[[str], None] = _ignore
     on_delivered: Callable[[str], None] = _ignore
     is_silent: bool = False
-    """While it is down it says nothing; else it refuses connections."""
+    """Whether the endpoint leaves connections unanswered while it is down; otherwise it refuses them."""
     connections: set[EndpointConnection] = field(default_factory=set)
     call_numbers: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
@@ -86,20 +86,20 @@
         return self.model.spec.name
 
     def make_listener(self, node: str, address: Address) -> Listener:
-        """Make the listener that one forwarder dials."""
+        """Create the listener for one forwarder."""
         link = (node, self.name)
         return Listener(self.network, link, address, partial(EndpointConnection, self, link), self.listener_state)
 
     def listener_state(self) -> ListenerState:
-        """Return what becomes of new connections, by the endpoint itself."""
+        """Return how the endpoint itself treats new connections."""
         if not self.model.is_down:
             return ListenerState.OPEN
         return ListenerState.SILENT if self.is_silent else ListenerState.REFUSING
 
-    # What the schedule does
+    # Called by the fault injection
 
     def fail(self, silent: bool) -> None:
-        """Begin an outage, with connections refused or left without an answer."""
+        """Start an outage that refuses connections or leaves them unanswered."""
         self.is_silent = silent
         self.model.fail()
         self.event_log.note(EventKind.OUTAGE_STARTED, party=self.name)
@@ -128,8 +128,8 @@
 
     # Calls
 
-    def take_call(self, call: Call, node: str) -> None:
-        """Answer, queue or start a call whose last byte has come."""
+    def handle_call(self, call: Call, node: str) -> None:
+        """Answer, queue or start a completely received call."""
         now_s = self.event_log.clock()
         destination = self.model.spec.destination
         for message_id in call.message_ids:
@@ -178,14 +178,14 @@
         asyncio.get_running_loop().call_later(service_s + handshake_s, self._finish, call)
 
     def _finish(self, call: Call) -> None:
-        """End a call's work, whether anybody still waits for it or not."""
+        """Finish a call, even if its connection has ended, and start queued calls."""
         model = self.model
         if model.is_down:
             return
         model.busy_slots = max(0, model.busy_slots - 1)
         while model.queue and model.has_free_slot():
             waiting = model.queue.popleft()
-            if not waiting.call.is_over:  # one whose connection has ended is not started
+            if not waiting.call.is_over:  # calls whose connection has ended are not started
                 self._start(waiting.call, waiting.service_s)
         self._answer(call, HTTPStatus.OK)
 
@@ -215,7 +215,7 @@
         return self.link[0]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or reset it where the endpoint holds too many."""
+        """Register the connection, or reset it if the endpoint has too many."""
         super().connection_made(transport)
         self.server.event_log.note(EventKind.CONNECTION_OPENED, node=self.node, party=self.server.name)
         if len(self.server.connections) >= self.server.model.settings.connections:
@@ -224,24 +224,24 @@
         self.server.connections.add(self)
 
     def silence(self) -> None:
-        """Say nothing on the connection from now on: the machine has vanished."""
+        """Stop reading and answering, as if the endpoint's machine had vanished."""
         if self.transport is not None:
             self.transport.pause_reading()
         self._drop_calls()
 
     def on_peer_ended(self) -> None:
-        """Give up what is under way."""
+        """Abort the connection's calls."""
         self._drop_calls()
 
     def on_closed(self) -> None:
-        """Give up what is under way; a forwarder whose connection breaks in an outage knows of it."""
+        """Abort the connection's calls; a forwarder whose connection breaks during an outage knows about the outage."""
         self.server.connections.discard(self)
         self._drop_calls()
         if self.server.model.is_down:
             self.server.model.informed_nodes.add(self.node)
 
     def _drop_calls(self) -> None:
-        """End the calls of a connection that is of no use any more. Answers that the link held back never leave."""
+        """Abort the calls of an unusable connection. Answers that the link held back are never sent."""
         calls = [pending.call for pending in self.pending_answers]
         if self.call is not None:
             calls.append(self.call)
@@ -256,7 +256,7 @@
                 )
 
     def receive(self, data: bytes) -> None:
-        """Parse bytes of the forwarder, unless the endpoint is down."""
+        """Parse bytes from the forwarder, unless the endpoint is down."""
         if self.server.model.is_down:
             return
         try:
@@ -267,26 +267,26 @@
     # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the request's fields."""
         self.first_byte_s = self.server.event_log.clock()
         self.headers = {}
         self.path = ""
         self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
-        """Add to the request's path."""
+        """Append to the request's path."""
         self.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header of the request."""
+        """Store a header of the request."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Add to the request's body."""
+        """Append to the request's body."""
         self.body += body
 
     def on_message_complete(self) -> None:
-        """Hand the call to the endpoint."""
+        """Pass the call to the endpoint."""
         is_batch = self.path == BATCH_PATH
         self.call_count += 1
         self.call = Call(
@@ -297,10 +297,10 @@
             is_batch=is_batch,
             pays_handshake=self.call_count == 1,
         )
-        self.server.take_call(self.call, self.node)
+        self.server.handle_call(self.call, self.node)
 
     def _batch_ids(self) -> list[str]:
-        """Return the ids of a batch; none where it cannot be read."""
+        """Return the message ids of a batch; none if it cannot be parsed."""
         try:
             return [str(entry["id"]) for entry in json.loads(self.body)]
         except (ValueError, TypeError, KeyError):
@@ -309,7 +309,7 @@
     # Answers
 
     def answer(self, call: Call, status: HTTPStatus, retry_after_s: float) -> None:
-        """Send an answer, as far as the link lets it pass."""
+        """Send an answer, subject to the link's faults."""
         model = self.server.model
         if status in REFUSALS and model.is_warming_up(self.server.event_log.clock()):
             model.informed_nodes.add(self.node)
@@ -318,7 +318,7 @@
         self.send(encode_answer(call, status, retry_after_s, model.destination.load_report()))
 
     def on_sent(self, data: bytes) -> None:
-        """Note an answer that has left: only now it counts as given."""
+        """Record the answer that was written: a call counts as answered only now."""
         answer = self.pending_answers.pop(0)
         answer.call.is_over = True
         for message_id in answer.call.message_ids:
@@ -337,7 +337,7 @@
 
 
 def encode_answer(call: Call, status: HTTPStatus, retry_after_s: float, load_report: str | None) -> bytes:
-    """Return an answer as the protocol page has it ("Forwarders to endpoints")."""
+    """Encode an answer as the protocol page defines it ("Forwarders to endpoints")."""
     body = b""
     if status is HTTPStatus.OK and call.is_batch:
         body = json.dumps([{"id": message_id, "state": "accepted"} for message_id in call.message_ids]).encode()
--- a/lab/errors.py
+++ b/lab/errors.py
@@ -4,11 +4,11 @@
 
 
 class LabError(Exception):
-    """Base of the lab's own errors: a run that ends with one has no result."""
+    """Base class of the lab's errors: a run that ends with one has no result."""
 
 
 class ScenarioError(LabError):
-    """A scenario cannot be played. The text names the key."""
+    """A scenario is invalid. The text names the key."""
 
 
 class SetupError(LabError):
--- a/lab/event_log.py
+++ b/lab/event_log.py
@@ -1,4 +1,4 @@
-"""What the fake parties of a run saw, in order. The rule checks and the metrics work from this alone."""
+"""Event log: what the fake parties of a run saw, in order. It is the only input of the rule checks and the metrics."""
 
 from __future__ import annotations
 
@@ -12,54 +12,54 @@
 
 
 class EventKind(StrEnum):
-    """What happened. The values are the words of the event log's file and of a scenario's `on`."""
+    """The kinds of events. The values appear in the event log's file and in a scenario's `on` field."""
 
     # Clients
     MESSAGE_ARRIVED = "asked"
-    """A client wants a message delivered (deadline and latency objective in `due_s` and `share`)."""
+    """A client wants a message delivered (`due_s`: deadline; `share`: latency objective in seconds)."""
     SUBMITTED = "handed"
-    """A request's last byte was written to a forwarder."""
+    """A client wrote the last byte of a submission to a forwarder."""
     SUBMIT_ANSWERED = "answer"
-    """Its answer came (status)."""
+    """The client got the answer to a submission (status)."""
     SUBMIT_UNANSWERED = "unanswered"
-    """Its connection ended without an answer."""
+    """The connection of a submission ended without an answer."""
     SUBMIT_TIMED_OUT = "given_up"
-    """Its client has waited long enough."""
+    """A submission reached the client's answer timeout."""
     SUBMIT_CUT_OFF = "cut_off"
-    """The schedule ended its connection, or cut it: its client goes elsewhere."""
+    """An injected fault ended the connection of a submission or cut its link: the client tries another forwarder."""
     FORWARDER_UNREACHABLE = "unreached"
-    """No connection to the forwarder came up."""
+    """A client could not connect to the forwarder."""
 
     # Endpoints
     CONNECTION_OPENED = "dialled"
     """A forwarder opened a connection to an endpoint."""
     CALL_RECEIVED = "call"
-    """A call's last byte came to an endpoint (call, first_s)."""
+    """An endpoint received the last byte of a call (call, first_s)."""
     UNKNOWN_MESSAGE = "stranger"
-    """A call had a message that no client has submitted to that forwarder for that destination."""
+    """A call carried a message that no client has submitted to that forwarder for that destination."""
     CALL_STARTED = "ran"
-    """A call was accepted, and runs."""
+    """An endpoint accepted a call and started to process it."""
     CALL_ANSWERED = "answered"
-    """Its answer was written (call, status, wait_s)."""
+    """An endpoint wrote the answer of a call (call, status, wait_s)."""
     CALL_ABORTED = "cut"
-    """Its connection ended before its answer was written (call)."""
+    """The connection of a call ended before the answer was written (call)."""
     OUTAGE_STARTED = "outage"
     OUTAGE_ENDED = "back"
     ENDPOINT_OVERLOADED = "fell"
-    """Too many calls while it was warming up: it is down for good (share, state)."""
+    """An endpoint got too many calls while it was warming up, and stays down for the rest of the run (share, state)."""
 
     # The platform and discovery
     NOTICE = "notice"
-    """The platform took a message's end (state)."""
+    """The platform received a notice about a message (state)."""
     LIST_REQUESTED = "listed"
-    """A forwarder asked discovery (status; 0 while it is down)."""
+    """A forwarder requested the endpoint list from discovery (status; 0 while discovery is down)."""
     HEALTH_SENT = "told"
-    """Discovery wrote an endpoint's health to a forwarder (state)."""
+    """Discovery sent an endpoint's health to a forwarder (state)."""
 
     # The forwarders' processes
     PROCESS_STARTED = "started"
     PROCESS_UPGRADED = "upgraded"
-    """Another process takes over."""
+    """A new process takes over from the running one."""
     PROCESS_KILLED = "killed"
     PROCESS_TERMINATED = "termed"
     PROCESS_ENDED = "ended"
@@ -67,23 +67,23 @@
     PROCESS_RESUMED = "resumed"
     PROCESS_RELOADED = "reloaded"
     STATE_FOLDER_CHANGED = "folder"
-    """Its state folder was lost or damaged (state)."""
+    """The forwarder's state folder was lost or damaged (state)."""
     FORWARDER_READY = "up"
-    """The front got a 200 from it."""
+    """The front's status poll got a 200 from the forwarder."""
     DEATH_NOTICED = "noticed"
-    """The front noticed that it does not answer any more."""
+    """The front detected that the forwarder no longer answers."""
 
-    # The schedule
+    # Injected faults
     FAULT_INJECTED = "fault"
     FAULT_HEALED = "healed"
     ADMIN_CALLED = "called"
-    """An operator's call, and its answer (state)."""
+    """An operator sent an admin command and got its answer (state)."""
     ENDPOINT_DISABLED = "banned"
     ENDPOINT_ENABLED = "unbanned"
 
 
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One thing that a fake party saw or that the schedule did. Times are seconds since the load began."""
+    """Something that a fake party saw or an injected fault did. Times are in seconds since the start of the load."""
 
     at_s: float
     kind: EventKind
@@ -96,15 +96,15 @@
     status: int = 0
     """An HTTP status, or a process's exit status."""
     state: str = ""
-    """What became of it, in the words of the protocol; for a client's message its class."""
+    """The resulting state, as the protocol names it; for a client's message, the message class."""
     call: int = 0
     """The call's number at its endpoint."""
     first_s: float = 0.0
-    """When the call's first byte came."""
+    """When the endpoint received the call's first byte."""
     wait_s: float = 0.0
-    """The Retry-After that came with an answer."""
+    """The Retry-After of an answer, in seconds."""
     number: int = -1
-    """The arrival that a message belongs to: every submission of it has an id of its own."""
+    """The number of the arrival that a submission belongs to: each submission of an arrival has its own id."""
     key: str | None = None
     """The message's ordering key."""
     destination: int = 0
@@ -112,11 +112,11 @@
     """The message's deadline."""
     share: float = 0.0
     names: tuple[str, ...] = ()
-    """Whom a fault strikes."""
+    """The targets of a fault."""
 
 
 class EventFields(TypedDict, total=False):
-    """The fields of an event that not every kind has."""
+    """The optional fields of an event."""
 
     id: str
     node: str
@@ -135,18 +135,18 @@
 
 
 class EventLog:
-    """Gathers events. The file is written when the run is over, so that writing it delays nothing."""
+    """Collects events in memory. The file is written after the run, so that writing it delays nothing."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.events: list[Event] = []
         self.closed = False
-        """The lab takes its parties down: what they see of that is no part of the run."""
+        """Set while the lab shuts its parties down: events of the shutdown are not part of the run."""
         self.triggers: dict[tuple[EventKind, str], Callable[[], None]] = {}
-        """By kind and forwarder, what happens at the next such event, before whoever saw it goes on. Once."""
+        """One-shot callbacks by event kind and forwarder, called within `note`, before the noting party continues."""
 
     def note(self, kind: EventKind, **fields: Unpack[EventFields]) -> None:
-        """Add an event that happens now, and pull its trigger, if it has one."""
+        """Add an event with the current time, and call its trigger, if it has one."""
         if self.closed:
             return
         event = Event(self.clock(), kind, **fields)
@@ -169,8 +169,8 @@
     """Read an event log.
 
     Raises:
-        OSError: There is none.
-        ValueError: A line is no event.
+        OSError: The file cannot be read.
+        ValueError: A line is not a valid event.
     """
     events = []
     for line in path.read_bytes().splitlines():
@@ -181,7 +181,7 @@
 
 
 def message_history(events: Iterable[Event], message_id: str) -> list[Event]:
-    """Return all events of the arrival that a message's id belongs to, and of its calls."""
+    """Return all events of the arrival that a message id belongs to, including those of its calls."""
     events = list(events)
     submissions = [event for event in events if event.kind == EventKind.SUBMITTED]
     arrival = next((event.number for event in submissions if event.id == message_id), -1)
--- a/lab/front.py
+++ b/lab/front.py
@@ -1,4 +1,4 @@
-"""The front: it chooses a forwarder for each message, asks all whether they are up, and notices a death late."""
+"""The front chooses a forwarder for each message, polls the status of all, and detects a death with a delay."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from lab.plan import Plan
 
 DRAIN_CONNECT_S = (0.2, 0.4)
-"""New connections come for so long after the first answer that says no (PROTOCOL)."""
+"""How long new connections still come after the first poll that is not answered 200 (PROTOCOL)."""
 POLL_TIMEOUT_S = 1.0
-SILENCE_S = 3600.0
-"""A connection to a silent forwarder takes longer than anybody waits."""
+SILENT_CONNECT_S = 3600.0
+"""Duration of a connection attempt to a silent forwarder: longer than any timeout of a caller."""
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: origin.svc\r\n\r\n"
 SOURCE_ADDRESS = ("127.9.0.1", 0)
 
 
 @dataclass(slots=True, eq=False)
 class ForwarderStatus:
-    """What the front knows of one forwarder."""
+    """What the front knows about one forwarder."""
 
     name: str
     address: Address
@@ -37,24 +37,24 @@
 
 @dataclass(slots=True)
 class PollHistory:
-    """What the polls of one forwarder have come to."""
+    """The results of the polls of one forwarder."""
 
     failed_since_s: float | None = None
-    patience_s: float = 0.0
-    """So long after the first failure a death is noticed."""
+    detection_delay_s: float = 0.0
+    """Time from the first failed poll until the front considers the forwarder dead."""
 
 
 class Front:
-    """Hands out forwarders and connections to them."""
+    """Chooses forwarders for messages and provides connections to them."""
 
     def __init__(self, plan: Plan, network: Network, event_log: EventLog, addresses: dict[str, Address]) -> None:
-        """Make a front.
+        """Create a front.
 
         Args:
             plan: The run's plan.
             network: The links to the forwarders.
-            event_log: Where what is seen goes.
-            addresses: Where clients reach each forwarder.
+            event_log: Receives the events that the front sees.
+            addresses: The address of each forwarder's client listener.
         """
         seed = plan.scenario.seed
         self.network = network
@@ -65,29 +65,29 @@
         self.forwarders = {
             name: ForwarderStatus(name, addresses[name], weight_rng.uniform(0.5, 1.5)) for name in plan.nodes
         }
-        self._weigh_first()
+        self._apply_first_share()
         self.by_key: dict[str, ForwarderStatus] = {}
-        """Keys stay with their forwarder."""
+        """The forwarder that each ordering key was assigned to."""
         self.routable: list[ForwarderStatus] = []
         self.weights: list[float] = []
         self.tasks: list[asyncio.Task[None]] = []
 
-    def _weigh_first(self) -> None:
-        """Give the first forwarder its share of all messages, where the scenario has one."""
+    def _apply_first_share(self) -> None:
+        """Set the weight of the first forwarder so that it gets its share of all messages, if the scenario sets one."""
         first, *others = self.forwarders.values()
         share = self.settings.first_share
         if share is not None and others:
             first.weight = sum(other.weight for other in others) * share / (1 - share)
 
     def open(self) -> None:
-        """Begin to poll the forwarders, spread over the interval."""
+        """Start polling the forwarders, with their first polls spread over the interval."""
         loop = asyncio.get_running_loop()
         for index, forwarder in enumerate(self.forwarders.values()):
             first_s = index * self.settings.poll_s / len(self.forwarders)
             self.tasks.append(loop.create_task(self._poll(forwarder, first_s)))
 
     def close(self) -> None:
-        """End the polls and all connections of the run."""
+        """Stop polling and abort all connections of the run."""
         for task in self.tasks:
             task.cancel()
         for connections in self.network.connections.values():
@@ -97,10 +97,10 @@
     # Choosing
 
     def choose(self, key: str | None) -> ForwarderStatus | None:
-        """Choose a forwarder for a message; None where none is up.
+        """Choose a forwarder for a message; None if none is up.
 
-        A key stays with its forwarder while that one is up. Some clients go on with the connections that they have,
-        whatever becomes of the forwarder.
+        A key stays with its forwarder while that forwarder is up. Some clients keep using the connections that they
+        have, even to a draining forwarder.
         """
         if self.settings.stay and self.rng.random() < self.settings.stay:
             draining = self._draining_with_connections()
@@ -129,7 +129,7 @@
     # Polling
 
     async def _poll(self, forwarder: ForwarderStatus, first_s: float) -> None:
-        """Ask a forwarder whether it is up, for ever."""
+        """Poll a forwarder's status until cancelled."""
         await asyncio.sleep(first_s)
         history = PollHistory()
         while True:
@@ -173,8 +173,8 @@
         now_s = self.event_log.clock()
         if history.failed_since_s is None:
             history.failed_since_s = now_s
-            history.patience_s = self.rng.uniform(*self.settings.notice_s)
-        elif now_s - history.failed_since_s >= history.patience_s:
+            history.detection_delay_s = self.rng.uniform(*self.settings.notice_s)
+        elif now_s - history.failed_since_s >= history.detection_delay_s:
             forwarder.is_up = False
             self.event_log.note(EventKind.DEATH_NOTICED, node=forwarder.name)
             self._update_routable()
@@ -189,30 +189,30 @@
         """Return a connection to a forwarder: an idle one, or a new one.
 
         Args:
-            forwarder: To whom.
-            fresh: Whether it has to be a new one.
+            forwarder: The forwarder to connect to.
+            fresh: Whether to open a new connection even if an idle one exists.
 
         Raises:
-            OSError: No connection came up.
+            OSError: The connection failed.
         """
         while forwarder.idle_connections and not fresh:
             connection = forwarder.idle_connections.pop()
             if connection.is_usable():
                 return connection
         if forwarder.is_draining and not fresh:
-            raise ConnectionRefusedError  # it gets no new connections any more
+            raise ConnectionRefusedError  # a draining forwarder gets no new connections
         fault = self.network.fault_on((forwarder.name, PARTY))
         if fault.refuse:
             raise ConnectionRefusedError
         if fault.silent_in or fault.silent_out:
-            await asyncio.sleep(SILENCE_S)  # the caller's timeout ends first
+            await asyncio.sleep(SILENT_CONNECT_S)  # the caller's timeout expires first
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(self.network, forwarder.name), *forwarder.address, local_addr=SOURCE_ADDRESS
         )
         return connection
 
     def release(self, forwarder: ForwarderStatus, connection: ClientConnection) -> None:
-        """Keep a connection for the next message, or end it."""
+        """Keep a connection for the next message, or abort it."""
         has_room = len(forwarder.idle_connections) < self.settings.connections
         if connection.is_usable() and connection.keeps_alive and has_room:
             forwarder.idle_connections.append(connection)
--- a/lab/listener.py
+++ b/lab/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket of a party for one forwarder, which can refuse connections or leave them without an answer."""
+"""Listening sockets of the parties, one per forwarder, which can refuse connections or leave them unanswered."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from lab.network import Address, Link, LinkConnection, Network
 
 BACKLOG = 256
-"""Connections that wait for the lab's loop."""
+"""Connections that may wait to be accepted by the lab's event loop."""
 FILLERS = 2
-"""Connections that fill a queue with a backlog of 0."""
+"""Number of connections that fill the accept queue of a socket with a backlog of 0."""
 
 
 class ListenerState(enum.Enum):
-    """What becomes of a new connection."""
+    """How a listener treats new connections."""
 
     CLOSED = enum.auto()
     """Not listening yet."""
     OPEN = enum.auto()
     REFUSING = enum.auto()
     SILENT = enum.auto()
-    """It finds a full queue and never comes up."""
+    """The accept queue is full, so that connections are never established."""
 
 
 def _always_open() -> ListenerState:
@@ -33,36 +33,36 @@
 
 @dataclass(slots=True)
 class Listener:
-    """Where one forwarder dials one party."""
+    """The socket at which one forwarder dials one party."""
 
     network: Network
     link: Link
     address: Address
     make_connection: Callable[[], LinkConnection]
     party_state: Callable[[], ListenerState] = _always_open
-    """Tells whether the party itself refuses connections or is silent, beside what its link does."""
+    """Returns whether the party itself refuses connections or is silent; the state of the link applies as well."""
     sock: socket.socket | None = None
     state: ListenerState = ListenerState.CLOSED
     fillers: list[socket.socket] = field(default_factory=list)
     accepting: set[asyncio.Task[object]] = field(default_factory=set)
 
     def open(self) -> None:
-        """Begin to listen.
+        """Start listening.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         self.network.listeners[self.link] = self
         self.apply_link_state()
 
     def apply_link_state(self) -> None:
-        """Accept, refuse or ignore new connections, as the link and the party have it now."""
+        """Accept, refuse or ignore new connections according to the current state of the link and the party."""
         wanted = self._wanted_state()
         if wanted is self.state:
             return
-        former, self.state = self.state, wanted
-        if former is ListenerState.SILENT:
-            self._reset_waiting()
+        previous, self.state = self.state, wanted
+        if previous is ListenerState.SILENT:
+            self._close_queued()
         if wanted is ListenerState.REFUSING:
             self._close_socket()
             return
@@ -74,7 +74,7 @@
             asyncio.get_running_loop().add_reader(self.sock, self._accept)
 
     def close(self) -> None:
-        """Release the address."""
+        """Close the listening socket."""
         self._close_fillers()
         self._close_socket()
 
@@ -100,7 +100,7 @@
         return sock
 
     def _fill_queue(self, sock: socket.socket) -> None:
-        """Fill the queue of waiting connections: the next to dial gets no answer at all."""
+        """Fill the accept queue, so that further connection attempts get no answer."""
         asyncio.get_running_loop().remove_reader(sock)
         sock.listen(0)
         for _ in range(FILLERS):
@@ -109,16 +109,16 @@
             filler.connect_ex(self.address)
             self.fillers.append(filler)
 
-    def _reset_waiting(self) -> None:
-        """Reset those that dialled while the listener was silent."""
+    def _close_queued(self) -> None:
+        """Close the connections that were queued while the listener was silent."""
         self._close_fillers()
         assert self.sock is not None
         while True:
             try:
-                waiting, _ = self.sock.accept()
+                queued, _ = self.sock.accept()
             except OSError:
                 break
-            waiting.close()
+            queued.close()
         self.sock.listen(BACKLOG)
 
     def _accept(self) -> None:
--- a/lab/network.py
+++ b/lab/network.py
@@ -1,8 +1,9 @@
-"""Links between a forwarder and the other parties of a run, and the faults that are injected into them.
+"""Links between the forwarders and the other parties of a run, and the faults injected into them.
 
-A forwarder dials each party at an address that only this forwarder is given, so a link is known by the address that was
-dialled, without special rights. A silent link holds bytes back as a network that retransmits does: they come when the
-fault is healed, also behind an orderly close, since the sender's kernel goes on; after a reset nothing comes.
+Each forwarder dials each party at an address that no other forwarder uses, so the dialled address identifies the link
+without special privileges. A silent link holds bytes back like a network with retransmission: they arrive once the
+fault is healed, even after an orderly close, since the sender's kernel keeps retransmitting. After a reset they are
+lost.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 from typing import Protocol
 
 Link = tuple[str, str]
-"""A forwarder and a party: an endpoint's name, `discovery`, `front`, or another forwarder."""
+"""The name of a forwarder and of a party: an endpoint, `discovery`, `front`, or another forwarder."""
 Address = tuple[str, int]
 """An IPv4 address and a port."""
 MIN_SPACING_S = 1e-6
-"""Two pieces of a delayed stream arrive at least so long after one another, which keeps their order."""
+"""Minimum time between two chunks of a delayed stream, which keeps them in order."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """What is wrong with a link. `out` is the direction from the forwarder to the party."""
+    """The faults of a link. `out` is the direction from the forwarder to the party."""
 
     silent_out: bool = False
     silent_in: bool = False
@@ -34,13 +35,13 @@
     delay_s: float = 0.0
     jitter_s: float = 0.0
     loss: float = 0.0
-    """Share of the datagrams that are lost; `doubled` and `swapped` likewise."""
+    """Share of the datagrams that are lost; `doubled` and `swapped` are shares too."""
     doubled: float = 0.0
     swapped: float = 0.0
 
     @property
     def delays(self) -> bool:
-        """Whether what passes the link is delayed."""
+        """Whether the link delays bytes and datagrams."""
         return bool(self.delay_s or self.jitter_s)
 
 
@@ -48,24 +49,24 @@
 
 
 class Direction(enum.Enum):
-    """Where bytes on a link go to."""
+    """The direction of bytes on a link."""
 
     TO_PARTY = enum.auto()
     TO_FORWARDER = enum.auto()
 
 
 class LinkListener(Protocol):
-    """A listening socket of a party, which follows the state of its link."""
+    """A listening socket of a party that adapts to the state of its link."""
 
     def apply_link_state(self) -> None:
-        """Accept, refuse or ignore new connections, as the link has it now."""
+        """Accept, refuse or ignore new connections according to the link's current state."""
 
     def close(self) -> None:
-        """Release the address."""
+        """Close the listening socket."""
 
 
 class Network:
-    """All links of a run. Listeners and connections follow a change of their link at once."""
+    """All links of a run. A change of a link applies to its listeners and connections at once."""
 
     def __init__(self, seed: object) -> None:
         self.rng = random.Random(f"{seed}/net")
@@ -73,14 +74,14 @@
         self.listeners: dict[Link, LinkListener] = {}
         self.connections: dict[Link, set[LinkConnection]] = {}
         self.counts: Counter[str] = Counter()
-        """How often each kind of thing befell what passed a link."""
+        """How often each effect of the links occurred, by name; also the number of connections."""
 
     def fault_on(self, link: Link) -> LinkFault:
-        """Return what is wrong with a link now."""
+        """Return the current faults of a link."""
         return self.faults.get(link, HEALTHY)
 
     def set_fault(self, link: Link, fault: LinkFault) -> None:
-        """Put a fault in the place of the one that the link had."""
+        """Replace the fault of a link."""
         if fault == HEALTHY:
             self.faults.pop(link, None)
         else:
@@ -93,7 +94,7 @@
             connection.release_held()
 
     def heal(self, link: Link) -> None:
-        """End the fault of a link."""
+        """Remove the fault of a link."""
         self.set_fault(link, HEALTHY)
 
     def reset_connections(self, link: Link) -> None:
@@ -103,14 +104,14 @@
             connection.cut()
 
     def draw_delay_s(self, fault: LinkFault) -> float:
-        """Draw how long the next piece takes, in seconds."""
+        """Draw the delay of the next chunk or datagram, in seconds."""
         return fault.delay_s + fault.jitter_s * self.rng.random()
 
 
 class LinkConnection(asyncio.Protocol):
-    """A party's end of a connection with a forwarder, whose bytes the link may hold back or delay.
+    """A party's side of a connection with a forwarder, whose bytes the link may hold back or delay.
 
-    Subclasses implement `receive` and call `send`; they may override the `on_` methods.
+    Subclasses implement `receive`, send with `send`, and may override the `on_` methods.
     """
 
     def __init__(self, network: Network, link: Link) -> None:
@@ -120,14 +121,14 @@
         self.held_inbound: list[bytes] = []
         self.held_outbound: list[bytes] = []
         self.last_arrival_s = {Direction.TO_PARTY: 0.0, Direction.TO_FORWARDER: 0.0}
-        """When the last delayed piece arrives, by the loop's clock."""
+        """Arrival time of the last delayed chunk, by the event loop's clock."""
         self.close_when_sent = False
-        self.eof_behind_held = False
-        """The forwarder has ended its side, behind bytes that the link holds back."""
+        self.eof_after_held = False
+        """The forwarder has ended its side while the link still held back bytes that it had sent."""
         self.was_cut = False
-        """The schedule has ended it, not its forwarder."""
+        """An injected fault ended the connection, not the forwarder."""
         self.muted = False
-        """Nothing leaves any more, also of what the link has held back or delayed."""
+        """Nothing is written any more, including bytes that the link has held back or delayed."""
 
     # Called by the event loop
 
@@ -139,13 +140,13 @@
         self.network.counts["connections"] += 1
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Take the connection off its link."""
+        """Remove the connection from its link."""
         self.transport = None
         self.network.connections.get(self.link, set()).discard(self)
         self.on_closed()
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes of the forwarder on, now, later, or once the link is healed."""
+        """Deliver bytes from the forwarder now, after the link's delay, or once the link is healed."""
         fault = self.network.fault_on(self.link)
         if fault.silent_out or self.held_inbound:
             self.network.counts["held"] += 1
@@ -156,20 +157,20 @@
             self.receive(data)
 
     def eof_received(self) -> bool:
-        """Note that the forwarder has ended its side.
+        """Handle the forwarder's end of stream.
 
         Returns:
-            Whether the connection stays open, for what the link holds back.
+            Whether the connection stays open, since the link still holds bytes back.
         """
-        self.eof_behind_held = bool(self.held_inbound)
-        if self.eof_behind_held:
+        self.eof_after_held = bool(self.held_inbound)
+        if self.eof_after_held:
             self.on_peer_ended()
-        return self.eof_behind_held
+        return self.eof_after_held
 
     # Called by the party
 
     def send(self, data: bytes) -> None:
-        """Send bytes to the forwarder, as far as the link lets them pass."""
+        """Send bytes to the forwarder, subject to the link's faults."""
         fault = self.network.fault_on(self.link)
         if fault.silent_in or self.held_outbound:
             self.network.counts["held"] += 1
@@ -180,7 +181,7 @@
             self._write(data)
 
     def close(self) -> None:
-        """Close the connection once what the link holds back has left."""
+        """Close the connection once all held-back bytes are written."""
         self.close_when_sent = True
         if not self.held_outbound and self.transport is not None:
             self.transport.close()
@@ -191,7 +192,7 @@
             self.transport.abort()
 
     def cut(self) -> None:
-        """Reset the connection, as the network does."""
+        """Reset the connection on behalf of the network."""
         self.was_cut = True
         self.abort()
 
@@ -202,7 +203,7 @@
     # Called by the network
 
     def release_held(self) -> None:
-        """Let what was held back go on, as far as the link now lets it pass."""
+        """Deliver the held-back bytes that the link's current fault lets pass."""
         fault = self.network.fault_on(self.link)
         if not fault.silent_out:
             self._release_inbound()
@@ -213,16 +214,16 @@
 
     def _release_inbound(self) -> None:
         inbound, self.held_inbound = self.held_inbound, []
-        if self.eof_behind_held and self._was_reset():
+        if self.eof_after_held and self._was_reset():
             self.network.counts["dropped by a reset"] += 1
             inbound = []
         for data in inbound:
             self.receive(data)
-        if self.eof_behind_held and self.transport is not None:
+        if self.eof_after_held and self.transport is not None:
             self.transport.close()
 
     def _was_reset(self) -> bool:
-        """Whether a reset has come behind the forwarder's end: the loop does not look for one any more."""
+        """Whether a reset followed the forwarder's end of stream, which the event loop no longer reports."""
         sock = None if self.transport is None else self.transport.get_extra_info("socket")
         if sock is None or sock.fileno() < 0:
             return True
@@ -234,7 +235,7 @@
         return fault.delays or self.last_arrival_s[direction] > asyncio.get_running_loop().time()
 
     def _delay(self, direction: Direction, fault: LinkFault, deliver: Callable[[bytes], None], data: bytes) -> None:
-        """Deliver bytes after the link's delay, and never before what was sent earlier: it is a stream."""
+        """Deliver bytes after the link's delay, and in the order in which they were sent."""
         self.network.counts["delayed"] += 1
         loop = asyncio.get_running_loop()
         earliest_s = self.last_arrival_s[direction] + MIN_SPACING_S
@@ -242,14 +243,14 @@
         loop.call_at(self.last_arrival_s[direction], self._arrive, deliver, data)
 
     def has_inbound_under_way(self) -> bool:
-        """Whether bytes of the forwarder have left it that the link still holds back or delays."""
+        """Whether the link still holds back or delays bytes that the forwarder has sent."""
         return bool(self.held_inbound) or self._is_late(Direction.TO_PARTY)
 
     def _is_late(self, direction: Direction) -> bool:
         return self.last_arrival_s[direction] >= asyncio.get_running_loop().time()
 
     def _arrive(self, deliver: Callable[[bytes], None], data: bytes) -> None:
-        """Deliver delayed bytes. Those of a connection that has ended meanwhile are lost with it."""
+        """Deliver delayed bytes, unless the connection has ended meanwhile."""
         if self.transport is not None:
             deliver(data)
 
@@ -264,14 +265,14 @@
     # For subclasses
 
     def receive(self, data: bytes) -> None:
-        """Take bytes of the forwarder that have passed the link."""
+        """Handle bytes from the forwarder that the link has delivered."""
         raise NotImplementedError
 
     def on_sent(self, data: bytes) -> None:
-        """Note that these bytes were handed to the socket."""
+        """Handle that bytes were written to the socket."""
 
     def on_peer_ended(self) -> None:
-        """Note that the forwarder has ended its side, and that what it sent last is still held back."""
+        """Handle that the forwarder has ended its side while its last bytes are still held back."""
 
     def on_closed(self) -> None:
-        """Note that the connection has ended."""
+        """Handle that the connection has ended."""
--- a/lab/sampling.py
+++ b/lab/sampling.py
@@ -1,4 +1,4 @@
-"""Looks at a run while it is played: the processes, the lab's own lateness, and what holds messages back."""
+"""Samples a run in progress: the processes, the lag of the lab's event loop, and the hold reasons of messages."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 CAPACITY_INTERVAL_S = 0.1
 PROGRESS_INTERVAL_S = 5.0
 FREE_BURST_SHARE = 0.5
-"""A destination can take a call at once while so much of its limit's burst is left."""
+"""A destination counts as free while at least this share of its rate limit's burst is left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lateness:
-    """How late the lab's own loop was at a moment."""
+    """Lag of the lab's event loop at one moment."""
 
     at_s: float
     late_ms: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatenessSummary:
-    """How late the lab was over a run, in milliseconds."""
+    """Lag of the lab's event loop over a run, in milliseconds."""
 
     median_ms: float
     p99_ms: float
@@ -38,7 +38,7 @@
 
 
 def summarize(lateness: Iterable[Lateness]) -> LatenessSummary:
-    """Return how late the lab was from the beginning of the load on."""
+    """Summarize the lag of the lab's event loop since the start of the load."""
     late_ms = sorted(each.late_ms for each in lateness if each.at_s > 0) or [0.0]
     return LatenessSummary(
         median_ms=late_ms[len(late_ms) // 2],
@@ -51,11 +51,11 @@
     """Samples a testbed in the background."""
 
     def __init__(self, testbed: Testbed, asks_hold_reasons: bool = False) -> None:
-        """Make a sampler; `start` begins.
+        """Create a sampler; `start` starts it.
 
         Args:
-            testbed: What is looked at.
-            asks_hold_reasons: Whether every forwarder is asked once a second what holds its messages back.
+            testbed: The testbed to sample.
+            asks_hold_reasons: Whether to ask every forwarder for its hold reasons once a second.
         """
         self.testbed = testbed
         self.clock = testbed.event_log.clock
@@ -65,19 +65,19 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to sample."""
-        work = [self._measure_lateness(), self._sample_processes(), self._report_progress()]
+        """Start sampling in background tasks."""
+        loops = [self._measure_lateness(), self._sample_processes(), self._report_progress()]
         if self.hold_reports is not None:
-            work.append(self._ask_hold_reasons(self.hold_reports))
-        self.tasks = [asyncio.get_running_loop().create_task(each) for each in work]
+            loops.append(self._ask_hold_reasons(self.hold_reports))
+        self.tasks = [asyncio.get_running_loop().create_task(each) for each in loops]
 
     def stop(self) -> None:
-        """End sampling."""
+        """Stop sampling."""
         for task in self.tasks:
             task.cancel()
 
     async def _measure_lateness(self) -> None:
-        """Measure how late the lab's own loop is: nothing that it times is more exact than that."""
+        """Measure the lag of the lab's event loop, which bounds the precision of all its timestamps."""
         loop = asyncio.get_running_loop()
         while True:
             due_s = loop.time() + LATENESS_INTERVAL_S
@@ -85,7 +85,7 @@
             self.lateness.append(Lateness(self.clock(), (loop.time() - due_s) * 1000))
 
     async def _sample_processes(self) -> None:
-        """Look at each process once in an interval, spread over it."""
+        """Sample each process once per interval, spread evenly over the interval."""
         forwarders = self.testbed.forwarders
         while True:
             for forwarder in list(forwarders.values()):
@@ -104,11 +104,12 @@
             testbed.report_progress(
                 f"{now_s:5.0f} s: {up} of {len(testbed.forwarders)} up, "
                 f"{len(testbed.clients.delivered_arrivals)} delivered "
-                f"of {testbed.clients.count} handed in; the lab {max(recent, default=0.0):.0f} ms late at most"
+                f"of {testbed.clients.count} submitted; event loop lag of the lab at most "
+                f"{max(recent, default=0.0):.0f} ms"
             )
 
     async def _ask_hold_reasons(self, reports: HoldReports) -> None:
-        """Ask each forwarder once a second, one after the other; the fake endpoints ten times as often."""
+        """Ask each forwarder once a second, one after the other; sample the endpoints' capacity ten times as often."""
         asked_at_s = 0.0
         while True:
             await asyncio.sleep(CAPACITY_INTERVAL_S)
@@ -120,7 +121,7 @@
                 await self._ask_forwarder(forwarder, reports)
 
     async def _ask_forwarder(self, forwarder: ForwarderProcess, reports: HoldReports) -> None:
-        with contextlib.suppress(OSError):  # it is being struck
+        with contextlib.suppress(OSError):  # an injected fault has stopped it
             start = forwarder.starts
             answer = await forwarder.admin_call("WHY json")
             report = hold_reasons.parse_report(self.clock(), forwarder.name, start, answer)
@@ -128,7 +129,7 @@
                 reports.reports.append(report)
 
     def _destinations_with_capacity(self) -> list[int]:
-        """Return those that could take a call at once: within the limit, an endpoint up, warm and with a free slot."""
+        """Return the destinations within their rate limit with at least one endpoint that is up, warm and not full."""
         now_s = self.clock()
         free = set()
         for endpoint in self.testbed.endpoints.values():
