--- a/tests/lab/events.py
+++ b/tests/lab/events.py
@@ -1,4 +1,4 @@
-"""Events as the fake parties see them, for tests."""
+"""Builders of events as the fake parties see them."""
 
 from __future__ import annotations
 
@@ -8,22 +8,27 @@
 from lab.plan import REFUND_CLASS
 
 
-def event(at_s: float, kind: EventKind, message_id: str = "", node: str = "n0", **more: Any) -> Event:
-    return Event(at_s, kind, message_id, node, **more)
+def event(at_s: float, kind: EventKind, message_id: str = "", node: str = "n0", **fields: Any) -> Event:
+    return Event(at_s, kind, message_id, node, **fields)
 
 
 def submitted(
-    at_s: float, message_id: str, cls: str = REFUND_CLASS, key: str | None = "k", number: int = 0, **more: Any
+    at_s: float,
+    message_id: str,
+    message_class: str = REFUND_CLASS,
+    key: str | None = "k",
+    number: int = 0,
+    **fields: Any,
 ) -> list[Event]:
-    due = {"due_s": at_s + 5.0} | more
+    due = {"due_s": at_s + 5.0} | fields
     return [
-        event(at_s, EventKind.SUBMITTED, message_id, state=cls, key=key, number=number, destination=7, **due),
+        event(at_s, EventKind.SUBMITTED, message_id, state=message_class, key=key, number=number, destination=7, **due),
         event(at_s + 0.01, EventKind.SUBMIT_ANSWERED, message_id, status=202, number=number),
     ]
 
 
 def called(
-    at_s: float, message_id: str, call: int, status: int | None = 200, party: str = "s-1", **more: Any
+    at_s: float, message_id: str, call: int, status: int | None = 200, party: str = "s-1", **fields: Any
 ) -> list[Event]:
     events = [
         event(
@@ -32,7 +37,7 @@
             message_id,
             party=party,
             call=call,
-            first_s=more.pop("first_s", at_s),
+            first_s=fields.pop("first_s", at_s),
             destination=7,
         )
     ]
@@ -48,11 +53,11 @@
                 call=call,
                 status=status,
                 destination=7,
-                **more,
+                **fields,
             )
         )
     return events
 
 
-def delivered(message_id: str = "a", at_s: float = 0.0, call: int = 1, **more: Any) -> list[Event]:
-    return [*submitted(at_s, message_id, **more), *called(at_s + 0.1, message_id, call)]
+def delivered(message_id: str = "a", at_s: float = 0.0, call: int = 1, **fields: Any) -> list[Event]:
+    return [*submitted(at_s, message_id, **fields), *called(at_s + 0.1, message_id, call)]
--- a/tests/lab/test_client_connection.py
+++ b/tests/lab/test_client_connection.py
@@ -1,4 +1,4 @@
-"""How the lab's client tells a request that was never read from one that was read and left unanswered."""
+"""Tests how the lab's client connections end: whether a request was read, late answers, and injected resets."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_a_reset_behind_the_end_tells_that_a_request_was_never_read(read: bool) -> None:
-    """The soak's seed 2: the end of a resting connection crossed a request, and was read before the reset behind it."""
+def test_reset_after_the_end_of_stream_shows_that_a_request_was_never_read(read: bool) -> None:
+    """The end of an idle connection crossed a request, and was read before the reset that followed (soak, seed 2)."""
 
-    async def scene() -> None:
+    async def exercise() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             _, connection = await loop.create_connection(
@@ -29,7 +29,7 @@
                 assert accepted.recv(4096) == UP_REQUEST
                 accepted.close()
             else:
-                accepted.shutdown(socket.SHUT_WR)  # the end is on its way, the request was not looked at
+                accepted.shutdown(socket.SHUT_WR)  # sends the end of stream before the request is read
                 await asyncio.sleep(0.01)
                 accepted.close()
             with pytest.raises(ConnectionResetError):
@@ -38,14 +38,14 @@
         assert connection.was_reset is not read
         assert connection.link == ("n0", PARTY)
 
-    asyncio.run(scene())
+    asyncio.run(exercise())
 
 
 @pytest.mark.parametrize("ends_by_reset", [False, True])
-def test_a_delayed_answer_is_heard_though_the_end_of_its_connection_is_not_delayed(ends_by_reset: bool) -> None:
-    """Found by the wider soak's first seeds: links to clients delayed answers, and not the end behind them."""
+def test_delayed_answer_arrives_though_the_end_of_its_connection_is_not_delayed(ends_by_reset: bool) -> None:
+    """Links to clients delayed answers but not the end of stream, which overtook them (wider soak, first seeds)."""
 
-    async def scene() -> None:
+    async def exercise() -> None:
         loop = asyncio.get_running_loop()
         network = Network(1)
         network.set_fault(("n0", PARTY), LinkFault(delay_s=0.08))
@@ -65,11 +65,11 @@
             async with asyncio.timeout(1.0):
                 assert await answer == 200
 
-    asyncio.run(scene())
+    asyncio.run(exercise())
 
 
-def test_a_connection_that_the_schedule_resets_is_told_from_one_that_its_forwarder_ended() -> None:
-    async def scene() -> None:
+def test_reset_by_an_injected_fault_is_told_apart_from_an_end_by_the_forwarder() -> None:
+    async def exercise() -> None:
         loop = asyncio.get_running_loop()
         network = Network(1)
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -85,4 +85,4 @@
             accepted.close()
         assert connection.ended_by_link
 
-    asyncio.run(scene())
+    asyncio.run(exercise())
--- a/tests/lab/test_datagrams.py
+++ b/tests/lab/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Every fault on a link between forwarders does to datagrams what it says, and is counted."""
+"""Tests that each fault of a link between forwarders affects datagrams as specified, and is counted."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.sockets import PATIENCE, free_port, own_host
 
 
-def bind(host: str) -> socket.socket:
+def bind_udp(host: str) -> socket.socket:
     sock = socket.socket(type=socket.SOCK_DGRAM)
     sock.setblocking(False)
     sock.bind((host, 0))
@@ -30,14 +30,16 @@
         (LinkFault(swapped=0.5), "datagrams swapped", lambda n: 38 < n < 41),
         (LinkFault(delay_s=0.01, jitter_s=0.05), "datagrams delayed", lambda n: n == 40),
     ],
-    ids=["sound", "cut", "loss", "doubled", "swapped", "delayed"],
+    ids=["healthy", "cut", "loss", "doubled", "swapped", "delayed"],
 )
-def test_datagrams_between_two_forwarders(fault: LinkFault, counted: str, is_expected: Callable[[int], bool]) -> None:
-    """What comes bears the sender's advertised address; the way back is another link and is not touched."""
+def test_link_faults_affect_datagrams_in_one_direction(
+    fault: LinkFault, counted: str, is_expected: Callable[[int], bool]
+) -> None:
+    """Datagrams arrive from the sender's advertised address. The reverse direction is another link without a fault."""
 
-    async def scene(network: Network) -> None:
+    async def exercise(network: Network) -> None:
         hosts = [own_host(), own_host()]
-        sockets = [bind(host) for host in hosts]
+        sockets = [bind_udp(host) for host in hosts]
         proxies = [(own_host(), free_port()) for _ in hosts]
         exchange = DatagramExchange(
             network,
@@ -55,7 +57,7 @@
         async with asyncio.timeout(PATIENCE / 4):
             for _ in range(40):
                 await loop.sock_recvfrom(sockets[0], 100)
-            await asyncio.sleep(0.2)  # what was delayed is under way for 0.06 s
+            await asyncio.sleep(0.2)  # delayed datagrams arrive within 0.06 s
             while True:
                 try:
                     received.append(sockets[1].recvfrom(100))
@@ -71,4 +73,4 @@
         for sock in sockets:
             sock.close()
 
-    asyncio.run(scene(Network(1)))
+    asyncio.run(exercise(Network(1)))
--- a/tests/lab/test_endpoint_model.py
+++ b/tests/lab/test_endpoint_model.py
@@ -1,4 +1,4 @@
-"""Destinations and endpoints behave as the pages have it."""
+"""Tests that the model of destinations and endpoints behaves as the published pages describe."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 @pytest.mark.parametrize("reports", [True, False])
-def test_a_destination_reports_its_limit_only_where_the_scenario_has_it(reports: bool) -> None:
-    one = next(d for d in plan.make(Scenario("x")).destinations if d.limit_per_s)
-    report = DestinationModel(one, random.Random(1), (1.0, 1.0), reports_limit=reports).load_report()
-    assert report == (f"x0=1.000,x1={one.limit_per_s:.3f}" if reports else None)
+def test_destination_reports_its_limit_only_if_the_scenario_says_so(reports: bool) -> None:
+    destination = next(d for d in plan.make(Scenario("x")).destinations if d.limit_per_s)
+    report = DestinationModel(destination, random.Random(1), (1.0, 1.0), reports_limit=reports).load_report()
+    assert report == (f"x0=1.000,x1={destination.limit_per_s:.3f}" if reports else None)
 
 
 def make_endpoint() -> EndpointModel[WaitingCall]:
-    drawn = plan.make(Scenario("x"))
-    spec = drawn.endpoints[0]
+    drawn_plan = plan.make(Scenario("x"))
+    spec = drawn_plan.endpoints[0]
     return EndpointModel(
         spec,
-        DestinationModel(drawn.destinations[spec.destination - 1], random.Random(1), (1.0, 1.0)),
-        drawn.scenario.endpoints,
+        DestinationModel(drawn_plan.destinations[spec.destination - 1], random.Random(1), (1.0, 1.0)),
+        drawn_plan.scenario.endpoints,
         random.Random(2),
     )
 
 
-def test_a_limit_lets_its_rate_through_and_no_more() -> None:
-    limit = TokenBucket(10.0)
-    assert sum(limit.take(n / 100) for n in range(1000)) in range(100, 107)
+def test_rate_limit_admits_its_rate_and_burst_and_no_more() -> None:
+    bucket = TokenBucket(10.0)
+    assert sum(bucket.take(n / 100) for n in range(1000)) in range(100, 107)
 
 
 @pytest.mark.parametrize("informed", [True, False])
-def test_a_warming_up_endpoint_goes_down_above_its_budget_and_says_by_whom(informed: bool) -> None:
+def test_overloaded_warming_up_endpoint_goes_down_and_reports_the_informed_share(informed: bool) -> None:
     endpoint = make_endpoint()
     endpoint.fail()
     if informed:
@@ -55,7 +55,7 @@
     assert endpoint.is_down
 
 
-def test_a_warm_endpoint_has_no_budget() -> None:
+def test_warm_endpoint_has_no_budget() -> None:
     endpoint = make_endpoint()
     endpoint.fail()
     endpoint.recover(0.0)
--- a/tests/lab/test_metrics.py
+++ b/tests/lab/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a run."""
+"""Tests of a run's metrics."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def events_with_service(shares: list[float]) -> list[Event]:
-    """Ten messages in each half second; a share of them is delivered at once."""
+    """Return events of ten messages per half second, of which the given share is delivered within 0.1 s."""
     events = []
     for half_second, share in enumerate(shares):
         for index in range(10):
@@ -31,14 +31,14 @@
     [
         ([1.0] * 24, 0.0),
         ([0.0] * 8 + [1.0] * 16, 4.0),
-        ([0.0] * 4 + [1.0] * 4 + [0.0] * 4 + [1.0] * 12, 6.0),  # a second dip: not yet full
+        ([0.0] * 4 + [1.0] * 4 + [0.0] * 4 + [1.0] * 12, 6.0),  # a second dip within the stable time
         ([0.5] * 24, None),
     ],
 )
 def test_time_to_full_service(after: list[float], full_s: float | None) -> None:
     service = metrics.ServiceLevel(events_with_service([1.0] * 10 + after))
-    found_s = service.time_to_full_service(5.0, 0.0, 17.0)
-    assert found_s == (None if full_s is None else pytest.approx(full_s, rel=0.0, abs=0.25))
+    measured_s = service.time_to_full_service(5.0, 0.0, 17.0)
+    assert measured_s == (None if full_s is None else pytest.approx(full_s, rel=0.0, abs=0.25))
 
 
 EARNED_SHARES = [
@@ -51,7 +51,7 @@
 ]
 
 
-def test_late_deliveries_earn_less_and_those_past_the_deadline_nothing() -> None:
+def test_late_deliveries_earn_less_and_deliveries_past_the_deadline_nothing() -> None:
     events = []
     for number, (message_class, latency_s, _) in enumerate(EARNED_SHARES):
         events += [
@@ -64,14 +64,14 @@
         assert service.share(number, number + 0.5, metrics.Weight.EARNED) == pytest.approx(earned_share)
 
 
-def test_the_worst_second_is_divided_by_the_steady_one() -> None:
+def test_worst_second_is_divided_by_the_mean_of_the_steady_phase() -> None:
     events = [event(n / 2, EventKind.LIST_REQUESTED) for n in range(20)] + [event(10.5, EventKind.LIST_REQUESTED)] * 9
     counts = metrics.per_second(sorted(events, key=lambda event: event.at_s), EventKind.LIST_REQUESTED, 12.0)
     assert metrics.worst_over_steady(counts, 2.0, 10.0) == pytest.approx(4.5)
     assert metrics.worst_over_steady([0] * 12, 2.0, 10.0) is None
 
 
-def test_the_steps_of_a_restart_are_measured_apart() -> None:
+def test_each_step_of_a_restart_is_measured() -> None:
     events = [
         event(1.0, EventKind.SUBMITTED, "m"),
         event(2.0, EventKind.PROCESS_KILLED, node="n0"),
@@ -88,8 +88,8 @@
         event(5.0, EventKind.CALL_ANSWERED, "m", status=200),
         event(6.0, EventKind.CALL_ANSWERED, "late", status=200),
     ]
-    found = metrics.restart_steps(events, 2.0)
-    assert {name: value and round(value, 6) for name, value in found.items()} == {
+    durations = metrics.restart_steps(events, 2.0)
+    assert {name: value and round(value, 6) for name, value in durations.items()} == {
         "backlog_s": 1.2,
         "notice_s": 1.0,
         "notice_longest_s": 1.0,
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -1,4 +1,4 @@
-"""Every fault on a link does what it says, over sockets, and is counted."""
+"""Tests over sockets that each fault of a link has its effect and is counted."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Echo(LinkConnection):
-    """Sends back what it gets."""
+    """Sends received bytes back."""
 
     def receive(self, data: bytes) -> None:
         self.send(data)
 
 
-class Sink(LinkConnection):
-    """Keeps what it gets."""
+class Recorder(LinkConnection):
+    """Records received bytes."""
 
     def __init__(self, network: Network, link: Link, received: list[bytes]) -> None:
         super().__init__(network, link)
@@ -40,27 +40,27 @@
     return listener
 
 
-async def assert_received(reader: asyncio.StreamReader, wanted: bytes) -> None:
+async def assert_received(reader: asyncio.StreamReader, expected: bytes) -> None:
     async with asyncio.timeout(PATIENCE):
-        assert await reader.readexactly(len(wanted)) == wanted
+        assert await reader.readexactly(len(expected)) == expected
 
 
 async def read_until_end(reader: asyncio.StreamReader) -> None:
-    """Wait for the end of a connection. Raises ConnectionError for a close, as for a reset."""
+    """Wait for the end of a connection. Raises ConnectionError for a close as well as for a reset."""
     async with asyncio.timeout(PATIENCE):
         if not await reader.read():
             raise ConnectionResetError
 
 
-def play(scene: Callable[[Network], Coroutine[object, object, None]]) -> Network:
+def run_with_network(exercise: Callable[[Network], Coroutine[object, object, None]]) -> Network:
     network = Network(1)
-    asyncio.run(scene(network))
+    asyncio.run(exercise(network))
     return network
 
 
 @pytest.mark.parametrize("fault", [LinkFault(silent_out=True), LinkFault(silent_in=True), LinkFault(True, True)])
-def test_silence_holds_bytes_back_until_it_heals(fault: LinkFault) -> None:
-    async def scene(network: Network) -> None:
+def test_silent_link_holds_bytes_back_until_it_heals(fault: LinkFault) -> None:
+    async def exercise(network: Network) -> None:
         listener = await open_listener(network)
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"before")
@@ -70,21 +70,21 @@
         async with asyncio.timeout(PATIENCE):
             while not network.counts.get("held"):
                 await asyncio.sleep(0.01)
-        assert not reader._buffer  # type: ignore[attr-defined]  # nothing has come
+        assert not reader._buffer  # type: ignore[attr-defined]  # nothing has arrived
         network.heal(LINK)
         await assert_received(reader, b"after")
         writer.close()
         listener.close()
 
-    play(scene)
+    run_with_network(exercise)
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_what_silence_held_back_comes_behind_a_close_and_not_behind_a_reset(reset: bool) -> None:
-    async def scene(network: Network) -> None:
+def test_held_back_bytes_arrive_after_a_close_but_not_after_a_reset(reset: bool) -> None:
+    async def exercise(network: Network) -> None:
         listener = await open_listener(network)
         received: list[bytes] = []
-        listener.make_connection = lambda: Sink(network, LINK, received)
+        listener.make_connection = lambda: Recorder(network, LINK, received)
         _, writer = await asyncio.open_connection(*listener.address)
         writer.write(b"before")
         async with asyncio.timeout(PATIENCE):
@@ -102,11 +102,11 @@
         assert received == ([b"before"] if reset else [b"before", b"late"])
         listener.close()
 
-    assert play(scene).counts.get("dropped by a reset", 0) == reset
+    assert run_with_network(exercise).counts.get("dropped by a reset", 0) == reset
 
 
-def test_a_new_connection_never_comes_up_in_silence_and_does_when_it_heals() -> None:
-    async def scene(network: Network) -> None:
+def test_silent_link_accepts_no_connection_until_it_heals() -> None:
+    async def exercise(network: Network) -> None:
         listener = await open_listener(network)
         network.set_fault(LINK, LinkFault(True, True))
         with pytest.raises(TimeoutError):
@@ -119,11 +119,11 @@
         writer.close()
         listener.close()
 
-    play(scene)
+    run_with_network(exercise)
 
 
-def test_refusal_and_reset_end_connections_and_refusal_new_ones_too() -> None:
-    async def scene(network: Network) -> None:
+def test_reset_and_refusal_end_connections_and_refusal_prevents_new_ones() -> None:
+    async def exercise(network: Network) -> None:
         listener = await open_listener(network)
         for end in (lambda: network.reset_connections(LINK), lambda: network.set_fault(LINK, LinkFault(refuse=True))):
             reader, writer = await asyncio.open_connection(*listener.address)
@@ -137,11 +137,11 @@
             await asyncio.open_connection(*listener.address)
         listener.close()
 
-    assert play(scene).counts["reset"] == 1
+    assert run_with_network(exercise).counts["reset"] == 1
 
 
-def test_delay_keeps_the_order_of_a_stream() -> None:
-    async def scene(network: Network) -> None:
+def test_delayed_stream_keeps_its_order() -> None:
+    async def exercise(network: Network) -> None:
         listener = await open_listener(network)
         network.set_fault(LINK, LinkFault(delay_s=0.02, jitter_s=0.05))
         reader, writer = await asyncio.open_connection(*listener.address)
@@ -153,11 +153,11 @@
         writer.close()
         listener.close()
 
-    assert play(scene).counts["delayed"] >= 2
+    assert run_with_network(exercise).counts["delayed"] >= 2
 
 
-def test_a_cut_between_two_leaves_others_alone() -> None:
-    async def scene(network: Network) -> None:
+def test_cut_link_does_not_affect_other_links() -> None:
+    async def exercise(network: Network) -> None:
         cut, other = await open_listener(network), await open_listener(network, ("n1", "s-0"))
         network.set_fault(LINK, LinkFault(refuse=True))
         reader, writer = await asyncio.open_connection(*other.address)
@@ -167,4 +167,4 @@
         cut.close()
         other.close()
 
-    play(scene)
+    run_with_network(exercise)
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules find each kind of violation in events that break just that one, and nothing in clean ones."""
+"""Tests that each rule finds its violation in events that break only that rule, and nothing in valid events."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 KEY_BACKOFF_S = 1.0
 
 
-LATE = [event(20.0, EventKind.FORWARDER_READY, node="n9")]
+END_OF_RUN = [event(20.0, EventKind.FORWARDER_READY, node="n9")]
 
 
 KILLED = [event(0.5, EventKind.PROCESS_KILLED), event(0.5, EventKind.PROCESS_ENDED, status=-9)]
 
 
-def unheard(at_s: float, message_id: str, **more: Any) -> list[Event]:
-    """A message whose forwarder is killed before its answer, and is ready again one second after it came."""
+def killed_before_answer(at_s: float, message_id: str, **fields: Any) -> list[Event]:
+    """Return events of a message whose forwarder is killed before the answer and ready again 1 s after the message."""
     return [
-        *submitted(at_s, message_id, **more)[:1],
+        *submitted(at_s, message_id, **fields)[:1],
         event(at_s + 0.05, EventKind.PROCESS_KILLED),
         event(at_s + 0.05, EventKind.PROCESS_ENDED, status=-9),
         event(at_s + 0.06, EventKind.SUBMIT_UNANSWERED, message_id),
@@ -31,41 +31,41 @@
     ]
 
 
-CLEAN: dict[str, list[Event]] = {
+VALID: dict[str, list[Event]] = {
     "delivered": delivered(),
     "refused by the endpoint and sent again": [*submitted(0, "a"), *called(0.1, "a", 1, 503), *called(1, "a", 2)],
-    "sent again as its connection was cut": [
+    "sent again after its connection was cut": [
         *submitted(0, "a", STATUS_CLASS, None),
         *called(0.1, "a", 1, None),
         *called(0.2, "a", 2, party="s-2"),
         event(0.201, EventKind.CALL_ABORTED, "a", party="s-1", call=1),
     ],
-    "the next of a key after its backoff": [
+    "the next message of a key after the key's backoff": [
         *submitted(0, "a"),
         *called(0.1, "a", 1, None),
         event(0.2, EventKind.CALL_ABORTED, "a", party="s-1", call=1),
         event(0.3, EventKind.NOTICE, "a", state="failed"),
         *delivered("b", 2.0, 2, number=1),
     ],
-    "takes effect late under an id that its client gave up": [
+    "takes effect late under an id that its client has given up": [
         event(0, EventKind.SUBMITTED, "a", state=REFUND_CLASS, number=0, destination=7, due_s=5),
         event(0.4, EventKind.SUBMIT_TIMED_OUT, "a", number=0),
         *delivered("b", 0.5, 1, number=0),
         *called(2, "a", 2),
     ],
-    "its connection was cut by the schedule": [
+    "its connection was cut by an injected fault": [
         event(0, EventKind.SUBMITTED, "a", state=REFUND_CLASS, number=0, destination=7, due_s=5),
         event(0.1, EventKind.SUBMIT_CUT_OFF, "a", number=0),
         *delivered("b", 0.5, 1, number=0),
     ],
-    "returned unsent": [*submitted(0, "a"), event(5.2, EventKind.NOTICE, "a", state="returned"), *LATE],
+    "returned unsent": [*submitted(0, "a"), event(5.2, EventKind.NOTICE, "a", state="returned"), *END_OF_RUN],
     "failed after it ran": [
         *submitted(0, "a"),
         *called(0.1, "a", 1, 500),
         event(1, EventKind.NOTICE, "a", state="failed"),
-        *LATE,
+        *END_OF_RUN,
     ],
-    "a repeatable one runs twice": [
+    "a repeatable message runs twice": [
         *submitted(0, "a", STATUS_CLASS, None),
         *called(0.1, "a", 1, 500),
         *called(1, "a", 2),
@@ -75,9 +75,9 @@
         *KILLED,
         event(6, EventKind.FORWARDER_READY),
         event(7.4, EventKind.NOTICE, "a", state="failed"),
-        *LATE,
+        *END_OF_RUN,
     ],
-    "the next of a key after the first": [*delivered("a"), *delivered("b", 1.0, 2, number=1)],
+    "the next message of a key after the first was delivered": [*delivered("a"), *delivered("b", 1.0, 2, number=1)],
     "a Retry-After that a restart ended": [
         *submitted(0, "a"),
         *called(0.1, "a", 1, 429, wait_s=3.0),
@@ -92,7 +92,10 @@
         *called(0.25, "b", 2),
         *called(2, "a", 3),
     ],
-    "in the grace of a drain": [event(0, EventKind.HEALTH_SENT, party="s-1", state="draining"), *delivered()],
+    "within the grace period of a drain": [
+        event(0, EventKind.HEALTH_SENT, party="s-1", state="draining"),
+        *delivered(),
+    ],
     "listed again after a drain": [
         event(0, EventKind.HEALTH_SENT, party="s-1", state="draining"),
         event(1, EventKind.HEALTH_SENT, party="s-1", state="up"),
@@ -103,54 +106,57 @@
         event(1, EventKind.ENDPOINT_ENABLED, party="s-1"),
         *delivered("a", 2.0),
     ],
-    "lost with its folder": [
+    "lost with its state folder": [
         *submitted(0, "a"),
         *KILLED,
         event(0.6, EventKind.STATE_FOLDER_CHANGED, state="lost"),
         event(1, EventKind.FORWARDER_READY),
-        *LATE,
+        *END_OF_RUN,
     ],
-    "no answer, but it was being killed": [
+    "no answer, but its forwarder was being killed": [
         event(0, EventKind.SUBMITTED, "a", due_s=5, state=REFUND_CLASS, destination=7),
         *KILLED,
         event(0.6, EventKind.SUBMIT_UNANSWERED, "a"),
     ],
-    "given up by its client, so it counts for nothing": [
+    "given up by its client, so its outcome is ignored": [
         event(0, EventKind.SUBMITTED, "a", due_s=5, state=REFUND_CLASS, key="k", destination=7, number=0),
         event(0.4, EventKind.SUBMIT_TIMED_OUT, "a"),
         *called(0.3, "a", 1, 500),
         *delivered("b", 1.0, 2),
     ],
-    "given up, and sent before what was taken on since": [
+    "given up, and sent before a message accepted since": [
         event(0, EventKind.SUBMITTED, "a", due_s=5, state=REFUND_CLASS, key="k", destination=7, number=0),
         event(0.4, EventKind.SUBMIT_TIMED_OUT, "a"),
         *submitted(0.5, "b", number=0),
         *called(0.6, "a", 1, 503),
         *called(1.0, "b", 2),
     ],
-    "on record as its process was killed before the 202, and sent before what was handed in later": [
-        *unheard(0, "a", number=0),
+    "recorded before its process was killed before the 202, and sent before later submissions": [
+        *killed_before_answer(0, "a", number=0),
         *submitted(1.1, "b", number=0),
         *submitted(1.2, "c", number=1),
         *called(1.3, "a", 1),
         *called(1.5, "b", 2),
         *called(1.7, "c", 3),
     ],
-    "stopped, and as late as that": [
+    "overdue, but the forwarder was paused": [
         *submitted(0, "a"),
         event(1, EventKind.PROCESS_PAUSED),
         event(9, EventKind.PROCESS_RESUMED),
         event(10, EventKind.NOTICE, "a", state="failed"),
-        *LATE,
+        *END_OF_RUN,
     ],
 }
 
 
 BROKEN: dict[str, tuple[str, list[Event]]] = {
-    "no end at all": ("lost", [*submitted(0, "a"), *LATE]),
-    "an end too late": ("lost", [*submitted(0, "a"), event(5.6, EventKind.NOTICE, "a", state="failed"), *LATE]),
-    "late though long ready again": ("lost", [*submitted(0, "a"), *KILLED, event(1, EventKind.FORWARDER_READY), *LATE]),
-    "the connection ended unanswered": (
+    "never ended": ("lost", [*submitted(0, "a"), *END_OF_RUN]),
+    "ended too late": ("lost", [*submitted(0, "a"), event(5.6, EventKind.NOTICE, "a", state="failed"), *END_OF_RUN]),
+    "overdue long after the forwarder was ready again": (
+        "lost",
+        [*submitted(0, "a"), *KILLED, event(1, EventKind.FORWARDER_READY), *END_OF_RUN],
+    ),
+    "its connection ended without an answer": (
         "lost",
         [event(0, EventKind.SUBMITTED, "a", due_s=5, state=REFUND_CLASS), event(0.1, EventKind.SUBMIT_UNANSWERED, "a")],
     ),
@@ -164,16 +170,16 @@
             *called(1, "a", 2),
         ],
     ),
-    "effect under another id": ("duplicate", [*delivered("a"), *delivered("b", 2.0, 2)]),
+    "takes effect under another id": ("duplicate", [*delivered("a"), *delivered("b", 2.0, 2)]),
     "returned though it ran": (
         "duplicate",
         [*submitted(0, "a"), *called(0.1, "a", 1, 500), event(1, EventKind.NOTICE, "a", state="returned")],
     ),
-    "two out at once": (
+    "two calls in flight at once": (
         "second copy",
         [*submitted(0, "a", STATUS_CLASS, None), *called(0.1, "a", 1, None), *called(0.2, "a", 2, party="s-2")],
     ),
-    "a cut that was seen too late for chance": (
+    "a cut seen too late to be a coincidence": (
         "second copy",
         [
             *submitted(0, "a", STATUS_CLASS, None),
@@ -182,7 +188,7 @@
             event(0.4, EventKind.CALL_ABORTED, "a", party="s-1", call=1),
         ],
     ),
-    "a cut seen just after, of what may not run twice": (
+    "a cut seen just after the second call, of a message that may not run twice": (
         "duplicate",
         [
             *submitted(0, "a"),
@@ -191,15 +197,15 @@
             event(0.201, EventKind.CALL_ABORTED, "a", party="s-1", call=1),
         ],
     ),
-    "past one of its key": (
+    "sent before an earlier message of its key": (
         "order",
         [*submitted(0, "a"), *submitted(0.1, "b", number=1), *called(0.2, "b", 1), *called(1, "a", 2)],
     ),
-    "on record as its process was killed before the 202, and sent past one handed in before it": (
+    "recorded before its process was killed before the 202, and sent before an earlier submission": (
         "order",
-        [*submitted(0, "a"), *unheard(0.1, "b", number=1), *called(1.1, "b", 1), *called(2, "a", 2)],
+        [*submitted(0, "a"), *killed_before_answer(0.1, "b", number=1), *called(1.1, "b", 1), *called(2, "a", 2)],
     ),
-    "before the backoff of its key is over": (
+    "sent before the end of its key's backoff": (
         "order",
         [
             *submitted(0, "a"),
@@ -210,7 +216,7 @@
             *called(0.5, "b", 2),
         ],
     ),
-    "after it was refused": (
+    "sent after it was refused": (
         "lost",
         [
             event(0, EventKind.SUBMITTED, "a", due_s=5, state=STATUS_CLASS, destination=7),
@@ -218,12 +224,15 @@
             *called(1, "a", 1),
         ],
     ),
-    "after its notice": (
+    "sent after its notice": (
         "lost",
         [*submitted(0, "a", STATUS_CLASS, None), event(1, EventKind.NOTICE, "a", state="returned"), *called(2, "a", 1)],
     ),
-    "within a Retry-After": ("wait", [*submitted(0, "a"), *called(0.1, "a", 1, 429, wait_s=3.0), *called(1, "a", 2)]),
-    "another message within a Retry-After": (
+    "sent within its Retry-After": (
+        "wait",
+        [*submitted(0, "a"), *called(0.1, "a", 1, 429, wait_s=3.0), *called(1, "a", 2)],
+    ),
+    "another message sent within a Retry-After": (
         "wait",
         [
             *submitted(0, "a"),
@@ -233,12 +242,15 @@
             *called(4, "a", 3),
         ],
     ),
-    "after a drain": ("drain", [event(0, EventKind.HEALTH_SENT, party="s-1", state="draining"), *delivered("a", 1.0)]),
-    "after its removal": (
+    "sent to a draining endpoint": (
+        "drain",
+        [event(0, EventKind.HEALTH_SENT, party="s-1", state="draining"), *delivered("a", 1.0)],
+    ),
+    "sent to a removed endpoint": (
         "drain",
         [event(0, EventKind.HEALTH_SENT, party="s-1", state="removed"), *delivered("a", 1.0)],
     ),
-    "after it was disabled": ("ban", [event(0, EventKind.ENDPOINT_DISABLED, party="s-1"), *delivered("a", 1.0)]),
+    "sent to a disabled endpoint": ("ban", [event(0, EventKind.ENDPOINT_DISABLED, party="s-1"), *delivered("a", 1.0)]),
     "a message that no client submitted": ("unknown", [event(0, EventKind.UNKNOWN_MESSAGE, "a", party="s-1")]),
     "overloaded while warming up": (
         "cold",
@@ -248,13 +260,13 @@
 }
 
 
-@pytest.mark.parametrize("events", CLEAN.values(), ids=CLEAN)
-def test_nothing_is_found_in_clean_events(events: list[Event]) -> None:
+@pytest.mark.parametrize("events", VALID.values(), ids=VALID)
+def test_valid_events_have_no_findings(events: list[Event]) -> None:
     assert check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings == []
 
 
 @pytest.mark.parametrize(("rule", "events"), BROKEN.values(), ids=BROKEN)
-def test_each_kind_of_broken_rule_is_found(rule: str, events: list[Event]) -> None:
-    found = check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings
-    assert {f.rule for f in found} == {rule}
-    assert all(f.id in f.text or f.id for f in found if rule not in ("cold", "crash"))
+def test_each_kind_of_violation_is_found(rule: str, events: list[Event]) -> None:
+    findings = check(sorted(events, key=lambda e: e.at_s), key_backoff_s=KEY_BACKOFF_S).findings
+    assert {f.rule for f in findings} == {rule}
+    assert all(f.id in f.text or f.id for f in findings if rule not in ("cold", "crash"))
