--- a/forwarder/membership/__init__.py
+++ b/forwarder/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Membership: who is present and who has failed, and gossip on endpoints.
+"""Membership: which forwarders are present and which have failed, and gossip about endpoints.
 
-After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018). All but `extension`,
-`gossip` and `settings` is pure: datagrams and times in, datagrams, changes and the next time out.
+Implements SWIM (Das, Gupta, Motivala, DSN 2002) with the additions of Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018).
+The protocol modules are pure: they take datagrams and times, and return datagrams, changes and the time of the next
+step.
 """
--- a/forwarder/membership/change_log.py
+++ b/forwarder/membership/change_log.py
@@ -1,4 +1,4 @@
-"""Writes changes of the view to the log."""
+"""Logs changes of the membership view."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def log_change(protocol: MembershipProtocol, change: MemberChanged) -> None:
-    """Writes a line where a member's state has changed, or something is wrong with this forwarder's own name."""
+    """Logs a change of a member's state, or a conflict about this forwarder's own name."""
     record = change.member.record
     if record.name == protocol.view.name:
         _log_own_change(protocol, change)
@@ -25,17 +25,20 @@
             host,
             port,
             record.state.name.lower(),
-            f", says {record.suspected_by}" if suspected else "",
+            f", reported by {record.suspected_by}" if suspected else "",
         )
 
 
 def _log_own_change(protocol: MembershipProtocol, change: MemberChanged) -> None:
     record, own_member = change.member.record, protocol.own_member
     if own_member.has_yielded:
-        log.error("another process has the name %s and a later life: this one gives way", record.name)
+        log.error(
+            "another process has the name %s and takes precedence; this process stops taking part in membership",
+            record.name,
+        )
     elif own_member.former_start_number >= record.start_number - 1 and change.previous_state is record.state:
         log.warning(
-            "others remember life %d of %s: its folder was lost or set back",
+            "others remember life %d of %s: its state folder was lost or restored from an older copy",
             own_member.former_start_number,
             record.name,
         )
--- a/forwarder/membership/codec.py
+++ b/forwarder/membership/codec.py
@@ -1,10 +1,10 @@
-"""Datagrams: msgpack, a version byte, a keyed tag, and a bound on replay. Pure.
+"""Encodes datagrams as msgpack with a version byte and a keyed tag, and rejects replayed ones. Pure.
 
-A datagram is a version byte, 16 bytes of tag (BLAKE2b, keyed with the shared key, over the cluster's name and all that
-follows), and the message. Fields are named, and unknown ones passed over, so a later version may add some. Their names
-on the wire are one letter long; they are mapped here alone.
+A datagram consists of a version byte, a tag of 16 bytes (BLAKE2b, keyed with the shared key, over the cluster's name
+and everything after the tag), and the message. Fields are named and unknown fields are ignored, so a later version may
+add some. Their names on the wire are one letter long; only this module and `gossip_store` map them.
 
-Each sender numbers its datagrams since its start; of those that came, a window of the newest 256 is remembered.
+Each sender numbers its datagrams from its start. The receiver remembers which of the newest 256 numbers it has seen.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 TAG_BYTES = 16
 MAX_DATAGRAM_BYTES = 1200
 REPLAY_WINDOW = 256
-"""Datagrams of one sender that are remembered, as bits of a number."""
+"""Number of datagrams of one sender process that are remembered, one bit each."""
 MAX_SENDERS = 6000
 MAX_ROWS = 40
 MAX_PROCESS_IDS = 4
-"""Processes that may claim one name and start number."""
+"""Maximum number of processes that may claim the same name and start number."""
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Text = Annotated[str, Meta(max_length=64)]
 Number = Annotated[int, Meta(ge=0, lt=1 << 62)]
@@ -63,7 +63,7 @@
     suspected_by: Text = ""
 
     def record(self) -> MemberRecord:
-        """Returns the record. A phase of a later version counts as serving."""
+        """Returns the record. A phase that only a later version knows counts as serving."""
         phase = MemberPhase(self.phase) if self.phase <= max(MemberPhase) else MemberPhase.SERVING
         return MemberRecord(
             self.name,
@@ -78,7 +78,7 @@
 
 
 def member_row(record: MemberRecord) -> MemberRow:
-    """Returns a record as it stands in a datagram."""
+    """Returns the row that carries a record in a datagram."""
     host, port = record.address
     return MemberRow(
         record.name,
@@ -109,32 +109,33 @@
     },
     omit_defaults=True,
 ):
-    """What a datagram says.
+    """Content of a datagram.
 
-    Kinds: ping, ack, nack, probe (ping another member for me), join (send me the whole view), full (a part of it),
-    former (others know a later incarnation of you), ask (send me all gossip records), facts (some of them).
+    Kinds: ping, ack, nack, probe (asks the receiver to ping another member), join (requests the whole view), full (a
+    part of the view), former (tells the receiver that a later incarnation of it is known), ask (requests all gossip
+    records), facts (some gossip records).
     """
 
     kind: Annotated[str, Meta(max_length=8)]
     sender: Name
     start_number: Number
     process_id: Text = ""
-    """Drawn at each start of the sender's process."""
+    """Random, drawn at each start of the sender's process."""
     datagram_number: Number = 0
     request_number: Number = 0
     target: MemberRow | None = None
     members: Annotated[list[MemberRow], Meta(max_length=MAX_ROWS)] = []
     digest: Text = ""
     records: Annotated[list[GossipRow], Meta(max_length=MAX_GOSSIP_ROWS)] = []
-    """Gossip records; of those that have no store, none."""
+    """Gossip records; empty if the sender has no gossip store."""
 
 
 class DatagramRejectedError(Exception):
-    """A datagram is not taken; the text is the reason, under which it is counted."""
+    """A datagram is rejected. The text is the reason under which the rejection is counted."""
 
 
 class FormerIncarnationError(DatagramRejectedError):
-    """A datagram of an earlier start than the newest that is known: replayed, or its forwarder has lost its folder."""
+    """A datagram carries an older start number than the newest known: it is a replay, or its sender lost its folder."""
 
     def __init__(self, sender: str, request_number: int) -> None:
         super().__init__("former life")
@@ -148,7 +149,7 @@
 
 @dataclass(slots=True)
 class _ReplayWindow:
-    """Which datagrams of one process came: bit n stands for the one that is n before the highest."""
+    """Datagram numbers seen from one process: bit n stands for the number that is n below the highest."""
 
     highest: int
     bits: int
@@ -156,14 +157,14 @@
 
 @dataclass(slots=True)
 class Codec:
-    """Seals and opens datagrams. The first key seals; all open, while keys are changed."""
+    """Seals and opens datagrams. The first key seals; every key opens, so that keys can be rotated."""
 
     cluster: str
     keys: Sequence[bytes]
-    windows: dict[str, dict[str, _ReplayWindow]] = field(default_factory=dict)
-    """Of each sender since its newest start, by the process ids that claim its name."""
+    replay_windows: dict[str, dict[str, _ReplayWindow]] = field(default_factory=dict)
+    """By sender, then by process id; only for the newest start of each sender."""
     start_numbers: dict[str, int] = field(default_factory=dict)
-    """The newest start of each sender."""
+    """Newest known start number of each sender."""
     datagram_number: int = 0
 
     def _tag(self, key: bytes, data: bytes) -> bytes:
@@ -171,25 +172,25 @@
         return hashlib.blake2b(len(name).to_bytes(1, "big") + name + data, key=key, digest_size=TAG_BYTES).digest()
 
     def seal(self, datagram: Datagram) -> bytes:
-        """Returns the bytes of a datagram, under the next number.
+        """Gives the datagram the next number and returns its bytes.
 
         Raises:
-            ValueError: it is too long.
+            ValueError: the datagram is too long.
         """
         self.datagram_number += 1
         datagram.datagram_number = self.datagram_number
         data = _encoder.encode(datagram)
         if 1 + TAG_BYTES + len(data) > MAX_DATAGRAM_BYTES:
-            raise ValueError(f"a datagram of {1 + TAG_BYTES + len(data)} bytes")
+            raise ValueError(f"datagram of {1 + TAG_BYTES + len(data)} bytes is over the limit")
         return bytes([VERSION]) + self._tag(self.keys[0], data) + data
 
     def open(self, sealed: bytes) -> Datagram:
-        """Returns what a datagram says.
+        """Returns the content of a sealed datagram.
 
-        The tag is checked before all else but the length and the version, so a forged datagram costs one hash.
+        Only length and version are checked before the tag, so a forged datagram costs one hash for each key.
 
         Raises:
-            DatagramRejectedError: it is not taken.
+            DatagramRejectedError: the datagram is malformed, forged or replayed.
         """
         if len(sealed) > MAX_DATAGRAM_BYTES:
             raise DatagramRejectedError("too long")
@@ -214,8 +215,8 @@
             raise FormerIncarnationError(datagram.sender, datagram.request_number)
         if newest is None or datagram.start_number > newest:
             self.start_numbers[datagram.sender] = datagram.start_number
-            self.windows[datagram.sender] = {}
-        windows = self.windows[datagram.sender]
+            self.replay_windows[datagram.sender] = {}
+        windows = self.replay_windows[datagram.sender]
         window = windows.get(datagram.process_id)
         if window is not None:
             _check_window(window, datagram.datagram_number)
@@ -226,7 +227,11 @@
 
 
 def _check_window(window: _ReplayWindow, number: int) -> None:
-    """Notes that a datagram came. Raises DatagramRejectedError if it came before, or is too old to tell."""
+    """Marks a datagram number as seen.
+
+    Raises:
+        DatagramRejectedError: the number was seen before, or is too old for the window.
+    """
     ahead = number - window.highest
     if ahead > 0:
         window.bits = (window.bits << min(ahead, REPLAY_WINDOW) | 1) & ((1 << REPLAY_WINDOW) - 1)
--- a/forwarder/membership/commands.py
+++ b/forwarder/membership/commands.py
@@ -1,4 +1,4 @@
-"""Commands for operators: `MEMBERS`, `SHARES` and `NEWS`."""
+"""Admin commands `MEMBERS`, `SHARES` and `NEWS`."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class MembershipCommands:
-    """Answers commands on one extension."""
+    """Answers admin commands about one membership extension."""
 
     def __init__(self, extension: MembershipExtension) -> None:
         self._extension = extension
 
     def table(self) -> CommandTable:
-        """The commands by their words."""
+        """Returns the handlers by command name."""
         return {
             "MEMBERS": self.members,
             "SHARES": without_arguments(self.shares),
@@ -26,7 +26,7 @@
         }
 
     def members(self, argument: str) -> str:
-        """`MEMBERS`: the view, in words; `MEMBERS json`: as one line of JSON."""
+        """Answers `MEMBERS` with the view as text, and `MEMBERS json` with the view as one line of JSON."""
         if argument not in ("", "json"):
             raise CommandRefusedError("MEMBERS stands alone, or with json")
         protocol, now_us = self._extension.protocol, self._extension.now_us()
@@ -35,13 +35,13 @@
         return members_as_json(protocol, now_us) if argument == "json" else members_as_text(protocol, now_us)
 
     def shares(self) -> str:
-        """`SHARES`: by how many this forwarder divides, and why."""
+        """Answers `SHARES`: the number by which this forwarder divides quotas, and the reason for it."""
         if self._extension.quota is None:
             raise CommandRefusedError("members.divide is not turned on")
         return describe_quota(self._extension.quota, self._extension.host.clock())
 
     def news(self) -> str:
-        """`NEWS`: what this forwarder has observed of endpoints, what it has heard, and how old that is."""
+        """Answers `NEWS`: the gossip records about endpoints, its own and received ones, with their ages."""
         if self._extension.gossip is None:
             raise CommandRefusedError("members.news is not turned on")
-        return self._extension.gossip.show(self._extension.now_us())
+        return self._extension.gossip.describe_records(self._extension.now_us())
--- a/forwarder/membership/datagram_socket.py
+++ b/forwarder/membership/datagram_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket between forwarders: sealed datagrams, dropped and counted where they cannot be taken or sent."""
+"""The UDP socket between forwarders. Datagrams that cannot be accepted or sent are dropped and counted."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 DROP_LOG_INTERVAL_S = 10.0
 BIND_TIMEOUT_S = 3.0
 BIND_RETRY_S = 0.05
-DROPPED = "dropped: "
-"""Begins the name under which datagrams are counted that were not taken or not sent."""
+DROP_PREFIX = "dropped: "
+"""Prefix of the counters for datagrams that were not accepted or not sent."""
 log = logging.getLogger("forwarder.membership")
 
 
 class DatagramHandler(Protocol):
-    """Takes what the socket receives."""
+    """Handles datagrams that the socket receives."""
 
     @property
     def is_open(self) -> bool:
-        """Whether datagrams are taken already."""
+        """Whether datagrams are handled yet."""
 
     def receive(self, source: SocketAddress, datagram: Datagram) -> None:
-        """Takes in a sound datagram."""
+        """Handles a valid datagram."""
 
     def reject_former(self, source: SocketAddress, error: FormerIncarnationError) -> None:
-        """Takes note of a datagram of a member's former incarnation."""
+        """Handles a datagram of a member's former incarnation."""
 
     def flush(self) -> None:
-        """Sends what a datagram has given rise to; follows each one."""
+        """Sends the datagrams that are due; called after each datagram received."""
 
 
 class DatagramSocket(asyncio.DatagramProtocol):
@@ -57,10 +57,10 @@
         return self._transport is not None
 
     async def bind(self, address: Address) -> None:
-        """Binds the socket; another process may have the address until an upgrade is over.
+        """Binds the socket, with retries: until an upgrade ends, the old process still holds the address.
 
         Raises:
-            OSError: the address is taken for longer than BIND_TIMEOUT_S.
+            OSError: the address is still in use after BIND_TIMEOUT_S.
         """
         loop = asyncio.get_running_loop()
         deadline_s = time.monotonic() + BIND_TIMEOUT_S
@@ -75,17 +75,17 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     def close(self) -> None:
-        """Closes the socket; what was sent is sent."""
+        """Closes the socket; datagrams already sent are not affected."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def send(self, address: SocketAddress, datagram: Datagram) -> None:
-        """Seals and sends one datagram, or drops it where the socket's buffer is full."""
+        """Seals and sends one datagram, or drops it if the socket's buffer is full."""
         if self._transport is None:
             return
         if self._is_paused:
-            self.counts[f"{DROPPED}no room to send"] += 1
+            self.counts[f"{DROP_PREFIX}no room to send"] += 1
             return
         data = self.codec.seal(datagram)
         self.counts["sent"] += 1
@@ -95,49 +95,49 @@
     # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound."""
+        """Keeps the transport of the bound socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def pause_writing(self) -> None:
-        """The socket's buffer is full: datagrams are dropped, as a network would."""
+        """Begins to drop datagrams, because the socket's buffer is full."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """The socket takes datagrams again."""
+        """Stops dropping datagrams, because the socket's buffer has room again."""
         self._is_paused = False
 
     def datagram_received(self, data: bytes, source: SocketAddress) -> None:
-        """Takes in one datagram, if its sender may send and it is sound."""
+        """Handles one datagram if its sender is within its rate limit and it is valid."""
         if not self._handler.is_open:
             return
         self.counts["received"] += 1
         if not self._rate_limiter.admits(source[0], time.monotonic()):
-            self.counts[f"{DROPPED}too much from one address"] += 1
+            self.counts[f"{DROP_PREFIX}too much from one address"] += 1
             return
         try:
             datagram = self.codec.open(data)
         except FormerIncarnationError as former:
-            self.counts[f"{DROPPED}{former}"] += 1
+            self.counts[f"{DROP_PREFIX}{former}"] += 1
             self._handler.reject_former(source, former)
         except DatagramRejectedError as rejected:
-            self.counts[f"{DROPPED}{rejected}"] += 1
+            self.counts[f"{DROP_PREFIX}{rejected}"] += 1
         else:
             self._handler.receive(source, datagram)
         self._handler.flush()
 
     def error_received(self, error: Exception) -> None:
-        """Counts errors of the socket; a datagram that is lost is sent again by the protocol."""
+        """Counts errors of the socket. The protocol makes up for lost datagrams."""
         self.counts[f"socket: {type(error).__name__}"] += 1
 
-    # The log
+    # Logging
 
     def log_drops(self) -> None:
-        """Writes one line an interval at most, whatever comes."""
-        drops = {what: count for what, count in sorted(self.counts.items()) if what.startswith(DROPPED)}
+        """Logs the counts of dropped datagrams, at most once every DROP_LOG_INTERVAL_S."""
+        drops = {name: count for name, count in sorted(self.counts.items()) if name.startswith(DROP_PREFIX)}
         total = sum(drops.values())
         if total == self.drops_logged or time.monotonic() - self._drops_logged_at_s <= DROP_LOG_INTERVAL_S:
             return
-        reasons = ", ".join(f"{count} {what.removeprefix(DROPPED)}" for what, count in drops.items())
-        log.warning("datagrams not heard: %s", reasons)
+        reasons = ", ".join(f"{count} {name.removeprefix(DROP_PREFIX)}" for name, count in drops.items())
+        log.warning("datagrams dropped: %s", reasons)
         self._drops_logged_at_s = time.monotonic()
         self.drops_logged = total
--- a/forwarder/membership/dissemination.py
+++ b/forwarder/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: changes of the view ride on datagrams, the least often sent first (SWIM 4.1)."""
+"""Dissemination: changes of the view are piggybacked on datagrams, those sent least often first (SWIM 4.1)."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from forwarder.membership.view import SocketAddress
 
 GOSSIP_BYTES = MAX_DATAGRAM_BYTES - TAG_BYTES - 220
-"""Bytes for members and records in a datagram, beside the rest of it."""
-RECORD_BYTES = 300
-"""Of those, bytes kept for gossip records while there are some: where many members start at once, their rows would
-fill every datagram."""
+"""Bytes of a datagram that are available for member rows and gossip records."""
+RESERVED_RECORD_BYTES = 300
+"""Part of GOSSIP_BYTES that is reserved for gossip records while some are queued. Without it, the rows of many members
+that start at once would fill every datagram."""
 MAX_QUEUE = 2000
-"""Members whose change is waiting to be sent on."""
+"""Maximum number of members whose change is waiting to be sent."""
 DIGEST_PREFIX = 8
-"""Characters of the view's digest that travel with a full view."""
+"""Characters of the view's digest that are sent with a full view."""
 
 
 class Dissemination:
-    """Queues changes and puts them into the datagrams that leave."""
+    """Queues changes of members and adds them to outgoing datagrams."""
 
     def __init__(self, state: NodeState, suspected: Container[str]) -> None:
-        """`suspected` has the names of members under suspicion: such a member is told so before all else."""
+        """`suspected` contains the names of suspected members; datagrams to such a member carry the suspicion first."""
         self._state = state
         self._suspected = suspected
         self.queue: dict[str, int] = {}
-        """Members whose change is to be sent on, and how often it was sent."""
+        """Number of times each queued change was sent, by member name."""
 
     def enqueue(self, name: str) -> None:
-        """A member has changed: its record is sent on from now on. A full queue drops what was sent most often."""
+        """Queues the record of a member that has changed. A full queue drops the change that was sent most often."""
         if len(self.queue) >= MAX_QUEUE and name not in self.queue:
             del self.queue[max(self.queue, key=lambda queued: self.queue[queued])]
         self.queue[name] = 0
@@ -45,7 +45,7 @@
         target: MemberRow | None = None,
         members: list[MemberRow] | None = None,
     ) -> Datagram:
-        """Puts a datagram into the outbox and returns it."""
+        """Appends a datagram to the outbox and returns it."""
         state = self._state
         datagram = Datagram(
             kind,
@@ -69,15 +69,15 @@
         target: MemberRow | None = None,
         recipient: str = "",
     ) -> None:
-        """As `send`, with as many changes and gossip records as fit.
+        """Sends a datagram like `send`, with as many changes and gossip records as fit.
 
         Args:
-            address: where it goes.
-            kind: what it asks or answers.
-            request_number: by which an answer is matched to its request.
-            target: the member that it is about.
-            recipient: name of the member it goes to, where that is known: one under suspicion hears so first
-                (Lifeguard IV-C).
+            address: address of the recipient.
+            kind: kind of the datagram.
+            request_number: matches an answer to its request.
+            target: the member that the datagram is about.
+            recipient: name of the recipient, if known. If it is suspected, the suspicion is the first row, so that the
+                recipient can refute it (Lifeguard IV-C).
         """
         datagram = self.send(address, kind, request_number, target=target)
         datagram.members = self._pack(recipient)
@@ -94,7 +94,7 @@
         free_bytes = GOSSIP_BYTES
         rows: list[MemberRow] = []
         if store is not None and store.queue:
-            free_bytes -= RECORD_BYTES
+            free_bytes -= RESERVED_RECORD_BYTES
         if recipient in self._suspected:
             rows.append(member_row(members[recipient].record))
             free_bytes -= row_bytes(rows[0])
@@ -114,6 +114,6 @@
 
 
 def row_bytes(row: MemberRow) -> int:
-    """Bytes that a row takes in a datagram, rounded up."""
+    """Returns an upper bound on the bytes that a row takes in a datagram."""
     texts = len(row.name.encode()) + len(row.host) + len(row.process_id) + len(row.version)
     return 36 + texts + len(row.suspected_by.encode())
--- a/forwarder/membership/extension.py
+++ b/forwarder/membership/extension.py
@@ -1,4 +1,4 @@
-"""Membership as an extension: its timer, and what passes between protocol, socket, decisions and operators."""
+"""The membership extension: runs the protocol's timer and connects it to the socket, decisions and admin interface."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 from forwarder.units import SECOND_US
 
 VIEW_INTERVAL_S = 1.0
-"""The decisions get the view this often at least, since quotas change with its age."""
+"""Maximum time between two views passed to the decisions: quotas change with the age of the view."""
 MIN_STEP_S = 0.001
 log = logging.getLogger("forwarder.membership")
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipExtensionFactory:
-    """Makes the extension from its table."""
+    """Creates the extension from its settings."""
 
     settings: MembershipSettings
     descriptors: int = 2
 
     def __call__(self, host: ExtensionHost) -> MembershipExtension:
-        """Makes the extension."""
+        """Creates the extension."""
         return MembershipExtension(host, self.settings)
 
 
@@ -52,13 +52,13 @@
     """Reads the table `[members]`.
 
     Raises:
-        ConfigError: it cannot hold; the text names the key.
+        ConfigError: a value is invalid; the text names the key.
     """
     return MembershipExtensionFactory(parse_settings(table, config))
 
 
 class MembershipExtension(BaseExtension):
-    """One forwarder as a member: the protocol, driven by its timer and its socket."""
+    """Runs the membership protocol of this forwarder with a timer and a socket."""
 
     name = "members"
 
@@ -74,10 +74,10 @@
         self._lease: Lease | None = None
         self.gossip: GossipBridge | None = None
         if settings.divide_quota:
-            self._follow_view()
+            self._enable_quota_division()
 
-    def _follow_view(self) -> None:
-        """From now on the decisions divide quotas by who is present."""
+    def _enable_quota_division(self) -> None:
+        """Makes the decisions divide quotas by the members that are present."""
         host, settings = self.host, self._settings
         self._lease = Lease(host.config.state_folder, host.clock)
         self.quota = FleetQuota(
@@ -95,16 +95,16 @@
 
     @staticmethod
     def now_us() -> int:
-        """Time of the protocol, in microseconds."""
+        """Returns the protocol's time, in microseconds."""
         return time.monotonic_ns() // 1000
 
-    # Start and end
+    # Start and stop
 
     async def open(self) -> None:
-        """Binds the socket, and begins to look for the others.
+        """Binds the socket and starts the protocol.
 
         Raises:
-            OSError: the address is taken for long.
+            OSError: the address stays in use.
         """
         await self.socket.bind(self._settings.listen)
         identity, settings = self.host.identity, self._settings
@@ -125,7 +125,11 @@
         self._tick()
 
     def abort(self) -> None:
-        """The process ends. After SIGTERM the others hear that it has left; a process that takes over goes on."""
+        """Stops at the end of the process.
+
+        After SIGTERM, the other members are told that this one has left. After a hand-over they are not told, because
+        the new process continues as the same member.
+        """
         if self.protocol is not None and self.host.run_state.is_stopping and self.socket.is_bound:
             self.protocol.leave(self.now_us())
             self.flush()
@@ -136,12 +140,12 @@
         self.socket.close()
 
     def reload(self) -> None:
-        """Reads seeds and keys again (SIGHUP); what cannot be read leaves them as they were."""
+        """Reads seeds and keys again (SIGHUP). If that fails, the old ones stay in use."""
         try:
             keys = load_keys(self._settings.key_file)
             seeds = load_seeds(self._settings)
         except ConfigError as error:
-            log.error("members are left as they were: %s", error)
+            log.error("cannot reload the seeds and keys of [members], keeping the old ones: %s", error)
             return
         self.socket.codec.keys = keys
         if self.protocol is not None:
@@ -149,11 +153,11 @@
             self._arm()
 
     def start_draining(self) -> None:
-        """The others hear that clients are drained here."""
+        """Tells the other members that this forwarder drains its clients."""
         self._set_phase(MemberPhase.LEAVING)
 
     def stop_draining(self) -> None:
-        """The others hear that the drain is over."""
+        """Tells the other members that the drain has ended."""
         self._set_phase(MemberPhase.SERVING)
 
     def _set_phase(self, phase: MemberPhase) -> None:
@@ -165,7 +169,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the protocol runs."""
+        """Whether the protocol is running."""
         return self.protocol is not None
 
     def receive(self, source: SocketAddress, datagram: Datagram) -> None:
@@ -179,7 +183,7 @@
             self.protocol.reject_former(self.now_us(), source, error)
 
     def _tick(self) -> None:
-        """Takes one step. A failure costs this step, and not the membership."""
+        """Runs one step. If it raises, only this step is lost: the next one is scheduled."""
         if not self.host.supervisor.guard("members", self._step):
             self._arm()
 
@@ -202,7 +206,7 @@
         self.timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
     def flush(self) -> None:
-        """Sends what the protocol wants sent, and tells what it has learned."""
+        """Sends the protocol's outgoing datagrams, and reports its changes to the log and the decisions."""
         if self.protocol is None or not self.socket.is_bound:
             return
         if self.gossip is not None:
@@ -218,7 +222,7 @@
     # The decisions
 
     def apply_actions(self, actions: Iterable[Action]) -> None:
-        """Keeps the lease, and tells the others what a round has observed."""
+        """Renews the lease, and announces to the other members what this round has observed."""
         if self.quota is not None and self._lease is not None:
             self._lease.renew(self.quota.leased_until)
         if self.gossip is not None and self.protocol is not None:
@@ -227,7 +231,7 @@
                 self.flush()
 
     def _post_view(self, protocol: MembershipProtocol) -> None:
-        """Tells the decisions of a view that has changed, or grown older."""
+        """Passes the view to the decisions if it has changed or VIEW_INTERVAL_S has passed."""
         has_yielded = protocol.own_member.has_yielded
         view = FleetView(
             alive=frozenset(protocol.view.present()),
@@ -241,7 +245,7 @@
             self.host.post(FleetViewChanged(view))
 
     def describe_state(self) -> str:
-        """Returns its state in a few words, for the log."""
+        """Returns a short description of the state, for the log."""
         if self.protocol is None:
             return "not open"
         texts = [describe_view(self.protocol, self.socket.counts, self.socket.drops_logged)]
@@ -253,5 +257,5 @@
 
     @property
     def commands(self) -> CommandTable:
-        """Commands for operators."""
+        """Admin commands of the extension."""
         return MembershipCommands(self).table()
--- a/forwarder/membership/failure_detector.py
+++ b/forwarder/membership/failure_detector.py
@@ -1,7 +1,8 @@
-"""Failure detection: one member is probed in each period, at first directly and then through others (SWIM 3.1, 4.3).
+"""Failure detection: probes one member in each period, first directly and then through others (SWIM 3.1, 4.3).
 
-No answer by the end of the period: the member is suspected. A forwarder that finds itself slow, since probes fail,
-helpers do not even say no, or it is suspected wrongly, gives others more time (Lifeguard IV-A).
+A member that has not answered by the end of the period is suspected. Failed probes, helpers that send no nack, and
+wrong suspicions of this forwarder are signs that this forwarder itself is slow; it then gives other members more time
+to answer (Lifeguard IV-A).
 """
 
 from __future__ import annotations
@@ -15,62 +16,62 @@
 from forwarder.membership.view import PRESENT, MemberRecord, MemberState, SocketAddress
 
 MAX_PENDING_PROBES = 64
-"""Probes of this forwarder's own, and likewise those for others, that wait for an answer."""
+"""Maximum number of own probes that wait for an answer, and likewise of probes relayed for others."""
 MAX_HEALTH_MULTIPLIER = 8
-"""Most of the Local Health Multiplier (Lifeguard IV-A)."""
+"""Maximum of the Local Health Multiplier (Lifeguard IV-A)."""
 NO_HELPERS = -1
-"""Stands for the number of helpers where there was nobody to ask."""
+"""Value of `Probe.helpers` if no member could be asked for help."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that waits for its answer."""
+    """A probe that waits for an answer."""
 
     target: str
     sent_at_us: int
     expires_at_us: int
-    """When it counts as failed."""
+    """Time at which the probe has failed."""
     indirect_at_us: int
-    """When others are asked to probe too."""
+    """Time at which other members are asked to probe the target too."""
     helpers: int = 0
-    """How many were asked; 0 before that."""
+    """Number of members that were asked to probe the target too; 0 until then."""
     nacks: int = 0
-    """How many of them have said that they got no answer either."""
+    """Number of helpers that have reported that they got no answer either."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedProbe:
-    """A probe that is made for another member."""
+    """A probe that is sent on behalf of another member."""
 
     requester: SocketAddress
     request_number: int
-    """The requester's own number for it."""
+    """Number of the requester's own probe."""
     expires_at_us: int
-    """When the requester is told that no answer came."""
+    """Time at which the requester gets a nack, unless the target has answered."""
 
 
 class FailureDetector:
-    """Probes members, for itself and for others, and tells which have not answered."""
+    """Probes members, for this forwarder and on behalf of others, and reports those that have not answered."""
 
     def __init__(
         self, state: NodeState, dissemination: Dissemination, on_no_answer: Callable[[MemberRecord, str], None]
     ) -> None:
-        """`on_no_answer` is called with a record that says suspected, and the name of who suspects."""
+        """`on_no_answer` is called with the record of the suspected member and the name of the one that suspects it."""
         self._state = state
         self._dissemination = dissemination
         self._on_no_answer = on_no_answer
         self.next_period_us = state.now_us + state.random.randrange(state.timing.period_us)
         self.health_multiplier = 0
-        """How slow this forwarder finds itself."""
+        """Local Health Multiplier: 0 if this forwarder has no sign of being slow."""
         self.probes: dict[int, Probe] = {}
         """By request number."""
         self.relayed_probes: dict[int, RelayedProbe] = {}
         """By request number."""
         self._round: list[str] = []
-        """Members that are still to be probed in this round."""
+        """Members left to probe in this round; the last one is next."""
 
     def step_times_us(self) -> list[int]:
-        """When something becomes due."""
+        """Returns the times at which a step is due."""
         return [
             self.next_period_us,
             *(probe.expires_at_us for probe in self.probes.values()),
@@ -79,14 +80,14 @@
         ]
 
     def reset_after_stall(self) -> None:
-        """The process stood still: what was due meanwhile is not held against others."""
+        """Drops all probes after this process was stalled: their missing answers say nothing about the members."""
         self.health_multiplier = MAX_HEALTH_MULTIPLIER
         self.probes.clear()
         self.relayed_probes.clear()
         self.next_period_us = self._state.now_us + self._state.timing.period_us
 
     def adjust_health(self, change: int) -> None:
-        """Counts a sign that this forwarder is slow (more than 0), or that it is not."""
+        """Adjusts the health multiplier: up for a sign that this forwarder is slow, down for a sign that it is not."""
         self.health_multiplier = max(0, min(MAX_HEALTH_MULTIPLIER, self.health_multiplier + change))
 
     def _scaled_us(self, base_us: int) -> int:
@@ -95,7 +96,10 @@
     # Own probes
 
     def probe_next_if_due(self) -> None:
-        """Probes the next member of a shuffled round over all (SWIM 4.3): each is probed within two rounds."""
+        """Probes the next member, if a period has passed.
+
+        Each round goes over all members in random order, so each member is probed within two rounds (SWIM 4.3).
+        """
         state = self._state
         if state.now_us < self.next_period_us:
             return
@@ -106,7 +110,7 @@
         self._round.pop()
         request_number = state.next_request_number()
         if target not in state.view.members:
-            return  # forgotten meanwhile
+            return  # the view has dropped it since the round began
         self.probes[request_number] = Probe(
             target,
             sent_at_us=state.now_us,
@@ -126,7 +130,7 @@
         return self._round[-1] if self._round else None
 
     def check_probes(self) -> None:
-        """Asks others about members that have not answered in time, and suspects those that did not at all."""
+        """Starts indirect probes of members that are late to answer, and suspects those whose probe has expired."""
         for request_number, probe in list(self.probes.items()):
             member = self._state.view.members.get(probe.target)
             if member is None or member.record.state >= MemberState.FAILED:
@@ -148,7 +152,7 @@
             )
 
     def _on_probe_failed(self, probe: Probe, record: MemberRecord) -> None:
-        """Helpers that have not even said no are a sign that this forwarder is slow (Lifeguard IV-A)."""
+        """Suspects the target. Helpers that sent no nack are a sign that this forwarder is slow (Lifeguard IV-A)."""
         silent_helpers = max(0, probe.helpers - probe.nacks)
         self.adjust_health(silent_helpers if probe.helpers > 0 else 1)
         if not self._state.is_stale:
@@ -156,13 +160,13 @@
             self._on_no_answer(replace(record, state=MemberState.SUSPECT, suspected_by=own_name), own_name)
 
     def on_ack(self, source: SocketAddress, datagram: Datagram) -> None:
-        """A member has answered, to this forwarder's own probe or to one that was made for another."""
+        """Handles the answer to a probe of this forwarder or to one relayed for another member."""
         probe = self.probes.get(datagram.request_number)
         if probe is not None and probe.target == datagram.sender:
             del self.probes[datagram.request_number]
             self.adjust_health(-1)
         elif probe is not None and datagram.target is not None and datagram.target.name == probe.target:
-            del self.probes[datagram.request_number]  # by way of a helper
+            del self.probes[datagram.request_number]  # answered through a helper
         relayed = self.relayed_probes.pop(datagram.request_number, None)
         if relayed is not None:
             member = self._state.view.members.get(datagram.sender)
@@ -170,14 +174,17 @@
             self._dissemination.send(relayed.requester, "ack", relayed.request_number, target=target)
 
     def on_nack(self, source: SocketAddress, datagram: Datagram) -> None:
-        """A helper has had no answer either."""
+        """Handles a helper's report that it got no answer either."""
         if datagram.request_number in self.probes:
             self.probes[datagram.request_number].nacks += 1
 
-    # Probes for others
+    # Relayed probes
 
     def on_probe_request(self, source: SocketAddress, datagram: Datagram) -> None:
-        """Probes for another member, which hears no before its period ends if nothing comes (Lifeguard IV-A)."""
+        """Probes a target on behalf of another member.
+
+        If the target does not answer, the requester gets a nack before its period ends (Lifeguard IV-A).
+        """
         target = datagram.target
         if target is None or len(self.relayed_probes) >= MAX_PENDING_PROBES:
             return
@@ -188,7 +195,7 @@
         self._dissemination.send_with_gossip((target.host, target.port), "ping", request_number, recipient=target.name)
 
     def check_relayed_probes(self) -> None:
-        """Tells those who have asked that no answer came."""
+        """Sends nacks for relayed probes that got no answer in time."""
         for request_number, relayed in list(self.relayed_probes.items()):
             if self._state.now_us >= relayed.expires_at_us:
                 del self.relayed_probes[request_number]
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -1,7 +1,8 @@
-"""Joins the gossip store to the decisions: endpoints' names on one side, their numbers on the other. Decides nothing.
+"""Connects the gossip store, which names endpoints, to the decisions, which number them. Makes no decision itself.
 
-A forwarder whose folder is new, or was lost, asks the others what they know before its first call to an endpoint, for a
-bounded time; endpoints that it had disabled before, as others remember, are disabled again.
+A forwarder whose state folder is new or was lost first queries the other members for their records, for a bounded time,
+and makes no call to an endpoint until then. Endpoints that it had disabled before, according to the other members, are
+disabled again.
 """
 
 from __future__ import annotations
@@ -37,25 +38,32 @@
 from forwarder.units import SECOND_US
 
 REPEAT_INTERVAL_US = SECOND_US
-"""An endpoint that is still seen ejected, or recovering, is told again at most this often."""
+"""Minimum time between two announcements of the same observation about an endpoint."""
 HOLDING_RENEWAL_US = MAX_AGES_US[RecordKind.HOLDING] // 3
 DISABLED_RENEWAL_US = 30 * SECOND_US
 NOTIFY_INTERVAL_US = 50_000
-"""The decisions hear of a change at most this often."""
+"""Minimum time between two notifications of the decisions."""
 EXPIRY_INTERVAL_US = 500_000
-"""Records that have become too old are dropped this often."""
-MAX_SHOWN = 40
-"""Records that operators are shown."""
+"""Interval at which expired records are dropped."""
+MAX_RECORDS_SHOWN = 40
+"""Maximum number of records in the answer to the admin command `NEWS`."""
 ALL_ROUTES = -1
-"""Stands for the endpoint where a limit scope is a whole destination."""
+"""Endpoint number in a limit scope that covers a whole destination."""
 log = logging.getLogger("forwarder.gossip")
 
 
 class GossipBridge:
-    """Passes on what this forwarder observes, and what others tell, between the protocol and the decisions."""
+    """Passes this forwarder's observations to the protocol, and those of other members to the decisions."""
 
     def __init__(self, host: ExtensionHost, quota: FleetQuota, notify_us: int, query_us: int) -> None:
-        """`notify_us`: by then all have heard of a change; `query_us`: others are asked for so long at a start."""
+        """Creates the bridge and registers its extension of the decisions.
+
+        Args:
+            host: gives access to the rest of the forwarder.
+            quota: passed on to the decisions.
+            notify_us: time within which all members have received a change, in microseconds.
+            query_us: maximum duration of the query at a start, in microseconds.
+        """
         self._host = host
         self._query_us = query_us
         name, settings = host.config.name, host.config.settings
@@ -85,23 +93,23 @@
             self._hold_back_calls()
 
     def _hold_back_calls(self) -> None:
-        """No endpoint is called until the others have answered, or the time for it is up."""
+        """Holds back all calls until the other members have answered or the query has timed out."""
         self._host.dispatcher.peers_queried_until_us = self._host.clock() + self._query_us
 
     def _slot_order(self, endpoint: int, names: frozenset[str]) -> list[str]:
-        """Returns this forwarder and others in the order of their slow-start slots for an endpoint."""
+        """Returns the given members and this forwarder in the order of their slow-start slots for an endpoint."""
         subject = self._host.endpoint_table.names.get(endpoint, "")
         return rendezvous_order(subject, names | {self._host.config.name})
 
     def open(self, protocol: MembershipProtocol, now_us: int) -> None:
-        """From here on records ride along. `now_us` is the protocol's time."""
+        """Attaches the gossip store to the protocol and starts the query. `now_us` is the protocol's time."""
         self._protocol = protocol
         protocol.state.gossip_store = self.store
         protocol.start_query(now_us, self._query_us)
         if self._folder_was_lost:
             self._hold_back_calls()
 
-    # What this forwarder has observed
+    # Observations of this forwarder
 
     def _announce(
         self,
@@ -118,7 +126,7 @@
         self._protocol.announce(now_us, kind, subject, value_us, lasted_us, urgent=urgent)
 
     def apply_actions(self, now_us: int, actions: Iterable[Action]) -> None:
-        """Tells the others what a round has observed."""
+        """Announces to the other members what a round has observed."""
         names = self._host.endpoint_table.names
         for action in actions:
             match action:
@@ -169,7 +177,10 @@
         self._holding_announced = holding
 
     def _announce_disabled(self, now_us: int, *, renew: bool = False) -> None:
-        """Told when they change, and now and then: a forwarder that loses its folder hears of them from others."""
+        """Announces changes of the disabled endpoints, and with `renew` all of them.
+
+        The renewal lets a forwarder that loses its state folder get them back from the other members.
+        """
         disabled, clock_us = dict(self._host.store.disabled_endpoints), self._host.clock()
         for name, since_us in sorted(disabled.items()):
             if renew or self._disabled_announced.get(name) != since_us:
@@ -179,10 +190,10 @@
         self._disabled_announced = disabled
         self._disabled_renewed_us = now_us
 
-    # What others tell
+    # Observations of other members
 
     def step(self, now_us: int) -> None:
-        """Renews what still holds, and passes on what has come."""
+        """Renews announcements that still hold, and notifies the decisions of new records."""
         assert self._protocol is not None
         if self._is_querying and not self._protocol.query.is_running:
             self._on_query_done(now_us)
@@ -204,7 +215,7 @@
         self._host.post(self._gossip_received(now_us))
 
     def _on_query_done(self, now_us: int) -> None:
-        """Some have told what they know, or the time for it is up."""
+        """Applies the answers to the query, which has ended or timed out, and allows calls again."""
         assert self._protocol is not None
         self._is_querying = False
         if not self._folder_was_lost:
@@ -212,10 +223,10 @@
         answers = len(self._protocol.query.answered)
         restored = self._restore_disabled(now_us)
         log.warning(
-            "the folder was new or lost: %s; %d bans taken up, %d facts known",
+            "the state folder is new or was lost: %s; %d bans taken up, %d gossip records known",
             f"{answers} others told what they have heard"
             if answers
-            else "nobody told anything in time, going on carefully",
+            else "no other member sent its gossip records in time, continuing without them",
             restored,
             len(self.store.records),
         )
@@ -224,7 +235,7 @@
         self._host.post(PeersQueried())
 
     def _restore_disabled(self, now_us: int) -> int:
-        """Disables endpoints again that this forwarder had disabled, as the others remember. Returns how many."""
+        """Disables again the endpoints that it had disabled according to other members. Returns their number."""
         host, restored = self._host, 0
         for record in self.store.own_former(now_us, RecordKind.DISABLED):
             if record.subject in host.store.disabled_endpoints:
@@ -237,28 +248,28 @@
         return restored
 
     def _gossip_received(self, now_us: int) -> GossipReceived:
-        """Returns all that others tell and that is not too old, in the decisions' numbers and times."""
+        """Returns all unexpired observations of other members, with the decisions' endpoint numbers and times."""
         numbers = self._host.endpoint_table.numbers
         offset_us = self._host.clock() - now_us
         observations: dict[int, list[Observation]] = {}
         kinds = (RecordKind.EJECTED, RecordKind.RECOVERING, RecordKind.SERVING)
         for record in self.store.from_others(now_us, *kinds):
             if record.subject in numbers:
-                known = observations.setdefault(numbers[record.subject], [])
-                known.append(to_observation(record, offset_us))
+                endpoint_observations = observations.setdefault(numbers[record.subject], [])
+                endpoint_observations.append(to_observation(record, offset_us))
         holders: dict[int, set[str]] = {}
         present = set() if self._protocol is None else set(self._protocol.view.present())
         for record in self.store.from_others(now_us, RecordKind.HOLDING):
             if record.subject in numbers and record.observer in present:
                 holders.setdefault(numbers[record.subject], set()).add(record.observer)
         return GossipReceived(
-            {endpoint: tuple(known) for endpoint, known in sorted(observations.items())},
+            {endpoint: tuple(observed) for endpoint, observed in sorted(observations.items())},
             tuple(self._new_retry_afters(now_us, offset_us)),
             {endpoint: frozenset(names) for endpoint, names in holders.items()},
         )
 
     def _new_retry_afters(self, now_us: int, offset_us: int) -> Iterator[tuple[tuple[int, int], int]]:
-        """Yields the Retry-After waits that are heard of for the first time: limit scope and end."""
+        """Yields limit scope and end of each Retry-After that has not been passed to the decisions yet."""
         numbers = self._host.endpoint_table.numbers
         records = self.store.from_others(now_us, RecordKind.RETRY_AFTER)
         known = {record.key: record.number for record in records}
@@ -271,29 +282,29 @@
                 yield (int(destination), endpoint), record.observed_at_us + record.value_us + offset_us
         self._retry_after_known = known
 
-    # What operators are told
+    # Descriptions for operators
 
     def describe_state(self) -> str:
-        """Returns its state in a few words, for the log."""
-        announced = _counted(self._announced) or "nothing"
-        dropped = _counted(self.store.counts)
+        """Returns a short description of the state, for the log."""
+        announced = _format_counts(self._announced) or "nothing"
+        dropped = _format_counts(self.store.counts)
         text = (
             f"news: {len(self.store.records)} facts, said {announced}; "
             f"{len(self.decisions.ejected_by_gossip)} targets by others' word"
         )
         return f"{text}; dropped {dropped}" if dropped else text
 
-    def show(self, now_us: int) -> str:
-        """Returns each record: who observed what of which endpoint, and how long ago."""
+    def describe_records(self, now_us: int) -> str:
+        """Returns the answer to `NEWS`: the observer, endpoint, observation and age of each record."""
         names = self._host.endpoint_table.names
         records = [record for _, record in sorted(self.store.records.items())]
         by_gossip = sorted(names.get(endpoint, "?") for endpoint in self.decisions.ejected_by_gossip)
         head = f"{len(records)} facts; by others' word: {', '.join(by_gossip) or 'nothing'}"
-        return "; ".join([head, *(describe_record(record, now_us) for record in records[:MAX_SHOWN])])
+        return "; ".join([head, *(describe_record(record, now_us) for record in records[:MAX_RECORDS_SHOWN])])
 
 
 def describe_record(record: GossipRecord, now_us: int) -> str:
-    """Returns one record in words."""
+    """Returns one record as text."""
     age_us = now_us - record.observed_at_us
     text = f"{record.observer}: {record.subject} {record.kind.value}, {age_us / SECOND_US:.1f} s old"
     if record.kind is RecordKind.RETRY_AFTER:
@@ -302,7 +313,7 @@
 
 
 def to_observation(record: GossipRecord, offset_us: int) -> Observation:
-    """Returns what a record tells, in the decisions' time, which is the protocol's plus the offset."""
+    """Returns the observation in a record, in the decisions' time, which is the protocol's time plus the offset."""
     began_us = record.observed_at_us - record.value_us + offset_us
     if record.kind is RecordKind.EJECTED:
         return Observation(record.observer, began_us)
@@ -310,5 +321,5 @@
     return Observation(record.observer, ejected_at_us, began_us)
 
 
-def _counted(counts: Counter[str]) -> str:
-    return ", ".join(f"{count} {what}" for what, count in sorted(counts.items()))
+def _format_counts(counts: Counter[str]) -> str:
+    return ", ".join(f"{count} {name}" for name, count in sorted(counts.items()))
--- a/forwarder/membership/gossip_query.py
+++ b/forwarder/membership/gossip_query.py
@@ -1,4 +1,4 @@
-"""A forwarder that has lost its folder asks the others for the gossip records that they have."""
+"""Queries by which a forwarder that has lost its state folder gets the gossip records of the other members."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from forwarder.membership.view import PRESENT, SocketAddress
 
 MAX_QUERY_DATAGRAMS = 8
-"""Datagrams in which one that asks is told all records, at most."""
+"""Maximum number of datagrams in the answer to one query."""
 QUERY_RETRY_US = 250_000
-"""Some more are asked after this, while too few have answered."""
-ASKED_AT_ONCE = 3
+"""Interval at which further members are asked while too few have answered."""
+MEMBERS_PER_QUERY = 3
 ANSWERS_NEEDED = 3
-"""Answers that are enough; of a smaller fleet, all."""
+"""Number of answers that end the query; in a smaller fleet, all other members must answer."""
 
 
 class GossipQuery:
-    """Asks others for all their records, and answers those that ask."""
+    """Queries other members for all their records, and answers such queries."""
 
     def __init__(self, state: NodeState, dissemination: Dissemination) -> None:
         self._state = state
@@ -25,11 +25,11 @@
         self._until_us = -1
         self.next_query_us = 0
         self.answered: set[str] = set()
-        """Who has told its records; one that asks itself does not."""
+        """Names of the members that have sent their records. A member that runs a query itself does not answer."""
 
     @property
     def is_running(self) -> bool:
-        """Whether this forwarder still waits for what others know."""
+        """Whether this forwarder still waits for answers."""
         return self._state.now_us < self._until_us and not self._has_enough_answers()
 
     def _has_enough_answers(self) -> bool:
@@ -38,22 +38,22 @@
         return bool(self.answered) and enough and not self._state.is_stale
 
     def start(self, duration_us: int) -> None:
-        """Begins to ask, until some have answered or so much time has passed."""
+        """Starts a query, which ends when enough members have answered or the duration has passed."""
         self._until_us = self._state.now_us + duration_us
         self.next_query_us = self._state.now_us
 
     def send_if_due(self) -> None:
-        """Asks some that have not answered yet."""
+        """Asks some members that have not answered yet, if the retry interval has passed."""
         state = self._state
         if not self.is_running or state.now_us < self.next_query_us:
             return
         self.next_query_us = state.now_us + QUERY_RETRY_US
         others = [name for name in state.view.others_in(*PRESENT) if name not in self.answered]
-        for name in state.random.sample(others, min(len(others), ASKED_AT_ONCE)):
+        for name in state.random.sample(others, min(len(others), MEMBERS_PER_QUERY)):
             self._dissemination.send(state.address_of(name), "ask", state.next_request_number())
 
     def on_query(self, source: SocketAddress, datagram: Datagram) -> None:
-        """Another asks; who asks itself, or has heard nothing yet, does not answer."""
+        """Answers a query, unless this forwarder runs a query itself or has not heard from any member yet."""
         store = self._state.gossip_store
         if store is None or self.is_running or self._state.is_stale:
             return
@@ -64,6 +64,6 @@
             answer.records = part
 
     def on_records(self, source: SocketAddress, datagram: Datagram) -> None:
-        """The last part of an answer carries the number of its request."""
+        """Handles a part of an answer. Only the last part carries the number of its request."""
         if datagram.request_number:
             self.answered.add(datagram.sender)
--- a/forwarder/membership/gossip_store.py
+++ b/forwarder/membership/gossip_store.py
@@ -1,16 +1,16 @@
-"""Gossip records: what forwarders tell each other of endpoints, beside who is present. Pure.
+"""Gossip records: observations about endpoints that forwarders exchange, besides membership. Pure.
 
-They tell of ejections, Retry-After waits, disabled endpoints, and who holds messages for which endpoint. Each record
-has the member that observed it, a number since that member's start, and an age. The age travels, not a time: clocks
-differ. Whoever passes a record on adds how long it has kept it, so repetition never makes it younger; of two copies the
-one that was observed earlier is believed. Only the observer can tell the same again, under a new number. A record past
-its kind's greatest age is dropped, and never passed on.
+Records describe ejections, Retry-After waits, disabled endpoints, and which forwarder holds messages for which
+endpoint. Each record has its observer, a number that counts from the observer's start, and an age. Datagrams carry the
+age and not a time, because clocks differ. A forwarder that passes a record on adds the time for which it has kept it,
+so forwarding never makes a record younger; of two copies, the older age is kept. Only the observer can renew a record,
+under a new number. A record past its kind's maximum age is dropped and not passed on.
 
-Records ride on the datagrams of membership (SWIM 4.1), behind its own changes, the least often sent first. How many one
-observer may have, and all together, is bounded: more is dropped and counted.
+Records are piggybacked on membership datagrams (SWIM 4.1), after the changes of members; records sent least often go
+first. The number of records is bounded for each observer and in total; records beyond that are dropped and counted.
 
-Option not chosen: fields of members' records. Each change would need an incarnation, and a member's whole record would
-travel for one endpoint.
+The alternative, fields in the members' records, was rejected: each change would need a new incarnation, and a member's
+whole record would be sent for a change of one endpoint.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 MAX_RECORDS = 4000
 MAX_RECORDS_PER_OBSERVER = 64
 MAX_GOSSIP_ROWS = 40
-"""Records in one datagram."""
+"""Maximum number of records in one datagram."""
 RETRANSMIT_FACTOR = 2.0
-"""Times log2 of the size of the fleet: how often one record is sent on by each member."""
+"""Each member sends a record this many times log2 of the fleet's size."""
 MILLISECOND_US = 1000
 
 RecordKey = tuple[str, str, str]
-"""Observer, topic and subject: a new record replaces the one with the same key."""
+"""Observer, topic and subject: a newer record replaces the one with the same key."""
 
 
 class RecordKind(Enum):
-    """What is told; the values travel. Two records of one topic replace each other."""
+    """Kind of a record. The values are sent in datagrams. Records of the same topic replace each other."""
 
     EJECTED = "out"
     RECOVERING = "back"
@@ -73,9 +73,9 @@
     RecordKind.HOLDING: 9 * SECOND_US,
     RecordKind.NOT_HOLDING: 9 * SECOND_US,
 }
-"""The greatest age of each kind where nothing else is set. Ejections: as long as slow start lasts
-(`contract.warm_after_us`); Retry-After: the longest that is told (`max_retry_after_us`); disabled endpoints: as long as
-gone members are remembered."""
+"""Default maximum age of each kind. Ejections: the duration of slow start (`contract.warm_after_us`); Retry-After: the
+longest wait that endpoints may request (`max_retry_after_us`); disabled endpoints: as long as failed members are
+remembered."""
 
 
 class GossipRow(
@@ -105,22 +105,22 @@
 
 
 def rendezvous_order(subject: str, names: Iterable[str]) -> list[str]:
-    """Returns names in the order of their weight for a subject (Thaler and Ravishankar, highest random weight).
+    """Returns names ordered by their weight for a subject (Thaler and Ravishankar, highest random weight).
 
-    The order is the same wherever it is asked for, and another for another subject; a name that comes or goes moves no
-    other.
+    The order is the same on every forwarder and differs between subjects. Adding or removing a name does not change the
+    order of the others.
     """
     return sorted(names, key=lambda name: hashlib.blake2b(f"{subject} {name}".encode(), digest_size=8).digest())
 
 
 def row_bytes(row: GossipRow) -> int:
-    """Bytes that a row takes in a datagram, rounded up."""
+    """Returns an upper bound on the bytes that a row takes in a datagram."""
     return 48 + len(row.subject.encode()) + len(row.observer.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class GossipRecord:
-    """One thing that one forwarder has observed."""
+    """One observation of one forwarder."""
 
     kind: RecordKind
     subject: str
@@ -128,24 +128,24 @@
     start_number: int
     number: int
     observed_at_us: int
-    """By this forwarder's clock."""
+    """Time by the clock of the forwarder that keeps the record."""
     value_us: int = 0
-    """How long it had been so when it was observed; of a Retry-After, how much was left of it."""
+    """How long the state had lasted when it was observed; for a Retry-After, the rest of the wait."""
     lasted_us: int = 0
-    """Of a recovering endpoint: how long its ejection lasted."""
+    """For a recovering endpoint: the duration of its ejection."""
 
     @property
     def key(self) -> RecordKey:
-        """What a newer record with the same key replaces."""
+        """Key under which a newer record replaces this one."""
         return self.observer, TOPICS[self.kind], self.subject
 
     @property
     def order(self) -> tuple[int, int]:
-        """Of two records with one key the one with the greater order is newer."""
+        """Sort key: of two records with the same key, the one with the greater order is newer."""
         return self.start_number, self.number
 
     def to_row(self, now_us: int) -> GossipRow:
-        """Returns the record as it travels. Ages are rounded up: nothing grows younger on its way."""
+        """Returns the row that carries the record. The age is rounded up: forwarding never makes a record younger."""
         return GossipRow(
             self.kind.value,
             self.subject,
@@ -160,7 +160,7 @@
 
 @dataclass(slots=True)
 class GossipStore:
-    """All records that this forwarder has made or heard."""
+    """All records that this forwarder has made or received."""
 
     name: str
     """This forwarder's own name."""
@@ -168,30 +168,30 @@
     max_ages_us: Mapping[RecordKind, int] = field(default_factory=lambda: MAX_AGES_US)
     records: dict[RecordKey, GossipRecord] = field(default_factory=dict)
     queue: dict[RecordKey, int] = field(default_factory=dict)
-    """What is to be sent on, and how often each was."""
+    """Number of times each queued record was sent."""
     own_former_records: dict[RecordKey, GossipRecord] = field(default_factory=dict)
-    """What others remember of this forwarder's starts before."""
+    """Records of this forwarder's earlier starts that other members have sent."""
     record_counts: Counter[str] = field(default_factory=Counter)
-    """Records by observer."""
+    """Number of records of each observer."""
     number: int = 0
-    """Of this forwarder's newest record."""
+    """Number of this forwarder's newest record."""
     version: int = 0
-    """Grows with each change."""
+    """Incremented with each change."""
     counts: Counter[str] = field(default_factory=Counter)
-    """Records that were dropped, by reason."""
+    """Number of dropped records by reason."""
 
     def add_own(self, now_us: int, kind: RecordKind, subject: str, value_us: int = 0, lasted_us: int = 0) -> None:
-        """This forwarder has observed something, just now."""
+        """Adds a record of something that this forwarder has just observed."""
         self.number += 1
         self._store(GossipRecord(kind, subject, self.name, self.start_number, self.number, now_us, value_us, lasted_us))
 
     def has_recent(self, now_us: int, kind: RecordKind, subject: str, within_us: int) -> bool:
-        """Whether this forwarder has told just that not longer ago."""
+        """Whether this forwarder's newest record on the subject is of this kind and younger than `within_us`."""
         record = self.records.get((self.name, TOPICS[kind], subject))
         return record is not None and record.kind is kind and now_us - record.observed_at_us < within_us
 
     def merge(self, now_us: int, rows: Iterable[GossipRow]) -> None:
-        """Takes in what another has sent. Kinds that this version does not know are passed over."""
+        """Merges received rows into the store. Kinds that this version does not know are ignored."""
         for row in rows:
             try:
                 kind = RecordKind(row.kind)
@@ -215,7 +215,7 @@
                 self._store(record)
 
     def _remember_former(self, record: GossipRecord) -> None:
-        """Others tell a record of this forwarder: it is of a start before, if it has not made it since this one."""
+        """Keeps a received record of this forwarder, if it was made before the current start."""
         if record.start_number >= self.start_number and record.key in self.records:
             return
         known = self.own_former_records.get(record.key)
@@ -234,14 +234,14 @@
         known = self.records.get(record.key)
         if known is not None and known.order == record.order:
             older = record.observed_at_us < known.observed_at_us
-            if older and record.kind is known.kind:  # the same record, older than it was thought to be
+            if older and record.kind is known.kind:  # a copy of the same record with a greater age
                 self.records[record.key] = record
             return
         if known is not None and record.order < known.order:
             return
         if known is None:
-            too_many = self.record_counts[record.observer] >= MAX_RECORDS_PER_OBSERVER
-            if too_many or len(self.records) >= MAX_RECORDS:
+            observer_is_full = self.record_counts[record.observer] >= MAX_RECORDS_PER_OBSERVER
+            if observer_is_full or len(self.records) >= MAX_RECORDS:
                 self.counts["no room"] += 1
                 return
             self.record_counts[record.observer] += 1
@@ -250,7 +250,7 @@
         self.version += 1
 
     def drop_expired(self, now_us: int) -> None:
-        """Forgets what is too old."""
+        """Drops records that have expired."""
         expired = [key for key, record in self.records.items() if self._is_expired(record, now_us)]
         for key in expired:
             del self.records[key]
@@ -262,12 +262,12 @@
             self.version += 1
 
     def next_rows(self, now_us: int, max_bytes: int, size: int) -> list[GossipRow]:
-        """Returns the records that go with the next datagram, the least often sent first.
+        """Returns the records for the next datagram, those sent least often first.
 
         Args:
-            now_us: the time.
-            max_bytes: bytes that are free in the datagram.
-            size: of the fleet.
+            now_us: the current time, in microseconds.
+            max_bytes: free bytes in the datagram.
+            size: number of members in the fleet.
         """
         rows: list[GossipRow] = []
         max_sends = math.ceil(RETRANSMIT_FACTOR * math.log2(size + 1))
@@ -286,9 +286,9 @@
         return rows
 
     def all_rows(self, now_us: int, requester: str, max_bytes: int, max_parts: int) -> list[list[GossipRow]]:
-        """Returns all records for one that asks, in at most so many parts of so many bytes.
+        """Returns the answer to a query: all records, in at most `max_parts` parts of at most `max_bytes` each.
 
-        The requester's own records of before come first, then disabled endpoints, then the youngest.
+        The requester's own former records come first, then disabled endpoints, then the youngest records.
         """
         records = sorted(
             (record for record in self.records.values() if not self._is_expired(record, now_us)),
@@ -312,7 +312,7 @@
         return parts
 
     def from_others(self, now_us: int, *kinds: RecordKind) -> list[GossipRecord]:
-        """Returns the records of these kinds that others have made."""
+        """Returns the unexpired records of these kinds from other observers."""
         return [
             record
             for record in self.records.values()
@@ -320,7 +320,7 @@
         ]
 
     def own_former(self, now_us: int, kind: RecordKind) -> list[GossipRecord]:
-        """Returns records of this forwarder's starts before that others remember, and that it has not made anew."""
+        """Returns the unexpired records of this forwarder's earlier starts that it has not replaced since."""
         return [
             record
             for key, record in self.own_former_records.items()
--- a/forwarder/membership/node_state.py
+++ b/forwarder/membership/node_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one forwarder's membership protocol share."""
+"""State that the parts of one forwarder's membership protocol share."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member's state has changed, for whoever follows the view."""
+    """A change of a member's record."""
 
     member: Member
     previous_state: MemberState | None
-    """None for a member that was not known before."""
+    """None if the member was not known before."""
 
 
 class NodeState:
-    """One forwarder's view of the fleet, its clock and random numbers, and what it wants sent and told.
+    """One forwarder's view of the fleet, its clock and random numbers, and its pending datagrams and changes.
 
     Attributes:
         now_us: time of the current step, in microseconds.
-        is_stale: nobody has answered since the start, or since the process stood still.
-        outbox: datagrams to be sent, each with its address.
-        changes: changes of the view that nobody has been told of yet.
-        counts: events by name, for the state line and for operators.
-        gossip_store: records that ride along with the datagrams, where an extension wants them to.
+        is_stale: no member has answered since the start, or since the process was last stalled.
+        outbox: datagrams to be sent, each with its destination address.
+        changes: changes of the view that `take_changes` has not returned yet.
+        counts: events by name, for the state line and the admin interface.
+        gossip_store: records that are piggybacked on the datagrams; None if gossip is off.
     """
 
     def __init__(
@@ -82,23 +82,23 @@
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this forwarder tells of itself."""
+        """This forwarder's own record."""
         return self.view.members[self.view.name].record
 
     @property
     def start_number(self) -> int:
-        """How often this forwarder was started; part of its incarnation."""
+        """Number of starts of this forwarder; part of its incarnation."""
         return self.own_record.incarnation // INCARNATIONS_PER_START
 
     def size(self) -> int:
-        """Number of members that are not known to be gone, this one included."""
+        """Returns the number of present members, including this one."""
         return max(1, len(self.view.present()))
 
     def next_request_number(self) -> int:
-        """Returns a number by which an answer is matched to its request."""
+        """Returns a new number that matches an answer to its request."""
         self._request_number += 1
         return self._request_number
 
     def address_of(self, name: str) -> SocketAddress:
-        """Address of a member that is in the view."""
+        """Returns the address of a member in the view."""
         return self.view.members[name].record.address
--- a/forwarder/membership/own_member.py
+++ b/forwarder/membership/own_member.py
@@ -1,4 +1,4 @@
-"""What one forwarder tells of itself, and what it does when others tell something else of it."""
+"""This forwarder's own record, and its reaction to conflicting records that other members send."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     """This forwarder as a member.
 
     Attributes:
-        former_start_number: a later start of this name that others remembered: this forwarder's folder was lost or set
-            back. NO_FORMER_START if there was none.
-        rival_id: process id of another living process with this name; empty if there is none.
-        has_yielded: this process has given way to that one for good.
+        former_start_number: a start number of this name, not below its own, that other members knew: this forwarder's
+            state folder was lost or restored from an older copy. NO_FORMER_START if there was none.
+        rival_id: process id of another running process with this name; empty if there is none.
+        has_yielded: this process has yielded the name to that one permanently.
     """
 
     def __init__(self, state: NodeState, dissemination: Dissemination) -> None:
@@ -29,40 +29,40 @@
     def update(
         self, *, state: MemberState | None = None, phase: MemberPhase | None = None, incarnation: int | None = None
     ) -> None:
-        """Changes what this forwarder tells of itself, under the next incarnation, which all others take.
+        """Changes this forwarder's record under the next incarnation, so that all other members accept it.
 
         Args:
-            state: the new state; None leaves it.
-            phase: the new phase; None leaves it.
-            incarnation: the incarnation to go on from, where others know of a later one.
+            state: the new state; None keeps the old one.
+            phase: the new phase; None keeps the old one.
+            incarnation: the incarnation to continue from, if other members know a later one.
         """
         view, now_us = self._state.view, self._state.now_us
         if incarnation is not None:
             view.update_self(now_us, incarnation=incarnation)
-        before = self._state.own_record
+        previous = self._state.own_record
         view.update_self(
             now_us,
-            incarnation=before.incarnation + 1,
-            state=before.state if state is None else state,
-            phase=before.phase if phase is None else phase,
+            incarnation=previous.incarnation + 1,
+            state=previous.state if state is None else state,
+            phase=previous.phase if phase is None else phase,
         )
-        self._state.changes.append(MemberChanged(view.members[view.name], before.state))
+        self._state.changes.append(MemberChanged(view.members[view.name], previous.state))
         self._dissemination.enqueue(view.name)
 
     def become_alive(self) -> None:
-        """Another member has answered, or there is none to answer."""
+        """Changes to ALIVE: another member has answered, or there are no seeds to answer."""
         self.update(state=MemberState.ALIVE)
 
     def on_record(self, record: MemberRecord) -> bool:
-        """Others tell something of this forwarder. That it is suspected or gone is refuted (SWIM 4.2).
+        """Handles a received record of this forwarder, and refutes that it is suspected or gone (SWIM 4.2).
 
         Returns:
-            Whether it was refuted: others have had to wait for this forwarder.
+            Whether the record was refuted, which is a sign that this forwarder was slow to answer.
         """
         own = self._state.own_record
         start_number = record.incarnation // INCARNATIONS_PER_START
-        of_another_process = record.process_id not in ("", self._state.process_id)
-        if start_number > self._state.start_number or (start_number == self._state.start_number and of_another_process):
+        is_other_process = record.process_id not in ("", self._state.process_id)
+        if start_number > self._state.start_number or (start_number == self._state.start_number and is_other_process):
             self._on_later_start(start_number, record.process_id)
             return False
         if record.state < MemberState.SUSPECT or record.incarnation < own.incarnation:
@@ -74,24 +74,25 @@
         return True
 
     def _on_later_start(self, start_number: int, process_id: str) -> None:
-        """Others remember a later start of this name, or another process of the same.
+        """Handles a record of a later start of this name, or of the same start in another process.
 
-        The folder was lost or set back, and this forwarder goes on with a later start still. If it has done so before,
-        the other process lives: one that is dead could not have gone on.
+        The first time, the state folder was lost or restored from an older copy, and this forwarder continues with a
+        start number above the known one. If a later start appears again, the other process is still running: a process
+        that has ended could not have raised its start number.
         """
-        known_of_before = self.former_start_number != NO_FORMER_START and start_number > self.former_start_number
-        if known_of_before and process_id != self._state.process_id:
+        had_later_start = self.former_start_number != NO_FORMER_START and start_number > self.former_start_number
+        if had_later_start and process_id != self._state.process_id:
             self.on_rival(start_number, process_id)
             return
         self.former_start_number = start_number
         self.update(incarnation=(start_number + 1) * INCARNATIONS_PER_START)
 
     def on_rival(self, start_number: int, process_id: str) -> None:
-        """Another living process has this name. The one with the greater id stays, the other gives way for good."""
+        """Resolves a conflict with another running process of this name: the lower process id yields permanently."""
         self._state.counts["rivals"] += 1
         self.rival_id = process_id
         if process_id > self._state.process_id:
             self.has_yielded = True
             return
-        later = (start_number + 1) * INCARNATIONS_PER_START
-        self.update(incarnation=max(self._state.own_record.incarnation, later))
+        next_incarnation = (start_number + 1) * INCARNATIONS_PER_START
+        self.update(incarnation=max(self._state.own_record.incarnation, next_incarnation))
--- a/forwarder/membership/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -1,12 +1,12 @@
-"""Membership of one forwarder, after SWIM and Lifeguard. Pure: `receive` and `tick` take the time.
+"""Membership protocol of one forwarder, after SWIM and Lifeguard. Pure: `receive` and `tick` take the time.
 
-What is to be sent gathers in the outbox, what has become of members in the list of changes. The parts are modules of
-their own: the failure detector, suspicions, dissemination, exchanges of the whole view, the own member, and queries for
+Outgoing datagrams collect in the outbox, and changes of members in a list of changes. The parts are in modules of their
+own: the failure detector, suspicions, dissemination, exchanges of the whole view, the own member, and queries for
 gossip records.
 
-Beyond the papers: a full exchange at the join and now and then, also with members that failed, so that the parts of a
-split meet again; a stop of the own process is noticed by its clock, and no view of before it is acted on until another
-member has answered.
+There are two additions to the papers. Whole views are exchanged at the join and from time to time, also with failed
+members, so that the parts of a split fleet find each other again. And a stall of the own process is detected by its
+clock; the view from before the stall counts as stale until another member has answered.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 from forwarder.units import SECOND_US
 
 FORMER_REPLY_INTERVAL_US = SECOND_US
-"""A member that comes with a former incarnation is told so at most this often."""
+"""Minimum time between two replies to a member that uses a former incarnation."""
 MIN_STEP_US = 1000
-"""Least time between two steps."""
+"""Minimum time between two steps."""
 
 
 class MembershipProtocol:
-    """Membership of one forwarder: who is present, who has failed, and what to send.
+    """Membership protocol of one forwarder: which members are present, which have failed, and what to send.
 
     Args:
         name: the forwarder's name.
-        address: where others reach it.
-        start_number: how often it was started.
-        process_id: drawn at each start; tells two processes of one name apart.
+        address: address at which other members reach it.
+        start_number: number of its starts.
+        process_id: random, drawn at each start; distinguishes two processes with the same name.
         timing: times and factors.
-        seed: for all random choices.
-        now_us: the time, by any clock that goes on evenly.
-        seeds: addresses that are asked first; without any, this forwarder is alone and alive at once.
-        version: of the program, for operators.
+        seed: seed of all random choices.
+        now_us: the current time by any monotonic clock, in microseconds.
+        seeds: addresses to contact first; without any, this forwarder is alone and becomes alive at once.
+        version: version of the program, shown to operators.
     """
 
     def __init__(
@@ -86,17 +86,17 @@
 
     @property
     def view(self) -> MembershipView:
-        """All members that are known."""
+        """All known members."""
         return self.state.view
 
     def take_outbox(self) -> list[tuple[SocketAddress, Datagram]]:
-        """Returns the datagrams to be sent, and forgets them."""
+        """Returns the datagrams to be sent, and clears the outbox."""
         outbox = self.state.outbox
         self.state.outbox = []
         return outbox
 
     def take_changes(self) -> list[MemberChanged]:
-        """Returns what has become of members since the last call."""
+        """Returns the changes of members since the last call."""
         changes = self.state.changes
         self.state.changes = []
         return changes
@@ -104,7 +104,7 @@
     # Time
 
     def next_step_us(self) -> int:
-        """When `tick` is wanted next."""
+        """Returns the time at which `tick` should be called next."""
         times_us = [
             self.synchronization.next_sync_us,
             *self.failure_detector.step_times_us(),
@@ -115,7 +115,7 @@
         return max(min(times_us), self._last_step_us + MIN_STEP_US)
 
     def tick(self, now_us: int) -> None:
-        """Does what is due."""
+        """Runs everything that is due."""
         self._advance(now_us)
         if self.own_member.has_yielded:
             next_us = now_us + self.state.timing.sync_interval_us
@@ -131,22 +131,22 @@
         self.failure_detector.probe_next_if_due()
 
     def _advance(self, now_us: int) -> None:
-        """The clock goes on. After a stop nothing that was due meanwhile is held against others."""
-        passed_us = now_us - self._last_step_us
+        """Advances the time. After a stall, timeouts that expired in the meantime do not count against others."""
+        elapsed_us = now_us - self._last_step_us
         self.state.now_us = now_us
         self._last_step_us = now_us
-        if passed_us <= self.state.timing.stall_us:
+        if elapsed_us <= self.state.timing.stall_us:
             return
         self.state.counts["stalls"] += 1
         self.state.is_stale = True
         self.failure_detector.reset_after_stall()
-        self.suspicions.postpone(passed_us)
+        self.suspicions.postpone(elapsed_us)
         self.synchronization.next_sync_us = now_us
 
     # Datagrams
 
     def receive(self, now_us: int, source: SocketAddress, datagram: Datagram) -> None:
-        """Takes in one datagram that the codec has let through."""
+        """Handles one datagram that the codec has accepted."""
         self._advance(now_us)
         if self.own_member.has_yielded:
             return
@@ -167,11 +167,11 @@
             store.start_number = self.state.start_number
             store.merge(now_us, datagram.records)
         handler = self._handlers.get(datagram.kind)
-        if handler is not None:  # kinds of later versions are passed over
+        if handler is not None:  # kinds of later versions are ignored
             handler(source, datagram)
 
     def reject_former(self, now_us: int, source: SocketAddress, error: FormerIncarnationError) -> None:
-        """A datagram of a former incarnation came: its forwarder may have lost its folder, and is told."""
+        """Informs the sender of a datagram with a former incarnation: it may have lost its state folder."""
         self._advance(now_us)
         member = self.view.members.get(error.sender)
         last_us = self._former_reply_at_us.get(error.sender, -FORMER_REPLY_INTERVAL_US)
@@ -220,16 +220,16 @@
             self.suspicions.suspicions.clear()
             self.dissemination.queue.clear()
 
-    # What this forwarder tells
+    # Changes of this forwarder
 
     def set_phase(self, now_us: int, phase: MemberPhase) -> None:
-        """This forwarder's phase has changed: all hear of it."""
+        """Changes this forwarder's phase, and announces the change."""
         self._advance(now_us)
         if self.state.own_record.phase is not phase:
             self.own_member.update(phase=phase)
 
     def leave(self, now_us: int) -> None:
-        """This forwarder goes for good: some hear it at once, and pass it on."""
+        """Leaves the fleet: sends this to some members at once, which pass it on."""
         self._advance(now_us)
         if self.state.own_record.state is MemberState.LEFT or self.own_member.has_yielded:
             return
@@ -240,11 +240,11 @@
             self.dissemination.send_with_gossip(self.state.address_of(name), "ping", self.state.next_request_number())
 
     def set_seeds(self, seeds: Sequence[SocketAddress]) -> None:
-        """New seeds hold from now on."""
+        """Replaces the seeds."""
         self.synchronization.set_seeds(seeds)
 
     def start_query(self, now_us: int, duration_us: int) -> None:
-        """Asks some what they have heard, until some have answered or so much time has passed."""
+        """Queries other members for their gossip records until enough have answered or the duration has passed."""
         self._advance(now_us)
         self.query.start(duration_us)
 
@@ -258,7 +258,7 @@
         *,
         urgent: bool = False,
     ) -> None:
-        """This forwarder has seen something; what is urgent leaves at once, and does not wait for the next probe."""
+        """Adds an observation of this forwarder to the gossip. If urgent, sends it at once, not with the next probe."""
         self._advance(now_us)
         store = self.state.gossip_store
         if store is None or self.own_member.has_yielded:
--- a/forwarder/membership/rate_limiter.py
+++ b/forwarder/membership/rate_limiter.py
@@ -1,27 +1,27 @@
-"""Bounds how many datagrams one address may send."""
+"""Limits the rate of datagrams that are accepted from one address."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 RATE_PER_S = 300.0
-"""Datagrams a second of one address; what is more is dropped unread."""
+"""Datagrams per second from one address; further ones are dropped unread."""
 BURST = 600.0
-"""Datagrams of one address at once."""
+"""Datagrams from one address that are accepted in a burst."""
 MAX_SOURCES = 4096
 
 
 @dataclass(slots=True)
 class DatagramRateLimiter:
-    """A token bucket for each source address."""
+    """Keeps a token bucket for each source address."""
 
     buckets: dict[str, tuple[float, float]] = field(default_factory=dict)
-    """Tokens that are left, and when they were counted, in seconds."""
+    """Remaining tokens and the time in seconds at which they were counted, by source address."""
 
     def admits(self, host: str, now_s: float) -> bool:
-        """Takes a token of this address. Returns whether there was one."""
+        """Takes a token from the bucket of an address. Returns whether there was one."""
         if host not in self.buckets and len(self.buckets) >= MAX_SOURCES:
-            self._drop_full(now_s)
+            self._drop_full_buckets(now_s)
             if len(self.buckets) >= MAX_SOURCES:
                 return False
         tokens, counted_at_s = self.buckets.get(host, (BURST, now_s))
@@ -29,8 +29,8 @@
         self.buckets[host] = (tokens - 1 if tokens >= 1 else tokens, now_s)
         return tokens >= 1
 
-    def _drop_full(self, now_s: float) -> None:
-        """Forgets addresses that have been silent for so long that their bucket is full."""
+    def _drop_full_buckets(self, now_s: float) -> None:
+        """Drops addresses whose bucket has filled up again since their last datagram."""
         self.buckets = {
             host: (tokens, counted_at_s)
             for host, (tokens, counted_at_s) in self.buckets.items()
--- a/forwarder/membership/record_updates.py
+++ b/forwarder/membership/record_updates.py
@@ -1,4 +1,4 @@
-"""Takes records of other members into the view, and leads suspicions to their end."""
+"""Merges records of other members into the view, and declares members failed when their suspicion expires."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecordUpdates:
-    """Applies records to the view, tells of the change, and sends it on."""
+    """Applies records to the view, and queues each change for followers of the view and for other members."""
 
     def __init__(self, state: NodeState, suspicions: SuspicionTable, dissemination: Dissemination) -> None:
         self._state = state
@@ -19,13 +19,13 @@
         self._dissemination = dissemination
 
     def merge(self, record: MemberRecord, source: Source, sender: str) -> None:
-        """Takes in what another member tells.
+        """Merges a record that another member has sent.
 
-        A failed member arrives from a full exchange as a suspected one, so that one that lives can say so.
+        A failed member in a full exchange is only suspected here, so that it can refute this if it is running.
         """
         known = self._state.view.members.get(record.name)
-        lives_here = known is not None and known.record.state < MemberState.FAILED
-        if source is Source.MERGED and record.state is MemberState.FAILED and lives_here:
+        is_present_here = known is not None and known.record.state < MemberState.FAILED
+        if source is Source.MERGED and record.state is MemberState.FAILED and is_present_here:
             record = replace(record, state=MemberState.SUSPECT, suspected_by=sender)
         if record.state is MemberState.SUSPECT:
             self.suspect(record, record.suspected_by or sender)
@@ -33,7 +33,7 @@
             self.apply(record, source)
 
     def apply(self, record: MemberRecord, source: Source) -> None:
-        """Takes a record on, if it supersedes what is known."""
+        """Applies a record if it supersedes the known one."""
         view = self._state.view
         known = view.members.get(record.name)
         previous_state = None if known is None else known.record.state
@@ -45,11 +45,11 @@
         self._state.changes.append(MemberChanged(view.members[record.name], previous_state))
 
     def suspect(self, record: MemberRecord, suspected_by: str) -> None:
-        """Begins a suspicion, or confirms one that runs."""
+        """Starts a suspicion, or confirms a running one."""
         members = self._state.view.members
         known = members.get(record.name)
-        runs = record.name in self._suspicions
-        if runs and known is not None and record.incarnation == known.record.incarnation:
+        is_running = record.name in self._suspicions
+        if is_running and known is not None and record.incarnation == known.record.incarnation:
             if self._suspicions.confirm(record.name, suspected_by):
                 known.record = replace(known.record, suspected_by=suspected_by)
                 self._dissemination.enqueue(record.name)
@@ -60,10 +60,10 @@
             self._suspicions.begin(record.name, suspected_by)
 
     def fail_suspects(self) -> None:
-        """Members whose suspicion has run out have failed."""
+        """Declares members failed whose suspicion has expired."""
         state = self._state
         for name in self._suspicions.expired():
-            if state.is_stale:  # nobody has answered this forwarder either: it may be the one that is cut off
+            if state.is_stale:  # no other member has answered: this forwarder may itself be cut off
                 self._suspicions.suspicions[name].began_at_us = state.now_us
                 continue
             self._suspicions.clear(name)
--- a/forwarder/membership/settings.py
+++ b/forwarder/membership/settings.py
@@ -1,4 +1,4 @@
-"""The table `[members]` of the parts file, its seeds and its keys."""
+"""Reads the table `[members]` of the parts file, its seeds and its keys."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """What the table says, checked; times are in microseconds."""
+    """Checked values of the table; times are in microseconds."""
 
     listen: Address
     advertise: Address
-    """Where the others reach this forwarder."""
+    """Address at which the other members reach this forwarder."""
     cluster: str
-    """Only datagrams of this cluster are taken."""
+    """Name of the cluster; datagrams of other clusters are rejected."""
     seeds: tuple[Address, ...] | Path
-    """Addresses that are asked first, or the file that has them."""
+    """Addresses to contact first, or the file that lists them."""
     key_file: Path
     timing: Timing
     divide_quota: bool
-    """Quotas follow who is present."""
+    """Whether quotas are divided by the members that are present."""
     settle_us: int
-    """So long a change must have lasted before this forwarder takes more of a quota."""
+    """Time that a change must have lasted before this forwarder takes a larger share of a quota."""
     believe_us: int
-    """So long another's word that it leaves is believed."""
+    """Time for which another member's announcement that it leaves is believed."""
     detect_us: int
-    """The longest that a cut, or a death, goes unnoticed."""
+    """Maximum time until a network partition or a crash is detected."""
     gossip_enabled: bool
-    """What others have observed of endpoints is heeded."""
+    """Whether observations of endpoints are exchanged with other members."""
     notify_us: int
-    """By then all have heard of a change."""
+    """Time within which all members have received a change."""
     query_us: int
-    """So long a forwarder without its folder asks the others at a start."""
+    """Maximum duration of the query that a forwarder without its state folder makes at a start."""
 
 
 def parse_settings(table: ExtensionTable, config: Config) -> MembershipSettings:
     """Reads the table.
 
     Raises:
-        ConfigError: a key is missing, unknown or cannot hold; the text names it.
+        ConfigError: a key is missing, unknown or invalid; the text names it.
     """
     allowed = (config.document.get("settings") or {}).get("allowed", {})
     if not allowed.get("may_tell"):
@@ -70,7 +70,7 @@
     gossip_enabled = table.boolean("news", False)
     if gossip_enabled and not divide_quota:
         raise table.error("news", "needs divide = true: what others have seen is heeded by who is there")
-    spans = _parse_spans(table, timing, period_s, config.settings.forwarders)
+    quota_times = _parse_quota_times(table, timing, period_s, config.settings.forwarders)
     settings = MembershipSettings(
         listen=listen,
         advertise=advertise,
@@ -79,11 +79,11 @@
         key_file=Path(str(table.take("key_file", None))),
         timing=timing,
         divide_quota=divide_quota,
-        settle_us=spans.settle_us,
-        believe_us=spans.believe_us,
-        detect_us=spans.detect_us,
+        settle_us=quota_times.settle_us,
+        believe_us=quota_times.believe_us,
+        detect_us=quota_times.detect_us,
         gossip_enabled=gossip_enabled,
-        notify_us=spans.notify_us,
+        notify_us=quota_times.notify_us,
         query_us=int(table.number("ask_s", 5 * period_s, period_s, 60.0) * SECOND_US),
     )
     load_keys(settings.key_file)
@@ -109,8 +109,8 @@
     )
 
 
-class _Spans(NamedTuple):
-    """Times of the rules for quotas, in microseconds; see MembershipSettings."""
+class _QuotaTimes(NamedTuple):
+    """Times of the quota rules, in microseconds; described in MembershipSettings."""
 
     settle_us: int
     believe_us: int
@@ -118,16 +118,17 @@
     notify_us: int
 
 
-def _parse_spans(table: ExtensionTable, timing: Timing, period_s: float, forwarders: int) -> _Spans:
+def _parse_quota_times(table: ExtensionTable, timing: Timing, period_s: float, forwarders: int) -> _QuotaTimes:
     suspicion_periods = timing.suspicion_factor * timing.max_suspicion_factor
     detect_s = period_s * (2 + suspicion_periods * max(MIN_LOG_SIZE, math.log10(forwarders)))
     notify_s = table.number("told_s", period_s * 2 * math.log2(forwarders + 1), period_s, 3600.0)
-    # After a restart there is time to be noticed, to hear of all, and for all to hear, before a lease of before ends.
+    # The default leaves enough time after a restart for this forwarder to be detected, to learn of all members, and for
+    # all members to learn of it, before a lease from before the restart ends.
     settle_s = table.number("settle_s", 3 * detect_s + notify_s, detect_s, 3600.0)
     if notify_s > settle_s:
         raise table.error("told_s", f"is {notify_s}, more than settle_s, {settle_s}")
     believe_s = table.number("believe_s", 10 * settle_s, settle_s, 86400.0)
-    return _Spans(
+    return _QuotaTimes(
         settle_us=int(settle_s * SECOND_US),
         believe_us=int(believe_s * SECOND_US),
         detect_us=int(detect_s * SECOND_US),
@@ -145,10 +146,10 @@
 
 
 def load_seeds(settings: MembershipSettings) -> list[SocketAddress]:
-    """Returns the seeds, from their file where there is one.
+    """Returns the seeds, from their file if there is one.
 
     Raises:
-        ConfigError: the file cannot be read, or has what is no address.
+        ConfigError: the file cannot be read, or contains an invalid address.
     """
     if not isinstance(settings.seeds, Path):
         return [(seed.host, seed.port) for seed in settings.seeds]
@@ -161,10 +162,12 @@
 
 
 def load_keys(path: Path) -> list[bytes]:
-    """Returns the keys, one a line in hexadecimal: the first seals, a second one opens too while keys are changed.
+    """Returns the keys in a file, one per line in hexadecimal.
+
+    The first key seals datagrams. Both keys open them, so that keys can be rotated.
 
     Raises:
-        ConfigError: the file cannot be read, or has other than one or two keys.
+        ConfigError: the file cannot be read, does not contain one or two keys, or a key has an invalid length.
     """
     try:
         keys = [bytes.fromhex(line) for line in path.read_text().split()]
--- a/forwarder/membership/status.py
+++ b/forwarder/membership/status.py
@@ -1,4 +1,4 @@
-"""What operators are told of membership and quotas."""
+"""Descriptions of membership and quotas for operators."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 from forwarder.units import SECOND_US
 
 MemberStatus = dict[str, str | int | float]
-"""One line of `MEMBERS`, as JSON."""
+"""One member in the answer to `MEMBERS json`."""
 
 
 def members_as_json(protocol: MembershipProtocol, now_us: int) -> str:
     """Returns the answer to `MEMBERS json`: the view as one line of JSON."""
-    return json.dumps({**_head(protocol, now_us), "members": _rows(protocol, now_us)}, separators=(",", ":"))
+    return json.dumps(
+        {**_view_status(protocol, now_us), "members": _member_statuses(protocol, now_us)}, separators=(",", ":")
+    )
 
 
 def members_as_text(protocol: MembershipProtocol, now_us: int) -> str:
-    """Returns the answer to `MEMBERS`: the view in words."""
-    head = _head(protocol, now_us)
-    first = f"view {head['view']}, {head['age_s']} s old, digest {head['digest']}, {head['there']} there"
+    """Returns the answer to `MEMBERS`: the view as text."""
+    status = _view_status(protocol, now_us)
+    summary = f"view {status['view']}, {status['age_s']} s old, digest {status['digest']}, {status['there']} there"
     rows = [
         f"{row['name']} {row['state']} {row['phase']} at {row['where']} life {row['life']}.{row['refuted']} for "
         f"{row['for_s']} s, {row['known']}"
-        for row in _rows(protocol, now_us)
+        for row in _member_statuses(protocol, now_us)
     ]
-    return "; ".join([first, *_notes(protocol), *rows])
+    return "; ".join([summary, *_notes(protocol), *rows])
 
 
 def _notes(protocol: MembershipProtocol) -> list[str]:
@@ -44,7 +46,7 @@
     return notes
 
 
-def _head(protocol: MembershipProtocol, now_us: int) -> dict[str, str | int | float]:
+def _view_status(protocol: MembershipProtocol, now_us: int) -> dict[str, str | int | float]:
     view, own_member = protocol.view, protocol.own_member
     return {
         "me": view.name,
@@ -60,12 +62,12 @@
     }
 
 
-def _rows(protocol: MembershipProtocol, now_us: int) -> list[MemberStatus]:
+def _member_statuses(protocol: MembershipProtocol, now_us: int) -> list[MemberStatus]:
     return [member_status(member, now_us) for _, member in sorted(protocol.view.members.items())]
 
 
 def member_status(member: Member, now_us: int) -> MemberStatus:
-    """Returns one member's line."""
+    """Returns one member's entry."""
     record = member.record
     host, port = record.address
     return {
@@ -84,7 +86,7 @@
 
 
 def describe_view(protocol: MembershipProtocol, datagrams: Counter[str], drops: int) -> str:
-    """Returns the state line's part on membership."""
+    """Returns the part of the state line that describes membership."""
     states = Counter(member.record.state.name.lower() for member in protocol.view.members.values())
     counts = protocol.state.counts
     return (
@@ -96,7 +98,7 @@
 
 
 def describe_quota(quota: FleetQuota, now_us: int) -> str:
-    """Returns the answer to `SHARES`: by how many this forwarder divides, and why."""
+    """Returns the answer to `SHARES`: the number by which this forwarder divides quotas, and the reason for it."""
     divisor = quota.divisor(now_us)
     pending = ""
     if quota.absent_since_us or now_us - quota.quorum_since_us < quota.settle_us:
@@ -105,7 +107,7 @@
     held_back = ""
     if divisor > quota.forwarders:
         held_back = f"; {1 - quota.forwarders / divisor:.0%} of its share held back"
-    if divisor == quota.max_members and not quota.is_proven(now_us):  # nobody can have taken it yet
+    if divisor == quota.max_members and not quota.is_proven(now_us):  # no other member can have taken its share yet
         held_back += f"; its share is its own for {(quota.leased_until - now_us) / SECOND_US:.1f} s more"
     return (
         f"{quota.mode(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
--- a/forwarder/membership/synchronization.py
+++ b/forwarder/membership/synchronization.py
@@ -1,6 +1,6 @@
-"""Exchange of whole views at the join and now and then, so that the parts of a split fleet meet again.
+"""Exchange of whole views at the join and from time to time, so that the parts of a split fleet find each other again.
 
-Failed members are asked as well, and their addresses in the settings, the seeds.
+Failed members and the seeds, which are addresses from the settings, are asked as well.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from forwarder.membership.view import PRESENT, MemberState, SocketAddress
 
 JOIN_PERIODS = 10
-"""Periods after the start with an exchange in each: many that start at once learn of many."""
+"""Number of periods after the start that have an exchange each, so that members that start together find each other."""
 MAX_SEEDS_ASKED = 8
-PREFER_PRESENT = 0.5
-"""Probability that a member that is present is asked, and not one that failed."""
-ASK_SEEDS = 0.2
-"""Probability that the seeds are asked though others are known."""
+PRESENT_MEMBER_PROBABILITY = 0.5
+"""Probability that a present member is asked instead of a failed one."""
+SEEDS_PROBABILITY = 0.2
+"""Probability that the seeds are asked although other members are known."""
 
 
 class ViewSynchronization:
-    """Asks others for their whole view, and tells this forwarder's."""
+    """Requests whole views from other members, and sends this forwarder's."""
 
     def __init__(self, state: NodeState, dissemination: Dissemination, seeds: Sequence[SocketAddress]) -> None:
         self._state = state
@@ -32,21 +32,21 @@
         self.next_sync_us = state.now_us
 
     def set_seeds(self, seeds: Sequence[SocketAddress]) -> None:
-        """New seeds hold from now on, and are asked at once."""
+        """Replaces the seeds; an exchange is due at once."""
         self._seeds = list(seeds)
         self.next_sync_us = self._state.now_us
 
     def sync(self) -> None:
-        """Asks one other for its view, at times one that failed, or the seeds."""
+        """Requests the view of another member, which may be a failed one, and of the seeds if needed."""
         state = self._state
         state.view.forget_expired(state.now_us)
         present = state.view.others_in(*PRESENT)
         failed = state.view.others_in(MemberState.FAILED)
         self.next_sync_us = self._draw_next_us(alone=not present)
         addresses = [state.address_of(name) for name in self._draw_partners(present, failed)]
-        if state.is_stale or not present or state.random.random() < ASK_SEEDS:
-            others = [seed for seed in self._seeds if seed != state.own_record.address]
-            addresses += others[:MAX_SEEDS_ASKED]
+        if state.is_stale or not present or state.random.random() < SEEDS_PROBABILITY:
+            other_seeds = [seed for seed in self._seeds if seed != state.own_record.address]
+            addresses += other_seeds[:MAX_SEEDS_ASKED]
         for address in dict.fromkeys(addresses):
             self.request(address)
 
@@ -61,26 +61,26 @@
         state = self._state
         among_present = state.random.sample(present, min(len(present), 2 if state.is_stale else 1))
         among_failed = state.random.sample(failed, min(len(failed), 1))
-        if present and state.random.random() < PREFER_PRESENT:
+        if present and state.random.random() < PRESENT_MEMBER_PROBABILITY:
             return among_present
         return among_failed or present[:1]
 
     def request(self, address: SocketAddress) -> None:
-        """Asks for the whole view of whoever is at that address."""
+        """Requests the whole view of the member at an address."""
         own_row = member_row(self._state.own_record)
         self._dissemination.send(address, "join", self._state.next_request_number(), members=[own_row])
 
     def on_join(self, source: SocketAddress, datagram: Datagram) -> None:
-        """Another asks for the whole view; what it told of itself is taken in already."""
+        """Answers a request for the whole view. The requester's own record was merged before."""
         self._send_view(source, datagram.request_number)
 
     def on_full(self, source: SocketAddress, datagram: Datagram) -> None:
-        """A part of another's view: who agrees needs no answer, who does not gets this forwarder's."""
+        """Handles a part of another member's view. If the last part shows a difference, sends this forwarder's view."""
         if datagram.request_number and datagram.digest != self._state.view.digest()[:DIGEST_PREFIX]:
             self._send_view(source, 0)
 
     def _send_view(self, address: SocketAddress, request_number: int) -> None:
-        """Sends the whole view in as many datagrams as it takes; the last asks for theirs if they differ."""
+        """Sends the whole view in as many datagrams as needed; the last one requests the receiver's if it differs."""
         state = self._state
         rows: list[MemberRow] = []
         parts = [rows]
--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -1,4 +1,4 @@
-"""What one forwarder knows of all members, and which of two records of a member replaces the other. Pure."""
+"""One forwarder's view of all members, and the rule by which a member's records replace each other. Pure."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from enum import Enum, IntEnum
 
 INCARNATIONS_PER_START = 1 << 20
-"""An incarnation is how often a member was started times this, plus how often it has changed its record since."""
+"""An incarnation is the member's start number times this, plus the number of changes of its record since that start."""
 MAX_MEMBERS = 5000
 FORGET_AFTER_US = 3_600_000_000
-"""So long it is remembered that a member failed or left: old records of it must not bring it back."""
+"""Failed and left members are remembered for this time, so that old records do not make them present again."""
 
 
 class MemberState(IntEnum):
-    """What a member is. Of two records of one incarnation the greater state wins (SWIM, section 4.2)."""
+    """State of a member. Of two records with the same incarnation, the one with the greater state wins (SWIM 4.2)."""
 
     JOINING = 0
     ALIVE = 1
@@ -24,11 +24,11 @@
 
 
 PRESENT = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
-"""States of members that are not known to be gone."""
+"""States of present members, which are those not known to have failed or left."""
 
 
 class MemberPhase(IntEnum):
-    """What a member tells of itself."""
+    """Phase of a member, which it reports about itself."""
 
     SERVING = 0
     LEAVING = 1
@@ -36,7 +36,7 @@
 
 
 class Source(Enum):
-    """How a record came; the values are read by operators."""
+    """How a record was received; the values are shown to operators."""
 
     ITSELF = "from itself"
     TOLD = "by gossip"
@@ -45,33 +45,34 @@
 
 
 SocketAddress = tuple[str, int]
-"""Host and port, as the socket functions take them."""
+"""Host and port, in the form that socket functions take."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """One member's state, as it travels."""
+    """One member's state, as it is exchanged between members."""
 
     name: str
     address: SocketAddress
     incarnation: int
     state: MemberState
     process_id: str = ""
-    """Drawn at each start of the process: tells two processes apart that claim one name."""
+    """Random, drawn at each start of the process; distinguishes two processes that claim the same name."""
     phase: MemberPhase = MemberPhase.SERVING
     version: str = ""
     suspected_by: str = ""
 
     @property
     def start_number(self) -> int:
-        """How often the member was started."""
+        """Number of starts of the member."""
         return self.incarnation // INCARNATIONS_PER_START
 
     def supersedes(self, known: MemberRecord) -> bool:
-        """Whether this record replaces the one that is known (SWIM, section 4.2).
+        """Whether this record replaces the known one (SWIM 4.2).
 
-        A later incarnation does, but what failed or left comes back only by one; of the same incarnation the stronger
-        state does.
+        A record with a later incarnation does, and a failed or left member becomes present again only by one. With the
+        same incarnation, the greater state does, or a changed phase of a member that is joining or alive. A member that
+        leaves is taken at its word under an earlier incarnation of the same start, unless it is known to be gone.
         """
         if self.incarnation == known.incarnation:
             phase_changed = self.state == known.state <= MemberState.ALIVE and self.phase != known.phase
@@ -84,33 +85,33 @@
 
 @dataclass(slots=True)
 class Member:
-    """A member, as this forwarder knows it."""
+    """A member in this forwarder's view."""
 
     record: MemberRecord
     since_us: int
-    """When it took on this state here."""
+    """Time at which its state last changed in this view."""
     source: Source
     last_heard_us: int = 0
-    """When a datagram of its own last came."""
+    """Time at which the last datagram from it was received."""
 
 
 @dataclass(slots=True)
 class MembershipView:
-    """All members, this one among them."""
+    """All known members, including this one."""
 
     name: str
     """This forwarder's own name."""
     members: dict[str, Member] = field(default_factory=dict)
     version: int = 0
-    """Grows with each change."""
+    """Incremented with each change."""
     changed_at_us: int = 0
-    """When it last did."""
+    """Time of the last change."""
     _names_by_states: dict[tuple[MemberState, ...], list[str]] = field(default_factory=dict)
     _names_version: int = -1
-    """Version of the view that the lists are of: each is made once a change, not once a datagram."""
+    """Version of the view for which the cached lists were built. The cache avoids building them for each datagram."""
 
     def apply(self, record: MemberRecord, source: Source, now_us: int) -> bool:
-        """Takes a record on, if it supersedes what is known. Returns whether it did."""
+        """Applies a record if it supersedes the known one. Returns whether it did."""
         known = self.members.get(record.name)
         if known is None:
             if len(self.members) >= MAX_MEMBERS:
@@ -138,20 +139,20 @@
         return self._names_by_states[states]
 
     def present(self) -> list[str]:
-        """Names of those that are not known to be gone, sorted. The list must not be changed."""
+        """Returns the sorted names of present members. The list must not be modified."""
         return self._names_in(*PRESENT)
 
     def others_in(self, *states: MemberState) -> list[str]:
-        """Names of the other members in these states, sorted."""
+        """Returns the sorted names of the other members in these states."""
         return [name for name in self._names_in(*states) if name != self.name]
 
     def digest(self) -> str:
-        """Tells whether two forwarders agree on who is present, whichever of them each suspects."""
+        """Returns a digest of the present members, which is the same for views that differ only in suspicions."""
         text = "\n".join(f"{name} {self.members[name].record.start_number}" for name in self.present())
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     def forget_expired(self, now_us: int) -> None:
-        """Drops members that are long gone."""
+        """Drops members that failed or left longer ago than FORGET_AFTER_US."""
         expired = [
             name
             for name, member in self.members.items()
