--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -49,7 +49,7 @@
         for member in fleet.members.values():
             for record in records:
                 if record.name != member.view.name:
-                    member.view.apply(record, Source.MERGED, fleet.now)
+                    member.view.apply(record, Source.FULL_EXCHANGE, fleet.now)
     fleet.until_agreed(AGREE_TIMEOUT_US, SECOND_US)
     fleet.run(SETTLE_US)
     return fleet
@@ -243,7 +243,7 @@
         self.peer_codecs: dict[str, Codec] = {}
         self.protocol.state.gossip_store = GossipStore("n0")
         for number in range(1, size):
-            self.protocol.view.apply(_peer_record(number), Source.MERGED, 0)
+            self.protocol.view.apply(_peer_record(number), Source.FULL_EXCHANGE, 0)
         for number in range(GOSSIP_RECORDS):
             self.protocol.state.gossip_store.add_own(0, RecordKind.EJECTED, f"endpoint-{number}")
 
--- a/forwarder/membership/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -206,7 +206,7 @@
         if record.name == datagram.sender:
             source = Source.ITSELF
         elif datagram.kind == "full":
-            source = Source.MERGED
+            source = Source.FULL_EXCHANGE
         self.records.merge(record, source, datagram.sender)
 
     def _apply_own_record(self, record: MemberRecord) -> None:
--- a/forwarder/membership/record_updates.py
+++ b/forwarder/membership/record_updates.py
@@ -25,7 +25,7 @@
         """
         known = self._state.view.members.get(record.name)
         is_present_here = known is not None and known.record.state < MemberState.FAILED
-        if source is Source.MERGED and record.state is MemberState.FAILED and is_present_here:
+        if source is Source.FULL_EXCHANGE and record.state is MemberState.FAILED and is_present_here:
             record = replace(record, state=MemberState.SUSPECT, suspected_by=sender)
         if record.state is MemberState.SUSPECT:
             self.suspect(record, record.suspected_by or sender)
--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -40,7 +40,7 @@
 
     ITSELF = "from itself"
     TOLD = "by gossip"
-    MERGED = "by a full exchange"
+    FULL_EXCHANGE = "by a full exchange"
     OWN = "found here"
 
 
