--- a/forwarder/membership/node_state.py
+++ b/forwarder/membership/node_state.py
@@ -67,7 +67,7 @@
             MemberPhase.SERVING,
             version,
         )
-        self.view.members[name] = Member(record, now_us, Source.OWN)
+        self.view.members[name] = Member(record, now_us, Source.LOCAL)
         self.is_stale = True
         self.outbox: list[tuple[SocketAddress, Datagram]] = []
         self.changes: list[MemberChanged] = []
--- a/forwarder/membership/protocol.py
+++ b/forwarder/membership/protocol.py
@@ -202,7 +202,7 @@
         if record.name == self.view.name:
             self._apply_own_record(record)
             return
-        source = Source.TOLD
+        source = Source.GOSSIP
         if record.name == datagram.sender:
             source = Source.ITSELF
         elif datagram.kind == "full":
--- a/forwarder/membership/record_updates.py
+++ b/forwarder/membership/record_updates.py
@@ -54,7 +54,7 @@
                 known.record = replace(known.record, suspected_by=suspected_by)
                 self._dissemination.enqueue(record.name)
             return
-        self.apply(record, Source.OWN if suspected_by == self._state.name else Source.TOLD)
+        self.apply(record, Source.LOCAL if suspected_by == self._state.name else Source.GOSSIP)
         member = members.get(record.name)
         if member is not None and member.record.state is MemberState.SUSPECT:
             self._suspicions.begin(record.name, suspected_by)
@@ -69,4 +69,4 @@
             self._suspicions.clear(name)
             state.counts["failed"] += 1
             record = state.view.members[name].record
-            self.apply(replace(record, state=MemberState.FAILED, suspected_by=state.name), Source.OWN)
+            self.apply(replace(record, state=MemberState.FAILED, suspected_by=state.name), Source.LOCAL)
--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -39,9 +39,9 @@
     """How a record was received; the values are shown to operators."""
 
     ITSELF = "from itself"
-    TOLD = "by gossip"
+    GOSSIP = "by gossip"
     FULL_EXCHANGE = "by a full exchange"
-    OWN = "found here"
+    LOCAL = "found here"
 
 
 SocketAddress = tuple[str, int]
@@ -170,6 +170,6 @@
         known = self.members[self.name]
         record = replace(known.record, **changes)  # type: ignore[arg-type]
         since_us = now_us if record.state != known.record.state else known.since_us
-        self.members[self.name] = Member(record, since_us, Source.OWN)
+        self.members[self.name] = Member(record, since_us, Source.LOCAL)
         self._mark_changed(now_us)
         return record
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -69,18 +69,18 @@
 )
 def test_of_two_news_one_goes_first(old: MemberRecord, new: MemberRecord, over: bool) -> None:
     view = MembershipView("me")
-    view.apply(old, Source.TOLD, 5)
+    view.apply(old, Source.GOSSIP, 5)
     number = view.version
-    assert view.apply(new, Source.TOLD, 9) is over
+    assert view.apply(new, Source.GOSSIP, 9) is over
     assert view.members["a"].record == (new if over else old)
     assert view.version == number + over
 
 
 def test_what_is_long_gone_is_forgotten_and_until_then_old_news_does_not_bring_it_back() -> None:
     view = MembershipView("me")
-    view.apply(news(MemberState.LEFT), Source.TOLD, 0)
+    view.apply(news(MemberState.LEFT), Source.GOSSIP, 0)
     view.forget_expired(FORGET_AFTER_US)
-    assert not view.apply(news(MemberState.ALIVE), Source.TOLD, FORGET_AFTER_US)
+    assert not view.apply(news(MemberState.ALIVE), Source.GOSSIP, FORGET_AFTER_US)
     view.forget_expired(FORGET_AFTER_US + 1)
     assert not view.members
 
