--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -157,7 +157,7 @@
 
 
 def _count_false_failures(fleet: Fleet, size: int, disturbance: Disturbance, found: FalseFailures) -> None:
-    fleet.false.clear()
+    fleet.false_failures.clear()
     began_us = fleet.now
     fleet.loss = disturbance.loss
     stopped = size // STOPPED_SHARE if disturbance.stops else 0
@@ -165,7 +165,7 @@
         for number in range(stopped):
             fleet.pause(number, fleet.random.randrange(1, 6) * SECOND_US)
         fleet.run(STOP_INTERVAL_US)
-    failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false}
+    failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false_failures}
     found.count += len(failures)
     found.not_stopped += sum(member >= stopped for _, member in failures)
     found.hours += (fleet.now - began_us) / SECOND_US / 3600
--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -37,7 +37,7 @@
         self.loss, self.delay = 0.0, (200, 2000)
         self.doubled = 0.0
         self.sent: dict[int, int] = dict.fromkeys(range(size), 0)
-        self.false: list[tuple[int, int, int]] = []
+        self.false_failures: list[tuple[int, int, int]] = []
         self.knew: dict[int, list[int]] = {}
         self.excused: dict[int, int] = {}
         self.left: dict[str, int] = {}
@@ -107,7 +107,7 @@
             if told.member.record.state is MemberState.FAILED:
                 life = told.member.record.incarnation // INCARNATIONS_PER_START
                 if m in self.members and m not in self.stopped and life == self.lives.get(m):
-                    self.false.append((self.now, n, m))
+                    self.false_failures.append((self.now, n, m))
                 self.knew.setdefault(m, []).append(self.now)
         p.state.changes.clear()
         assert len(p.dissemination.queue) <= MAX_QUEUE
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -100,7 +100,7 @@
     fleet.run(3 * SECOND)
     fleet.stop(size - 1)
     assert fleet.until_agreed(12 * SECOND) > 0
-    assert not fleet.false
+    assert not fleet.false_failures
     fleet.start(size - 1)
     assert fleet.until_agreed(8 * SECOND) > 0
     assert all(
@@ -117,7 +117,7 @@
     for n in range(14):
         fleet.start(n)
     fleet.until_agreed(30 * SECOND)
-    assert not fleet.false
+    assert not fleet.false_failures
 
 
 def test_all_restart_at_once() -> None:
@@ -140,10 +140,10 @@
 )
 def test_bad_links_get_nobody_failed_for_good(loss: float, delay: tuple[int, int], nobody: bool) -> None:
     fleet = settled(12)
-    fleet.false.clear()
+    fleet.false_failures.clear()
     fleet.loss, fleet.doubled, fleet.delay = loss, 0.2, delay
     fleet.run(30 * SECOND)
-    assert not (nobody and fleet.false)
+    assert not (nobody and fleet.false_failures)
     fleet.loss, fleet.delay = 0.0, (200, 2000)
     fleet.until_agreed(60 * SECOND)
 
@@ -177,7 +177,7 @@
     fleet = settled(3)
     fleet.cuts = {(0, 1), (1, 0)}
     fleet.run(60 * SECOND)
-    assert not fleet.false
+    assert not fleet.false_failures
     assert fleet.agree()
 
 
@@ -189,7 +189,7 @@
     fleet.run(for_s * SECOND - SECOND // 4)
     fleet.run(SECOND // 2)
     fleet.until_agreed(30 * SECOND)
-    assert not fleet.false
+    assert not fleet.false_failures
     if for_s > 2:
         assert fleet.members[3].state.counts["stalls"] >= 1
 
@@ -201,7 +201,7 @@
         fleet.pause(0, fleet.random.randrange(1, 5) * SECOND)
         fleet.pause(1, fleet.random.randrange(1, 5) * SECOND)
         fleet.run(6 * SECOND)
-    assert [m for _, _, m in fleet.false if m > 1] == []
+    assert [m for _, _, m in fleet.false_failures if m > 1] == []
 
 
 def test_a_name_comes_back_with_a_new_address() -> None:
@@ -264,7 +264,7 @@
         fleet.start(7)
         fleet.run(2 * SECOND)
     fleet.until_agreed(30 * SECOND)
-    assert not fleet.false
+    assert not fleet.false_failures
 
 
 def test_a_thousand_joins_in_a_second_are_bounded() -> None:
