--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -85,11 +85,11 @@
         known = KnownAfter()
         for seed in range(seeds):
             fleet = settled_fleet(size, seed)
-            fleet.knew.clear()
+            fleet.detection_times_us.clear()
             died_us = fleet.now
             fleet.stop(size - 1)
             fleet.until_agreed(AGREE_TIMEOUT_US)
-            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.knew[size - 1]])
+            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.detection_times_us[size - 1]])
         print(
             f"deaths, {size} members: first {_range(known.first_s)} s, 99% {_range(known.p99_s)}, "
             f"last {_range(known.last_s)}",
--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -38,7 +38,7 @@
         self.doubled = 0.0
         self.sent: dict[int, int] = dict.fromkeys(range(size), 0)
         self.false_failures: list[tuple[int, int, int]] = []
-        self.knew: dict[int, list[int]] = {}
+        self.detection_times_us: dict[int, list[int]] = {}
         self.excused: dict[int, int] = {}
         self.left: dict[str, int] = {}
         self.first = [self.where(n) for n in range(seeds)]
@@ -108,7 +108,7 @@
                 life = told.member.record.incarnation // INCARNATIONS_PER_START
                 if m in self.members and m not in self.stopped and life == self.lives.get(m):
                     self.false_failures.append((self.now, n, m))
-                self.knew.setdefault(m, []).append(self.now)
+                self.detection_times_us.setdefault(m, []).append(self.now)
         p.state.changes.clear()
         assert len(p.dissemination.queue) <= MAX_QUEUE
         assert len(p.failure_detector.probes) <= 64
--- a/tests/membership/test_protocol.py
+++ b/tests/membership/test_protocol.py
@@ -253,7 +253,7 @@
     fleet.run(SECOND)
     assert all(p.view.members["n4"].record.state is MemberState.LEFT for p in fleet.members.values())
     fleet.run(20 * SECOND)
-    assert 4 not in fleet.knew
+    assert 4 not in fleet.detection_times_us
 
 
 def test_flapping_leaves_no_trace_on_the_others() -> None:
