--- a/forwarder/membership/change_log.py
+++ b/forwarder/membership/change_log.py
@@ -38,7 +38,7 @@
         )
     elif own_member.former_start_number >= record.start_number - 1 and change.previous_state is record.state:
         log.warning(
-            "others remember life %d of %s: its state folder was lost or restored from an older copy",
+            "other members know start %d of %s: its state folder was lost or restored from an older copy",
             own_member.former_start_number,
             record.name,
         )
--- a/forwarder/membership/gossip.py
+++ b/forwarder/membership/gossip.py
@@ -223,8 +223,8 @@
         answers = len(self._protocol.query.answered)
         restored = self._restore_disabled(now_us)
         log.warning(
-            "the state folder is new or was lost: %s; %d bans taken up, %d gossip records known",
-            f"{answers} others told what they have heard"
+            "the state folder is new or was lost: %s; %d disabled endpoints restored, %d gossip records known",
+            f"{answers} other members sent their gossip records"
             if answers
             else "no other member sent its gossip records in time, continuing without them",
             restored,
@@ -243,7 +243,7 @@
             since_us = host.clock() - (now_us - record.observed_at_us) - record.value_us
             host.store.disable_endpoint(record.subject, since_us)
             host.apply_command(EndpointDisabled(host.endpoint_number(record.subject), since_us))
-            log.warning("maintenance: %s is left out again, as others remember", record.subject)
+            log.warning("endpoint %s is disabled again, as other members have a record of it", record.subject)
             restored += 1
         return restored
 
--- a/tests/lab/test_gossip.py
+++ b/tests/lab/test_gossip.py
@@ -67,7 +67,7 @@
         await until_settled(fleet)
 
         async def is_answered() -> bool:
-            return "others told what they have heard; 1 bans taken up" in node.read_log()
+            return "other members sent their gossip records; 1 disabled endpoints restored" in node.read_log()
 
         await fleet.until(is_answered)
         assert (await node.admin_call("OFFLINE s-1")) == "ok s-1 is left out"
@@ -76,8 +76,8 @@
     extensions = GOSSIP_EXTENSIONS + "ask_s = 6.0\n"  # long enough also where all is slow
     _, play = play_scene(tmp_path, scene, nodes=6, extensions=extensions, load=BUSY)
     log = (tmp_path / "nodes/n3/log").read_text()
-    assert "s-1 is left out again" in log
-    assert "s-2 is left out again" not in log
+    assert "s-1 is disabled again" in log
+    assert "s-2 is disabled again" not in log
     began = max(e.at_s for e in play.testbed.event_log.events if e.kind is EventKind.PROCESS_STARTED and e.node == "n3")
     calls = [
         e
--- a/tests/lab/test_membership.py
+++ b/tests/lab/test_membership.py
@@ -145,7 +145,7 @@
             await node.start()
             await fleet.until_agreed(set(fleet.names))
         assert (await fleet.view("n3")).former_starts == 2
-        assert "others remember life 2 of n3" in node.read_log()
+        assert "other members know start 2 of n3" in node.read_log()
 
     play_scene(tmp_path, scene, nodes=4)
 
