--- a/tests/membership/simulation.py
+++ b/tests/membership/simulation.py
@@ -1,7 +1,7 @@
-"""A seeded simulation of many members.
+"""Simulates a fleet of members from a seed.
 
-Datagrams that are lost, late, doubled and out of order, cuts, stops, restarts. Virtual time, real protocol and codec.
-Invariants are checked after each step.
+Datagrams are lost, delayed, duplicated and reordered, links are cut, and members pause, crash and restart. Time is
+virtual; the protocol and the codec are the real ones. Invariants are checked after each step.
 """
 
 from __future__ import annotations
@@ -21,184 +21,197 @@
 
 
 class Fleet:
-    """Members by number. `cut(a, b)` tells whether datagrams from a to b are lost."""
+    """Members by number. Times are in microseconds; datagrams from a to b are lost while `cuts` contains (a, b)."""
 
     def __init__(
         self, size: int, seed: int, timing: Timing | None = None, sealed: bool = False, seeds: int = 2
     ) -> None:
         self.random, self.now, self.timing = random.Random(seed), SECOND, timing or Timing()
-        self.sealed, self.order = sealed, itertools.count()
+        self.sealed, self.sequence = sealed, itertools.count()
         self.events: list[tuple[int, int, str, int, object]] = []
         self.members: dict[int, MembershipProtocol] = {}
         self.codecs: dict[int, Codec] = {}
-        self.lives = dict.fromkeys(range(size), 0)
-        self.stopped: dict[int, list[tuple[SocketAddress, object]]] = {}
+        self.start_numbers = dict.fromkeys(range(size), 0)
+        self.paused: dict[int, list[tuple[SocketAddress, object]]] = {}
         self.cuts: set[tuple[int, int]] = set()
         self.loss, self.delay = 0.0, (200, 2000)
-        self.doubled = 0.0
+        self.duplication = 0.0
         self.sent: dict[int, int] = dict.fromkeys(range(size), 0)
         self.false_failures: list[tuple[int, int, int]] = []
         self.detection_times_us: dict[int, list[int]] = {}
-        self.excused: dict[int, int] = {}
+        self.disturbed_until: dict[int, int] = {}
         self.left: dict[str, int] = {}
-        self.first = [self.where(n) for n in range(seeds)]
-        for n in range(size):
-            self.start(n)
+        self.seed_addresses = [self.address_of(number) for number in range(seeds)]
+        for number in range(size):
+            self.start(number)
 
     @staticmethod
-    def where(n: int) -> SocketAddress:
-        return (f"h{n}", 1)
-
-    def start(self, n: int, life: int | None = None) -> None:
-        self.lives[n] = self.lives[n] + 1 if life is None else life
-        p = MembershipProtocol(
-            f"n{n}",
-            self.where(n),
-            self.lives[n],
+    def address_of(number: int) -> SocketAddress:
+        return (f"h{number}", 1)
+
+    def start(self, number: int, start_number: int | None = None) -> None:
+        self.start_numbers[number] = self.start_numbers[number] + 1 if start_number is None else start_number
+        protocol = MembershipProtocol(
+            f"n{number}",
+            self.address_of(number),
+            self.start_numbers[number],
             f"{self.random.getrandbits(32):08x}",
             self.timing,
             self.random.getrandbits(32),
             self.now,
-            self.first,
+            self.seed_addresses,
         )
-        self.members[n], self.codecs[n] = p, Codec("c", [KEY])
-        self.stopped.pop(n, None)
-        self.excused[n] = self.now
-        self.arm(n)
-
-    def add(self, n: int, p: MembershipProtocol) -> None:
-        """One more, made elsewhere."""
-        self.members[n], self.codecs[n], self.sent[n], self.lives[n] = p, Codec("c", [KEY]), 0, p.state.start_number
-        self.arm(n)
-
-    def stop(self, n: int) -> None:
-        """Dead, without a word."""
-        self.members.pop(n, None)
-        self.excused[n] = self.now
-
-    def pause(self, n: int, for_us: int) -> None:
-        self.stopped[n] = []
-        self.excused[n] = self.now + for_us
-        heapq.heappush(self.events, (self.now + for_us, next(self.order), "wake", n, self.members[n]))
-
-    def arm(self, n: int) -> None:
-        p = self.members[n]
-        heapq.heappush(self.events, (p.next_step_us(), next(self.order), "tick", n, p))
-
-    def post(self, n: int) -> None:
-        p = self.members[n]
-        out = p.take_outbox()
-        for to, body in out:
-            self.sent[n] += 1
-            m = int(to[0][1:])
-            if (n, m) in self.cuts or self.random.random() < self.loss:
+        self.members[number], self.codecs[number] = protocol, Codec("c", [KEY])
+        self.paused.pop(number, None)
+        self.disturbed_until[number] = self.now
+        self.schedule_tick(number)
+
+    def add(self, number: int, protocol: MembershipProtocol) -> None:
+        """Adds a member that the caller has created."""
+        self.members[number], self.codecs[number], self.sent[number], self.start_numbers[number] = (
+            protocol,
+            Codec("c", [KEY]),
+            0,
+            protocol.state.start_number,
+        )
+        self.schedule_tick(number)
+
+    def stop(self, number: int) -> None:
+        """Crashes a member: it sends nothing more."""
+        self.members.pop(number, None)
+        self.disturbed_until[number] = self.now
+
+    def pause(self, number: int, duration_us: int) -> None:
+        self.paused[number] = []
+        self.disturbed_until[number] = self.now + duration_us
+        heapq.heappush(
+            self.events, (self.now + duration_us, next(self.sequence), "resume", number, self.members[number])
+        )
+
+    def schedule_tick(self, number: int) -> None:
+        protocol = self.members[number]
+        heapq.heappush(self.events, (protocol.next_step_us(), next(self.sequence), "tick", number, protocol))
+
+    def send_outbox(self, number: int) -> None:
+        protocol = self.members[number]
+        outbox = protocol.take_outbox()
+        for address, datagram in outbox:
+            self.sent[number] += 1
+            recipient = int(address[0][1:])
+            if (number, recipient) in self.cuts or self.random.random() < self.loss:
                 continue
-            data: object = self.codecs[n].seal(body) if self.sealed else body
-            for _ in range(1 + (self.random.random() < self.doubled)):
+            data: object = self.codecs[number].seal(datagram) if self.sealed else datagram
+            for _ in range(1 + (self.random.random() < self.duplication)):
                 at = self.now + self.random.randrange(*self.delay)
-                heapq.heappush(self.events, (at, next(self.order), "mail", m, (self.where(n), data)))
-        self.follow(n)
-
-    def follow(self, n: int) -> None:
-        """What this member has come to know; a failure of one that is up and was not struck is false."""
-        p = self.members[n]
-        for told in p.state.changes:
-            m = int(told.member.record.name[1:])
-            if told.member.record.state is MemberState.FAILED:
-                life = told.member.record.incarnation // INCARNATIONS_PER_START
-                if m in self.members and m not in self.stopped and life == self.lives.get(m):
-                    self.false_failures.append((self.now, n, m))
-                self.detection_times_us.setdefault(m, []).append(self.now)
-        p.state.changes.clear()
-        assert len(p.dissemination.queue) <= MAX_QUEUE
-        assert len(p.failure_detector.probes) <= 64
-        assert len(p.failure_detector.relayed_probes) <= 64
-
-    def run(self, for_us: int) -> None:
-        end = self.now + for_us
+                heapq.heappush(
+                    self.events, (at, next(self.sequence), "datagram", recipient, (self.address_of(number), data))
+                )
+        self.record_changes(number)
+
+    def record_changes(self, number: int) -> None:
+        """Records failures that this member has detected. One of a member that is neither down nor paused is false."""
+        protocol = self.members[number]
+        for change in protocol.state.changes:
+            other = int(change.member.record.name[1:])
+            if change.member.record.state is MemberState.FAILED:
+                start_number = change.member.record.incarnation // INCARNATIONS_PER_START
+                if other in self.members and other not in self.paused and start_number == self.start_numbers.get(other):
+                    self.false_failures.append((self.now, number, other))
+                self.detection_times_us.setdefault(other, []).append(self.now)
+        protocol.state.changes.clear()
+        assert len(protocol.dissemination.queue) <= MAX_QUEUE
+        assert len(protocol.failure_detector.probes) <= 64
+        assert len(protocol.failure_detector.relayed_probes) <= 64
+
+    def run(self, duration_us: int) -> None:
+        end = self.now + duration_us
         while self.events and self.events[0][0] <= end:
-            self.now, _, kind, n, what = heapq.heappop(self.events)
-            if kind == "wake":
-                if self.members.get(n) is what:
-                    waiting = self.stopped.pop(n, [])
-                    for source, data in waiting[-400:]:  # a socket's buffer holds only so many
-                        self.deliver(n, source, data)
-                    self.arm(n)
+            self.now, _, kind, number, content = heapq.heappop(self.events)
+            if kind == "resume":
+                if self.members.get(number) is content:
+                    received = self.paused.pop(number, [])
+                    for source, data in received[-400:]:  # the buffer of a real socket is bounded too
+                        self.deliver(number, source, data)
+                    self.schedule_tick(number)
                 continue
-            p = self.members.get(n)
-            if p is None:
+            protocol = self.members.get(number)
+            if protocol is None:
                 continue
-            if n in self.stopped:
-                if kind == "mail":
-                    self.stopped[n].append(what)  # type: ignore[arg-type]
+            if number in self.paused:
+                if kind == "datagram":
+                    self.paused[number].append(content)  # type: ignore[arg-type]
                 continue
             if kind == "tick":
-                if p is not what:
+                if protocol is not content:
                     continue
-                p.tick(self.now)
-                self.post(n)
-                self.arm(n)
+                protocol.tick(self.now)
+                self.send_outbox(number)
+                self.schedule_tick(number)
             else:
-                source, data = what  # type: ignore[misc]
-                self.deliver(n, source, data)
+                source, data = content  # type: ignore[misc]
+                self.deliver(number, source, data)
         self.now = end
 
-    def deliver(self, n: int, source: SocketAddress, data: object) -> None:
-        p = self.members[n]
+    def deliver(self, number: int, source: SocketAddress, data: object) -> None:
+        protocol = self.members[number]
         if isinstance(data, bytes):
             try:
-                p.receive(self.now, source, self.codecs[n].open(data))
+                protocol.receive(self.now, source, self.codecs[number].open(data))
             except FormerIncarnationError as former:
-                p.reject_former(self.now, source, former)
-            except DatagramRejectedError as dropped:
-                p.state.counts[str(dropped)] = p.state.counts.get(str(dropped), 0) + 1
+                protocol.reject_former(self.now, source, former)
+            except DatagramRejectedError as rejected:
+                protocol.state.counts[str(rejected)] = protocol.state.counts.get(str(rejected), 0) + 1
         else:
             assert isinstance(data, Datagram)
-            p.receive(self.now, source, replace_body(data))
-        self.post(n)
+            protocol.receive(self.now, source, copy_datagram(data))
+        self.send_outbox(number)
 
-    # Questions
+    # Network partitions and agreement
 
     def split(self, *groups: set[int]) -> None:
-        part = {n: k for k, group in enumerate(groups) for n in group}
-        self.cuts = {(a, b) for a in self.lives for b in self.lives if part.get(a) != part.get(b)}
+        group_of = {number: index for index, group in enumerate(groups) for number in group}
+        self.cuts = {
+            (a, b) for a in self.start_numbers for b in self.start_numbers if group_of.get(a) != group_of.get(b)
+        }
 
     def heal(self) -> None:
         self.cuts = set()
 
     def agree(self) -> bool:
-        """All that are up see just those that are up, as alive or suspected."""
-        up = sorted(f"n{n}" for n in self.members if n not in self.stopped)
-        return all(p.view.present() == up for n, p in self.members.items() if n not in self.stopped)
+        """Returns whether each running member sees exactly the running members as present."""
+        up = sorted(f"n{number}" for number in self.members if number not in self.paused)
+        return all(
+            protocol.view.present() == up for number, protocol in self.members.items() if number not in self.paused
+        )
 
-    def until_agreed(self, most_us: int, step_us: int = SECOND // 4) -> int:
+    def until_agreed(self, timeout_us: int, step_us: int = SECOND // 4) -> int:
         began = self.now
         while not self.agree():
-            assert self.now - began < most_us, self.differences()
+            assert self.now - began < timeout_us, self.differences()
             self.run(step_us)
         return self.now - began
 
     def differences(self) -> list[str]:
-        up = {f"n{n}" for n in self.members}
+        up = {f"n{number}" for number in self.members}
         return [
-            f"{p.view.name} misses {sorted(up - set(p.view.present()))[:5]}, "
-            f"has {sorted(set(p.view.present()) - up)[:5]}"
-            for p in self.members.values()
-            if set(p.view.present()) != up
+            f"{protocol.view.name} misses {sorted(up - set(protocol.view.present()))[:5]}, "
+            f"has {sorted(set(protocol.view.present()) - up)[:5]}"
+            for protocol in self.members.values()
+            if set(protocol.view.present()) != up
         ][:5]
 
 
-def replace_body(body: Datagram) -> Datagram:
-    """What comes is the receiver's own."""
+def copy_datagram(datagram: Datagram) -> Datagram:
+    """Returns a copy for the receiver, which shares no list with the sender's datagram."""
     return Datagram(
-        body.kind,
-        body.sender,
-        body.start_number,
-        body.process_id,
-        body.datagram_number,
-        body.request_number,
-        body.target,
-        [*body.members],
-        body.digest,
-        [*body.records],
+        datagram.kind,
+        datagram.sender,
+        datagram.start_number,
+        datagram.process_id,
+        datagram.datagram_number,
+        datagram.request_number,
+        datagram.target,
+        [*datagram.members],
+        datagram.digest,
+        [*datagram.records],
     )
--- a/tests/membership/test_extension.py
+++ b/tests/membership/test_extension.py
@@ -1,4 +1,4 @@
-"""One forwarder's UDP socket without room, with errors, and flooded: dropped and counted, and never more than that."""
+"""Tests the UDP socket with a full buffer, with errors and under a flood: datagrams are dropped and counted."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 class Transport:
-    """Takes datagrams, and keeps them."""
+    """Records the datagrams that are sent."""
 
     def __init__(self) -> None:
         self.sent: list[bytes] = []
 
-    def sendto(self, data: bytes, where: Any) -> None:
+    def sendto(self, data: bytes, address: Any) -> None:
         self.sent.append(data)
 
     def close(self) -> None: ...
 
 
-def played(tmp_path: Path, scene: Callable[[MembershipExtension, Transport], Any]) -> MembershipExtension:
+def run_scene(tmp_path: Path, scene: Callable[[MembershipExtension, Transport], Any]) -> MembershipExtension:
     (tmp_path / "key").write_text(KEY.hex())
-    told = MembershipSettings(
+    settings = MembershipSettings(
         Address("127.0.0.1", 1),
         Address("127.0.0.1", 1),
         "c",
@@ -59,70 +59,70 @@
         startup_progress=SimpleNamespace(phase=StartupPhase.SERVING),
         supervisor=Supervisor(),
     )
-    part, transport = MembershipExtension(engine, told), Transport()
+    extension, transport = MembershipExtension(engine, settings), Transport()
 
     async def run() -> None:
-        async def bound(make: Callable[[], Any], **more: Any) -> None:
-            part.socket.connection_made(transport)  # type: ignore[arg-type]
+        async def create_endpoint(factory: Callable[[], Any], **options: Any) -> None:
+            extension.socket.connection_made(transport)  # type: ignore[arg-type]
 
-        asyncio.get_running_loop().create_datagram_endpoint = bound  # type: ignore[assignment, method-assign]
-        await part.open()
-        await scene(part, transport)
-        part.timer.cancel()  # type: ignore[union-attr]
+        asyncio.get_running_loop().create_datagram_endpoint = create_endpoint  # type: ignore[assignment, method-assign]
+        await extension.open()
+        await scene(extension, transport)
+        extension.timer.cancel()  # type: ignore[union-attr]
 
     asyncio.run(run())
-    return part
+    return extension
 
 
-def test_a_full_socket_buffer_drops_as_a_network_would_and_goes_on(tmp_path: Path) -> None:
-    async def scene(part: MembershipExtension, transport: Transport) -> None:
-        part.socket.pause_writing()
+def test_datagrams_are_dropped_while_the_socket_buffer_is_full_and_sent_again_afterwards(tmp_path: Path) -> None:
+    async def scene(extension: MembershipExtension, transport: Transport) -> None:
+        extension.socket.pause_writing()
         before = len(transport.sent)
         await asyncio.sleep(0.1)
         assert len(transport.sent) == before
-        assert part.socket.counts["dropped: no room to send"] > 0
-        assert part.protocol is not None
-        assert not part.protocol.state.outbox, "nothing piles up"
-        part.socket.resume_writing()
+        assert extension.socket.counts["dropped: no room to send"] > 0
+        assert extension.protocol is not None
+        assert not extension.protocol.state.outbox, "the outbox must not grow while the buffer is full"
+        extension.socket.resume_writing()
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
 
-    played(tmp_path, scene)
+    run_scene(tmp_path, scene)
 
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.ENOBUFS])
-def test_errors_of_datagrams_are_counted_and_end_nothing(tmp_path: Path, code: int) -> None:
-    async def scene(part: MembershipExtension, transport: Transport) -> None:
-        part.socket.error_received(OSError(code, "no"))
+def test_socket_errors_are_counted_and_sending_continues(tmp_path: Path, code: int) -> None:
+    async def scene(extension: MembershipExtension, transport: Transport) -> None:
+        extension.socket.error_received(OSError(code, "no"))
         before = len(transport.sent)
         async with asyncio.timeout(10.0):
             while len(transport.sent) == before:
                 await asyncio.sleep(0.01)
 
-    part = played(tmp_path, scene)
-    assert sum(n for what, n in part.socket.counts.items() if what.startswith("socket: ")) == 1
+    extension = run_scene(tmp_path, scene)
+    assert sum(count for name, count in extension.socket.counts.items() if name.startswith("socket: ")) == 1
 
 
-def test_a_flood_from_one_address_is_dropped_unread_and_others_are_heard(
+def test_a_flood_from_one_address_is_dropped_unread_and_other_addresses_are_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rate_limiter, "RATE_PER_S", 0.0)
     opened: list[bytes] = []
 
-    async def scene(part: MembershipExtension, transport: Transport) -> None:
-        taken = part.socket.codec.open
-        part.socket.codec = SimpleNamespace(
-            open=lambda data: (opened.append(data), taken(data))[1],  # type: ignore[assignment]
-            seal=part.socket.codec.seal,
+    async def scene(extension: MembershipExtension, transport: Transport) -> None:
+        open_datagram = extension.socket.codec.open
+        extension.socket.codec = SimpleNamespace(
+            open=lambda data: (opened.append(data), open_datagram(data))[1],  # type: ignore[assignment]
+            seal=extension.socket.codec.seal,
         )
         for n in range(int(BURST) + 50):
-            part.socket.datagram_received(b"junk %d" % n, ("127.9.9.9", 5))
+            extension.socket.datagram_received(b"junk %d" % n, ("127.9.9.9", 5))
         assert len(opened) == BURST
-        assert part.socket.counts["dropped: too much from one address"] == 50
-        body = Datagram("ping", "friend", 1, "f" * 8, request_number=3)
-        part.socket.datagram_received(Codec("c", [KEY]).seal(body), ("127.9.9.8", 5))
+        assert extension.socket.counts["dropped: too much from one address"] == 50
+        datagram = Datagram("ping", "friend", 1, "f" * 8, request_number=3)
+        extension.socket.datagram_received(Codec("c", [KEY]).seal(datagram), ("127.9.9.8", 5))
         assert len(transport.sent)
-        assert part.socket.counts["dropped: other version"] + part.socket.counts["dropped: forged"] == BURST
+        assert extension.socket.counts["dropped: other version"] + extension.socket.counts["dropped: forged"] == BURST
 
-    played(tmp_path, scene)
+    run_scene(tmp_path, scene)
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,6 +1,7 @@
-"""What a forwarder does with what others say.
+"""Tests how a forwarder reacts to observations of other forwarders.
 
-It is more careful, never taken in by one alone, and all together keep within the budget.
+It becomes more careful with the endpoints concerned, is never misled by a single forwarder, and all forwarders together
+stay within the slow-start budget of an endpoint.
 """
 
 from __future__ import annotations
@@ -33,300 +34,327 @@
 from forwarder.membership.gossip_store import rendezvous_order
 from tests.scripts import MS, S, ask, end, sends, settings
 
-TOLD = 2 * S
+NOTIFY_US = 2 * S
 
 
-def order(me: str, target: int, names: frozenset[str]) -> list[str]:
-    return rendezvous_order(f"s{target}", names | {me})
+def order(me: str, endpoint: int, names: frozenset[str]) -> list[str]:
+    return rendezvous_order(f"s{endpoint}", names | {me})
 
 
-def turns(me: str, told_us: int = TOLD) -> SlowStartSlots:
-    return SlowStartSlots(me, told_us, lambda target, names: order(me, target, names))
+def make_slots(me: str, notify_us: int = NOTIFY_US) -> SlowStartSlots:
+    return SlowStartSlots(me, notify_us, lambda endpoint, names: order(me, endpoint, names))
 
 
-# Whose turn it is
+# Division of slow-start slots
 
 
-class Many:
-    """Forwarders that hold messages for one cold target, or do not; each hears of the others up to `told_us` late."""
+class HolderSimulation:
+    """Simulates forwarders of which some hold messages for one cold endpoint; announcements take up to NOTIFY_US."""
 
-    def __init__(self, size: int, seed: int, told_us: int = TOLD) -> None:
+    def __init__(self, size: int, seed: int, notify_us: int = NOTIFY_US) -> None:
         self.random, self.now, self.size = random.Random(seed), 0, size
         self.names = [f"n{n}" for n in range(size)]
-        self.turns = {name: turns(name, told_us) for name in self.names}
+        self.slots = {name: make_slots(name, notify_us) for name in self.names}
         self.holding: set[str] = set()
-        self.said: dict[str, bool] = dict.fromkeys(self.names, False)
-        self.heard: dict[tuple[str, str], tuple[int, bool]] = {}
-        """What one believes of another, and by which of its words: an older one changes nothing."""
-        self.due: list[tuple[int, str, str, tuple[int, bool]]] = []
-        self.part = dict.fromkeys(self.names, 0)
-        self.unsure: set[str] = set()
-
-    def believed(self, name: str) -> GossipReceived:
+        self.announced: dict[str, bool] = dict.fromkeys(self.names, False)
+        self.received: dict[tuple[str, str], tuple[int, bool]] = {}
+        """Newest announcement received, by receiver and sender: its time and whether the sender holds messages."""
+        self.in_transit: list[tuple[int, str, str, tuple[int, bool]]] = []
+        self.partition = dict.fromkeys(self.names, 0)
+        self.without_quorum: set[str] = set()
+
+    def gossip_received_by(self, name: str) -> GossipReceived:
         return GossipReceived(
             holders={
                 1: frozenset(
-                    other for other in self.names if other != name and self.heard.get((name, other), (0, False))[1]
+                    other for other in self.names if other != name and self.received.get((name, other), (0, False))[1]
                 )
             }
         )
 
-    def step(self, for_us: int = S // 4) -> float:
-        """The sum of all parts of the budget, after some time has passed."""
-        self.now += for_us
-        for row in [row for row in self.due if row[0] <= self.now]:
-            self.due.remove(row)
-            _, name, other, says = row
-            if self.part[name] == self.part[other]:
-                self.heard[(name, other)] = max(says, self.heard.get((name, other), (0, False)))
+    def step(self, step_us: int = S // 4) -> float:
+        """Advances the time and returns the sum of all shares of the budget."""
+        self.now += step_us
+        for row in [row for row in self.in_transit if row[0] <= self.now]:
+            self.in_transit.remove(row)
+            _, name, other, announcement = row
+            if self.partition[name] == self.partition[other]:
+                self.received[(name, other)] = max(announcement, self.received.get((name, other), (0, False)))
         total = 0.0
-        for name, t in self.turns.items():
-            heard = self.believed(name)
-            t.update(self.now, {1} if name in self.holding else set(), heard)
-            if self.said[name] != (1 in t.holding_since_us):
-                self.said[name] = 1 in t.holding_since_us
-                self.due += [
-                    (self.now + self.random.randrange(TOLD), other, name, (self.now, self.said[name]))
+        for name, slots in self.slots.items():
+            gossip = self.gossip_received_by(name)
+            slots.update(self.now, {1} if name in self.holding else set(), gossip)
+            if self.announced[name] != (1 in slots.holding_since_us):
+                self.announced[name] = 1 in slots.holding_since_us
+                self.in_transit += [
+                    (self.now + self.random.randrange(NOTIFY_US), other, name, (self.now, self.announced[name]))
                     for other in self.names
                     if other != name
                 ]
-            if name in self.unsure:
-                total += 1 / (2 * self.size)  # what `Shares` gives it
+            if name in self.without_quorum:
+                total += 1 / (2 * self.size)  # its share without a quorum, by the rules of FleetQuota
             else:
-                total += t.share(self.now, 1, self.size, heard)
+                total += slots.share(self.now, 1, self.size, gossip)
         return total
 
 
-def played(size: int, seed: int, told_us: int = TOLD) -> Iterator[float]:
-    many = Many(size, seed, told_us)
+def budget_totals(size: int, seed: int, notify_us: int = NOTIFY_US) -> Iterator[float]:
+    simulation = HolderSimulation(size, seed, notify_us)
     for _ in range(120):
-        for name in many.names:
-            if many.random.random() < 0.08:
-                many.holding ^= {name}
-        yield many.step()
+        for name in simulation.names:
+            if simulation.random.random() < 0.08:
+                simulation.holding ^= {name}
+        yield simulation.step()
 
 
 @pytest.mark.parametrize("size", [2, 3, 8, 20, 60])
-def test_the_parts_of_a_cold_targets_budget_are_at_most_the_whole(size: int) -> None:
+def test_the_shares_of_a_cold_endpoints_budget_add_up_to_at_most_the_whole(size: int) -> None:
     for seed in range(12):
-        assert max(played(size, seed)) <= 1 + 1e-9
+        assert max(budget_totals(size, seed)) <= 1 + 1e-9
 
 
-def test_without_the_delay_the_parts_are_too_much() -> None:
-    assert any(max(played(8, seed, 0)) > 1.2 for seed in range(5))
+def test_without_the_delay_the_shares_exceed_the_budget() -> None:
+    assert any(max(budget_totals(8, seed, 0)) > 1.2 for seed in range(5))
 
 
-def test_small_fleets_searched_whole() -> None:
-    """Every order in which up to four begin and end to hold messages, at every age of what was said."""
+def test_every_order_of_holding_in_small_fleets() -> None:
+    """Covers each order in which up to four forwarders start and stop holding messages, at several times."""
     for size in (2, 3, 4):
         for first, second in itertools.product(range(1 << size), repeat=2):
             for wait in range(0, 10, 3):
-                many = Many(size, wait)
+                simulation = HolderSimulation(size, wait)
                 for mask, steps in ((first, wait), (second, 12), (first, 4)):
-                    many.holding = {name for n, name in enumerate(many.names) if mask >> n & 1}
+                    simulation.holding = {name for n, name in enumerate(simulation.names) if mask >> n & 1}
                     for _ in range(steps):
-                        assert many.step() <= 1 + 1e-9
+                        assert simulation.step() <= 1 + 1e-9
 
 
-def test_few_holders_use_all_of_their_half_and_many_leave_it_to_some() -> None:
-    many = Many(40, 1)
-    many.holding = set(many.names[:4])
+def test_few_holders_share_the_holders_half_and_many_leave_it_to_some_of_them() -> None:
+    simulation = HolderSimulation(40, 1)
+    simulation.holding = set(simulation.names[:4])
     for _ in range(40):
-        total = many.step()
+        total = simulation.step()
     assert total == pytest.approx(1.0)
-    used = sum(t.share(many.now, 1, 40, many.believed(name)) for name, t in many.turns.items() if name in many.holding)
-    assert used == pytest.approx(0.55), "a fixed division leaves nine tenths of it to those that hold nothing"
-    many.holding = set(many.names)
+    used = sum(
+        slots.share(simulation.now, 1, 40, simulation.gossip_received_by(name))
+        for name, slots in simulation.slots.items()
+        if name in simulation.holding
+    )
+    assert used == pytest.approx(0.55), (
+        "with a fixed division, forwarders that hold nothing would keep nine tenths of the budget"
+    )
+    simulation.holding = set(simulation.names)
     for _ in range(40):
-        many.step()
-    assert sum(1 in t.holding_since_us for t in many.turns.values()) <= 2 * MAX_HOLDERS, "the rest say nothing of it"
+        simulation.step()
+    assert sum(1 in slots.holding_since_us for slots in simulation.slots.values()) <= 2 * MAX_HOLDERS, (
+        "the others must not announce that they hold messages"
+    )
 
 
-def test_while_a_cut_is_not_noticed_the_slack_is_that_half_and_then_none() -> None:
-    many = Many(8, 1)
-    many.holding = set(many.names)
+def test_a_partition_exceeds_the_budget_by_at_most_the_holders_half_until_it_is_noticed() -> None:
+    simulation = HolderSimulation(8, 1)
+    simulation.holding = set(simulation.names)
     for _ in range(40):
-        many.step()
-    many.part = {name: n % 2 for n, name in enumerate(many.names)}
-    many.heard = {(a, b): v for (a, b), v in many.heard.items() if many.part[a] == many.part[b]}
-    assert max(many.step() for _ in range(20)) <= 1.5 + 1e-9
-    many.unsure = {name for name in many.names if many.part[name]}  # not more than half are with them
-    assert max(many.step() for _ in range(20)) <= 1 + 1e-9
+        simulation.step()
+    simulation.partition = {name: n % 2 for n, name in enumerate(simulation.names)}
+    simulation.received = {
+        (a, b): announcement
+        for (a, b), announcement in simulation.received.items()
+        if simulation.partition[a] == simulation.partition[b]
+    }
+    assert max(simulation.step() for _ in range(20)) <= 1.5 + 1e-9
+    # The members of this part are not more than half of the fleet.
+    simulation.without_quorum = {name for name in simulation.names if simulation.partition[name]}
+    assert max(simulation.step() for _ in range(20)) <= 1 + 1e-9
 
 
-# What others say of targets
+# Observations of other forwarders
 
 
-def fleet_of(size: int = 10) -> tuple[Dispatcher, GossipExtension]:
+def dispatcher_in_fleet(size: int = 10) -> tuple[Dispatcher, GossipExtension]:
     entries = tuple(EndpointEntry(n, n // 2, "north", "plain", weight=10.0) for n in range(2, 10))
-    d = Dispatcher(settings(forwarders=size, weights_reported=True), 7, 0)
-    policy = GossipExtension(d, FleetQuota(size, 4 * S, 60 * S, 2 * S, S), turns("me"))
-    d.extensions.append(policy)
+    dispatcher = Dispatcher(settings(forwarders=size, weights_reported=True), 7, 0)
+    extension = GossipExtension(dispatcher, FleetQuota(size, 4 * S, 60 * S, 2 * S, S), make_slots("me"))
+    dispatcher.extensions.append(extension)
     view = FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(size))))
-    d.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries), view])
-    d.handle(5 * S, [view])
-    return d, policy
+    dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries), view])
+    dispatcher.handle(5 * S, [view])
+    return dispatcher, extension
 
 
-def said(*rows: tuple[int, str, int, int], **more: object) -> GossipReceived:
-    words: dict[int, tuple[Observation, ...]] = {}
-    for target, seer, since, back in rows:
-        words[target] = (*words.get(target, ()), Observation(seer, since, back))
-    return GossipReceived(words, **more)  # type: ignore[arg-type]
+def received_observations(*rows: tuple[int, str, int, int], **fields: object) -> GossipReceived:
+    observations: dict[int, tuple[Observation, ...]] = {}
+    for endpoint, observer, ejected_at, recovering_since in rows:
+        observations[endpoint] = (
+            *observations.get(endpoint, ()),
+            Observation(observer, ejected_at, recovering_since),
+        )
+    return GossipReceived(observations, **fields)  # type: ignore[arg-type]
 
 
-def test_two_that_saw_an_outage_put_the_target_in_turns_and_one_makes_it_doubtful() -> None:
-    d, policy = fleet_of()
-    actions = d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1), (4, "a", 5 * S, -1))])
-    assert d.slow_start.is_active(d.endpoints[2])
+def test_an_ejection_seen_by_two_starts_slow_start_and_one_seen_by_one_only_raises_the_error_rate() -> None:
+    dispatcher, extension = dispatcher_in_fleet()
+    actions = dispatcher.handle(
+        6 * S, [received_observations((2, "a", 5 * S, -1), (2, "b", 5 * S, -1), (4, "a", 5 * S, -1))]
+    )
+    assert dispatcher.slow_start.is_active(dispatcher.endpoints[2])
     assert EjectionChanged(2, 5 * S, -1) in actions
-    assert policy.ejected_by_gossip == {2}
-    assert not d.slow_start.is_active(d.endpoints[4])
-    assert d.endpoints[4].error_rate == EJECTION_ERROR_RATE
-    assert 2 in {t.id for t in d.endpoints_by_destination[1]}, "it stays in use"
-    assert not [a for a in actions if isinstance(a, AnnounceEjection)], "only who saw it says so"
-    actions = d.handle(7 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
-    assert d.endpoints[2].recovering_since_us == 6500 * MS
+    assert extension.ejected_by_gossip == {2}
+    assert not dispatcher.slow_start.is_active(dispatcher.endpoints[4])
+    assert dispatcher.endpoints[4].error_rate == EJECTION_ERROR_RATE
+    assert 2 in {endpoint.id for endpoint in dispatcher.endpoints_by_destination[1]}, "the endpoint must stay in use"
+    assert not [a for a in actions if isinstance(a, AnnounceEjection)], "only the observers announce the ejection"
+    actions = dispatcher.handle(7 * S, [received_observations((2, "a", 5 * S, -1), (2, "b", 5 * S, 6500 * MS))])
+    assert dispatcher.endpoints[2].recovering_since_us == 6500 * MS
     assert EjectionChanged(2, 5 * S, 6500 * MS) in actions
 
 
-def test_a_broken_forwarder_that_says_all_are_down_takes_none_and_doubts_few() -> None:
-    d, policy = fleet_of()
-    d.handle(6 * S, [said(*((n, "broken", 5 * S, -1) for n in range(2, 10)))])
-    assert not any(d.slow_start.is_active(t) for t in d.endpoints.values())
-    assert not policy.ejected_by_gossip
-    doubted = {t.destination for t in d.endpoints.values() if t.error_rate}
-    assert len(doubted) == max(1, int(MAX_SUSPECTED_SHARE * 4))
-
-
-def test_what_was_seen_here_later_goes_before_what_others_say() -> None:
-    d, _ = fleet_of()
-    send = sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))[0]
-    d.handle(6100 * MS, [end(send, Outcome.DELIVERED)])
-    d.handle(7 * S, [said(*((n, seer, 6 * S, -1) for n in (2, 3) for seer in ("a", "b")))])
-    assert not d.slow_start.is_active(d.endpoints[send.endpoint])
-    assert d.slow_start.is_active(d.endpoints[5 - send.endpoint])
-    d.handle(8 * S, [said((send.endpoint, "a", 7 * S, -1), (send.endpoint, "b", 7 * S, -1))])
-    assert d.slow_start.is_active(d.endpoints[send.endpoint])
-
-
-def test_a_target_out_here_is_back_by_the_word_of_one_and_only_if_that_is_newer() -> None:
-    d, policy = fleet_of()
-    t = d.endpoints[2]
-    d.handle(6 * S, [EjectionRecovered(2, 5 * S)])
-    d.handle(7 * S, [said((2, "a", 4 * S, 5500 * MS))])
-    assert t.recovering_since_us < 0, "our own try was later"
-    d.handle(8 * S, [said((2, "a", 4 * S, 7500 * MS))])
-    assert t.recovering_since_us == 7500 * MS
-    assert t.ejected_at_us == 5 * S
-    assert t.error_rate <= EJECTION_ERROR_RATE
-    assert policy.ejected_by_gossip == {2}
-    d.endpoints[3].serving = False
-    d.endpoint_table.rebuild_index()
-    tried, now = 0, 8 * S
-    while not tried:
+def test_a_broken_forwarder_that_reports_all_endpoints_down_ejects_none_and_affects_few() -> None:
+    dispatcher, extension = dispatcher_in_fleet()
+    dispatcher.handle(6 * S, [received_observations(*((n, "broken", 5 * S, -1) for n in range(2, 10)))])
+    assert not any(dispatcher.slow_start.is_active(endpoint) for endpoint in dispatcher.endpoints.values())
+    assert not extension.ejected_by_gossip
+    affected = {endpoint.destination for endpoint in dispatcher.endpoints.values() if endpoint.error_rate}
+    assert len(affected) == max(1, int(MAX_SUSPECTED_SHARE * 4))
+
+
+def test_a_later_own_observation_takes_precedence_over_those_of_others() -> None:
+    dispatcher, _ = dispatcher_in_fleet()
+    send = sends(dispatcher.handle(6 * S, [ask("m", 1, due=12 * S)]))[0]
+    dispatcher.handle(6100 * MS, [end(send, Outcome.DELIVERED)])
+    dispatcher.handle(
+        7 * S, [received_observations(*((n, observer, 6 * S, -1) for n in (2, 3) for observer in ("a", "b")))]
+    )
+    assert not dispatcher.slow_start.is_active(dispatcher.endpoints[send.endpoint])
+    assert dispatcher.slow_start.is_active(dispatcher.endpoints[5 - send.endpoint])
+    dispatcher.handle(8 * S, [received_observations((send.endpoint, "a", 7 * S, -1), (send.endpoint, "b", 7 * S, -1))])
+    assert dispatcher.slow_start.is_active(dispatcher.endpoints[send.endpoint])
+
+
+def test_an_endpoint_ejected_here_recovers_by_one_newer_observation_of_another_forwarder() -> None:
+    dispatcher, extension = dispatcher_in_fleet()
+    endpoint = dispatcher.endpoints[2]
+    dispatcher.handle(6 * S, [EjectionRecovered(2, 5 * S)])
+    dispatcher.handle(7 * S, [received_observations((2, "a", 4 * S, 5500 * MS))])
+    assert endpoint.recovering_since_us < 0, "the own observation is newer"
+    dispatcher.handle(8 * S, [received_observations((2, "a", 4 * S, 7500 * MS))])
+    assert endpoint.recovering_since_us == 7500 * MS
+    assert endpoint.ejected_at_us == 5 * S
+    assert endpoint.error_rate <= EJECTION_ERROR_RATE
+    assert extension.ejected_by_gossip == {2}
+    dispatcher.endpoints[3].serving = False
+    dispatcher.endpoint_table.rebuild_index()
+    attempts, now = 0, 8 * S
+    while not attempts:
         now += 100 * MS
-        for n, send in enumerate(sends(d.handle(now, [ask(f"m{now}", 1, due=now + 6 * S)]))):
-            tried += 1
-            d.handle(now + MS + n, [end(send, Outcome.NO_CONNECTION)])
-    assert t.recovering_since_us < 0, "seen here to be out after all"
-    assert policy.ejected_by_gossip == set()
-
-
-def test_who_is_served_by_what_others_take_to_be_out_tells_them() -> None:
-    d, _ = fleet_of()
-    d.handle(6 * S, [said((2, "a", 5 * S, -1), (3, "a", 5 * S, -1))])
-    send = sends(d.handle(7 * S, [ask("m", 1, due=12 * S)]))[0]
-    actions = d.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
+        for n, send in enumerate(sends(dispatcher.handle(now, [ask(f"m{now}", 1, due=now + 6 * S)]))):
+            attempts += 1
+            dispatcher.handle(now + MS + n, [end(send, Outcome.NO_CONNECTION)])
+    assert endpoint.recovering_since_us < 0, "the failed call shows that the endpoint is still down"
+    assert extension.ejected_by_gossip == set()
+
+
+def test_a_forwarder_announces_that_an_endpoint_serves_it_which_others_report_as_ejected() -> None:
+    dispatcher, _ = dispatcher_in_fleet()
+    dispatcher.handle(6 * S, [received_observations((2, "a", 5 * S, -1), (3, "a", 5 * S, -1))])
+    send = sends(dispatcher.handle(7 * S, [ask("m", 1, due=12 * S)]))[0]
+    actions = dispatcher.handle(7100 * MS, [end(send, Outcome.DELIVERED)])
     assert [a for a in actions if isinstance(a, AnnounceEjection)] == [AnnounceEjection(send.endpoint, -1, 7100 * MS)]
-    d.handle(8 * S, [said((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)])
-    assert not d.slow_start.is_active(d.endpoints[5]), "who was served by it did not see it fail"
-    d.handle(9 * S, [said((4, "b", -1, 8500 * MS))])
-    assert d.endpoints[4].recovering_since_us == 8500 * MS
+    dispatcher.handle(
+        8 * S, [received_observations((5, "a", 7 * S, -1), (5, "b", -1, 7500 * MS)), EjectionRecovered(4, 7 * S)]
+    )
+    assert not dispatcher.slow_start.is_active(dispatcher.endpoints[5]), (
+        "an observer that is served by the endpoint does not count as having seen it fail"
+    )
+    dispatcher.handle(9 * S, [received_observations((4, "b", -1, 8500 * MS))])
+    assert dispatcher.endpoints[4].recovering_since_us == 8500 * MS
 
 
-def test_words_that_are_too_old_leave_nothing_behind_unless_it_was_seen_here() -> None:
-    d, policy = fleet_of()
-    d.handle(6 * S, [said((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)])
-    actions = d.handle(19 * S, [GossipReceived()])
-    assert not d.slow_start.is_active(d.endpoints[2])
+def test_expired_observations_have_no_lasting_effect_unless_confirmed_here() -> None:
+    dispatcher, extension = dispatcher_in_fleet()
+    dispatcher.handle(
+        6 * S, [received_observations((2, "a", 5 * S, -1), (2, "b", 5 * S, -1)), EjectionRecovered(4, 5 * S)]
+    )
+    actions = dispatcher.handle(19 * S, [GossipReceived()])
+    assert not dispatcher.slow_start.is_active(dispatcher.endpoints[2])
     assert EjectionChanged(2, -1, -1) in actions
-    assert not policy.ejected_by_gossip
-    assert d.slow_start.is_active(d.endpoints[4])
-    assert d.endpoints[4].error_rate == UNSAFE_RETRY_ERROR_RATE
-
-
-def test_a_told_wait_of_others_costs_one_interval_of_the_pace_at_most() -> None:
-    d, _ = fleet_of()
-    place = d.endpoints[2].limit_scope
-    place.limit_per_s, place.limit_left = 20.0, 0.4
-    interval = int(d.pacing.call_interval_us(place))
-    d.handle(6 * S, [GossipReceived(retry_afters=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
-    assert place.next_call_at_us == 6 * S + interval < 9 * S
-    assert place.retry_after_until_us == 0
-    d.handle(6 * S + MS, [GossipReceived(retry_afters=(((1, -1), 6 * S + 2 * MS),))])
-    assert place.next_call_at_us == 6 * S + interval, "no later than the wait itself"
-
-
-def test_what_this_forwarder_sees_is_told_and_what_it_holds() -> None:
-    d, _ = fleet_of()
-    d.endpoints[3].serving = False
-    d.endpoint_table.rebuild_index()
-    told: list[Action] = []
+    assert not extension.ejected_by_gossip
+    assert dispatcher.slow_start.is_active(dispatcher.endpoints[4])
+    assert dispatcher.endpoints[4].error_rate == UNSAFE_RETRY_ERROR_RATE
+
+
+def test_a_retry_after_of_another_forwarder_delays_calls_by_at_most_one_pacing_interval() -> None:
+    dispatcher, _ = dispatcher_in_fleet()
+    limit_scope = dispatcher.endpoints[2].limit_scope
+    limit_scope.limit_per_s, limit_scope.limit_left = 20.0, 0.4
+    interval = int(dispatcher.pacing.call_interval_us(limit_scope))
+    dispatcher.handle(6 * S, [GossipReceived(retry_afters=(((1, -1), 9 * S), ((77, -1), 9 * S)))])
+    assert limit_scope.next_call_at_us == 6 * S + interval < 9 * S
+    assert limit_scope.retry_after_until_us == 0
+    dispatcher.handle(6 * S + MS, [GossipReceived(retry_afters=(((1, -1), 6 * S + 2 * MS),))])
+    assert limit_scope.next_call_at_us == 6 * S + interval, "the delay must not exceed the wait itself"
+
+
+def test_own_observations_and_held_messages_are_announced() -> None:
+    dispatcher, _ = dispatcher_in_fleet()
+    dispatcher.endpoints[3].serving = False
+    dispatcher.endpoint_table.rebuild_index()
+    actions: list[Action] = []
     now = 6 * S
     for n in range(4):
-        for send in sends(d.handle(now, [ask(f"m{n}", 1, due=now + 60 * S)])):
-            told += d.handle(now + 50 * MS, [end(send, Outcome.NO_CONNECTION)])
+        for send in sends(dispatcher.handle(now, [ask(f"m{n}", 1, due=now + 60 * S)])):
+            actions += dispatcher.handle(now + 50 * MS, [end(send, Outcome.NO_CONNECTION)])
         now += 2 * S
-        told += d.handle(now, [])
-    outages = [a for a in told if isinstance(a, AnnounceEjection)]
-    assert outages
-    assert {a.endpoint for a in outages} == {2}
-    assert all(a.recovering_since_us < 0 for a in outages)
-    assert AnnounceHolding(frozenset({2})) in told
-    send = sends(told)[-1] if sends(told) else None
+        actions += dispatcher.handle(now, [])
+    announced = [a for a in actions if isinstance(a, AnnounceEjection)]
+    assert announced
+    assert {a.endpoint for a in announced} == {2}
+    assert all(a.recovering_since_us < 0 for a in announced)
+    assert AnnounceHolding(frozenset({2})) in actions
+    send = sends(actions)[-1] if sends(actions) else None
     while send is None:
         now += 200 * MS
-        send = next(iter(sends(d.handle(now, []))), None)
-    told = d.handle(
-        now + 50 * MS, [end(send, Outcome.REJECTED, attempt=d.messages[send.message_id].attempts - 1, retry_after_us=S)]
+        send = next(iter(sends(dispatcher.handle(now, []))), None)
+    actions = dispatcher.handle(
+        now + 50 * MS,
+        [end(send, Outcome.REJECTED, attempt=dispatcher.messages[send.message_id].attempts - 1, retry_after_us=S)],
     )
-    assert [a for a in told if isinstance(a, AnnounceRetryAfter)] == [AnnounceRetryAfter((1, -1), now + 50 * MS + S)]
+    assert [a for a in actions if isinstance(a, AnnounceRetryAfter)] == [AnnounceRetryAfter((1, -1), now + 50 * MS + S)]
 
 
-def test_no_call_before_the_others_were_asked_and_none_later_than_the_bound() -> None:
+def test_calls_wait_for_the_query_of_the_other_forwarders_but_no_longer_than_its_time_limit() -> None:
     for answered in (True, False):
-        d, _ = fleet_of()
-        d.peers_queried_until_us = 8 * S
-        assert not sends(d.handle(6 * S, [ask("m", 1, due=12 * S)]))
-        assert d.hold_times_of("m")[0][0] is HoldReason.STARTING
-        assert bool(sends(d.handle(7 * S, [PeersQueried()] if answered else []))) is answered
-        assert bool(sends(d.handle(8 * S, []))) is not answered
+        dispatcher, _ = dispatcher_in_fleet()
+        dispatcher.peers_queried_until_us = 8 * S
+        assert not sends(dispatcher.handle(6 * S, [ask("m", 1, due=12 * S)]))
+        assert dispatcher.hold_times_of("m")[0][0] is HoldReason.STARTING
+        assert bool(sends(dispatcher.handle(7 * S, [PeersQueried()] if answered else []))) is answered
+        assert bool(sends(dispatcher.handle(8 * S, []))) is not answered
 
 
-def test_cold_turns_are_shorter_for_the_few_that_hold_and_as_ever_without_the_part() -> None:
-    plain = Dispatcher(settings(forwarders=10, weights_reported=True), 7, 0)
-    plain.handle(
+def test_slow_start_slots_are_divided_by_holders_and_unchanged_without_the_extension() -> None:
+    without_extension = Dispatcher(settings(forwarders=10, weights_reported=True), 7, 0)
+    without_extension.handle(
         0, [EndpointListReceived(EndpointListKind.SAVED, (EndpointEntry(2, 1, "north", "plain", weight=10.0),))]
     )
-    assert plain.endpoints[2].slow_start_divisor == 0
-    assert plain.peers_queried_until_us == 0
-    d, _ = fleet_of()
-    d.endpoints[3].serving = False
-    d.endpoint_table.rebuild_index()
-    lengths, wide = [], FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(10))))
-    d.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), wide])
+    assert without_extension.endpoints[2].slow_start_divisor == 0
+    assert without_extension.peers_queried_until_us == 0
+    dispatcher, _ = dispatcher_in_fleet()
+    dispatcher.endpoints[3].serving = False
+    dispatcher.endpoint_table.rebuild_index()
+    divisors, full_view = [], FleetViewChanged(FleetView(frozenset(f"n{n}" for n in range(10))))
+    dispatcher.handle(6 * S, [EjectionRecovered(2, 5 * S, 5500 * MS), ask("m", 1, due=60 * S), full_view])
     for now in (6 * S, 7 * S, 9 * S):
-        d.handle(now, [wide, ask(f"m{now}", 1, due=60 * S)])
-        lengths.append(d.endpoints[2].slow_start_divisor)
-    assert lengths[0] == 20
-    assert lengths[-1] == pytest.approx(1 / (0.05 + 0.5))
-    d.handle(9 * S, [GossipReceived(holders={2: frozenset({"a", "b", "c"})})])
-    assert d.endpoints[2].slow_start_divisor == pytest.approx(1 / (0.05 + 0.125))
-    d.handle(9 * S, [FleetViewChanged(FleetView(frozenset({"n1", "n2"})))])
-    assert d.endpoints[2].slow_start_divisor == 20, "cut off: nothing of the holders' half"
-    assert d.fleet_size == 10
-    d.handle(11 * S, [])
-    assert d.endpoints[2].slow_start_divisor == d.fleet_size == 20, (
-        "and its own is held back once others may have taken it"
+        dispatcher.handle(now, [full_view, ask(f"m{now}", 1, due=60 * S)])
+        divisors.append(dispatcher.endpoints[2].slow_start_divisor)
+    assert divisors[0] == 20
+    assert divisors[-1] == pytest.approx(1 / (0.05 + 0.5))
+    dispatcher.handle(9 * S, [GossipReceived(holders={2: frozenset({"a", "b", "c"})})])
+    assert dispatcher.endpoints[2].slow_start_divisor == pytest.approx(1 / (0.05 + 0.125))
+    dispatcher.handle(9 * S, [FleetViewChanged(FleetView(frozenset({"n1", "n2"})))])
+    assert dispatcher.endpoints[2].slow_start_divisor == 20, "without a quorum it gets nothing of the holders' half"
+    assert dispatcher.fleet_size == 10
+    dispatcher.handle(11 * S, [])
+    assert dispatcher.endpoints[2].slow_start_divisor == dispatcher.fleet_size == 20, (
+        "its own share is held back too once others may have taken it"
     )
