--- a/forwarder/membership/view.py
+++ b/forwarder/membership/view.py
@@ -71,8 +71,8 @@
         """Whether this record replaces the known one (SWIM 4.2).
 
         A record with a later incarnation does, and a failed or left member becomes present again only by one. With the
-        same incarnation, the greater state does, or a changed phase of a member that is joining or alive. A member that
-        leaves is taken at its word under an earlier incarnation of the same start, unless it is known to be gone.
+        same incarnation, the greater state does, or a changed phase of a member that is joining or alive. A record
+        that the member has left also replaces a later incarnation of the same start, unless it is known to be gone.
         """
         if self.incarnation == known.incarnation:
             phase_changed = self.state == known.state <= MemberState.ALIVE and self.phase != known.phase
