--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -49,7 +49,7 @@
         for member in fleet.members.values():
             for record in records:
                 if record.name != member.view.name:
-                    member.view.apply(record, Source.MERGED, fleet.now)
+                    member.view.apply(record, Source.FULL_EXCHANGE, fleet.now)
     fleet.until_agreed(AGREE_TIMEOUT_US, SECOND_US)
     fleet.run(SETTLE_US)
     return fleet
@@ -85,11 +85,11 @@
         known = KnownAfter()
         for seed in range(seeds):
             fleet = settled_fleet(size, seed)
-            fleet.knew.clear()
+            fleet.detection_times_us.clear()
             died_us = fleet.now
             fleet.stop(size - 1)
             fleet.until_agreed(AGREE_TIMEOUT_US)
-            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.knew[size - 1]])
+            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.detection_times_us[size - 1]])
         print(
             f"deaths, {size} members: first {_range(known.first_s)} s, 99% {_range(known.p99_s)}, "
             f"last {_range(known.last_s)}",
@@ -157,7 +157,7 @@
 
 
 def _count_false_failures(fleet: Fleet, size: int, disturbance: Disturbance, found: FalseFailures) -> None:
-    fleet.false.clear()
+    fleet.false_failures.clear()
     began_us = fleet.now
     fleet.loss = disturbance.loss
     stopped = size // STOPPED_SHARE if disturbance.stops else 0
@@ -165,7 +165,7 @@
         for number in range(stopped):
             fleet.pause(number, fleet.random.randrange(1, 6) * SECOND_US)
         fleet.run(STOP_INTERVAL_US)
-    failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false}
+    failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false_failures}
     found.count += len(failures)
     found.not_stopped += sum(member >= stopped for _, member in failures)
     found.hours += (fleet.now - began_us) / SECOND_US / 3600
@@ -243,7 +243,7 @@
         self.peer_codecs: dict[str, Codec] = {}
         self.protocol.state.gossip_store = GossipStore("n0")
         for number in range(1, size):
-            self.protocol.view.apply(_peer_record(number), Source.MERGED, 0)
+            self.protocol.view.apply(_peer_record(number), Source.FULL_EXCHANGE, 0)
         for number in range(GOSSIP_RECORDS):
             self.protocol.state.gossip_store.add_own(0, RecordKind.EJECTED, f"endpoint-{number}")
 
