--- a/forwarder/membership/status.py
+++ b/forwarder/membership/status.py
@@ -107,7 +107,8 @@
     held_back = ""
     if divisor > quota.forwarders:
         held_back = f"; {1 - quota.forwarders / divisor:.0%} of its share held back"
-    if divisor == quota.max_members and not quota.is_proven_alive(now_us):  # no other member can have taken its share yet
+    if divisor == quota.max_members and not quota.is_proven_alive(now_us):
+        # No other member can have taken its share yet.
         held_back += f"; its share is its own for {(quota.leased_until_us - now_us) / SECOND_US:.1f} s more"
     return (
         f"{quota.quorum_state(now_us).value}: divides by {divisor:.1f} where the settings say {quota.forwarders}, "
