--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -15,7 +15,7 @@
 from forwarder.clients.listener import Listener
 from forwarder.config.config import Address
 from forwarder.errors import ForwarderError
-from forwarder.runtime.supervisor import attempt
+from forwarder.runtime.supervisor import result_or_error
 
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 32
@@ -166,7 +166,7 @@
             raise CommandRefusedError("not serving yet")
         if word not in self.commands:
             raise CommandRefusedError("no such call")
-        answer = attempt(partial(self.commands[word], arguments.strip()))
+        answer = result_or_error(partial(self.commands[word], arguments.strip()))
         if isinstance(answer, CommandRefusedError):
             raise answer
         if isinstance(answer, Exception):
--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -21,7 +21,7 @@
 from forwarder.runtime.extension import Extension, Syncer
 from forwarder.runtime.intake import SubmissionIntake
 from forwarder.runtime.run_state import RunState
-from forwarder.runtime.supervisor import Supervisor, attempt
+from forwarder.runtime.supervisor import Supervisor, result_or_error
 from forwarder.storage.clock import AnchoredClock
 from forwarder.storage.store import MessageStore
 from forwarder.units import SECOND_US
@@ -148,7 +148,7 @@
 
     def _decide(self, now_us: int, events: Iterable[Event], pending: PendingSubmissions) -> list[Action]:
         """Returns the actions of a round; those that were decided before a fault are among them."""
-        decided = attempt(partial(self.dispatcher.handle, now_us, events))
+        decided = result_or_error(partial(self.dispatcher.handle, now_us, events))
         if isinstance(decided, Exception):
             self.dispatcher.errors.append(decided)
             decided = self.dispatcher.actions
--- a/forwarder/runtime/supervisor.py
+++ b/forwarder/runtime/supervisor.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("forwarder.supervise")
 
 
-def attempt(step: Callable[[], Result]) -> Result | Exception:
+def result_or_error(step: Callable[[], Result]) -> Result | Exception:
     """Calls it. Returns what it returns, or the exception that it raised, for the caller to deal with."""
     try:
         return step()
@@ -78,7 +78,7 @@
 
     def guard(self, name: str, step: Callable[[], object]) -> bool:
         """Calls it; an exception is logged and counted, and goes no further. Returns whether it succeeded."""
-        outcome = attempt(step)
+        outcome = result_or_error(step)
         if isinstance(outcome, Exception):
             self.failed(name, outcome)
             return False
--- a/tests/runtime/test_supervisor.py
+++ b/tests/runtime/test_supervisor.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from forwarder.runtime.supervisor import FIRST_BACKOFF_S, Supervisor, attempt
+from forwarder.runtime.supervisor import FIRST_BACKOFF_S, Supervisor, result_or_error
 
 
 def fail() -> None:
     raise ValueError("for the test")
 
 
-def test_an_attempt_returns_the_result_or_the_exception() -> None:
-    assert attempt(lambda: 5) == 5
-    assert isinstance(attempt(fail), ValueError)
+def test_result_or_error_returns_the_result_or_the_exception() -> None:
+    assert result_or_error(lambda: 5) == 5
+    assert isinstance(result_or_error(fail), ValueError)
 
 
 def test_a_guarded_step_that_fails_is_counted_and_logged(caplog: pytest.LogCaptureFixture) -> None:
