--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -93,11 +93,11 @@
         """Posts what is pending as soon as possible."""
         self._wanted.set()
         if self._task is None:
-            self._task = self.supervisor.keep("notices", self._run)
+            self._task = self.supervisor.keep_running("notices", self._run)
 
     def keep_connected(self) -> None:
         """Keeps a connection open from now on: a notice that falls due needs none to be opened then."""
-        self._keeping = self.supervisor.keep("connection for notices", self._keep_connected)
+        self._keeping = self.supervisor.keep_running("connection for notices", self._keep_connected)
 
     def idle_connection(self) -> asyncio.Transport | None:
         """Returns the connection that is kept open, if there is one and no post is under way on it."""
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -252,7 +252,7 @@
         self.server.listen(self.client_socket, handed_over=self.handover is not None)
         for extension in self.extensions:
             await extension.open()
-        admin_listening = self.supervisor.keep("control", self._listen_for_operators)
+        admin_listening = self.supervisor.keep_running("control", self._listen_for_operators)
         self.folder_ownership.begin_to_hand_over()
         log.info("ready")
         self.startup_progress.ready(self.clock())
--- a/forwarder/runtime/supervisor.py
+++ b/forwarder/runtime/supervisor.py
@@ -96,11 +96,11 @@
         """Calls it at an interval, guarded, until what is returned is cancelled. The first call is an interval away."""
         return Repeating(self, name, interval_s, step)
 
-    def keep(self, name: str, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
+    def keep_running(self, name: str, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Runs it in a task, and again whenever it fails, until it returns or the task is cancelled."""
-        return asyncio.get_running_loop().create_task(self._keep(name, run))
+        return asyncio.get_running_loop().create_task(self._keep_running(name, run))
 
-    async def _keep(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
+    async def _keep_running(self, name: str, run: Callable[[], Awaitable[None]]) -> None:
         loop = asyncio.get_running_loop()
         backoff_s = FIRST_BACKOFF_S
         while True:
--- a/tests/runtime/test_supervisor.py
+++ b/tests/runtime/test_supervisor.py
@@ -55,7 +55,7 @@
 
         supervisor = Supervisor()
         async with asyncio.timeout(5):
-            await supervisor.keep("task", run)
+            await supervisor.keep_running("task", run)
         return supervisor
 
     supervisor = asyncio.run(scene())
