--- a/forwarder/clients/drain.py
+++ b/forwarder/clients/drain.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from forwarder.clients.server import ClientServer
-from forwarder.runtime.supervisor import Repeating, Supervisor
+from forwarder.runtime.supervisor import RepeatingTimer, Supervisor
 
 DRAIN_DELAY_S = 1.0  # new connections go on to come until the load balancer in front has seen the failed health check
 CLOSE_INTERVAL_S = 0.05
@@ -20,7 +20,7 @@
     def __init__(self, server: ClientServer, supervisor: Supervisor) -> None:
         self.server = server
         self.supervisor = supervisor
-        self._closing: Repeating | None = None
+        self._closing: RepeatingTimer | None = None
 
     @property
     def is_draining(self) -> bool:
--- a/forwarder/endpoints/idle_connections.py
+++ b/forwarder/endpoints/idle_connections.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from forwarder.endpoints.connection import EndpointConnection
-from forwarder.runtime.supervisor import Repeating, Supervisor
+from forwarder.runtime.supervisor import RepeatingTimer, Supervisor
 
 SWEEP_INTERVAL_S = 0.2
 MAX_IDLE_PER_ENDPOINT = 4  # some endpoints accept few connections, idle ones among them
@@ -27,7 +27,7 @@
         self.supervisor = supervisor
         self.timeout_us = 0
         self.by_endpoint: dict[int, list[EndpointConnection]] = {}
-        self.sweeping: Repeating | None = None
+        self.sweeping: RepeatingTimer | None = None
 
     def add(self, connection: EndpointConnection, endpoint: int) -> None:
         """Keeps a connection, or closes it where enough are kept."""
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -11,7 +11,7 @@
 from forwarder.runtime.folder_ownership import FolderOwnership
 from forwarder.runtime.startup_phase import StartupPhase
 from forwarder.runtime.state_log import log_state
-from forwarder.runtime.supervisor import Repeating
+from forwarder.runtime.supervisor import RepeatingTimer
 from forwarder.storage.messages import AcceptedMessage
 
 INTERVAL_S = 0.1
@@ -36,7 +36,7 @@
         self._state_logged_s = time.monotonic()
         self._reasons_logged_s = self._state_logged_s
 
-    def start(self) -> Repeating:
+    def start(self) -> RepeatingTimer:
         """Makes the checks from now on, until what is returned is cancelled."""
         self._next_check_s = time.monotonic() + INTERVAL_S
         return self.runtime.supervisor.repeat("tick", INTERVAL_S, self._check)
--- a/forwarder/runtime/supervisor.py
+++ b/forwarder/runtime/supervisor.py
@@ -34,7 +34,7 @@
         return error
 
 
-class Repeating:
+class RepeatingTimer:
     """Calls a function again and again, each time so long after the last call ended."""
 
     def __init__(self, supervisor: Supervisor, name: str, interval_s: float, step: Callable[[], object]) -> None:
@@ -92,9 +92,9 @@
             return False
         return True
 
-    def repeat(self, name: str, interval_s: float, step: Callable[[], object]) -> Repeating:
+    def repeat(self, name: str, interval_s: float, step: Callable[[], object]) -> RepeatingTimer:
         """Calls it at an interval, guarded, until what is returned is cancelled. The first call is an interval away."""
-        return Repeating(self, name, interval_s, step)
+        return RepeatingTimer(self, name, interval_s, step)
 
     def keep_running(self, name: str, run: Callable[[], Awaitable[None]]) -> asyncio.Task[None]:
         """Runs it in a task, and again whenever it fails, until it returns or the task is cancelled."""
