--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -159,7 +159,7 @@
     def _answer_faults(self, now_us: int, actions: Sequence[Action], pending: PendingSubmissions) -> None:
         """Rejects the submissions whose event was lost to a fault: it must not cost the process, which holds others."""
         for error in self.dispatcher.errors:
-            self.supervisor.failed("decisions", error)
+            self.supervisor.record_failure("decisions", error)
         self.set_timer(now_us + AFTER_FAULT_US, "look")
         answered = {action.message_id for action in actions if isinstance(action, RejectMessage | FailMessage)}
         lost = [name for name in pending if name not in self.dispatcher.messages and name not in answered]
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -181,7 +181,7 @@
     try:
         await runtime.pool.adopt(call, sock, record.received)
     except OSError as error:  # it was written: its outcome is not known any more
-        runtime.supervisor.failed("hand-over of a call", error)
+        runtime.supervisor.record_failure("hand-over of a call", error)
         runtime.pool.finish(call, CallResult(Outcome.RESET))
 
 
--- a/forwarder/runtime/supervisor.py
+++ b/forwarder/runtime/supervisor.py
@@ -71,7 +71,7 @@
     def __init__(self) -> None:
         self.failures: dict[str, int] = {}
 
-    def failed(self, name: str, error: BaseException) -> None:
+    def record_failure(self, name: str, error: BaseException) -> None:
         """Logs and counts a failure of what goes by this name."""
         self.failures[name] = self.failures.get(name, 0) + 1
         log.error("%s failed, %d times so far: %r", name, self.failures[name], error, exc_info=error)
@@ -80,7 +80,7 @@
         """Calls it; an exception is logged and counted, and goes no further. Returns whether it succeeded."""
         outcome = result_or_error(step)
         if isinstance(outcome, Exception):
-            self.failed(name, outcome)
+            self.record_failure(name, outcome)
             return False
         return True
 
@@ -88,7 +88,7 @@
         """Awaits it, as `guard` calls. Returns whether it succeeded; a cancellation goes on to the caller."""
         outcome = await attempt_async(step)
         if isinstance(outcome, Exception):
-            self.failed(name, outcome)
+            self.record_failure(name, outcome)
             return False
         return True
 
