--- a/forwarder/runtime/extension.py
+++ b/forwarder/runtime/extension.py
@@ -82,7 +82,7 @@
     def apply_actions(self, actions: Iterable[Action]) -> None:
         """Applies what a round has decided for it; actions that are meant for others are passed over."""
 
-    def update_endpoints(self, where: dict[int, Address]) -> None:
+    def update_endpoints(self, addresses: dict[int, Address]) -> None:
         """The endpoints that may be called, or their addresses, have changed."""
 
     def start_draining(self) -> None:
@@ -113,7 +113,7 @@
     def apply_actions(self, actions: Iterable[Action]) -> None:
         """Nothing to apply."""
 
-    def update_endpoints(self, where: dict[int, Address]) -> None:
+    def update_endpoints(self, addresses: dict[int, Address]) -> None:
         """Nothing depends on the endpoints."""
 
     def start_draining(self) -> None:
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -140,9 +140,9 @@
                 case CloseIdleConnections(endpoint):
                     self.endpoint_connections.close_idle(endpoint)
 
-    def update_endpoints(self, where: dict[int, Address]) -> None:
+    def update_endpoints(self, addresses: dict[int, Address]) -> None:
         """The endpoints that may be called have changed: what is in progress goes on, but nothing is kept."""
-        self.endpoint_connections.close_unlisted(where)
+        self.endpoint_connections.close_unlisted(addresses)
 
     def start_draining(self) -> None:
         """New streams are rejected from now on; those in progress go on."""
