--- a/forwarder/runtime/endpoint_list.py
+++ b/forwarder/runtime/endpoint_list.py
@@ -26,7 +26,7 @@
         if endpoint_list is None:
             runtime.post(EndpointListReceived(EndpointListKind.FAILED))
             return
-        runtime.startup_progress.list_received()
+        runtime.startup_progress.mark_list_received()
         if not self._has_first_list:
             self._has_first_list = True
             self._log_first_list(endpoint_list)
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -255,7 +255,7 @@
         admin_listening = self.supervisor.keep_running("control", self._listen_for_operators)
         self.folder_ownership.begin_to_hand_over()
         log.info("ready")
-        self.startup_progress.ready(self.clock())
+        self.startup_progress.mark_ready(self.clock())
         checking = self.checks.start()
         await self.shutdown.done.wait()
         checking.cancel()
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -73,7 +73,7 @@
         progress = self.runtime.startup_progress
         if progress.phase is StartupPhase.SERVING:
             return
-        if progress.step(self.runtime.clock(), self.runtime.store.messages):
+        if progress.update(self.runtime.clock(), self.runtime.store.messages):
             log.info("phase: %s", progress.describe(self.runtime.clock()))
 
     def end_overdue_messages(self) -> None:
--- a/forwarder/runtime/startup_phase.py
+++ b/forwarder/runtime/startup_phase.py
@@ -45,15 +45,15 @@
         self._backlog = set(recovered_ids)
         self._has_list = False
 
-    def ready(self, now_us: int) -> None:
+    def mark_ready(self, now_us: int) -> None:
         """Clients may come."""
         self._enter(StartupPhase.RECOVERING, now_us)
 
-    def list_received(self) -> None:
+    def mark_list_received(self) -> None:
         """Discovery has told the endpoint list, or that it has not changed."""
         self._has_list = True
 
-    def step(self, now_us: int, held_ids: Container[str]) -> bool:
+    def update(self, now_us: int, held_ids: Container[str]) -> bool:
         """Looks whether the phase is over, by the messages that are held. Returns whether it has changed."""
         self._backlog = {message_id for message_id in self._backlog if message_id in held_ids}
         passed_us = now_us - self._phase_began_us
--- a/tests/runtime/test_startup.py
+++ b/tests/runtime/test_startup.py
@@ -26,12 +26,12 @@
 ) -> None:
     progress = StartupProgress(0, ["a"])
     seen = {}
-    progress.ready(0)
+    progress.mark_ready(0)
     for tenth in range(600):
         now = tenth * S // 10
         if listed_s is not None and now >= listed_s * S:
-            progress.list_received()
-        if progress.step(now, {"a"} if over_s is None or now < over_s * S else {}):
+            progress.mark_list_received()
+        if progress.update(now, {"a"} if over_s is None or now < over_s * S else {}):
             seen[progress.phase] = now
     assert seen.get(StartupPhase.CATCHING_UP, recovering_s * S) == recovering_s * S
     assert seen[StartupPhase.SERVING] == serving_s * S
