--- a/forwarder/runtime/__init__.py
+++ b/forwarder/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop around the decisions: start, reload, shutdown, hand-over and what rounds let leave."""
+"""The event loop around the decisions: startup, reload, shutdown, hand-over and the effects of each round."""
--- a/forwarder/runtime/context.py
+++ b/forwarder/runtime/context.py
@@ -1,4 +1,4 @@
-"""What one running forwarder is made of, as its own jobs and the admin interface see it."""
+"""The collaborators of a running forwarder, as its own modules and the admin interface see them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     client_socket: socket.socket
     """The socket that clients connect to."""
     handover: HandoverState | None
-    """What the process before handed over; None where this one started alone."""
+    """The state that the previous process handed over; None if this process started without a hand-over."""
     reasons: ReasonCounts
     invariants: Invariants
     effects: Effects
@@ -41,10 +41,10 @@
     extensions: list[Extension]
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Follows an endpoint list, whole or in part."""
+        """Applies an endpoint list, complete or partial."""
 
     def publish_serving_endpoints(self) -> None:
-        """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
+        """Tells the pool and the extensions which endpoints may be called: the last check before a call is written."""
 
     def start_draining(self) -> None:
-        """Sends clients away; what was accepted goes on."""
+        """Drains the clients; accepted messages are still delivered."""
--- a/forwarder/runtime/effects.py
+++ b/forwarder/runtime/effects.py
@@ -1,13 +1,13 @@
-"""Applies what rounds decide: what precedes an effect is recorded first, and nothing leaves that is not on record.
+"""Carries out the decisions of rounds: the record of an effect is written before the effect leaves the process.
 
-| effect | its record | while that cannot be written |
+| effect | its record | while the record cannot be written |
 | --- | --- | --- |
 | 202 to a client | the message | 503; the message is not accepted |
-| a call with a message that may be repeated, and keeps no order | the attempt | leaves |
-| a call with any other message | the attempt | is held back, and tried again |
-| a notice | the end | waits until it is written, or until the message's time is over |
+| a call with a message that may be repeated, and keeps no order | the attempt | the call is sent |
+| a call with any other message | the attempt | the call is held back, and tried again |
+| a notice | the end | the notice waits until it is written, or until the message's time is over |
 
-A failure of one step costs that step. What became of it is told to the decisions, and the rest of the round goes on.
+A failure affects only the step in which it occurs: it is reported to the decisions, and the rest of the round goes on.
 """
 
 from __future__ import annotations
@@ -44,28 +44,28 @@
 from forwarder.units import SECOND_US
 
 MAX_REJECTION_COUNTS = 1000
-"""Destinations, classes and hold reasons that are counted apart."""
+"""Maximum number of combinations of destination, class and hold reason that are counted separately."""
 log = logging.getLogger("forwarder.effects")
 
 PendingSubmissions = dict[str, tuple[Submission, ClientConnection]]
-"""Messages that were submitted since the last round, by their id."""
-Step = CloseIdleConnections | CancelAttempt | EndpointCall
-"""What leaves for endpoints."""
+"""Messages submitted since the last round, with their clients, by message id."""
+EndpointAction = CloseIdleConnections | CancelAttempt | EndpointCall
+"""An effect on an endpoint or its connections."""
 
 
 @dataclass(slots=True)
-class Departures:
-    """What a round lets leave, once its records are written."""
+class RoundOutput:
+    """The effects of a round, which leave once its records are written."""
 
     accepted: PendingSubmissions
-    """Their clients are answered with 202."""
-    steps: list[Step] = field(default_factory=list)
-    forming: dict[int, EndpointCall] = field(default_factory=dict)
-    """The newest call to each target, which more messages may join."""
+    """Messages whose clients are answered with 202."""
+    endpoint_actions: list[EndpointAction] = field(default_factory=list)
+    unfilled_calls: dict[int, EndpointCall] = field(default_factory=dict)
+    """The newest call to each endpoint, to which more messages may be added, by endpoint number."""
 
 
 class Effects:
-    """Records what rounds decide, and lets it leave."""
+    """Records the decisions of rounds, and releases their effects."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         reject_submission: Callable[[Submission, ClientConnection, RejectMessage | FailMessage], None],
         reject_unavailable: Callable[[Submission, ClientConnection, str], None],
     ) -> None:
-        """Takes what answers a client whose submission is rejected, and what tells the decisions of an event."""
+        """Takes the callbacks that answer a rejected submission, and the one that posts an event to the decisions."""
         self.store = store
         self.pool = pool
         self.endpoint_table = endpoint_table
@@ -90,13 +90,13 @@
         self.reject_submission = reject_submission
         self.reject_unavailable = reject_unavailable
         self.rejected_by: dict[tuple[int, str, str], int] = {}
-        """How many messages were rejected after they were accepted, by destination, class and hold reason."""
+        """Number of messages rejected after they were accepted, by destination, class and hold reason."""
         self.calls_made = 0
-        """Calls since the start."""
+        """Number of calls since the start."""
         self._unlogged_rejections = 0
         self._rejection_logged_us = -SECOND_US
 
-    # Deciding what leaves, and recording it
+    # Recording the decisions of a round
 
     def record_outcome(self, event: AttemptEnded) -> None:
         """Records the outcome of an attempt."""
@@ -106,7 +106,8 @@
         if event.outcome is Outcome.DELIVERED and event.is_final:
             self.store.end_message(message.id)
         elif event.is_final:
-            # An endpoint says that it is over. Should that be wrong, it would be lost; a notice does no harm.
+            # The endpoint says that the message is over. If it is wrong, the message would be lost without a notice;
+            # an unnecessary notice does no harm.
             self.store.add_pending_notice(message.id, "returned" if message.maybe_ran_at_us < 0 else "failed", 0)
         elif event.outcome is Outcome.LOCAL_FAILURE:
             self.store.record_local_failure(message, event.attempt)
@@ -114,13 +115,13 @@
             self.reasons.note(Subject.RETRY, event.outcome.value, message.id)
             self.store.record_outcome(message, event.attempt, event.outcome not in NEVER_RAN)
 
-    def prepare(self, now: int, actions: Iterable[Action], pending: PendingSubmissions) -> Departures:
-        """Records what a round has decided. Nothing leaves yet, but rejections of what was never accepted.
+    def prepare(self, now: int, actions: Iterable[Action], pending: PendingSubmissions) -> RoundOutput:
+        """Records the decisions of a round. Nothing leaves yet, except rejections of messages that were never accepted.
 
         Args:
             now: the time of the round, in microseconds.
-            actions: what the round has decided.
-            pending: what was submitted since the last round; those that are rejected are taken out.
+            actions: the decisions of the round.
+            pending: the messages submitted since the last round; rejected ones are removed.
         """
         actions = list(actions)
         for action in actions:
@@ -140,23 +141,23 @@
                     idempotency_key=submission.idempotency_key,
                 )
             )
-        departures = Departures(pending)
+        output = RoundOutput(pending)
         for action in actions:
-            if not self.supervisor.guard(type(action).__name__, partial(self._prepare, action, now, departures)):
+            if not self.supervisor.guard(type(action).__name__, partial(self._prepare, action, now, output)):
                 self._undo(action)
-        return departures
+        return output
 
-    def _prepare(self, action: Action, now: int, departures: Departures) -> None:
+    def _prepare(self, action: Action, now: int, output: RoundOutput) -> None:
         match action:
             case SendAttempt():
-                self._prepare_send(action, now, departures)
+                self._prepare_send(action, now, output)
             case RejectMessage() if action.message_id in self.store.messages:
                 self._log_rejection(action, now)
                 self.store.add_pending_notice(action.message_id, "returned", -(-action.retry_after_us // 1000))
             case FailMessage() if action.message_id in self.store.messages:
                 self.store.add_pending_notice(action.message_id, "failed", 0)
             case CloseIdleConnections() | CancelAttempt():
-                departures.steps.append(action)
+                output.endpoint_actions.append(action)
             case EjectionChanged() if action.endpoint in self.endpoint_table.names:
                 self.store.record_ejection(
                     self.endpoint_table.names[action.endpoint], action.ejected_at_us, action.recovering_since_us
@@ -165,22 +166,22 @@
                 self.store.back_off_key(action.key, action.until_us, now)
 
     def _undo(self, action: Action) -> None:
-        """Tells the decisions that a step has failed: a message whose call was not made is held again."""
+        """Reports a failed step to the decisions: a message whose call was not made is held again."""
         if isinstance(action, SendAttempt):
             message = self.store.messages.get(action.message_id)
             number = 0 if message is None else max(message.in_flight, default=message.attempts)
             self.post(AttemptEnded(action.message_id, number, action.endpoint, Outcome.LOCAL_FAILURE, 0))
 
-    def _prepare_send(self, action: SendAttempt, now: int, departures: Departures) -> None:
-        """Records an attempt and puts it into a call: those of one round to one endpoint travel together."""
+    def _prepare_send(self, action: SendAttempt, now: int, output: RoundOutput) -> None:
+        """Records an attempt and adds it to a call; attempts of one round to one endpoint share a call."""
         message = self.store.messages.get(action.message_id)
-        if message is None:  # only after a fault: the slot must come free again
+        if message is None:  # only after a fault: the slot must still be released
             self.post(AttemptEnded(action.message_id, 0, action.endpoint, Outcome.NOT_SENT, 0, is_final=True))
             return
         number = message.attempts
         target = self.endpoint_table.endpoint(action.endpoint)
         if target is None or target.destination != message.destination:
-            # A message that reaches an endpoint of another destination cannot be called back.
+            # A message that reaches an endpoint of another destination cannot be recalled.
             log.error(
                 "held back: reason=endpoint of another destination id=%s endpoint=%s destination=%d",
                 message.id,
@@ -201,19 +202,19 @@
             message.idempotency_key,
             action.send_before_us,
         )
-        call = departures.forming.get(action.endpoint)
+        call = output.unfilled_calls.get(action.endpoint)
         if (
             call is None
             or len(call.items) >= self.endpoint_table.kind(target).max_batch
             or not fits_in_batch(call.items, item)
         ):
             call = EndpointCall(action.endpoint, self.endpoint_table.limit_scope(target), now, [])
-            departures.forming[action.endpoint] = call
-            departures.steps.append(call)
+            output.unfilled_calls[action.endpoint] = call
+            output.endpoint_actions.append(call)
         call.items.append(item)
 
     def _log_rejection(self, action: RejectMessage, now: int) -> None:
-        """Logs a rejection with its reason, one a second at most; the line tells how many had none."""
+        """Logs a rejection with its reason, at most once a second, and the number of rejections since the last line."""
         self._unlogged_rejections += 1
         message = self.store.messages[action.message_id]
         reason = action.hold_reason.value if action.hold_reason else "nothing"
@@ -231,26 +232,28 @@
             self._rejection_logged_us = now
             self._unlogged_rejections = 0
 
-    # Letting it leave
+    # Releasing the effects of a round
 
-    def release(self, departures: Departures, is_recorded: bool) -> None:
-        """Lets leave what the records precede; where they could not be written, holds back what needs them."""
+    def release(self, output: RoundOutput, is_recorded: bool) -> None:
+        """Releases the effects of a round; holds back those that need a record if the records could not be written."""
         if not is_recorded:
-            self._hold_back(departures)
-        for message_id, (_, client) in departures.accepted.items():
-            self.supervisor.guard("202", partial(self._accept, message_id, client))
-        for step in departures.steps:
-            if not self.supervisor.guard("call", partial(self._release, step)) and isinstance(step, EndpointCall):
-                self.supervisor.guard("call", partial(self.pool.finish, step, CallResult(Outcome.LOCAL_FAILURE)))
+            self._hold_back(output)
+        for message_id, (_, client) in output.accepted.items():
+            self.supervisor.guard("202", partial(self._answer_accepted, message_id, client))
+        for action in output.endpoint_actions:
+            if not self.supervisor.guard("call", partial(self._run_endpoint_action, action)) and isinstance(
+                action, EndpointCall
+            ):
+                self.supervisor.guard("call", partial(self.pool.finish, action, CallResult(Outcome.LOCAL_FAILURE)))
 
-    def _accept(self, message_id: str, client: ClientConnection) -> None:
+    def _answer_accepted(self, message_id: str, client: ClientConnection) -> None:
         if self.invariants.may_accept(message_id, is_recorded=True) is None:
-            client.answer(HTTPStatus.ACCEPTED, on_unsent=partial(self._withdraw_unheard, message_id))
+            client.answer(HTTPStatus.ACCEPTED, on_unsent=partial(self._withdraw_unanswered, message_id))
 
-    def _withdraw_unheard(self, message_id: str) -> None:
-        """Withdraws a message whose client has gone before its 202 could leave, unless a call was made with it.
+    def _withdraw_unanswered(self, message_id: str) -> None:
+        """Withdraws a message whose client disconnected before its 202 was sent, unless a call was made with it.
 
-        The client may have submitted it elsewhere: what becomes of it here counts for nothing (PROTOCOL).
+        The client may have submitted it elsewhere, so its end here does not count (PROTOCOL).
         """
         message = self.store.messages.get(message_id)
         if message is None or message.in_flight or message.attempts > message.local_failure_count:
@@ -259,31 +262,35 @@
         self.store.end_message(message_id)
         self.post(MessageWithdrawn(message_id))
 
-    def _release(self, step: Step) -> None:
-        match step:
+    def _run_endpoint_action(self, action: EndpointAction) -> None:
+        match action:
             case CloseIdleConnections():
-                self.pool.close_idle(step.endpoint, "not trusted any more")
+                self.pool.close_idle(action.endpoint, "not trusted any more")
             case CancelAttempt():
-                self.pool.cancel(step.message_id, step.attempt)
+                self.pool.cancel(action.message_id, action.attempt)
             case EndpointCall():
                 self.calls_made += 1
-                self.pool.start(step)
+                self.pool.start(action)
 
-    def _hold_back(self, departures: Departures) -> None:
-        """Rejects new messages, for the journal cannot be written; of the calls only those leave that may."""
-        for step in departures.steps:
-            if isinstance(step, EndpointCall):
-                step.items[:] = [item for item in step.items if self._may_leave(step, item, departures.accepted)]
-        departures.steps = [step for step in departures.steps if not isinstance(step, EndpointCall) or step.items]
-        for message_id, (submission, client) in departures.accepted.items():
+    def _hold_back(self, output: RoundOutput) -> None:
+        """Rejects new messages as the journal cannot be written, and drops the attempts that may not go unrecorded."""
+        for action in output.endpoint_actions:
+            if isinstance(action, EndpointCall):
+                action.items[:] = [
+                    item for item in action.items if self._may_send_unrecorded(action, item, output.accepted)
+                ]
+        output.endpoint_actions = [
+            action for action in output.endpoint_actions if not isinstance(action, EndpointCall) or action.items
+        ]
+        for message_id, (submission, client) in output.accepted.items():
             self.invariants.may_accept(message_id, is_recorded=False)
             self.store.undo_accept(message_id)
             self.post(MessageWithdrawn(message_id))
             self.reject_unavailable(submission, client, "cannot be recorded")
-        departures.accepted = {}
+        output.accepted = {}
 
-    def _may_leave(self, call: EndpointCall, item: CallItem, accepted: PendingSubmissions) -> bool:
-        """Returns whether an attempt may leave unrecorded; the decisions hear of one that may not."""
+    def _may_send_unrecorded(self, call: EndpointCall, item: CallItem, accepted: PendingSubmissions) -> bool:
+        """Returns whether an attempt may be sent unrecorded; one that may not is reported to the decisions."""
         if item.id not in accepted and self.invariants.may_send_unrecorded(item.id):
             return True
         self.reasons.note(Subject.HELD_BACK, f"call: {Denial.NOT_RECORDED.value}", item.id)
--- a/forwarder/runtime/endpoint_list.py
+++ b/forwarder/runtime/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as discovery tells them: recorded, told to the decisions, and applied to what may be called."""
+"""Endpoint lists from discovery: records them, passes them to the decisions, and updates the callable endpoints."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self._has_first_list = False
 
     def receive(self, endpoint_list: EndpointList | None) -> None:
-        """Applies a list at once: a drained endpoint must get nothing from now on. None: the watch has failed."""
+        """Applies a list at once, as drained endpoints must get no more calls. None means that the watch has failed."""
         runtime = self.runtime
         if endpoint_list is None:
             runtime.post(EndpointListReceived(EndpointListKind.FAILED))
@@ -44,19 +44,19 @@
 
     def _log_first_list(self, endpoint_list: EndpointList) -> None:
         log.info(
-            "list: version %d is the first that discovery told, %.3f s after the start; %d calls were made before",
+            "list: version %d is the first from discovery, %.3f s after the start; %d calls were made before",
             endpoint_list.version,
             time.monotonic() - self._started_s,
             self.runtime.effects.calls_made,
         )
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Follows a list, whole or in part, without telling the decisions."""
+        """Applies a list, complete or partial, without passing it to the decisions."""
         self.runtime.endpoint_table.apply(endpoint_list)
         self.publish_serving()
 
     def publish_serving(self) -> None:
-        """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
+        """Tells the pool and the extensions which endpoints may be called: the last check before a call is written."""
         runtime = self.runtime
         runtime.pool.update_addresses(runtime.endpoint_table.serving(runtime.store.disabled_endpoints))
         for extension in runtime.extensions:
--- a/forwarder/runtime/engine.py
+++ b/forwarder/runtime/engine.py
@@ -1,8 +1,8 @@
 """One running forwarder: builds its collaborators, and runs from the start to the end of the process.
 
-The engine decides nothing. What it is made of has one module for each job: `decision_loop` (rounds of events and
-actions), `intake` (submissions), `effects` (what leaves), `endpoint_list`, `startup`, `reload`, `handover`, `shutdown`
-and `periodic_checks`.
+The engine itself makes no decisions. Each job has its own module: `decision_loop` (rounds of events and actions),
+`intake` (submissions), `effects` (what leaves the process), `endpoint_list`, `startup`, `reload`, `handover`,
+`shutdown` and `periodic_checks`.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 from forwarder.storage.store import MessageStore
 
 ADMIN_RETRY_S = 1.0
-"""The admin address is tried again after this."""
+"""Delay before the admin address is bound again after a failure."""
 MIN_CONNECTIONS = 8
-"""Of clients, and of endpoints, however few descriptors there are."""
+"""Lowest connection limit, for clients and for endpoints each, however few descriptors there are."""
 log = logging.getLogger("forwarder.engine")
 
 
@@ -70,12 +70,12 @@
         extensions: Sequence[ExtensionFactory] = (),
         clock: AnchoredClock | None = None,
     ) -> None:
-        """Reads the journal and writes nothing: until it runs, another process may own all of it.
+        """Reads the journal but writes nothing: until `run` is called, another process may own the state folder.
 
         Raises:
-            OSError: the folder cannot be read.
-            NewerFormatError: the journal is of a newer program.
-            ForeignStateError: the folder is another forwarder's.
+            OSError: the state folder cannot be read.
+            NewerFormatError: a newer version of the program wrote the journal.
+            ForeignStateError: the state folder belongs to another forwarder.
         """
         self.config = config
         self.ownership = ownership
@@ -96,7 +96,7 @@
             settings.kinds, description.endpoint_numbers or {}, description.destinations
         )
         self.extensions: list[Extension] = []
-        self._build_sides(settings, sum(factory.descriptors for factory in extensions))
+        self._build_server_and_pool(settings, sum(factory.descriptors for factory in extensions))
         self._build_discovery()
         self._build_loop()
         self.endpoint_lists = EndpointListUpdates(self)
@@ -115,10 +115,10 @@
         salt = None if self.identity is None else self.identity.salt
         return MessageStore(self.config.state_folder, self.config.disk_bytes, classes, salt, self.ownership.acquire)
 
-    def _build_sides(self, settings: Settings, extension_descriptors: int) -> None:
-        """Builds the clients' and the endpoints' side, with a share of the descriptors for each.
+    def _build_server_and_pool(self, settings: Settings, extension_descriptors: int) -> None:
+        """Builds the client server and the endpoint connection pool, each with a share of the file descriptors.
 
-        The rest is for files, discovery and the listener.
+        The remaining descriptors are for files, discovery and the listener.
         """
         self.intake = SubmissionIntake(
             self.config.settings, self.clock, self.store, self.endpoint_table, self.reasons, self.run_state, self.post
@@ -148,7 +148,7 @@
         self.drain = ClientDrain(self.server, self.supervisor)
 
     def _build_discovery(self) -> None:
-        """Builds what follows the endpoint list, and what notifies the platform."""
+        """Builds the endpoint list watch and the notifier of the platform."""
         self.pending_notices = PendingNotices(self.store, self.invariants, self.clock, self.post)
         self.notices = Notifier(self.config.discovery, self.pending_notices, self.supervisor)
         self.watch = EndpointListWatch(
@@ -160,7 +160,7 @@
         )
 
     def _build_loop(self) -> None:
-        """Builds the loop around the decisions, and what applies them."""
+        """Builds the decision loop, and the effects that carry out its decisions."""
         self.effects = Effects(
             self.store,
             self.pool,
@@ -185,17 +185,17 @@
             self.supervisor,
         )
 
-    # What the collaborators, the extensions and the admin interface ask for
+    # Methods for the collaborators, the extensions and the admin interface
 
     def post(self, event: Event) -> None:
-        """Tells the decisions of an event, in the next round."""
+        """Passes an event to the decisions in the next round."""
         self.loop.post(event)
 
     def apply_command(self, event: Event) -> None:
-        """Records and applies what an operator has asked for, before the operator hears of it.
+        """Records and applies an operator's command before the operator is answered.
 
         Raises:
-            CommandRefusedError: it is done, but a power cut would undo it.
+            CommandRefusedError: the command has taken effect, but a power cut would undo it.
         """
         self.store.flush()
         self.publish_serving_endpoints()
@@ -209,30 +209,30 @@
         return self.endpoint_table.number(name, self.store.disabled_endpoints)
 
     def use_syncer(self, syncer: Syncer) -> None:
-        """From now on, what a record precedes waits until that record is synced."""
+        """Delays, from now on, the effects of a round until its records are synced."""
         self.loop.syncer = syncer
 
     def _receive_endpoint_list(self, endpoint_list: EndpointList | None) -> None:
         self.endpoint_lists.receive(endpoint_list)
 
     def apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Follows an endpoint list, whole or in part."""
+        """Applies an endpoint list, complete or partial."""
         self.endpoint_lists.apply(endpoint_list)
 
     def publish_serving_endpoints(self) -> None:
-        """Tells the pool and the extensions which endpoints may be called: the last check before the wire."""
+        """Tells the pool and the extensions which endpoints may be called: the last check before a call is written."""
         self.endpoint_lists.publish_serving()
 
     def start_draining(self) -> None:
-        """Sends clients away; what was accepted goes on."""
+        """Drains the clients; accepted messages are still delivered."""
         self.drain.start()
         for extension in self.extensions:
             extension.start_draining()
 
-    # The life of the process
+    # Lifetime of the process
 
     async def run(self) -> None:
-        """Serves until a shutdown is over. From here on the journal is written."""
+        """Serves until a shutdown is complete. The journal is written from here on."""
         self.identity = identity.count_start(self.identity, self.config.name, self.store.salt)
         if self.ownership.has_lock:
             self.clock.store_anchor()
@@ -246,7 +246,7 @@
         self.loop.run_round()
         self.notices.keep_connected()
         self.notices.wake()
-        self.admin.commands = self.commands.table()  # operators who are handed over have called one that serves
+        self.admin.commands = self.commands.table()  # operators that were handed over called a serving process
         if self.handover is not None:
             await adopt_clients(self, self.handover)
         self.server.listen(self.client_socket, handed_over=self.handover is not None)
@@ -276,7 +276,7 @@
         )
 
     async def _listen_for_operators(self) -> None:
-        """Listens on the admin address once it is free; clients do not wait for it."""
+        """Listens on the admin address once it is free, without delaying service to clients."""
         address = self.config.admin
         while address is not None and address not in self.admin.listeners:
             try:
--- a/forwarder/runtime/extension.py
+++ b/forwarder/runtime/extension.py
@@ -1,4 +1,4 @@
-"""What the runtime asks of an extension, and what an extension may use of the runtime."""
+"""The interface of extensions, and the part of the runtime that extensions may use."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class Syncer(Protocol):
-    """Makes what was written outlast a power cut."""
+    """Makes written records survive a power cut."""
 
     def call_when_synced(self, done: Callable[[], None], wrote: bool) -> None:
-        """Calls `done` once all that is written now is synced; at once if nothing was written and nothing waits."""
+        """Calls `done` once everything written so far is synced; at once if nothing was written and nothing waits."""
 
     def sync_now(self) -> bool:
-        """Syncs here and now, and lets all that waits go on. Returns whether that worked."""
+        """Syncs at once, and calls everything that waits. Returns whether the sync succeeded."""
 
 
 class ExtensionHost(Protocol):
-    """The forwarder, as extensions see it."""
+    """The forwarder as extensions see it."""
 
     config: Config
     clock: AnchoredClock
@@ -47,65 +47,65 @@
     startup_progress: StartupProgress
 
     def post(self, event: Event) -> None:
-        """Tells the decisions of an event, in the next round."""
+        """Passes an event to the decisions in the next round."""
 
     def apply_command(self, event: Event) -> None:
-        """Records and applies what an operator has asked for, in a round of its own.
+        """Records and applies an operator's command in a round of its own.
 
         Raises:
-            CommandRefusedError: it is done, but a power cut would undo it.
+            CommandRefusedError: the command has taken effect, but a power cut would undo it.
         """
 
     def endpoint_number(self, name: str) -> int:
         """Returns the number by which the decisions know an endpoint."""
 
     def use_syncer(self, syncer: Syncer) -> None:
-        """From now on, what a record precedes waits until that record is synced."""
+        """Delays, from now on, the effects of a round until its records are synced."""
 
 
 class Extension(Protocol):
-    """What a table of the parts file turns on."""
+    """An optional component that a table of the parts file turns on."""
 
     name: str
 
     @property
     def commands(self) -> CommandTable:
-        """Commands for operators, beside the forwarder's own."""
+        """Admin commands in addition to the forwarder's own."""
 
     async def open(self) -> None:
-        """Begins to serve.
+        """Starts serving.
 
         Raises:
-            OSError: its address is taken.
+            OSError: the address is already in use.
         """
 
     def apply_actions(self, actions: Iterable[Action]) -> None:
-        """Applies what a round has decided for it; actions that are meant for others are passed over."""
+        """Applies those actions of a round that are meant for this extension."""
 
     def update_endpoints(self, addresses: dict[int, Address]) -> None:
-        """The endpoints that may be called, or their addresses, have changed."""
+        """Takes the addresses, by endpoint number, of the endpoints that may be called from now on."""
 
     def start_draining(self) -> None:
-        """Clients are drained: nothing new begins."""
+        """Begins nothing new from now on, as clients are being drained."""
 
     def stop_draining(self) -> None:
-        """The drain is over."""
+        """Serves normally again after a drain."""
 
     def is_busy(self) -> bool:
-        """Returns whether something is in progress that the end of the process should wait for."""
+        """Returns whether work is in progress that the end of the process should wait for."""
 
     def abort(self) -> None:
-        """Ends everything at once. Not one callback more may run after it."""
+        """Ends everything at once. No callback may run afterwards."""
 
     def reload(self) -> None:
-        """Reads files again that it goes by (SIGHUP)."""
+        """Reads the files that the extension depends on again (SIGHUP)."""
 
     def describe_state(self) -> str:
-        """Returns its state in a few words, for the log."""
+        """Returns the state of the extension in a few words, for the log."""
 
 
 class BaseExtension:
-    """An extension that does nothing on any occasion; subclasses override what they need."""
+    """An extension whose methods do nothing; subclasses override what they need."""
 
     async def open(self) -> None:
         """Nothing to open."""
@@ -134,11 +134,11 @@
 
 
 class ExtensionFactory(Protocol):
-    """Makes an extension, from its table of the parts file."""
+    """Makes an extension from its table of the parts file."""
 
     @property
     def descriptors(self) -> int:
-        """The file descriptors that it takes at most; clients of messages have so many fewer."""
+        """Maximum number of file descriptors of the extension, by which the limit of client connections is reduced."""
 
     def __call__(self, host: ExtensionHost, /) -> Extension:
-        """Makes it. The host is complete but for its journal, which is not recovered yet."""
+        """Makes the extension. The host is complete, except that its journal is not recovered yet."""
--- a/forwarder/runtime/extension_loader.py
+++ b/forwarder/runtime/extension_loader.py
@@ -1,4 +1,4 @@
-"""Loads the extensions that the parts file turns on. What has no table there is not even imported."""
+"""Loads the extensions that the parts file turns on. An extension without a table there is not even imported."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     "members": "forwarder.membership.extension",
     "journal": "forwarder.storage.durability",
 }
-"""The module of each table: its `prepare(table, config)` returns what makes the extension."""
+"""The module of each table. Its `prepare(table, config)` returns the factory of the extension."""
 
 
 def load_extensions(path: Path, config: Config) -> list[ExtensionFactory]:
-    """Returns what makes the extensions of a parts file, in the order of their tables.
+    """Returns the factories of the extensions in a parts file, in the order of their tables.
 
     Raises:
-        ConfigError: the file cannot be read, or a key of it is unknown or cannot hold.
+        ConfigError: the file cannot be read, or one of its keys is unknown or has an invalid value.
     """
     factories: list[ExtensionFactory] = []
     for table in read_tables(path, MODULES):
--- a/forwarder/runtime/intake.py
+++ b/forwarder/runtime/intake.py
@@ -1,4 +1,4 @@
-"""Submissions from clients: what is accepted for the next round, and how the rest is answered."""
+"""Submissions from clients: queues those that the next round decides on, and answers the others."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from forwarder.units import SECOND_US
 
 RETRY_AFTER_S = (0.5, 1.5)
-"""Clients are told to come again after a time from this range: not all at one moment."""
+"""Range of the Retry-After of rejected submissions, so that clients do not all return at the same moment."""
 FULL_LOG_INTERVAL_US = 10 * SECOND_US
 log = logging.getLogger("forwarder.engine")
 
 
 def retry_after_jittered() -> str:
-    """Returns a value for the Retry-After of a submission that is not accepted, in seconds."""
+    """Returns a Retry-After for a submission that is not accepted, in seconds."""
     return f"{random.uniform(*RETRY_AFTER_S):.3f}"
 
 
@@ -52,13 +52,13 @@
         self.run_state = run_state
         self.post = post
         self.pending: PendingSubmissions = {}
-        """What came since the last round, by message id."""
+        """Submissions since the last round, by message id."""
         self._full_logged_us = -FULL_LOG_INTERVAL_US
 
     def submit(self, submission: Submission, client: ClientConnection) -> None:
-        """Takes a submission into the next round; what the decisions never see is answered at once."""
+        """Queues a submission for the next round, or answers it at once if the decisions need not see it."""
         if self.store.knows(submission.id):
-            client.answer(HTTPStatus.ACCEPTED)  # it was accepted before, or has had its end
+            client.answer(HTTPStatus.ACCEPTED)  # it was accepted before, or has already ended
             return
         if submission.id in self.pending:
             self.reject_unavailable(submission, client, "handed in twice at once")
@@ -84,42 +84,42 @@
         )
 
     def _has_room(self, submission: Submission) -> bool:
-        held = len(self.store.messages) + len(self.pending)
-        size = len(submission.body) + sum(len(pending.body) for pending, _ in self.pending.values())
-        # Without the clock's anchor a restart would not know the messages' time.
-        can_record = self.store.has_capacity_for(size) and self.clock.is_anchored
-        if not self.run_state.is_frozen and held < self.settings.max_open_messages and can_record:
+        held_count = len(self.store.messages) + len(self.pending)
+        size_bytes = len(submission.body) + sum(len(pending.body) for pending, _ in self.pending.values())
+        # Without the clock's anchor, a restart could not tell how much time the messages have left.
+        can_record = self.store.has_capacity_for(size_bytes) and self.clock.is_anchored
+        if not self.run_state.is_frozen and held_count < self.settings.max_open_messages and can_record:
             return True
         if self.clock() - self._full_logged_us > FULL_LOG_INTERVAL_US and not self.run_state.is_frozen:
             self._full_logged_us = self.clock()
-            log.warning("full: new submissions are rejected: held=%d", held)
+            log.warning("full: new submissions are rejected: held=%d", held_count)
         return False
 
     def withdraw_disconnected(self) -> None:
-        """Withdraws the submissions whose clients are gone: they cannot hear that their message is accepted."""
+        """Withdraws the submissions whose clients have disconnected: a 202 could not reach them."""
         for message_id in disconnected({message_id: client for message_id, (_, client) in self.pending.items()}):
             self.withdraw(message_id)
 
     def take_pending(self) -> PendingSubmissions:
-        """Returns what came since the last round, and starts anew."""
+        """Returns the submissions since the last round, and starts a new collection."""
         pending = self.pending
         self.pending = {}
         return pending
 
     def withdraw(self, message_id: str) -> None:
-        """The client has gone before its answer: it may submit the message elsewhere, so it is not ours."""
+        """Withdraws a submission whose client left before the answer: the client may submit the message elsewhere."""
         if self.pending.pop(message_id, None) is not None:
             self.post(MessageWithdrawn(message_id))
 
     def reject_unavailable(self, submission: Submission, client: ClientConnection, reason: str) -> None:
-        """Answers 503: the message was not accepted, and may be submitted again, here or elsewhere."""
+        """Answers 503: the message was not accepted and may be submitted again, here or elsewhere."""
         self.reasons.note(Subject.REFUSAL, reason, submission.id)
         client.answer(HTTPStatus.SERVICE_UNAVAILABLE, reason, Retry_After=retry_after_jittered())
 
     def reject_submission(
         self, submission: Submission, client: ClientConnection, action: RejectMessage | FailMessage
     ) -> None:
-        """Answers a message that was given up in the round in which it came: it was never accepted."""
+        """Answers a message that was given up in the round in which it arrived: it was never accepted."""
         reason = action.hold_reason.value if isinstance(action, RejectMessage) and action.hold_reason else "at once"
         self.reasons.note(Subject.REFUSAL, reason, submission.id)
         if isinstance(action, FailMessage):
--- a/forwarder/runtime/invariants.py
+++ b/forwarder/runtime/invariants.py
@@ -1,9 +1,10 @@
 """The one place that decides whether something may leave this process now: an answer, a call, a notice, a hand-over.
 
-What was decided in a round may have been overtaken before it leaves: by a drain, a Retry-After, a resend window that
-closed, a record that could not be written. Everything asks here at the moment at which it would leave. What is denied
-for such a reason is held back, and the decisions hear of it. What no race explains is a violation: the program itself
-is wrong. It is held back all the same, counted, logged with the request's id, and shown to operators (`RULES`).
+A round's decision may have been overtaken before its effect leaves: by a drain, a Retry-After, a resend window that
+closed, a record that could not be written. Every effect is checked here at the moment at which it would leave. An
+effect that is denied for such a reason is held back, and the decisions are told. A denial that no race explains is a
+violation, that is, a fault of the program. The effect is held back as well, and the violation is counted, logged with
+the request's id, and shown to operators (`RULES`).
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Denial(enum.Enum):
-    """Why something may not leave now. The values are what logs say."""
+    """Why something may not leave now. The values are logged."""
 
     NOT_RECORDED = "its record cannot be written"
     NOT_LISTED = "its endpoint may not be called any more"
@@ -34,7 +35,7 @@
 
 
 VIOLATIONS = frozenset({Denial.ENDED, Denial.STILL_IN_PROGRESS, Denial.MAY_HAVE_RUN, Denial.NEVER_ACCEPTED})
-"""What no race explains."""
+"""Denials that no race explains."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,18 +50,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteFacts:
-    """What is known, at the moment of writing, of where a call goes."""
+    """What is known, at the moment of writing, about the route of a call."""
 
     is_listed: bool
-    """Whether its endpoint may be called, at the address that the call was made for."""
+    """Whether the endpoint may be called at the address that the call was made for."""
     retry_after_until_us: int
-    """Until when its limit scope is to be left alone."""
+    """Time until which no call may be made in the limit scope."""
     has_unread_answer: bool = False
-    """Whether an answer of its limit scope has come and cannot be read: it may tell a Retry-After."""
+    """Whether an answer in the limit scope has arrived but cannot be read yet: it may carry a Retry-After."""
 
 
 def route_denial(attempt: AttemptFacts, route: RouteFacts, now_us: int) -> Denial | None:
-    """Returns what of the route, or of the message's times, forbids a call now."""
+    """Returns why the route or the message's times forbid a call now; None where they allow it."""
     if not route.is_listed:
         return Denial.NOT_LISTED
     if now_us < route.retry_after_until_us:
@@ -73,7 +74,7 @@
 
 
 class Invariants:
-    """Decides by what is on record. Each method returns why something may not leave; None where it may."""
+    """Decides by the recorded state. A method that returns a denial returns None if the effect may leave."""
 
     def __init__(self, store: MessageStore, reasons: ReasonCounts) -> None:
         self.store = store
@@ -86,9 +87,9 @@
 
         Args:
             attempt: the attempt.
-            route: where the call goes.
-            now_us: the time.
-            others_in_progress: the messages of other calls.
+            route: the route of the call.
+            now_us: the current time.
+            others_in_progress: the ids of the messages in other calls.
         """
         denial = route_denial(attempt, route, now_us)
         if denial is None:
@@ -109,13 +110,13 @@
 
     @staticmethod
     def _may_have_run(message: AcceptedMessage, number: int) -> bool:
-        """Returns whether an attempt other than this one has run, as far as anyone knows."""
+        """Returns whether an attempt other than this one may have run."""
         return message.maybe_ran_at_us >= 0 or any(other != number for other in message.in_flight)
 
     def may_send_unrecorded(self, message_id: str) -> bool:
-        """Returns whether a call may leave though its attempt cannot be written, so that a restart may make it again.
+        """Returns whether a call may leave although its attempt cannot be recorded, so that a restart may repeat it.
 
-        The next message of its key would have to wait for that one, so a message that keeps an order may not.
+        A message that keeps an order may not: the next message of its key would have to wait for the repeated call.
         """
         message = self.store.messages.get(message_id)
         return (
@@ -125,7 +126,7 @@
         )
 
     def may_accept(self, message_id: str, is_recorded: bool) -> Denial | None:
-        """Decides whether a client may be answered that its message is accepted."""
+        """Decides whether a client may be told that its message is accepted."""
         denial = None
         if not self.store.knows(message_id):
             denial = Denial.NEVER_ACCEPTED
@@ -143,12 +144,12 @@
         return None if self.store.may_notify(message_id, now_us) else Denial.NOT_RECORDED
 
     def may_hand_over(self) -> Denial | None:
-        """Decides whether another process may go on from the journal: it would not know of what is not on record."""
+        """Decides whether another process may continue from the journal: it would not know of unrecorded changes."""
         if not self.store.write_failed:
             return None
         self._note_denial("hand-over", Denial.NOT_RECORDED, "")
         return Denial.NOT_RECORDED
 
-    def _note_denial(self, what: str, denial: Denial, message_id: str) -> None:
+    def _note_denial(self, effect_name: str, denial: Denial, message_id: str) -> None:
         subject = Subject.VIOLATION if denial in VIOLATIONS else Subject.HELD_BACK
-        self.reasons.note(subject, f"{what}: {denial.value}", message_id)
+        self.reasons.note(subject, f"{effect_name}: {denial.value}", message_id)
--- a/forwarder/runtime/pending_notices.py
+++ b/forwarder/runtime/pending_notices.py
@@ -12,7 +12,7 @@
 
 
 class PendingNotices:
-    """Stands between the store and the notifier: only what may be told now is told."""
+    """Gives the notifier the stored notices that may be sent now, and records their acknowledgement."""
 
     def __init__(
         self, store: MessageStore, invariants: Invariants, clock: AnchoredClock, post: Callable[[Event], None]
@@ -26,16 +26,16 @@
         """Returns the notices that may be sent now, by message id."""
         now_us = self.clock()
         return {
-            name: end
-            for name, end in self.store.pending_notices.items()
-            if self.invariants.may_notify(name, now_us) is None
+            message_id: notice
+            for message_id, notice in self.store.pending_notices.items()
+            if self.invariants.may_notify(message_id, now_us) is None
         }
 
-    def acknowledge_notices(self, names: list[str]) -> None:
+    def acknowledge_notices(self, message_ids: list[str]) -> None:
         """Records that the platform has acknowledged the notices of these messages."""
-        for name in names:
-            end = self.store.pending_notices.get(name)
-            if end is not None and end.key is not None:
-                self.post(NoticeAcknowledged(name, end.key))
-            self.store.acknowledge_notice(name)
+        for message_id in message_ids:
+            notice = self.store.pending_notices.get(message_id)
+            if notice is not None and notice.key is not None:
+                self.post(NoticeAcknowledged(message_id, notice.key))
+            self.store.acknowledge_notice(message_id)
         self.store.flush()
--- a/forwarder/runtime/periodic_checks.py
+++ b/forwarder/runtime/periodic_checks.py
@@ -1,4 +1,4 @@
-"""What the runtime looks at several times a second, whatever else goes on."""
+"""Checks that the runtime makes several times a second, independently of rounds."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 INTERVAL_S = 0.1
 LAG_S = 0.1
-"""A delay of the event loop that is worth a line in the log."""
+"""Delay of the event loop that is logged, and after which overdue messages are left to the decisions."""
 LAG_LOG_INTERVAL_S = 10.0
 REASONS_LOG_INTERVAL_S = 1.0
 STATE_LOG_INTERVAL_S = 5.0
 OVERDUE_US = 120_000
-"""A message without an end is ended here so long after its time."""
+"""Time after its deadline at which a message that still has no end is ended here."""
 log = logging.getLogger("forwarder.engine")
 
 
 class PeriodicChecks:
-    """Retries what could not be written, logs the state, and ends messages that were left without an end."""
+    """Retries failed writes, logs the state, and ends messages that were left without an end."""
 
     def __init__(self, runtime: Runtime, folder_ownership: FolderOwnership) -> None:
         self.runtime = runtime
@@ -37,7 +37,7 @@
         self._reasons_logged_s = self._state_logged_s
 
     def start(self) -> RepeatingTimer:
-        """Makes the checks from now on, until what is returned is cancelled."""
+        """Starts the checks, which run until the returned timer is cancelled."""
         self._next_check_s = time.monotonic() + INTERVAL_S
         return self.runtime.supervisor.repeat("tick", INTERVAL_S, self._check)
 
@@ -49,7 +49,7 @@
         self._next_check_s = now_s + INTERVAL_S
         if lag_s > LAG_S and now_s - self._lag_logged_s > LAG_LOG_INTERVAL_S:
             self._lag_logged_s = now_s
-            log.warning("the loop stood still for %d ms", lag_s * 1000)
+            log.warning("the event loop was blocked for %d ms", lag_s * 1000)
         if now_s - self._state_logged_s > STATE_LOG_INTERVAL_S:
             self._state_logged_s = now_s
             log_state(runtime)
@@ -62,14 +62,14 @@
         if now_s - self._reasons_logged_s > REASONS_LOG_INTERVAL_S:
             self._reasons_logged_s = now_s
             runtime.reasons.report()
-        self._follow_startup()
+        self._update_startup()
         overdue = self._overdue_messages()
-        # After a standstill the decisions come first: their timers are due as well. The clock is read after what it is
-        # to vouch for, so that a standstill within this check counts too.
+        # After a delay the decisions come first, since their timers are due as well. The clock is read after the steps
+        # above, so that a delay within this check counts too.
         if time.monotonic() - due_s <= LAG_S:
-            self._end(overdue)
+            self._end_messages(overdue)
 
-    def _follow_startup(self) -> None:
+    def _update_startup(self) -> None:
         progress = self.runtime.startup_progress
         if progress.phase is StartupPhase.SERVING:
             return
@@ -77,8 +77,8 @@
             log.info("phase: %s", progress.describe(self.runtime.clock()))
 
     def end_overdue_messages(self) -> None:
-        """Ends what the decisions have left without an end past its time: that would break a promise."""
-        self._end(self._overdue_messages())
+        """Ends the messages that the decisions left without an end past their deadline: each is promised an end."""
+        self._end_messages(self._overdue_messages())
 
     def _overdue_messages(self) -> list[AcceptedMessage]:
         runtime = self.runtime
@@ -87,11 +87,11 @@
         limit_us = runtime.clock() - OVERDUE_US
         return [message for message in runtime.store.messages.values() if message.due_us < limit_us]
 
-    def _end(self, overdue: Iterable[AcceptedMessage]) -> None:
+    def _end_messages(self, overdue: Iterable[AcceptedMessage]) -> None:
         runtime = self.runtime
         for message in overdue:
             log.error("a message was left without an end: id=%s", message.id)
             runtime.store.add_pending_notice(message.id, "failed", 0)
-            if message.key is not None:  # the next of its key waits until the platform has heard of it
+            if message.key is not None:  # the next of its key waits until the notice is acknowledged
                 runtime.post(PendingNoticeRecovered(message.id, message.key))
             runtime.post(MessageWithdrawn(message.id))
--- a/forwarder/runtime/reason_counts.py
+++ b/forwarder/runtime/reason_counts.py
@@ -1,7 +1,7 @@
-"""Counts why connections were closed, calls retried and submissions rejected, and logs that once a second at most.
+"""Counts why connections were closed, calls retried and submissions rejected, and logs it at most once a second.
 
-Under load, a line for each event would cost more than the event. A line for each reason and second, with the number of
-events and the last request or peer concerned, still says what happened to whom, and when.
+Under load, a line for each event would cost more than the event itself. One line per reason and second, with the number
+of events and the last request or peer concerned, still shows what happened, to whom and when.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 log = logging.getLogger("forwarder.reasons")
 MAX_REASONS = 200
-"""Reasons that are counted apart; further ones are counted under OTHER_REASON."""
+"""Maximum number of reasons that are counted separately; further ones are counted under OTHER_REASON."""
 OTHER_REASON = "other"
 
 
 class Subject(enum.Enum):
-    """What a reason is given for. The values are what the log says."""
+    """The kind of event that a reason is given for. The values are logged."""
 
     CLIENT_CLOSED = "client closed"
     ENDPOINT_CLOSED = "endpoint closed"
@@ -30,12 +30,12 @@
 
 @dataclass(slots=True)
 class ReasonCount:
-    """How often a reason was given: since the start, and since it was last logged."""
+    """How often a reason was given, since the start and since it was last logged."""
 
     total: int = 0
     unlogged: int = 0
     last: str = ""
-    """The request, peer or endpoint that it was given for last."""
+    """The request, peer or endpoint of the latest event."""
 
 
 class ReasonCounts:
@@ -44,27 +44,27 @@
     def __init__(self) -> None:
         self.counts: dict[tuple[Subject, str], ReasonCount] = {}
 
-    def note(self, subject: Subject, reason: str, whom: str = "") -> None:
-        """Counts one event. A violation of an invariant is logged at once, and as an error.
+    def note(self, subject: Subject, reason: str, affected: str = "") -> None:
+        """Counts one event. A violation of an invariant is logged at once as an error.
 
         Args:
-            subject: what the reason is given for.
-            reason: one of few texts, without what differs from event to event.
-            whom: the request, peer or endpoint concerned.
+            subject: the kind of event.
+            reason: one of a small set of texts, without details that differ from event to event.
+            affected: the request, peer or endpoint concerned.
         """
         key = (subject, reason)
         if key not in self.counts and len(self.counts) >= MAX_REASONS:
             key = (subject, OTHER_REASON)
         count = self.counts.setdefault(key, ReasonCount())
         count.total += 1
-        count.last = whom
+        count.last = affected
         if subject is Subject.VIOLATION:
-            log.error("violation: reason=%s whom=%s total=%d", reason, whom, count.total)
+            log.error("violation: reason=%s whom=%s total=%d", reason, affected, count.total)
         else:
             count.unlogged += 1
 
     def report(self) -> None:
-        """Logs what was counted since the last report: one line for each reason."""
+        """Logs the counts since the last report, one line per reason."""
         for (subject, reason), count in self.counts.items():
             if count.unlogged:
                 log.info("%s: reason=%s count=%d last=%s", subject.value, reason, count.unlogged, count.last)
@@ -72,9 +72,13 @@
 
     def total(self, subject: Subject) -> int:
         """Returns the number of events of one subject since the start."""
-        return sum(count.total for (about, _), count in self.counts.items() if about is subject)
+        return sum(count.total for (counted_subject, _), count in self.counts.items() if counted_subject is subject)
 
     def summary(self, subject: Subject) -> str:
         """Returns the reasons of one subject with their totals, the most frequent first."""
-        totals = [(count.total, reason) for (about, reason), count in self.counts.items() if about is subject]
+        totals = [
+            (count.total, reason)
+            for (counted_subject, reason), count in self.counts.items()
+            if counted_subject is subject
+        ]
         return ", ".join(f"{reason} {total}" for total, reason in sorted(totals, reverse=True)) or "none"
--- a/forwarder/runtime/reload.py
+++ b/forwarder/runtime/reload.py
@@ -1,4 +1,4 @@
-"""Reload (SIGHUP): takes on what can change under a running forwarder: discovery's address, and the settings."""
+"""Reload (SIGHUP): applies what can change in a running forwarder: discovery's address and the settings."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 from forwarder.runtime.context import Runtime
 
 RETRY_S = 0.2
-"""A configuration that cannot be read is tried again after this."""
+"""Delay before a configuration that cannot be read is tried again."""
 log = logging.getLogger("forwarder.engine")
 
 
 def socket_settings(settings: Settings) -> Settings:
-    """Returns the settings for a forwarder on sockets, whatever they say of the simulator's discovery.
+    """Returns the settings for a forwarder on sockets, overriding what applies to the simulator's discovery only.
 
-    On sockets an end is known when its notice is answered, and the endpoint list always has to be asked for.
+    On sockets, an end is known once its notice is acknowledged, and the endpoint list always has to be polled.
     """
     return replace(settings, notices_acknowledged=True, poll_endpoint_list=True)
 
 
 class ConfigReloader:
-    """Reads the configuration again. A file that is not complete or cannot hold changes nothing."""
+    """Reads the configuration again. An incomplete or invalid file changes nothing."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
         self._retry: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Reads the file; again a little later where it cannot be read, for discovery may have moved."""
+        """Reads the file, and retries shortly afterwards if it cannot be read, because discovery may have moved."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
         try:
             loaded = load_config(before=self.runtime.config)
         except ConfigUnreadableError as error:
-            log.error("the configuration is read again soon: %s", error)
+            log.error("the configuration cannot be read and will be retried: %s", error)
             self._retry = asyncio.get_running_loop().call_later(RETRY_S, self.reload)
             return
         except ConfigError as error:
             log.error("the configuration is left as it was: %s", error)
             return
-        self._take_on(loaded)
+        self._apply_config(loaded)
 
-    def _take_on(self, loaded: Config) -> None:
+    def _apply_config(self, loaded: Config) -> None:
         runtime = self.runtime
         before = runtime.config
         runtime.config = replace(
@@ -70,7 +70,7 @@
             runtime.watch.change_address(loaded.discovery)
             runtime.notices.change_address(loaded.discovery)
         if loaded.settings != before.settings and not runtime.run_state.is_frozen:
-            runtime.loop.run_round()  # what came under the old settings is accepted under them
+            runtime.loop.run_round()  # submissions from before the reload are accepted under the old settings
             self._apply_settings(socket_settings(loaded.settings))
 
     def _apply_settings(self, settings: Settings) -> None:
--- a/forwarder/runtime/shutdown.py
+++ b/forwarder/runtime/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown (SIGTERM): goes on as before while clients still come, then waits for what is in progress."""
+"""Graceful shutdown (SIGTERM): serves as before while clients still arrive, then waits for work in progress."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from forwarder.runtime.context import Runtime
 
 FREEZE_S = 2.8
-"""So long after SIGTERM nothing new is sent, and what is in progress is waited for."""
+"""Time after SIGTERM from which nothing new is sent, and only work in progress is waited for."""
 EXIT_S = 3.3
-"""So long after SIGTERM the process ends: SIGKILL may come at 3.7 s."""
+"""Time after SIGTERM at which the process ends at the latest: SIGKILL may come at 3.7 s."""
 CHECK_INTERVAL_S = 0.05
 log = logging.getLogger("forwarder.engine")
 
 
 class GracefulShutdown:
-    """Ends the process once nothing is left to wait for. `done` is set then."""
+    """Ends the process, by setting `done`, once nothing is left to wait for."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
@@ -35,14 +35,14 @@
         runtime.supervisor.repeat("stop", CHECK_INTERVAL_S, self._check).arm(DRAIN_DELAY_S)
 
     def _check(self) -> None:
-        """Freezes the process when that is due, and looks whether it may end."""
+        """Freezes the process when that is due, and ends it once nothing is left to wait for or its time is over."""
         runtime = self.runtime
         stopping_since_s = runtime.run_state.stopping_since_s
         assert stopping_since_s is not None
-        passed_s = time.monotonic() - stopping_since_s
-        if passed_s >= FREEZE_S and not runtime.run_state.is_frozen:
+        elapsed_s = time.monotonic() - stopping_since_s
+        if elapsed_s >= FREEZE_S and not runtime.run_state.is_frozen:
             self._freeze()
-        if passed_s >= EXIT_S or self._has_nothing_left():
+        if elapsed_s >= EXIT_S or self._has_nothing_left():
             log.info(
                 "stopped: the journal keeps held=%d pending_notices=%d",
                 len(runtime.store.messages),
@@ -60,7 +60,7 @@
             runtime.supervisor.guard(extension.name, extension.abort)
 
     def _has_nothing_left(self) -> bool:
-        """Returns whether all is over, or, once the process is frozen, all that could still end."""
+        """Returns whether all work is done or, once the process is frozen, all work that could still end."""
         runtime = self.runtime
         if runtime.store.pending_notices:
             return False
--- a/forwarder/runtime/startup.py
+++ b/forwarder/runtime/startup.py
@@ -1,4 +1,4 @@
-"""Startup: what the journal and the process before tell, as events for the first round."""
+"""Startup: turns the state of the journal and of the previous process into events for the first round."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 def recover_state(runtime: Runtime) -> int:
-    """Posts what is known from before the start for the first round.
+    """Posts the recovered state to the first round.
 
     Returns:
-        The version of the newest endpoint list, or `NO_LIST_VERSION` where there is none.
+        The version of the newest endpoint list, or `NO_LIST_VERSION` if there is none.
     """
     store = runtime.store
     events = runtime.loop.events
@@ -43,7 +43,9 @@
     in_progress = {(item.message_id, item.number) for call in description.pool.calls for item in call.attempts}
     events += _recovered_messages(runtime, in_progress)
     events += [
-        PendingNoticeRecovered(name, end.key) for name, end in store.pending_notices.items() if end.key is not None
+        PendingNoticeRecovered(message_id, notice.key)
+        for message_id, notice in store.pending_notices.items()
+        if notice.key is not None
     ]
     now_us = runtime.clock()
     events += [KeyBackoffRecovered(key, until_us) for key, until_us in store.key_backoffs.items() if until_us > now_us]
@@ -55,7 +57,7 @@
 
 
 def _recover_endpoints(runtime: Runtime, saved_list: EndpointList) -> None:
-    """Applies the saved list, and posts it with the endpoints that are disabled or ejected."""
+    """Applies the saved list, and posts it with the disabled and the ejected endpoints."""
     store = runtime.store
     events = runtime.loop.events
     store.record_known_endpoints(endpoint.name for endpoint in saved_list.endpoints)
@@ -72,7 +74,7 @@
 
 
 def _newest_list(runtime: Runtime) -> EndpointList:
-    """Returns the journal's list, or that of the configuration, which may be older than the journal's drains."""
+    """Returns the newer of the journal's and the configuration's list: an older one may lack drains."""
     configured = runtime.config.initial_list
     store = runtime.store
     if store.endpoint_list_version < configured.version:
@@ -83,9 +85,9 @@
 
 
 def fail_doubtful_messages(store: MessageStore) -> None:
-    """Ends by a notice, after damage, what may be over already and may not be sent again.
+    """After damage to the journal, fails the messages that may have ended already and may not be sent again.
 
-    A message of which only the id is known is among them.
+    Each gets a notice, and so does a message of which only the id is known.
     """
     doubtful = [
         message
@@ -99,7 +101,7 @@
 
 
 def _recovered_messages(runtime: Runtime, in_progress: Container[tuple[str, int]]) -> Iterator[Event]:
-    """Yields each message that is held, and records that the outcome of its lost attempts is not known."""
+    """Yields an event for each held message, and records that the outcome of its lost attempts is unknown."""
     for message in runtime.store.messages.values():
         lost = [number for number in message.in_flight if (message.id, number) not in in_progress]
         for number in lost:
--- a/forwarder/runtime/state_log.py
+++ b/forwarder/runtime/state_log.py
@@ -1,4 +1,4 @@
-"""The lines that tell, every few seconds, how the forwarder stands; counts are since the start."""
+"""Log lines that describe the state of the forwarder every few seconds; counts are since the start."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from forwarder.runtime.reason_counts import Subject
 from forwarder.units import SECOND_US
 
-MOST_HOLD_REASONS = 3
-"""The largest hold reasons that a line names."""
+MAX_HOLD_REASONS = 3
+"""Number of hold reasons that a line names, the largest first."""
 log = logging.getLogger("forwarder.engine")
 
 
 def open_descriptors() -> int:
-    """Returns how many descriptors this process holds; -1 where that cannot be read."""
+    """Returns how many file descriptors this process has open, or -1 if that cannot be read."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # without the one that looks
+        return len(os.listdir("/proc/self/fd")) - 1  # not counting the one that lists the folder
     except OSError:
         return -1
 
@@ -48,7 +48,7 @@
         runtime.notices.connecting.describe(),
         runtime.notices.posting.describe(),
     )
-    largest = runtime.dispatcher.hold_times.totals()[:MOST_HOLD_REASONS]
+    largest = runtime.dispatcher.hold_times.totals()[:MAX_HOLD_REASONS]
     held_by = [f"{reason.value} {held_us / SECOND_US:.1f} s" for reason, held_us in largest]
     log.info("state: %s; held by: %s", runtime.startup_progress.phase.value, "; ".join(held_by) or "nothing")
     for extension in runtime.extensions:
--- a/tests/runtime/test_startup.py
+++ b/tests/runtime/test_startup.py
@@ -8,7 +8,7 @@
 import pytest
 
 from forwarder.runtime.intake import retry_after_jittered
-from forwarder.runtime.startup_phase import CATCHING_UP_US, RECOVERING_US, StartupPhase, StartupProgress
+from forwarder.runtime.startup_phase import MAX_CATCHING_UP_US, MAX_RECOVERING_US, StartupPhase, StartupProgress
 from forwarder.storage.schema import KINDS, JournalClosedRecord, SnapshotSealedRecord
 from tests.nodes import Node
 from tests.platforms import Platform
@@ -35,8 +35,8 @@
             seen[progress.phase] = now
     assert seen.get(StartupPhase.CATCHING_UP, recovering_s * S) == recovering_s * S
     assert seen[StartupPhase.SERVING] == serving_s * S
-    assert progress.durations_us[StartupPhase.RECOVERING] <= RECOVERING_US
-    assert progress.durations_us[StartupPhase.CATCHING_UP] <= CATCHING_UP_US
+    assert progress.durations_us[StartupPhase.RECOVERING] <= MAX_RECOVERING_US
+    assert progress.durations_us[StartupPhase.CATCHING_UP] <= MAX_CATCHING_UP_US
 
 
 def test_a_restart_goes_through_its_phases_and_tells_them(tmp_path: Path) -> None:
