--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -20,7 +20,7 @@
 from forwarder.discovery.endpoint_list_watch import FIRST_POLL_HOLD_MS, POLL_HOLD_MS, EndpointListWatch
 from forwarder.runtime import engine as engine_module
 from tests.discovery.peers import QuestionedDiscovery, json_answer
-from tests.engine_scene import SECOND, EngineScene, play_with_platform
+from tests.engine_scene import SECOND_US, EngineScene, play_with_platform
 from tests.platforms import Platform
 from tests.scenes import play, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, Answer, Request, Skewed, always
@@ -31,7 +31,7 @@
 
 def test_a_silent_watch_polls_again_before_what_it_missed_counts() -> None:
     """Up to 0.2 s too late, before: the grace for drains, which settings may make shorter, hid it."""
-    assert watch_module.POLL_GRACE_S + 2 * MIN_POLL_BACKOFF_US / SECOND < CHANGE_COUNTS_AFTER_S - 0.1
+    assert watch_module.POLL_GRACE_S + 2 * MIN_POLL_BACKOFF_US / SECOND_US < CHANGE_COUNTS_AFTER_S - 0.1
 
 
 class SilentDiscovery(Platform):
--- a/tests/endpoints/peers.py
+++ b/tests/endpoints/peers.py
@@ -13,7 +13,7 @@
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
-from tests.engine_scene import DUE_US, SECOND
+from tests.engine_scene import DUE_US, SECOND_US
 from tests.sockets import Skewed
 
 
@@ -89,7 +89,7 @@
 
     def pool(self, ends: list[AttemptEnded]) -> ConnectionPool:
         """A pool whose target 1 this is."""
-        pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND, SECOND, 10)
+        pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: self.address})
         return pool
 
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -22,7 +22,7 @@
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, FullSocket, SocketEndpoint, make_call, make_pool
-from tests.engine_scene import DUE_US, SECOND, RecordingTransport, play_with_platform
+from tests.engine_scene import DUE_US, SECOND_US, RecordingTransport, play_with_platform
 from tests.platforms import Platform
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, Skewed, hang
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     ("before_us", "over"),
     [
-        (2 * SECOND, True),
+        (2 * SECOND_US, True),
         (DELIVERY_MARGIN_US + 5_000, True),
         (DELIVERY_MARGIN_US - 5_000, False),
         (1_000, False),
@@ -55,7 +55,7 @@
             return OK
 
         peer = await Peer(answer).start()
-        pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(clock, ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
@@ -305,7 +305,7 @@
     ends: list[AttemptEnded] = []
 
     async def run() -> None:
-        pool = ConnectionPool(Skewed(), ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(Skewed(), ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", 9)})
         connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + DUE_US
         connection.connection_made(RecordingTransport(protocol=connection))
@@ -343,7 +343,7 @@
     ends: list[AttemptEnded] = []
 
     async def run() -> None:
-        pool = ConnectionPool(Skewed(), ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(Skewed(), ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", 9)})
         connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + DUE_US
         transport = RecordingTransport(protocol=connection)
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -18,7 +18,7 @@
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, DeadTransport, FullSocket, SocketEndpoint, make_call, make_pool
-from tests.engine_scene import DUE_US, SECOND, play_with_platform
+from tests.engine_scene import DUE_US, SECOND_US, play_with_platform
 from tests.platforms import Platform
 from tests.sockets import OK, Answer, Peer, Request, Skewed, always
 
@@ -76,15 +76,15 @@
             return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
 
         peer = await Peer(accept).start()
-        pool = ConnectionPool(clock, ends.append, (), SECOND, SECOND, 10)
+        pool = ConnectionPool(clock, ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         far = now + DUE_US
         for alone in (True, False):
-            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND)
+            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND_US)
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
             pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
-            clock.until(clock() + SECOND)  # the dial has not begun yet
+            clock.until(clock() + SECOND_US)  # the dial has not begun yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(end.message_id, end.outcome) for end in ends] == [
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -20,10 +20,10 @@
 from tests.platforms import Platform
 from tests.sockets import PATIENCE, Skewed
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-DUE_US = 50 * SECOND
+DUE_US = 50 * SECOND_US
 
 
 class EngineScene:
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.engine_scene import SECOND
+from tests.engine_scene import SECOND_US
 from tests.nodes import SETTINGS
 from tests.platforms import Platform
 from tests.scenes import play, received_ids, start_endpoint, start_node
@@ -186,7 +186,7 @@
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("aim_us", [2 * SECOND, 40 * SECOND, 60 * SECOND])
+@pytest.mark.parametrize("aim_us", [2 * SECOND_US, 40 * SECOND_US, 60 * SECOND_US])
 def test_what_a_restart_finds_untried_is_tried(tmp_path: Path, aim_us: int) -> None:
     """Also where the aim is near the deadline, so that the expected call is a large part of the time that is left."""
 
