--- a/tests/endpoints/peers.py
+++ b/tests/endpoints/peers.py
@@ -13,7 +13,7 @@
 from forwarder.endpoints.call import CallItem, EndpointCall, LimitScopeKey
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
-from tests.engine_scene import DUE_US, SECOND_US
+from tests.engine_scene import SECOND_US, TIME_LEFT_US
 from tests.sockets import Skewed
 
 
@@ -95,7 +95,7 @@
 
     async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
         """Start a call, which must come on a new connection, and return that."""
-        far = pool.clock() + DUE_US
+        far = pool.clock() + TIME_LEFT_US
         pool.start(EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         sock.setblocking(False)
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -22,7 +22,7 @@
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, FullSocket, SocketEndpoint, make_call, make_pool
-from tests.engine_scene import DUE_US, SECOND_US, RecordingTransport, play_with_platform
+from tests.engine_scene import SECOND_US, TIME_LEFT_US, RecordingTransport, play_with_platform
 from tests.platforms import Platform
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, Skewed, hang
 
@@ -48,7 +48,7 @@
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
         clock = Skewed()
-        due = clock() + DUE_US
+        due = clock() + TIME_LEFT_US
 
         async def answer(request: Request) -> Answer:
             clock.until(due - before_us)
@@ -307,7 +307,7 @@
     async def run() -> None:
         pool = ConnectionPool(Skewed(), ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", 9)})
-        connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + DUE_US
+        connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + TIME_LEFT_US
         connection.connection_made(RecordingTransport(protocol=connection))
         call = EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem("m", 0, None, b"x", far, far)])
         pool.keep_idle(connection, 1)
@@ -345,7 +345,7 @@
     async def run() -> None:
         pool = ConnectionPool(Skewed(), ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", 9)})
-        connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + DUE_US
+        connection, far = EndpointConnection(pool, FullSocket()), pool.clock() + TIME_LEFT_US
         transport = RecordingTransport(protocol=connection)
         connection.connection_made(transport)
         items = [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -18,7 +18,7 @@
 from forwarder.endpoints.pool import ConnectionPool
 from forwarder.storage.clock import Clock
 from tests.endpoints.peers import OK_ANSWER, DeadTransport, FullSocket, SocketEndpoint, make_call, make_pool
-from tests.engine_scene import DUE_US, SECOND_US, play_with_platform
+from tests.engine_scene import SECOND_US, TIME_LEFT_US, play_with_platform
 from tests.platforms import Platform
 from tests.sockets import OK, Answer, Peer, Request, Skewed, always
 
@@ -78,7 +78,7 @@
         peer = await Peer(accept).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
-        far = now + DUE_US
+        far = now + TIME_LEFT_US
         for alone in (True, False):
             late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND_US)
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -23,7 +23,7 @@
 SECOND_US = 1_000_000
 
 
-DUE_US = 50 * SECOND_US
+TIME_LEFT_US = 50 * SECOND_US
 
 
 class EngineScene:
@@ -59,7 +59,7 @@
     def submit(self, name: str, cls: str, key: str = "k", due_us: int | None = None) -> None:
         """Hand a message in, on a connection of its own that nobody reads."""
         classes = {c.name: c for c in self.engine.config.settings.classes}
-        deadline_us = self.clock() + DUE_US if due_us is None else due_us
+        deadline_us = self.clock() + TIME_LEFT_US if due_us is None else due_us
         self.engine.intake.submit(
             Submission(name, classes[cls], 7, deadline_us, key, "acme", False, b"x"), SilentClient(self.engine)
         )
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -10,7 +10,7 @@
 import pytest
 
 from forwarder.runtime import engine as engine_module
-from tests.engine_scene import DUE_US, EngineScene, play_with_platform
+from tests.engine_scene import TIME_LEFT_US, EngineScene, play_with_platform
 from tests.nodes import SETTINGS, Node
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
@@ -98,9 +98,9 @@
         platform.add_endpoint("s1", peer.port)
         platform.accepts = False
         running = await EngineScene(tmp_path, platform).start()
-        due = running.clock() + DUE_US
+        due = running.clock() + TIME_LEFT_US
         running.submit("late", cls, due_us=due)
-        running.submit("next", cls, due_us=due + DUE_US)
+        running.submit("next", cls, due_us=due + TIME_LEFT_US)
         await peer.wait_for_requests(1 if cls == "turn" else 2)
         while "late" not in running.engine.store.pending_notices:
             await asyncio.sleep(0.005)
