--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -198,7 +198,7 @@
         asyncio.get_running_loop().call_later(delay_s, self._fire_timer, at_us, token)
 
     def _fire_timer(self, at_us: int, token: str) -> None:
-        """Posts the timer's event, but never early, as event loops may: the dispatcher would set no other timer."""
+        """Posts the timer's event, but not before its time, as an event loop may: the dispatcher would set no other."""
         if self.clock() < at_us:
             asyncio.get_running_loop().call_later(EARLY_TIMER_RETRY_S, self._fire_timer, at_us, token)
         else:
--- a/tests/engine_scene.py
+++ b/tests/engine_scene.py
@@ -1,4 +1,4 @@
-"""An engine in the test's own process, and connections that only record what is written."""
+"""An engine in the test's own process, and transports that only record what is written."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class EngineScene:
-    """An engine in this process, with real sockets to a platform, a target and its clients."""
+    """An engine in this process, with real sockets to a platform, an endpoint and its clients."""
 
     def __init__(self, folder: Path, platform: Platform, **settings: Any) -> None:
         (folder / "config.json").write_text(
@@ -57,7 +57,7 @@
         return self.engine.clock
 
     def submit(self, name: str, cls: str, key: str = "k", due_us: int | None = None) -> None:
-        """Hand a message in, on a connection of its own that nobody reads."""
+        """Submits a message on a connection of its own, on which nobody reads the answer."""
         classes = {c.name: c for c in self.engine.config.settings.classes}
         deadline_us = self.clock() + TIME_LEFT_US if due_us is None else due_us
         self.engine.intake.submit(
@@ -73,10 +73,9 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """A connection on paper.
+    """A transport without a peer: it records what is written and receives nothing.
 
-    What is written is kept, and nothing comes by itself. The protocol, if there is one, hears of a close in the loop's
-    next turn, as on sockets.
+    The protocol, if there is one, is told of a close in the next iteration of the event loop, as on sockets.
     """
 
     def __init__(self, sock: socket.socket | None = None, protocol: asyncio.Protocol | None = None) -> None:
@@ -118,12 +117,12 @@
 
 
 class SilentClient(ClientConnection):
-    """A client that is there and of whom no more is wanted."""
+    """A client that stays connected and does nothing else."""
 
     def __init__(self, engine: Engine) -> None:
         super().__init__(engine.server)
-        here, self.client = socket.socketpair()
-        self.transport = RecordingTransport(here)
+        server_end, self.client = socket.socketpair()
+        self.transport = RecordingTransport(server_end)
 
 
 def play_with_platform(scene: Callable[[Platform], Awaitable[None]]) -> None:
--- a/tests/runtime/test_busy_loop.py
+++ b/tests/runtime/test_busy_loop.py
@@ -1,4 +1,4 @@
-"""A call that fails though its socket is ready is not made again at once, played on the real program."""
+"""A system call that fails although its socket is ready is not retried at once; tested on the real program."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 FAILING_S = 1.5
 MAX_CPU_SHARE = 0.5
-"""Of a core, for a forwarder that has next to nothing to do."""
+"""Share of one core, for a forwarder that is almost idle."""
 CLIENTS = 8
 
 
 @pytest.mark.parametrize("call", ["client-send", "client-recv"])
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
-def test_a_failing_call_of_a_client_does_not_take_the_processor(tmp_path: Path, error: str, call: str) -> None:
-    """Guards against a loop that tried again in each of its turns, and was late with all else."""
+def test_a_failing_call_of_a_client_does_not_use_up_the_processor(tmp_path: Path, error: str, call: str) -> None:
+    """Guards against an event loop that retried in each iteration, which delayed everything else."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
--- a/tests/runtime/test_intake.py
+++ b/tests/runtime/test_intake.py
@@ -1,4 +1,4 @@
-"""Messages that are not accepted."""
+"""Submissions that are not accepted."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     "client_end", ["", "closed here", "its end is unread", "its end behind more is unread", "its reset is unread"]
 )
 def test_a_message_whose_client_has_gone_is_not_accepted(tmp_path: Path, client_end: str) -> None:
-    """It cannot hear of it, and hands the message in elsewhere.
+    """The client cannot be told, and submits the message elsewhere.
 
-    Its end may lie in the kernel: a process that was stopped for longer than clients wait finds each request and its
-    client's end there at once.
+    The end of its connection may still be unread: a process that was stopped for longer than clients wait finds each
+    request together with the end of the connection.
     """
 
     async def scene() -> None:
@@ -59,8 +59,8 @@
             accepted = listener.accept()[0]
         accepted.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, accepted)
-        due = engine.clock() + 10**7
-        engine.intake.submit(Submission("m", ORDER, 7, due, "k", "acme", False, b"x"), connection)
+        due_us = engine.clock() + 10**7
+        engine.intake.submit(Submission("m", ORDER, 7, due_us, "k", "acme", False, b"x"), connection)
         if client_end == "closed here":
             connection.close()
         elif "more" in client_end:
@@ -78,7 +78,7 @@
     asyncio.run(scene())
 
 
-def test_rejected_in_its_round_is_429_with_a_time_and_never_accepted(tmp_path: Path) -> None:
+def test_a_submission_rejected_in_its_round_gets_429_with_a_retry_after(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
--- a/tests/runtime/test_invariants.py
+++ b/tests/runtime/test_invariants.py
@@ -1,4 +1,4 @@
-"""What may leave the process, by the route, the message's times and what is on record."""
+"""Which effects may leave the process, by the route, the message's times and the recorded state."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         (Effect.REPEATABLE, -1, ("m",), Denial.STILL_IN_PROGRESS, Subject.VIOLATION),
     ],
 )
-def test_a_message_that_may_run_once_is_not_sent_again_nor_any_beside_itself(
+def test_a_message_that_may_run_once_is_not_sent_again_and_none_is_in_two_calls(
     tmp_path: Path, effect: Effect, ran_at_us: int, others: tuple[str, ...], denial: Denial | None, subject: Subject
 ) -> None:
     store, reasons = MessageStore(tmp_path, 1_000_000), ReasonCounts()
@@ -58,7 +58,7 @@
     store.messages["m"] = accepted
 
     assert Invariants(store, reasons).may_send(ATTEMPT, ROUTE, NOW_US, others) is denial
-    assert {about for about, _ in reasons.counts} == ({subject} if subject else set())
+    assert {noted for noted, _ in reasons.counts} == ({subject} if subject else set())
 
 
 def test_a_call_with_a_message_that_was_never_accepted_is_a_violation(tmp_path: Path) -> None:
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -37,8 +37,8 @@
     play(scene, tmp_path)
 
 
-def test_what_is_given_up_ends_at_once_by_one_notice(tmp_path: Path) -> None:
-    """The message has 50 s left: a notice within the test's patience was not held back to its deadline."""
+def test_a_message_that_is_given_up_ends_at_once_with_one_notice(tmp_path: Path) -> None:
+    """The message has 50 s left: a notice within the test's time limit was not held back to its deadline."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(Answer(500)))
@@ -54,7 +54,7 @@
     play(scene, tmp_path)
 
 
-def test_an_end_holds_its_key_until_its_notice_is_acknowledged(tmp_path: Path) -> None:
+def test_the_end_of_a_message_blocks_its_key_until_its_notice_is_acknowledged(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(Answer(500)))
         two = await start_endpoint(platform, always(OK), "s2", block=8)
@@ -78,29 +78,29 @@
 
 
 @pytest.mark.parametrize(("cls", "state"), [("turn", "failed"), ("status", "returned")])
-def test_a_delivery_that_may_have_come_too_late_is_ended_by_a_notice_too(
+def test_a_delivery_that_may_have_been_too_late_also_ends_with_a_notice(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, cls: str, state: str
 ) -> None:
-    """Seen on split+brink.
+    """Guards against a late delivery that counted as lost, and its key's next message as sent out of order.
 
-    Counted as lost, and the next of its key as sent out of order. A notice of what is over does no harm; until it is
-    answered the key waits.
+    Seen in the scenario split+brink. A notice for a message that has ended does no harm; the key waits until the notice
+    is acknowledged.
     """
     monkeypatch.setattr(engine_module, "AnchoredClock", lambda folder, base: Skewed(base))
 
     async def scene(platform: Platform) -> None:
         async def answer(request: Request) -> Answer:
             if request.headers["x-correlation-id"] == "late":
-                running.clock.until(due - 1_000)
+                running.clock.until(due_us - 1_000)
             return OK
 
         peer = await Peer(answer).start()
         platform.add_endpoint("s1", peer.port)
         platform.accepts = False
         running = await EngineScene(tmp_path, platform).start()
-        due = running.clock() + TIME_LEFT_US
-        running.submit("late", cls, due_us=due)
-        running.submit("next", cls, due_us=due + TIME_LEFT_US)
+        due_us = running.clock() + TIME_LEFT_US
+        running.submit("late", cls, due_us=due_us)
+        running.submit("next", cls, due_us=due_us + TIME_LEFT_US)
         await peer.wait_for_requests(1 if cls == "turn" else 2)
         while "late" not in running.engine.store.pending_notices:
             await asyncio.sleep(0.005)
@@ -115,8 +115,8 @@
     play_with_platform(scene)
 
 
-def test_a_limit_that_shrinks_below_what_is_held_gives_up_the_last_by_a_notice(tmp_path: Path) -> None:
-    """As a buffer that fills does: the largest pile gives up its last in order, and the rest goes on."""
+def test_a_limit_lowered_below_the_held_messages_gives_up_the_last_with_a_notice(tmp_path: Path) -> None:
+    """As when the buffer fills up: the largest queue gives up its last message, and the others go on."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
@@ -171,11 +171,11 @@
 }
 
 
-def test_other_names_effects_and_limits_hold_from_the_settings_alone(tmp_path: Path) -> None:
+def test_names_effects_and_limits_come_from_the_settings_alone(tmp_path: Path) -> None:
     """A keyed message that may have run is retried twice, within its zone only.
 
-    The other zone's endpoint is free; its class keeps no order and its clients send no session key. Classes of this
-    site's are unknown there.
+    The endpoint of the other zone is free. The class keeps no order, and its clients send no session key. The classes
+    of the usual test settings are unknown here.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
--- a/tests/runtime/test_notices_in_time.py
+++ b/tests/runtime/test_notices_in_time.py
@@ -1,4 +1,4 @@
-"""Notices that are due while this machine or the platform is in trouble, played on the real program."""
+"""Notices that fall due during failures of this machine or of the platform; tested on the real program."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
 from tests.sockets import Answer, Request, hang, once
 
 LOST_AFTER_S = 0.35
-"""A message without an end is lost so long after its time (PROTOCOL: 300 ms, and 50 ms on sockets)."""
+"""Time after its deadline at which a message without an end is lost (PROTOCOL: 300 ms, and 50 ms on sockets)."""
 RESTART_GRACE_S = 1.5
-"""No notice is overdue until so long after a restarted forwarder is ready (PROTOCOL)."""
-BACK_S = 1.0
-"""Service is back so soon after the end of a failure."""
+"""Time after a restarted forwarder is ready before which no notice is overdue (PROTOCOL)."""
+MAX_RECOVERY_S = 1.0
+"""Maximum time from the end of a failure until service is restored."""
 CLASSES = ("order", "status", "turn", "pay")
 LEFT_S = (1.0, 1.4, 1.8, 2.2, 2.6)
 FAILING_S = 3.0
 
 
 class NoticeTimes:
-    """Notes when each message's notice came first."""
+    """Records when the first notice of each message arrived."""
 
     def __init__(self, platform: Platform) -> None:
-        self.came_s: dict[str, float] = {}
+        self.arrived_s: dict[str, float] = {}
         self._platform = platform
-        platform.handler = self._note(platform.handler)
+        platform.handler = self._record_times(platform.handler)
 
-    def _note(
+    def _record_times(
         self, handler: Callable[[Request], Awaitable[Answer | bytes | None]]
     ) -> Callable[[Request], Awaitable[Answer | bytes | None]]:
-        async def noted(request: Request) -> Answer | bytes | None:
+        async def handle_and_record(request: Request) -> Answer | bytes | None:
             answer = await handler(request)
             for notice in self._platform.notices:
-                self.came_s.setdefault(notice["id"], time.monotonic())
+                self.arrived_s.setdefault(notice["id"], time.monotonic())
             return answer
 
-        return noted
+        return handle_and_record
 
 
 async def submit_all(node: Node) -> dict[str, float]:
-    """Submits messages that nobody delivers. Returns when each of those that are accepted is due."""
+    """Submits messages that cannot be delivered. Returns the deadlines of the accepted ones, by message id."""
     due_s = {}
     for left_s in LEFT_S:
         for message_class in CLASSES:
@@ -62,8 +62,8 @@
 
 @pytest.mark.parametrize("restarts", [False, True], ids=["in service", "over a restart"])
 @pytest.mark.parametrize("share", [1.0, 0.7])
-def test_ends_are_told_in_time_though_no_socket_is_to_be_had(tmp_path: Path, share: float, restarts: bool) -> None:
-    """Guards against ends that came seconds late, since what tells them had to be opened first."""
+def test_notices_arrive_in_time_although_no_socket_can_be_created(tmp_path: Path, share: float, restarts: bool) -> None:
+    """Guards against notices that came seconds late because their connection had to be opened first."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, hang)
@@ -81,14 +81,14 @@
         await node.fail()
         await platform.wait_until(lambda: len(platform.notices) >= len(due_s))
         bound_s = {name: max(due + LOST_AFTER_S, ready_s + RESTART_GRACE_S) for name, due in due_s.items()}
-        late = {name: times.came_s[name] - due_s[name] for name in due_s if times.came_s[name] > bound_s[name]}
+        late = {name: times.arrived_s[name] - due_s[name] for name in due_s if times.arrived_s[name] > bound_s[name]}
         assert not late
 
     play(scene, tmp_path)
 
 
-def test_ends_are_told_in_time_by_a_process_that_took_over_and_can_have_no_socket(tmp_path: Path) -> None:
-    """Found by the soak (seed 1101): all was handed over but the connection for notices."""
+def test_notices_arrive_in_time_from_a_successor_that_can_create_no_socket(tmp_path: Path) -> None:
+    """Found by the soak test (seed 1101): everything was handed over except the connection for notices."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, hang)
@@ -102,7 +102,9 @@
         assert await node.process.wait() == 0
         await platform.wait_until(lambda: len(platform.notices) >= len(due_s))
         late = {
-            name: times.came_s[name] - due for name, due in due_s.items() if times.came_s[name] > due + LOST_AFTER_S
+            name: times.arrived_s[name] - due
+            for name, due in due_s.items()
+            if times.arrived_s[name] > due + LOST_AFTER_S
         }
         assert not late
 
@@ -110,8 +112,8 @@
 
 
 @pytest.mark.parametrize("moves", [True, False], ids=["the platform moves", "its connection ends"])
-def test_ends_are_told_in_time_on_a_socket_in_reserve(tmp_path: Path, moves: bool) -> None:
-    """Found by the soak (seed 2205): SIGHUP moved the platform while no socket was to be had."""
+def test_notices_arrive_in_time_on_a_reserve_socket(tmp_path: Path, moves: bool) -> None:
+    """Found by the soak test (seed 2205): SIGHUP moved the platform while no socket could be created."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, hang)
@@ -128,23 +130,23 @@
         else:
             await platform.end_connections()
         await target.wait_until(lambda: len(target.notices) >= len(due_s))
-        late_s = {name: times.came_s[name] - due for name, due in due_s.items()}
+        late_s = {name: times.arrived_s[name] - due for name, due in due_s.items()}
         assert max(late_s.values()) < LOST_AFTER_S
 
     play(scene, tmp_path)
 
 
 @pytest.mark.parametrize("answers_after_s", [0.25, 0.6])
-def test_a_platform_that_answers_posts_slowly_is_heard(tmp_path: Path, answers_after_s: float) -> None:
-    """Guards against posts that are given up before their answer, all of them, for as long as the platform is slow."""
+def test_slow_answers_of_the_platform_to_posts_are_received(tmp_path: Path, answers_after_s: float) -> None:
+    """Guards against giving up every post before its answer for as long as the platform is slow."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        answered = platform.handler
+        answer = platform.handler
 
         async def slow(request: Request) -> Answer | bytes | None:
             if request.path == "/v1/notices":
                 await asyncio.sleep(answers_after_s)
-            return await answered(request)
+            return await answer(request)
 
         platform.handler = slow
         free = asyncio.Event()
@@ -154,7 +156,7 @@
         assert (await node.submit("second", "turn", left="9.0", X_Session_Key="k"))[0] == 202
         await platform.wait_for_notice("first")
         free.set()
-        async with asyncio.timeout(answers_after_s + BACK_S):
+        async with asyncio.timeout(answers_after_s + MAX_RECOVERY_S):
             await peer.wait_until(lambda: "second" in received_ids(peer))
 
     play(scene, tmp_path)
@@ -162,7 +164,7 @@
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
 def test_the_time_of_a_request_goes_on_while_it_cannot_be_read(tmp_path: Path, error: str) -> None:
-    """Guards against `lost`: a request that lay in the kernel for want of buffers was taken for one just come."""
+    """Guards against `lost`: a request that stayed in the kernel for lack of buffers counted as newly arrived."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, hang)
@@ -178,7 +180,7 @@
         status, _ = await client.answer()
         if status == 202:
             await platform.wait_for_notice("late")
-            assert times.came_s["late"] - sent_s < 1.2 + LOST_AFTER_S
+            assert times.arrived_s["late"] - sent_s < 1.2 + LOST_AFTER_S
         assert status in (202, 429)
 
     play(scene, tmp_path)
--- a/tests/runtime/test_periodic_checks.py
+++ b/tests/runtime/test_periodic_checks.py
@@ -1,4 +1,4 @@
-"""When the checks end a message themselves, and when they leave it to the decisions."""
+"""When the periodic checks end a message themselves, and when they leave it to the decisions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from forwarder.storage.clock import Clock
 from forwarder.units import SECOND_US
 
-HELD_UP_S = 0.3
+BLOCKED_S = 0.3
 
 
 class FakeStore:
-    """A store with one message, whose retry of a failed write may take long."""
+    """A store with one message, whose retry of a failed write can take long."""
 
     def __init__(self, due_us: int) -> None:
         self.messages = {"m": SimpleNamespace(id="m", due_us=due_us, key=None)}
@@ -45,20 +45,20 @@
     return checks
 
 
-def test_a_check_that_is_held_up_in_its_middle_leaves_messages_to_the_decisions() -> None:
-    """Guards against a wrong end: a process stopped within a check ended what the decisions had had no turn for."""
+def test_a_check_that_is_blocked_midway_leaves_messages_to_the_decisions() -> None:
+    """Guards against a wrong end: after a stop within a check, it ended a message before the decisions had run."""
     clock = Clock()
     clock.store_anchor = lambda: None
     store = FakeStore(clock() + SECOND_US // 20)
     checks = make_checks(store, clock)
-    store.retry_takes_s = HELD_UP_S
-    assert HELD_UP_S * SECOND_US > SECOND_US // 20 + OVERDUE_US
-    assert HELD_UP_S > LAG_S
+    store.retry_takes_s = BLOCKED_S
+    assert BLOCKED_S * SECOND_US > SECOND_US // 20 + OVERDUE_US
+    assert BLOCKED_S > LAG_S
     checks._check()
     assert not store.pending_notices
 
 
-def test_a_message_without_an_end_is_ended_by_a_check_in_time() -> None:
+def test_a_message_without_an_end_is_ended_by_a_check_that_is_not_delayed() -> None:
     clock = Clock()
     clock.store_anchor = lambda: None
     store = FakeStore(clock() - OVERDUE_US - 1)
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the new settings hold at once, or nothing of the file is taken."""
+"""SIGHUP: the new settings apply at once, or nothing in the file is applied."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from tests.sockets import OK, PATIENCE, always, hang
 
 
-async def reload(node: Node, word: str) -> None:
-    """Sends SIGHUP, and waits for the log line that tells how it went."""
+async def reload(node: Node, text: str) -> None:
+    """Sends SIGHUP, and waits for a log line with this text, which tells the outcome."""
     before = len(node.log)
     node.process.send_signal(signal.SIGHUP)
     async with asyncio.timeout(PATIENCE):
-        while not any(word in line for line in node.log[before:]):
+        while not any(text in line for line in node.log[before:]):
             await asyncio.sleep(0.01)
 
 
 STRICT = {"name": "strict", "aim_us": 2_000_000, "deadline_us": 60_000_000, "effect": "once"}
 
 
-def test_new_settings_hold_at_once_and_messages_under_way_keep_their_class(tmp_path: Path) -> None:
+def test_new_settings_apply_at_once_and_accepted_messages_keep_their_class(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer, other = await start_endpoint(platform, hang), await start_endpoint(platform, hang, "s2", block=8)
         node = await start_node(folder, platform)
@@ -51,7 +51,7 @@
 
 
 def without(document: Any, *path: Any) -> Any:
-    """Returns a copy that lacks the key at this path."""
+    """Returns a copy without the key at this path."""
     changed = copy.deepcopy(document)
     parent = functools.reduce(operator.getitem, path[:-1], changed)
     del parent[path[-1]]
--- a/tests/runtime/test_restart.py
+++ b/tests/runtime/test_restart.py
@@ -1,4 +1,4 @@
-"""What a restart finds, and what it does with it."""
+"""The state that a restart recovers, and what the new process does with it."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
         journal.write(data)
 
 
-@pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
-def test_call_cut_by_a_restart_may_have_run(tmp_path: Path, sign: int) -> None:
-    """A keyed message goes again under its key, one that may not be repeated never does."""
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
+def test_a_call_cut_off_by_a_restart_may_have_run(tmp_path: Path, signal_number: int) -> None:
+    """A keyed message is sent again under its key; one that may not be repeated is never sent again."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
@@ -37,7 +37,7 @@
             await asyncio.sleep(0.02)
         await other.wait_for_requests(1)
         peer.handler = other.handler = always(OK)
-        await node.restart(sign)
+        await node.restart(signal_number)
         assert (await platform.wait_for_notice("first"))["state"] == "failed"
         again = (await other.wait_for_requests(2))[1]
         assert again.headers["x-correlation-id"] == "keyed"
@@ -49,11 +49,11 @@
 
 
 def test_messages_of_one_key_go_one_at_a_time_also_after_a_restart(tmp_path: Path) -> None:
-    """The second destination stands open all the time: only the key holds its message back."""
+    """The second destination is available all the time: only the key holds its message back."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        shut = Answer(429, {"X-RateLimit-Wait-Ms": "40000"})
-        one = await start_endpoint(platform, always(OK, shut))
+        retry_later = Answer(429, {"X-RateLimit-Wait-Ms": "40000"})
+        one = await start_endpoint(platform, always(OK, retry_later))
         two = await start_endpoint(platform, always(OK), "s2", block=8)
         node = await start_node(folder, platform)
         assert (await node.submit("a", "turn", X_Session_Key="claim"))[0] == 202
@@ -75,7 +75,7 @@
     play(scene, tmp_path)
 
 
-def test_an_id_that_is_over_is_not_accepted_again_also_after_a_restart(tmp_path: Path) -> None:
+def test_the_id_of_an_ended_message_is_not_accepted_again_even_after_a_restart(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK, Answer(500), OK))
         node = await start_node(folder, platform)
@@ -88,14 +88,14 @@
                 assert (await node.submit(name, "pay"))[0] == 202
             assert (await node.submit(f"next{n}", "pay"))[0] == 202
             await peer.wait_for_requests(3 + n)
-            assert await node.end(signal.SIGTERM) == 0  # what it had out is over then
+            assert await node.end(signal.SIGTERM) == 0  # its calls have ended by then
             await node.start()
         assert received_ids(peer) == ["done", "lost", "next0", "next1"]
 
     play(scene, tmp_path)
 
 
-def test_attempts_spent_before_a_restart_stay_spent(tmp_path: Path) -> None:
+def test_attempts_made_before_a_restart_still_count(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         node = await start_node(folder, platform, max_attempts=2)
@@ -110,7 +110,7 @@
     play(scene, tmp_path)
 
 
-def test_a_pending_notice_outlasts_the_process_until_it_is_acknowledged(tmp_path: Path) -> None:
+def test_a_pending_notice_survives_a_restart_until_it_is_acknowledged(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(Answer(500)))
         platform.accepts = False
@@ -131,7 +131,7 @@
     play(scene, tmp_path)
 
 
-def test_message_whose_time_passed_while_down_gets_its_notice(tmp_path: Path) -> None:
+def test_a_message_whose_time_passed_while_the_process_was_down_gets_its_notice(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         node = await start_node(folder, platform)
@@ -146,7 +146,7 @@
     play(scene, tmp_path)
 
 
-def test_torn_tail_is_cut(tmp_path: Path) -> None:
+def test_a_torn_tail_is_cut_off(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         node = await start_node(folder, platform)
@@ -158,7 +158,7 @@
         await node.start()
         assert (await peer.wait_for_requests(2))[1].headers["x-correlation-id"] == "m"
         assert any("torn tail" in line for line in node.log)
-        peer.handler = hang  # and what is written after the cut can be read at the start after it
+        peer.handler = hang  # records written after the cut can be read at the next start
         assert (await node.submit("n", "status"))[0] == 202
         await peer.wait_for_requests(3)
         await node.restart()
@@ -167,8 +167,8 @@
     play(scene, tmp_path)
 
 
-def test_folder_stays_within_its_limit(tmp_path: Path) -> None:
-    """Large bodies fill the journal before the buffer: new work is refused, the folder never overflows."""
+def test_the_state_folder_stays_within_its_limit(tmp_path: Path) -> None:
+    """Large bodies fill the journal before the buffer: new submissions are rejected, the limit is not exceeded."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
@@ -187,8 +187,8 @@
 
 
 @pytest.mark.parametrize("aim_us", [2 * SECOND_US, 40 * SECOND_US, 60 * SECOND_US])
-def test_what_a_restart_finds_untried_is_tried(tmp_path: Path, aim_us: int) -> None:
-    """Also where the aim is near the deadline, so that the expected call is a large part of the time that is left."""
+def test_a_message_recovered_without_an_attempt_is_tried(tmp_path: Path, aim_us: int) -> None:
+    """This also holds where the aim is near the deadline, so that the expected call takes much of the time left."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the process by SIGTERM."""
+"""Shutdown by SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.sockets import OK, PATIENCE, always, hang, once
 
 
-def test_sigterm_goes_on_answering_and_leaves_the_journal_whole(tmp_path: Path) -> None:
+def test_after_sigterm_submissions_are_answered_and_the_journal_stays_intact(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         node = await start_node(folder, platform)
@@ -33,7 +33,7 @@
     play(scene, tmp_path)
 
 
-def test_a_second_sigterm_changes_nothing_of_the_first(tmp_path: Path) -> None:
+def test_a_second_sigterm_has_no_effect(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
         peer = await start_endpoint(platform, once(free))
@@ -54,8 +54,8 @@
     play(scene, tmp_path)
 
 
-def test_sigterm_before_it_is_ready_loses_nothing(tmp_path: Path) -> None:
-    """It waits for its address, which another socket has."""
+def test_sigterm_before_the_process_is_ready_loses_nothing(tmp_path: Path) -> None:
+    """The process is waiting for its address, which another socket uses."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
--- a/tests/runtime/test_supervisor.py
+++ b/tests/runtime/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What the supervisor keeps running goes on after an exception, and ends by cancellation alone."""
+"""Supervised steps, tasks and timers continue after an exception, and end by cancellation only."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert asyncio.run(scene()).summary() == "none"
 
 
-def test_a_task_that_is_kept_is_started_again_after_a_backoff_until_it_returns() -> None:
+def test_a_task_that_is_kept_running_is_restarted_after_a_backoff_until_it_returns() -> None:
     starts_s: list[float] = []
 
     async def scene() -> Supervisor:
