--- a/tests/runtime/test_supervisor.py
+++ b/tests/runtime/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What the supervisor keeps running goes on after an exception, and ends by cancellation alone."""
+"""Supervised steps, tasks and timers continue after an exception, and end by cancellation only."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import pytest
 
-from forwarder.runtime.supervisor import FIRST_BACKOFF_S, Supervisor, attempt
+from forwarder.runtime.supervisor import FIRST_BACKOFF_S, Supervisor, result_or_error
 
 
 def fail() -> None:
     raise ValueError("for the test")
 
 
-def test_an_attempt_returns_the_result_or_the_exception() -> None:
-    assert attempt(lambda: 5) == 5
-    assert isinstance(attempt(fail), ValueError)
+def test_result_or_error_returns_the_result_or_the_exception() -> None:
+    assert result_or_error(lambda: 5) == 5
+    assert isinstance(result_or_error(fail), ValueError)
 
 
 def test_a_guarded_step_that_fails_is_counted_and_logged(caplog: pytest.LogCaptureFixture) -> None:
@@ -42,7 +42,7 @@
     assert asyncio.run(scene()).summary() == "none"
 
 
-def test_a_task_that_is_kept_is_started_again_after_a_backoff_until_it_returns() -> None:
+def test_a_task_that_is_kept_running_is_restarted_after_a_backoff_until_it_returns() -> None:
     starts_s: list[float] = []
 
     async def scene() -> Supervisor:
@@ -55,7 +55,7 @@
 
         supervisor = Supervisor()
         async with asyncio.timeout(5):
-            await supervisor.keep("task", run)
+            await supervisor.keep_running("task", run)
         return supervisor
 
     supervisor = asyncio.run(scene())
