--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -16,7 +16,7 @@
 from forwarder.clients.unsent_answers import UnsentAnswers
 from forwarder.runtime.descriptor_watch import ready_now
 from forwarder.runtime.handover_format import ClientRecord
-from forwarder.runtime.patient_socket import PatientSocket
+from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -64,7 +64,7 @@
     def __init__(
         self,
         server: ConnectionOwner,
-        sock: PatientSocket | None = None,
+        sock: RetryingSocket | None = None,
         handed_over: ClientRecord | None = None,
         accept_delay_us: int = 0,
     ) -> None:
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -17,7 +17,7 @@
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
 from forwarder.runtime.descriptor_watch import ready_now
 from forwarder.runtime.failure_span import FailureSpan
-from forwarder.runtime.patient_socket import PatientSocket
+from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.units import SECOND_US
 
 BIND_TIMEOUT_S = 5.0
@@ -152,7 +152,7 @@
         self,
         sock: socket.socket,
         backlog: int,
-        make_protocol: Callable[[PatientSocket, int], asyncio.BaseProtocol],
+        make_protocol: Callable[[RetryingSocket, int], asyncio.BaseProtocol],
         free_slots: Callable[[], int] = unlimited_slots,
         on_failure: Callable[[OSError], None] | None = None,
         reserve: DescriptorReserve | None = None,
@@ -163,7 +163,7 @@
         self.free_slots = free_slots
         self.on_failure = on_failure
         self.reserve = reserve
-        self.attaching: dict[PatientSocket, asyncio.Task[None]] = {}
+        self.attaching: dict[RetryingSocket, asyncio.Task[None]] = {}
         self.accepting = FailureSpan(log, "accept")
         self._failure_pause_s = FIRST_FAILURE_PAUSE_S
         self._queued_since_s: float | None = UNKNOWN_TIME_S if handed_over else None
@@ -184,7 +184,7 @@
             asyncio.get_running_loop().remove_reader(self.sock)
             self.sock.close()
 
-    async def attach(self, sock: PatientSocket, queued_since_s: float) -> None:
+    async def attach(self, sock: RetryingSocket, queued_since_s: float) -> None:
         """Serves a connection that was accepted.
 
         Args:
@@ -256,7 +256,7 @@
         return self.reserve is not None and not self.reserve.is_held
 
     def _attach_accepted(self, accepted: socket.socket, queued_since_s: float) -> None:
-        sock = PatientSocket.of(accepted)
+        sock = RetryingSocket.of(accepted)
         sock.setblocking(False)
         self.attaching[sock] = asyncio.get_running_loop().create_task(self.attach(sock, queued_since_s))
 
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -15,7 +15,7 @@
 from forwarder.decisions.settings import Settings
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
 from forwarder.runtime.handover_format import ClientRecord
-from forwarder.runtime.patient_socket import PatientSocket
+from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
 
@@ -100,7 +100,7 @@
         Raises:
             OSError: the connection cannot be used.
         """
-        patient = PatientSocket.of(sock)
+        patient = RetryingSocket.of(sock)
         patient.setblocking(False)
         delay_us = CLIENT_TIMEOUT_US if handed_over is None else 0
         make = partial(ClientConnection, self, patient, handed_over, delay_us)
--- a/forwarder/clients/unsent_answers.py
+++ b/forwarder/clients/unsent_answers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from forwarder.runtime.patient_socket import PatientSocket
+from forwarder.runtime.patient_socket import RetryingSocket
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
         sock: the connection's socket, which counts what has left; None where nothing is to be undone.
     """
 
-    def __init__(self, sock: PatientSocket | None) -> None:
+    def __init__(self, sock: RetryingSocket | None) -> None:
         self._sock = sock
         self._written_bytes = 0
         self._waiting: deque[UnsentAnswer] = deque()
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -9,7 +9,7 @@
 from forwarder.config.config import Address
 from forwarder.endpoints.local_errors import LOCAL_ERRORS
 from forwarder.protocol.http1 import MAX_ENDPOINT_LIST_BYTES, BadResponseError, ResponseReader, render_request
-from forwarder.runtime.patient_socket import PatientSocket, SpareSocket, connect
+from forwarder.runtime.patient_socket import RetryingSocket, SpareSocket, connect
 
 RECONNECT_PAUSES_S = (0.0, 0.02, 0.05)  # short: until an answer has been read, calls go by an older endpoint list
 
@@ -178,7 +178,7 @@
         """
         sock.setblocking(False)
         loop = asyncio.get_running_loop()
-        _, self.channel = await loop.create_connection(DiscoveryChannel, sock=PatientSocket.of(sock))
+        _, self.channel = await loop.create_connection(DiscoveryChannel, sock=RetryingSocket.of(sock))
 
     async def connect(self, timeout_s: float) -> None:
         """Opens the connection, if it is not open, so that the next request need not.
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -19,7 +19,7 @@
 from forwarder.endpoints.call import EndpointCall
 from forwarder.protocol.http1 import MAX_BODY_BYTES, BadResponseError, ResponseReader
 from forwarder.runtime.descriptor_watch import ready_now
-from forwarder.runtime.patient_socket import TRANSIENT_ERRORS, PatientSocket
+from forwarder.runtime.patient_socket import TRANSIENT_ERRORS, RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 
 GIVEN_UP_S = 0.1  # how long an answer that crosses the end of its call is waited for (PROTOCOL: an end is due in 0.3 s)
@@ -82,7 +82,7 @@
     """
 
     def __init__(
-        self, owner: ConnectionOwner, sock: PatientSocket, call: EndpointCall | None = None, received: bytes = b""
+        self, owner: ConnectionOwner, sock: RetryingSocket, call: EndpointCall | None = None, received: bytes = b""
     ) -> None:
         self.owner = owner
         self.sock = sock
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -26,7 +26,7 @@
     PoolRecord,
 )
 from forwarder.runtime.invariants import Invariants
-from forwarder.runtime.patient_socket import PatientSocket, connect
+from forwarder.runtime.patient_socket import RetryingSocket, connect
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.units import SECOND_US
@@ -284,7 +284,7 @@
     async def _attach(
         self, sock: socket.socket, call: EndpointCall | None = None, received: bytes = b""
     ) -> EndpointConnection:
-        patient = PatientSocket.of(sock)
+        patient = RetryingSocket.of(sock)
         patient.setblocking(False)
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: EndpointConnection(self, patient, call, received), sock=patient
--- a/forwarder/runtime/patient_socket.py
+++ b/forwarder/runtime/patient_socket.py
@@ -22,7 +22,7 @@
 Made = TypeVar("Made", bound=asyncio.BaseProtocol)
 
 
-class PatientSocket(socket.socket):
+class RetryingSocket(socket.socket):
     """A socket that tries again where memory or buffers were not to be had.
 
     The event loop makes the call again a moment later. To end the connection instead would leave its request
@@ -38,7 +38,7 @@
     """Bytes that the kernel has taken since this object was made."""
 
     @classmethod
-    def of(cls, sock: socket.socket) -> PatientSocket:
+    def of(cls, sock: socket.socket) -> RetryingSocket:
         """Takes the place of a plain socket, which has no descriptor any more then."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
@@ -97,7 +97,7 @@
     """A socket in reserve, for a connection that must not wait until one can be had."""
 
     def __init__(self) -> None:
-        self._spare: PatientSocket | None = None
+        self._spare: RetryingSocket | None = None
         self.fill()
 
     def fill(self) -> None:
@@ -106,7 +106,7 @@
             with suppress(OSError):
                 self._spare = _new_socket(socket.AF_INET)
 
-    def make(self, family: int) -> PatientSocket:
+    def make(self, family: int) -> RetryingSocket:
         """Returns a new socket, or the one in reserve where no other can be had.
 
         Raises:
@@ -123,7 +123,7 @@
 
 
 async def connect(
-    make_protocol: Callable[[PatientSocket], Made],
+    make_protocol: Callable[[RetryingSocket], Made],
     address: Address,
     reserve: DescriptorReserve | None = None,
     spare: SpareSocket | None = None,
@@ -153,5 +153,5 @@
     return protocol
 
 
-def _new_socket(family: int) -> PatientSocket:
-    return PatientSocket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)  # else asyncio sets no TCP_NODELAY
+def _new_socket(family: int) -> RetryingSocket:
+    return RetryingSocket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)  # else asyncio sets no TCP_NODELAY
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -30,7 +30,7 @@
 )
 from forwarder.protocol.http1 import Headers, parse_load_report, parse_retry_after_us
 from forwarder.runtime.extension import ExtensionHost
-from forwarder.runtime.patient_socket import PatientSocket
+from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.streaming.client_session import ClientSession
 from forwarder.streaming.connection import BufferAccount, StreamConnection
 from forwarder.streaming.endpoint_connections import EndpointConnections
@@ -52,7 +52,7 @@
         self._extension = extension
         super().__init__(sock, BACKLOG, lambda _sock, _waited_us: asyncio.Protocol(), lambda: SPARE_SOCKETS // 2)
 
-    async def attach(self, conn: PatientSocket, queued_since_s: float) -> None:
+    async def attach(self, conn: RetryingSocket, queued_since_s: float) -> None:
         """Serves a connection that was accepted, to its end."""
         try:
             await self._extension.serve_client(conn)
