--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -16,8 +16,8 @@
 from forwarder.clients.unsent_answers import UnsentAnswers
 from forwarder.runtime.descriptor_watch import ready_now
 from forwarder.runtime.handover_format import ClientRecord
-from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.retrying_socket import RetryingSocket
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 MAX_PIPELINED_REQUESTS = 8  # requests that wait on one connection before no more is read from it
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -17,7 +17,7 @@
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
 from forwarder.runtime.descriptor_watch import ready_now
 from forwarder.runtime.failure_span import FailureSpan
-from forwarder.runtime.patient_socket import RetryingSocket
+from forwarder.runtime.retrying_socket import RetryingSocket
 from forwarder.units import SECOND_US
 
 BIND_TIMEOUT_S = 5.0
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -15,8 +15,8 @@
 from forwarder.decisions.settings import Settings
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
 from forwarder.runtime.handover_format import ClientRecord
-from forwarder.runtime.patient_socket import RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.retrying_socket import RetryingSocket
 from forwarder.runtime.supervisor import Supervisor
 
 READ_BUFFER_BYTES = 16 * 1024  # read at once from one client, so that a flood of requests does not hold up the others
--- a/forwarder/clients/unsent_answers.py
+++ b/forwarder/clients/unsent_answers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from forwarder.runtime.patient_socket import RetryingSocket
+from forwarder.runtime.retrying_socket import RetryingSocket
 
 
 @dataclass(frozen=True, slots=True)
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -9,7 +9,7 @@
 from forwarder.config.config import Address
 from forwarder.endpoints.local_errors import LOCAL_ERRORS
 from forwarder.protocol.http1 import MAX_ENDPOINT_LIST_BYTES, BadResponseError, ResponseReader, render_request
-from forwarder.runtime.patient_socket import RetryingSocket, SpareSocket, connect
+from forwarder.runtime.retrying_socket import RetryingSocket, SpareSocket, connect
 
 RECONNECT_PAUSES_S = (0.0, 0.02, 0.05)  # short: until an answer has been read, calls go by an older endpoint list
 
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -17,7 +17,7 @@
 from forwarder.discovery.client import DiscoveryClient
 from forwarder.protocol.http1 import MAX_BODY_BYTES, BadResponseError
 from forwarder.runtime.failure_span import FailureSpan
-from forwarder.runtime.patient_socket import SpareSocket
+from forwarder.runtime.retrying_socket import SpareSocket
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.messages import PendingNotice
 
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -19,8 +19,8 @@
 from forwarder.endpoints.call import EndpointCall
 from forwarder.protocol.http1 import MAX_BODY_BYTES, BadResponseError, ResponseReader
 from forwarder.runtime.descriptor_watch import ready_now
-from forwarder.runtime.patient_socket import TRANSIENT_ERRORS, RetryingSocket
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.retrying_socket import TRANSIENT_ERRORS, RetryingSocket
 
 GIVEN_UP_S = 0.1  # how long an answer that crosses the end of its call is waited for (PROTOCOL: an end is due in 0.3 s)
 PENDING_READ_TRIES = 3  # of the last read of a connection, where buffers are short
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -26,8 +26,8 @@
     PoolRecord,
 )
 from forwarder.runtime.invariants import Invariants
-from forwarder.runtime.patient_socket import RetryingSocket, connect
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
+from forwarder.runtime.retrying_socket import RetryingSocket, connect
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.units import SECOND_US
 
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -30,7 +30,7 @@
 )
 from forwarder.protocol.http1 import Headers, parse_load_report, parse_retry_after_us
 from forwarder.runtime.extension import ExtensionHost
-from forwarder.runtime.patient_socket import RetryingSocket
+from forwarder.runtime.retrying_socket import RetryingSocket
 from forwarder.streaming.client_session import ClientSession
 from forwarder.streaming.connection import BufferAccount, StreamConnection
 from forwarder.streaming.endpoint_connections import EndpointConnections
--- a/tests/runtime/test_patient_socket.py
+++ b/tests/runtime/test_retrying_socket.py
@@ -6,7 +6,7 @@
 import socket
 
 from forwarder.config.config import Address
-from forwarder.runtime.patient_socket import connect
+from forwarder.runtime.retrying_socket import connect
 
 
 def test_small_writes_on_a_connection_that_was_made_are_not_held_back() -> None:
