--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable
 
-from forwarder.runtime.descriptor_watch import PatientEpoll
+from forwarder.runtime.descriptor_watch import RetryingEpoll
 
 NO_WAIT_S = 0.0
 OVERSLEPT_NS = 20_000_000
@@ -27,8 +27,8 @@
         earliest_ns: the earliest time at which what it reported may have come.
     """
 
-    _selector_cls = PatientEpoll
-    _selector: PatientEpoll
+    _selector_cls = RetryingEpoll
+    _selector: RetryingEpoll
 
     def __init__(self) -> None:
         super().__init__()
--- a/forwarder/runtime/descriptor_watch.py
+++ b/forwarder/runtime/descriptor_watch.py
@@ -19,7 +19,7 @@
 """Errors of epoll_ctl that say nothing of the descriptor."""
 
 
-class PatientEpoll:
+class RetryingEpoll:
     """As `select.epoll`, for the selector of an event loop; registrations that fail for a moment are made again."""
 
     def __init__(self) -> None:
@@ -118,7 +118,7 @@
     """Lets the running event loop leave a descriptor alone for a moment; does nothing on one that cannot."""
     selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public way to it
     epoll = getattr(selector, "_selector", None)
-    if isinstance(epoll, PatientEpoll):
+    if isinstance(epoll, RetryingEpoll):
         epoll.rest(descriptor)
 
 
