--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -42,7 +42,7 @@
         waited: a process that loses the processor in one takes long too.
         """
         previous_ns = self.returned_ns
-        blind_since_ns = self._selector.blind_since_ns
+        unwatched_since_ns = self._selector.unwatched_since_ns
         ready = super().select(NO_WAIT_S)
         self.returned_ns = time.monotonic_ns()
         self.earliest_ns = previous_ns
@@ -51,8 +51,8 @@
             ready = super().select(timeout)
             self.returned_ns = time.monotonic_ns()
             self.earliest_ns = earliest_ns(began_ns, self.returned_ns, timeout)
-        if blind_since_ns is not None:
-            self.earliest_ns = min(self.earliest_ns, blind_since_ns)
+        if unwatched_since_ns is not None:
+            self.earliest_ns = min(self.earliest_ns, unwatched_since_ns)
         return ready
 
 
--- a/forwarder/runtime/descriptor_watch.py
+++ b/forwarder/runtime/descriptor_watch.py
@@ -23,7 +23,7 @@
     """As `select.epoll`, for the selector of an event loop; registrations that fail for a moment are made again."""
 
     def __init__(self) -> None:
-        self.blind_since_ns: int | None = None
+        self.unwatched_since_ns: int | None = None
         """Since when, by the monotonic clock, some events may go unreported; None while none do."""
         self._epoll = select.epoll()
         self._watched: dict[int, int] = {}
@@ -75,7 +75,7 @@
         if self._wanted:
             self._watch_wanted()
         if len(self._wanted) == len(self._resting_until_s):
-            self.blind_since_ns = None
+            self.unwatched_since_ns = None
         if self._wanted and (timeout_s is None or not 0 <= timeout_s <= RETRY_S):
             timeout_s = RETRY_S
         return self._epoll.poll(timeout_s, max_events)
@@ -107,8 +107,8 @@
                 self._wanted.pop(descriptor, None)
                 raise
             self._wanted[descriptor] = events
-            if self.blind_since_ns is None:
-                self.blind_since_ns = time.monotonic_ns()
+            if self.unwatched_since_ns is None:
+                self.unwatched_since_ns = time.monotonic_ns()
         else:
             self._watched[descriptor] = events
             self._wanted.pop(descriptor, None)
