--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -247,7 +247,7 @@
             BlockingIOError: none waits.
             OSError: none can be accepted just now, or the one that waited has failed.
         """
-        accepted, _ = self.sock.accept() if self.reserve is None else self.reserve.lend(self.sock.accept)
+        accepted, _ = self.sock.accept() if self.reserve is None else self.reserve.allocate(self.sock.accept)
         self.accepting.worked()
         self._failure_pause_s = FIRST_FAILURE_PAUSE_S
         return accepted
--- a/forwarder/runtime/descriptor_reserve.py
+++ b/forwarder/runtime/descriptor_reserve.py
@@ -31,7 +31,7 @@
         """Whether there is a descriptor in reserve."""
         return self._spare is not None
 
-    def lend(self, make: Callable[[], Made]) -> Made:
+    def allocate(self, make: Callable[[], Made]) -> Made:
         """Calls what takes a descriptor, and once more with the reserve free where the process has no other.
 
         Raises:
--- a/forwarder/runtime/retrying_socket.py
+++ b/forwarder/runtime/retrying_socket.py
@@ -142,7 +142,7 @@
     loop = asyncio.get_running_loop()
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     make = partial(_new_socket if spare is None else spare.make, family)
-    sock = make() if reserve is None else reserve.lend(make)
+    sock = make() if reserve is None else reserve.allocate(make)
     try:
         sock.setblocking(False)
         await loop.sock_connect(sock, (address.host.strip("[]"), address.port))
