--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -31,7 +31,7 @@
 from forwarder.runtime.handover_format import HandoverDescription, decode_description, encode_description
 from forwarder.storage.file_io import close_descriptor
 
-ASK = b"take over 1\n"
+TAKEOVER_REQUEST = b"take over 1\n"
 TAKEN = b"taken\n"
 YOURS = b"yours\n"
 HEAD = struct.Struct("<II")
@@ -213,7 +213,7 @@
             link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             link.settimeout(HANDOVER_TIMEOUT_S)
             link.connect(self.path)
-            link.sendall(ASK)
+            link.sendall(TAKEOVER_REQUEST)
             size, count = HEAD.unpack(receive(link, HEAD.size))
             data = receive(link, size)
             while len(descriptors) < count:
@@ -302,7 +302,7 @@
         with link:
             link.settimeout(ASK_TIMEOUT_S)
             try:
-                if receive(link, len(ASK)) == ASK:
+                if receive(link, len(TAKEOVER_REQUEST)) == TAKEOVER_REQUEST:
                     link.settimeout(HANDOVER_TIMEOUT_S)
                     hand_over(link)
             except OSError as error:
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from forwarder.runtime.ownership import ASK, HEAD, Ownership, receive
+from forwarder.runtime.ownership import HEAD, TAKEOVER_REQUEST, Ownership, receive
 from tests.platforms import Platform
 from tests.runtime.test_handover import released, upgraded
 from tests.scenes import play, received_ids, start_endpoint, start_node
@@ -25,7 +25,7 @@
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     link.settimeout(PATIENCE)
     link.connect(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
-    link.sendall(ASK)
+    link.sendall(TAKEOVER_REQUEST)
     return link
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from forwarder.membership.codec import Codec, Datagram, MemberRow
 from forwarder.membership.gossip_store import GossipRow
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
-from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, receive
+from forwarder.runtime.ownership import HEAD, TAKEN, TAKEOVER_REQUEST, YOURS, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.messages import AcceptedMessage, PendingNotice
@@ -296,7 +296,7 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as link:
         link.settimeout(PATIENCE)
         link.connect(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
-        link.sendall(ASK)
+        link.sendall(TAKEOVER_REQUEST)
         size, _ = HEAD.unpack(receive(link, HEAD.size))
         told: dict[str, Any] = json.loads(receive(link, size))
         return told
@@ -320,7 +320,7 @@
 
     def serve(self) -> None:
         link, _ = self.listener.accept()
-        assert receive(link, len(ASK)) == ASK
+        assert receive(link, len(TAKEOVER_REQUEST)) == TAKEOVER_REQUEST
         data = json.dumps(self.told, separators=(",", ":")).encode()
         link.sendall(HEAD.pack(len(data), len(self.descriptors)) + data)
         socket.send_fds(link, [b"f"], self.descriptors)
