--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -32,7 +32,7 @@
 from forwarder.storage.file_io import close_descriptor
 
 TAKEOVER_REQUEST = b"take over 1\n"
-TAKEN = b"taken\n"
+TAKEOVER_READY = b"taken\n"
 YOURS = b"yours\n"
 HEAD = struct.Struct("<II")
 """Bytes of the description, and number of descriptors."""
@@ -75,7 +75,7 @@
     def confirm(self) -> int:
         """Says that all is taken. Returns the lock's descriptor, or `NOT_OPEN`: then nothing was handed over."""
         try:
-            self.link.sendall(TAKEN)
+            self.link.sendall(TAKEOVER_READY)
             reply, descriptors, *_ = socket.recv_fds(self.link, len(YOURS), 1)
             return descriptors[0] if reply == YOURS and descriptors else NOT_OPEN
         except OSError:
@@ -318,7 +318,7 @@
         link.sendall(HEAD.pack(len(data), len(descriptors)) + data)
         for first in range(0, len(descriptors), DESCRIPTORS_PER_MESSAGE):
             socket.send_fds(link, [b"f"], descriptors[first : first + DESCRIPTORS_PER_MESSAGE])
-        if receive(link, len(TAKEN)) != TAKEN:
+        if receive(link, len(TAKEOVER_READY)) != TAKEOVER_READY:
             return False
         try:
             socket.send_fds(link, [YOURS], [self._lock])
