--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -33,7 +33,7 @@
 
 TAKEOVER_REQUEST = b"take over 1\n"
 TAKEOVER_READY = b"taken\n"
-YOURS = b"yours\n"
+OWNERSHIP_GRANTED = b"yours\n"
 HEAD = struct.Struct("<II")
 """Bytes of the description, and number of descriptors."""
 DESCRIPTORS_PER_MESSAGE = 100
@@ -76,8 +76,8 @@
         """Says that all is taken. Returns the lock's descriptor, or `NOT_OPEN`: then nothing was handed over."""
         try:
             self.link.sendall(TAKEOVER_READY)
-            reply, descriptors, *_ = socket.recv_fds(self.link, len(YOURS), 1)
-            return descriptors[0] if reply == YOURS and descriptors else NOT_OPEN
+            reply, descriptors, *_ = socket.recv_fds(self.link, len(OWNERSHIP_GRANTED), 1)
+            return descriptors[0] if reply == OWNERSHIP_GRANTED and descriptors else NOT_OPEN
         except OSError:
             return NOT_OPEN
 
@@ -321,7 +321,7 @@
         if receive(link, len(TAKEOVER_READY)) != TAKEOVER_READY:
             return False
         try:
-            socket.send_fds(link, [YOURS], [self._lock])
+            socket.send_fds(link, [OWNERSHIP_GRANTED], [self._lock])
         except OSError:  # it has gone, so it cannot own anything
             return False
         return True
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from forwarder.membership.codec import Codec, Datagram, MemberRow
 from forwarder.membership.gossip_store import GossipRow
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
-from forwarder.runtime.ownership import HEAD, TAKEOVER_READY, TAKEOVER_REQUEST, YOURS, receive
+from forwarder.runtime.ownership import HEAD, OWNERSHIP_GRANTED, TAKEOVER_READY, TAKEOVER_REQUEST, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.messages import AcceptedMessage, PendingNotice
@@ -325,7 +325,7 @@
         link.sendall(HEAD.pack(len(data), len(self.descriptors)) + data)
         socket.send_fds(link, [b"f"], self.descriptors)
         assert receive(link, len(TAKEOVER_READY)) == TAKEOVER_READY
-        socket.send_fds(link, [YOURS], [self.lock])
+        socket.send_fds(link, [OWNERSHIP_GRANTED], [self.lock])
         os.close(self.lock)
         link.close()
 
