--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -34,7 +34,7 @@
 TAKEOVER_REQUEST = b"take over 1\n"
 TAKEOVER_READY = b"taken\n"
 OWNERSHIP_GRANTED = b"yours\n"
-HEAD = struct.Struct("<II")
+HANDOVER_HEADER = struct.Struct("<II")
 """Bytes of the description, and number of descriptors."""
 DESCRIPTORS_PER_MESSAGE = 100
 HANDOVER_TIMEOUT_S = 0.8
@@ -214,7 +214,7 @@
             link.settimeout(HANDOVER_TIMEOUT_S)
             link.connect(self.path)
             link.sendall(TAKEOVER_REQUEST)
-            size, count = HEAD.unpack(receive(link, HEAD.size))
+            size, count = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
             data = receive(link, size)
             while len(descriptors) < count:
                 received, more, *_ = socket.recv_fds(link, 1, DESCRIPTORS_PER_MESSAGE)
@@ -315,7 +315,7 @@
             OSError: the other process has gone, or is silent; this one is still the owner.
         """
         data = encode_description(description)
-        link.sendall(HEAD.pack(len(data), len(descriptors)) + data)
+        link.sendall(HANDOVER_HEADER.pack(len(data), len(descriptors)) + data)
         for first in range(0, len(descriptors), DESCRIPTORS_PER_MESSAGE):
             socket.send_fds(link, [b"f"], descriptors[first : first + DESCRIPTORS_PER_MESSAGE])
         if receive(link, len(TAKEOVER_READY)) != TAKEOVER_READY:
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from forwarder.runtime.ownership import HEAD, TAKEOVER_REQUEST, Ownership, receive
+from forwarder.runtime.ownership import HANDOVER_HEADER, TAKEOVER_REQUEST, Ownership, receive
 from tests.platforms import Platform
 from tests.runtime.test_handover import released, upgraded
 from tests.scenes import play, received_ids, start_endpoint, start_node
@@ -34,14 +34,14 @@
 
 
 def dies_when_it_has_all(link: socket.socket) -> None:
-    size, count = HEAD.unpack(receive(link, HEAD.size))
+    size, count = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
     assert json.loads(receive(link, size))["memory"]
     assert count > 0
     link.close()
 
 
 def says_nonsense(link: socket.socket) -> None:
-    size, _ = HEAD.unpack(receive(link, HEAD.size))
+    size, _ = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
     receive(link, size)
     link.sendall(b"broken")
     assert receive(link, 1) == b"f"
@@ -110,7 +110,7 @@
         fcntl.flock(lock, fcntl.LOCK_EX)
         await node.start(ready=False)
         link, _ = await asyncio.to_thread(listener.accept)
-        link.sendall(HEAD.pack(1000, 3) + b"{half of what it has")
+        link.sendall(HANDOVER_HEADER.pack(1000, 3) + b"{half of what it has")
         assert not node.ready.is_set()
         peer.handler = always(OK)
         link.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from forwarder.membership.codec import Codec, Datagram, MemberRow
 from forwarder.membership.gossip_store import GossipRow
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
-from forwarder.runtime.ownership import HEAD, OWNERSHIP_GRANTED, TAKEOVER_READY, TAKEOVER_REQUEST, receive
+from forwarder.runtime.ownership import HANDOVER_HEADER, OWNERSHIP_GRANTED, TAKEOVER_READY, TAKEOVER_REQUEST, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.messages import AcceptedMessage, PendingNotice
@@ -297,7 +297,7 @@
         link.settimeout(PATIENCE)
         link.connect(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
         link.sendall(TAKEOVER_REQUEST)
-        size, _ = HEAD.unpack(receive(link, HEAD.size))
+        size, _ = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
         told: dict[str, Any] = json.loads(receive(link, size))
         return told
 
@@ -322,7 +322,7 @@
         link, _ = self.listener.accept()
         assert receive(link, len(TAKEOVER_REQUEST)) == TAKEOVER_REQUEST
         data = json.dumps(self.told, separators=(",", ":")).encode()
-        link.sendall(HEAD.pack(len(data), len(self.descriptors)) + data)
+        link.sendall(HANDOVER_HEADER.pack(len(data), len(self.descriptors)) + data)
         socket.send_fds(link, [b"f"], self.descriptors)
         assert receive(link, len(TAKEOVER_READY)) == TAKEOVER_READY
         socket.send_fds(link, [OWNERSHIP_GRANTED], [self.lock])
