--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -26,7 +26,7 @@
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, always, hang
 
 
-async def upgraded(node: Node) -> Node:
+async def upgrade(node: Node) -> Node:
     """Start the new process and wait until it serves and the old one has ended by itself."""
     new = node.successor()
     end_with_scene(new)
@@ -56,7 +56,7 @@
         return set(await asyncio.gather(*answers))
 
 
-async def released(free: asyncio.Event, peer: Peer, status: int = 200) -> None:
+async def hold_answers(free: asyncio.Event, peer: Peer, status: int = 200) -> None:
     async def handler(request: Request) -> Answer:
         await free.wait()
         return Answer(status)
@@ -68,7 +68,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         one, two = await start_endpoint(platform, hang), await start_endpoint(platform, always(OK), "s2", block=8)
         free = asyncio.Event()
-        await released(free, one)
+        await hold_answers(free, one)
         node = await start_node(folder, platform)
         kept, half = await node.client(), await node.client()
         assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202
@@ -77,7 +77,7 @@
         data = message("c", "turn", dest=8, X_Session_Key="other")
         half.writer.write(data[:70])
         calling = asyncio.create_task(half_calls(node))
-        new = await upgraded(node)
+        new = await upgrade(node)
         told = await calling
         assert b"ok serving\n" in told
         assert told <= {b"ok serving\n", b"fail no whole line came\n"}
@@ -117,7 +117,7 @@
         await three.wait_for_requests(1)
         await platform.wait_until(lambda: any(r.path == "/v1/notices" for r in platform.requests))
         assert (await node.call(b"LEAVE\n")).startswith("ok")
-        new = await upgraded(node)
+        new = await upgrade(node)
         client = await new.client()
         client.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await client.answer())[0] == 503
@@ -156,7 +156,7 @@
             before = len(taken)
             while len(taken) < before + 20:
                 await asyncio.sleep(0.01)
-            last = await upgraded(last)
+            last = await upgrade(last)
         stop.set()
         await asyncio.gather(*clients)
         async with asyncio.timeout(PATIENCE):
--- a/tests/runtime/test_missing_lock.py
+++ b/tests/runtime/test_missing_lock.py
@@ -12,7 +12,7 @@
 from lab.shim import Failure
 from tests.nodes import Node
 from tests.platforms import Platform
-from tests.runtime.test_handover import upgraded
+from tests.runtime.test_handover import upgrade
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint
 from tests.sockets import OK, PATIENCE, always
 
@@ -56,7 +56,7 @@
         assert is_locked(folder)
         assert (await node.submit("with", "status"))[0] == 202
         assert "the lock is missing" not in await node.call(b"JOURNAL\n")
-        new = await upgraded(node)
+        new = await upgrade(node)
         assert (await new.submit("upgraded", "status"))[0] == 202
         await peer.wait_for_requests(2)
         assert received_ids(peer) == ["with", "upgraded"]
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -16,7 +16,7 @@
 
 from forwarder.runtime.ownership import HANDOVER_HEADER, TAKEOVER_REQUEST, Ownership, receive
 from tests.platforms import Platform
-from tests.runtime.test_handover import released, upgraded
+from tests.runtime.test_handover import hold_answers, upgrade
 from tests.scenes import play, received_ids, start_endpoint, start_node
 from tests.sockets import OK, PATIENCE, always, hang
 
@@ -58,7 +58,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         free = asyncio.Event()
-        await released(free, peer)
+        await hold_answers(free, peer)
         node = await start_node(folder, platform)
         client = await node.client()
         assert (await client.submit("a", "pay"))[0] == 202
@@ -69,7 +69,7 @@
         free.set()
         await peer.wait_for_requests(2)
         link.close()
-        new = await upgraded(node)
+        new = await upgrade(node)
         assert (await client.submit("c", "pay"))[0] == 202
         await peer.wait_for_requests(3)
         assert await new.end(signal.SIGTERM) == 0
