--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -23,7 +23,7 @@
 from lab.shim import Failure
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
-from tests.runtime.test_system_faults import LARGE, answers, shimmed
+from tests.runtime.test_system_faults import LARGE, answers, start_with_failures
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, Answer, Request, always
@@ -36,7 +36,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         told = await answers(node, [f"m{n}" for n in range(20)], body=LARGE)
         assert set(told.values()) == {202}
         await node.fail(Failure("open", "ENOSPC"))
@@ -141,7 +141,7 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         client = await node.client()
         assert (await client.submit("first", "status"))[0] == 202
         if handed_over:
@@ -222,7 +222,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         handed_s = asyncio.get_running_loop().time()
         assert (await node.submit("held", "status", left="6"))[0] == 202
         await peer.wait_for_requests(1)
@@ -335,7 +335,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         await node.fail(Failure("epoll_ctl", error, 0.5))
         names = [f"m{n}" for n in range(20)]
         told = await asyncio.gather(*(node.submit(name, "pay") for name in names))
@@ -352,7 +352,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         assert (await node.submit("before", "status"))[0] == 202
         await node.fail(Failure("poll", "ENOMEM"))
         during = asyncio.create_task(node.submit("during", "status"))
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -33,7 +33,7 @@
 LARGE = b"x" * 9000  # so many of these make a snapshot due
 
 
-async def shimmed(folder: Path, platform: Platform, *failures: Failure, clock_s: float = 0.0) -> Node:
+async def start_with_failures(folder: Path, platform: Platform, *failures: Failure, clock_s: float = 0.0) -> Node:
     """The program, with calls that may fail, from its start on."""
     node = Node(folder, platform)
     end_with_scene(node)
@@ -59,7 +59,7 @@
 def test_what_cannot_be_written_is_refused_and_taken_on_again_once_it_can(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         assert (await answers(node, ["before"])) == {"before": 202}
         await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
@@ -81,7 +81,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         assert (await node.submit("long", cls, left="50"))[0] == 202
         await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
@@ -99,7 +99,7 @@
 def test_what_is_held_is_ended_in_time_though_nothing_can_be_written(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         handed_s = time.monotonic()
         assert (await node.submit("held", "pay", left="2.5"))[0] == 202
         await peer.wait_for_requests(1)
@@ -121,7 +121,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         failure = Failure(call, "EIO")
-        node = await shimmed(folder, platform, *((failure,) if moment == "start" else ()))
+        node = await start_with_failures(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
             told = await answers(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE)
             await node.fail(failure)
@@ -153,7 +153,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
-        node = await shimmed(folder, platform, clock_s=steps[0])
+        node = await start_with_failures(folder, platform, clock_s=steps[0])
         assert (await node.submit("held", "status", left="12"))[0] == 202
         await peer.wait_for_requests(2)
         told_s = time.monotonic()
@@ -181,7 +181,7 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         await platform.wait_for_requests(2)  # its watch is up
         await node.fail(Failure(call, error))
         assert (await node.submit("held", "pay"))[0] == 202
@@ -208,7 +208,7 @@
 def test_clients_are_served_through_failing_accepts_and_short_reads(tmp_path: Path, failure: Failure) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform, failure)
+        node = await start_with_failures(folder, platform, failure)
         names = [f"m{n}" for n in range(20)]
         assert set((await answers(node, names, body=bytes(range(256)))).values()) == {202}
         await peer.wait_for_requests(20)
@@ -297,7 +297,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         await platform.wait_for_requests(2)
         await node.fail(*FULL_DISK)
         other = await start_endpoint(platform, always(OK), "s2")
@@ -342,7 +342,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         new = node.successor()
         end_with_scene(new)
         await node.fail(Failure(call, "EIO"))
