--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -41,7 +41,7 @@
     return await node.start()
 
 
-async def answers(node: Node, names: list[str], cls: str = "status", body: bytes = b"hello") -> dict[str, int]:
+async def submit_all(node: Node, names: list[str], cls: str = "status", body: bytes = b"hello") -> dict[str, int]:
     """What each hand-in is answered: always something."""
     return {name: (await node.submit(name, cls, body=body))[0] for name in names}
 
@@ -60,10 +60,10 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
-        assert (await answers(node, ["before"])) == {"before": 202}
+        assert (await submit_all(node, ["before"])) == {"before": 202}
         await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
-        refused = await answers(node, ["a", "b", "c"])
+        refused = await submit_all(node, ["a", "b", "c"])
         assert set(refused.values()) == {503}, refused
         await node.fail()
         taken = await until_taken(node)  # with nothing held, and no work that could be written before
@@ -123,11 +123,11 @@
         failure = Failure(call, "EIO")
         node = await start_with_failures(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
-            told = await answers(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE)
+            told = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE)
             await node.fail(failure)
-            told |= await answers(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE)
+            told |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE)
         else:
-            told = await answers(node, [f"m{n}" for n in range(5)])
+            told = await submit_all(node, [f"m{n}" for n in range(5)])
         if moment == "end":
             await node.fail(failure)
             await node.end(signal.SIGTERM)
@@ -210,7 +210,7 @@
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform, failure)
         names = [f"m{n}" for n in range(20)]
-        assert set((await answers(node, names, body=bytes(range(256)))).values()) == {202}
+        assert set((await submit_all(node, names, body=bytes(range(256)))).values()) == {202}
         await peer.wait_for_requests(20)
         assert sorted(received_ids(peer)) == sorted(names)
         assert {r.body for r in peer.requests} == {bytes(range(256))}
