--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -23,7 +23,7 @@
 from lab.shim import Failure
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
-from tests.runtime.test_system_faults import LARGE, start_with_failures, submit_all
+from tests.runtime.test_system_faults import LARGE_BODY, start_with_failures, submit_all
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, Answer, Request, always
@@ -37,10 +37,10 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
-        told = await submit_all(node, [f"m{n}" for n in range(20)], body=LARGE)
+        told = await submit_all(node, [f"m{n}" for n in range(20)], body=LARGE_BODY)
         assert set(told.values()) == {202}
         await node.fail(Failure("open", "ENOSPC"))
-        clients = [node.submit(f"n{n}", "status", body=LARGE) for n in range(20)]
+        clients = [node.submit(f"n{n}", "status", body=LARGE_BODY) for n in range(20)]
         told |= {f"n{n}": status for n, (status, _) in enumerate(await asyncio.gather(*clients))}
         async with asyncio.timeout(PATIENCE):
             while 503 not in told.values():
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -30,7 +30,7 @@
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
 MESSAGES = 40
-LARGE = b"x" * 9000  # so many of these make a snapshot due
+LARGE_BODY = b"x" * 9000  # so many of these make a snapshot due
 
 
 async def start_with_failures(folder: Path, platform: Platform, *failures: Failure, clock_s: float = 0.0) -> Node:
@@ -123,9 +123,9 @@
         failure = Failure(call, "EIO")
         node = await start_with_failures(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
-            told = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE)
+            told = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE_BODY)
             await node.fail(failure)
-            told |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE)
+            told |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE_BODY)
         else:
             told = await submit_all(node, [f"m{n}" for n in range(5)])
         if moment == "end":
