--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -1,8 +1,8 @@
-"""Handing the state of this process to the one that takes over from it, and going on with what was handed over.
+"""Hands the state of this process over to a new one, and adopts the state of the previous process.
 
-Messages, pending notices and the endpoint list are in the journal, which passes as it is. What is not is described
-here: calls in progress and their connections, clients and operators with what was read of their requests, and learned
-state.
+Messages, pending notices and the endpoint list are in the journal, which the new process reads unchanged. This module
+describes the rest: calls in progress and their connections, client and admin connections with the bytes already read
+of their requests, and learned state.
 """
 
 from __future__ import annotations
@@ -26,62 +26,62 @@
 )
 from forwarder.runtime.ownership import HandoverState
 
-SPARE_SOCKETS = 40
-"""Descriptors of two processes that are no connections."""
+RESERVED_DESCRIPTORS = 40
+"""Descriptors that the two processes together need for other things than connections."""
 OLD_ADMIN_ADDRESS_S = 10.0
-"""Commands are answered at the admin address of the process before for so long."""
+"""Commands are answered at the admin address of the previous process for this long."""
 
 
 log = logging.getLogger("forwarder.engine")
 
 
 class HandoverSender:
-    """Hands all that this process has to another one."""
+    """Hands the state of this process over to another one."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
 
     def hand_over(self, link: socket.socket) -> None:
-        """Hands over on a connection to the other process, and ends this one; it goes on where that fails.
+        """Hands over to the process at the other end of a connection, and ends this process if that succeeds.
 
-        The event loop stands still here, so all that arrives waits for its owner.
+        The event loop is blocked during the call, so everything that arrives waits in the kernel for the new owner.
 
         Raises:
-            OSError: the other process has gone, or is silent.
+            OSError: the other process has closed the connection or does not answer.
         """
         runtime = self.runtime
         if runtime.run_state.is_stopping or runtime.run_state.is_closed:
             return
         self.settle()
         if not runtime.loop.sync_barrier():
-            return  # calls and responses wait for the sync: they cannot be handed over
+            return  # calls and responses that wait for the sync cannot be handed over
         runtime.store.retry()
         if any(client.awaits_buffers() for client in runtime.server.connections):
-            return  # an answer that waits here would be lost with this process; the other one asks again
+            return  # an unsent answer would be lost with this process; the other one retries
         if runtime.invariants.may_hand_over() is not None:
-            return  # the other process goes by the journal, which has to have all that is here; it asks again
+            return  # the journal, from which the other process starts, lacks records; it retries
         description, descriptors = describe(runtime)
-        if not runtime.ownership.give(link, description, descriptors):
-            log.warning("the process that was to take over did not; going on")
+        if not runtime.ownership.transfer(link, description, descriptors):
+            log.warning("the new process did not take over; this one keeps serving")
             return
         for extension in runtime.extensions:
             extension.abort()
         log.info("handed over: held=%d calls=%d", len(runtime.store.messages), runtime.pool.calls_in_flight)
-        os._exit(0)  # not one callback more: it would read what is meant for the other process
+        os._exit(0)  # another callback would read data that is meant for the other process
 
     def settle(self) -> None:
-        """Decides on all that has come until now, so that nothing is under way between two rounds."""
+        """Processes everything that has arrived so far, so that nothing is pending between two rounds."""
         runtime = self.runtime
         runtime.pool.settle()
         runtime.loop.run_round()
         for client in runtime.server.connections:
             client.answer_waiting()
         if runtime.loop.has_work():
-            runtime.loop.run_round()  # what the first one brought about
+            runtime.loop.run_round()  # processes the events that the first round caused
 
 
 class DescriptorTable:
-    """The descriptors that are handed over, each known by its index."""
+    """The descriptors to hand over. The description refers to them by their index."""
 
     def __init__(self) -> None:
         self.descriptors: list[int] = []
@@ -93,7 +93,7 @@
 
 
 def describe(runtime: Runtime) -> tuple[HandoverDescription, list[int]]:
-    """Returns all that a process has beside its journal, and the descriptors to go with it."""
+    """Returns the state of a process that is not in its journal, and the descriptors that belong to it."""
     table = DescriptorTable()
     pool, connections = runtime.pool.hand_over()
     listener = runtime.server.listener
@@ -120,48 +120,51 @@
 
 
 def _describe_admin(runtime: Runtime, table: DescriptorTable) -> tuple[list[int], list[HandedAdminConnection]]:
-    """Returns the admin interface's own listeners, and the connections that have no answer yet."""
-    listeners = [found for where, found in runtime.admin.listeners.items() if where == runtime.config.admin]
+    """Returns the admin interface's listeners at its own address, and the connections that have no answer yet."""
+    listeners = [listener for address, listener in runtime.admin.listeners.items() if address == runtime.config.admin]
     connections = runtime.admin.connections
     known = {fileno(connection.transport) for connection in connections}
-    accepted = [conn.fileno() for found in listeners for conn in found.attaching if conn.fileno() not in known]
+    accepted = [conn.fileno() for listener in listeners for conn in listener.attaching if conn.fileno() not in known]
     waiting = [
         HandedAdminConnection(table.add(fileno(connection.transport)), connection.line)
         for connection in connections
         if not connection.is_answered
     ]
-    handed_listeners = [table.add(found.sock.fileno()) for found in listeners]
-    return handed_listeners, waiting + [HandedAdminConnection(table.add(number), b"") for number in accepted]
+    handed_listeners = [table.add(listener.sock.fileno()) for listener in listeners]
+    return handed_listeners, waiting + [HandedAdminConnection(table.add(descriptor), b"") for descriptor in accepted]
 
 
 def _describe_clients(runtime: Runtime, table: DescriptorTable) -> list[HandedClient]:
     """Returns the client connections, those in the middle of a request first.
 
-    While both processes have them they count twice: what is idle and too many ends with this one.
+    A connection counts twice while both processes have it open. Those beyond the socket limit, first of all the idle
+    ones that were used least recently, are not handed over and close when this process ends.
     """
     server = runtime.server
     assert server.listener is not None
     records = [(client, record) for client in server.connections if (record := describe_client(client)) is not None]
-    records.sort(key=lambda each: (not each[0].is_idle(), each[0].last_used_us), reverse=True)
-    free_sockets = runtime.config.max_sockets - len(server.connections) - len(runtime.pool.connections) - SPARE_SOCKETS
+    records.sort(key=lambda entry: (not entry[0].is_idle(), entry[0].last_used_us), reverse=True)
+    free_sockets = (
+        runtime.config.max_sockets - len(server.connections) - len(runtime.pool.connections) - RESERVED_DESCRIPTORS
+    )
     known = {fileno(client.transport) for client in server.connections}
     accepted = [conn.fileno() for conn in server.listener.attaching if conn.fileno() not in known]
     handed = [
         HandedClient(table.add(fileno(client.transport)), record) for client, record in records[: max(0, free_sockets)]
     ]
-    return handed + [HandedClient(table.add(number), None) for number in accepted]
+    return handed + [HandedClient(table.add(descriptor), None) for descriptor in accepted]
 
 
 async def adopt_calls(runtime: Runtime, handover: HandoverState) -> None:
-    """Goes on with the calls and endpoint connections of the process before."""
+    """Adopts the calls and endpoint connections of the previous process."""
     description = handover.description
     runtime.pool.retry_after.restore(description.pool.retry_after_until_us)
     for call in description.pool.calls:
         await _adopt_call(runtime, handover, call)
     for idle in description.pool.idle:
         sock = handover.socket(description.endpoint_connections[idle.connection])
-        adopting = runtime.pool.adopt_idle(idle.endpoint, sock, idle.idle_since_us)
-        await runtime.supervisor.guarded("hand-over of a connection", adopting)
+        adoption = runtime.pool.adopt_idle(idle.endpoint, sock, idle.idle_since_us)
+        await runtime.supervisor.guarded("hand-over of a connection", adoption)
 
 
 async def _adopt_call(runtime: Runtime, handover: HandoverState, record: CallRecord) -> None:
@@ -171,7 +174,7 @@
         if (message := runtime.store.messages.get(attempt.message_id)) is not None
     ]
     if not items:
-        return  # its connection is closed with all that is not taken out
+        return  # its connection is closed with the other descriptors that are not taken out
     sock = None
     if record.connection >= 0:
         sock = handover.socket(handover.description.endpoint_connections[record.connection])
@@ -180,13 +183,13 @@
     )
     try:
         await runtime.pool.adopt(call, sock, record.received)
-    except OSError as error:  # it was written: its outcome is not known any more
+    except OSError as error:  # the request was sent, but its outcome can no longer be read
         runtime.supervisor.failed("hand-over of a call", error)
         runtime.pool.finish(call, CallResult(Outcome.RESET))
 
 
 async def adopt_notice_connection(runtime: Runtime, handover: HandoverState) -> None:
-    """Goes on with the connection for notices, if it leads to where the platform is now."""
+    """Adopts the connection for notices if it leads to the configured discovery address."""
     if handover.description.notice_connection is None:
         return
     sock = handover.socket(handover.description.notice_connection)
@@ -201,7 +204,7 @@
 
 
 async def adopt_clients(runtime: Runtime, handover: HandoverState) -> None:
-    """Goes on with the clients and operators of the process before, and closes what is left of the hand-over."""
+    """Adopts the client and admin connections of the previous process, and closes the rest of the hand-over."""
     description = handover.description
     if description.is_draining:
         runtime.start_draining()
@@ -209,12 +212,12 @@
         sock = handover.socket(client.descriptor)
         await runtime.supervisor.guarded("hand-over of a client", runtime.server.adopt(sock, client.state))
     runtime.server.eviction_order.sort()
-    for number in description.admin_listeners:
-        listener = runtime.admin.listen(handover.socket(number))
+    for descriptor in description.admin_listeners:
+        listener = runtime.admin.listen(handover.socket(descriptor))
         if listener.address() != runtime.config.admin:
             asyncio.get_running_loop().call_later(OLD_ADMIN_ADDRESS_S, listener.close)
     for connection in description.admin_connections:
         sock = handover.socket(connection.descriptor)
-        adopting = runtime.admin.adopt(sock, connection.line)
-        await runtime.supervisor.guarded("hand-over of an operator", adopting)
+        adoption = runtime.admin.adopt(sock, connection.line)
+        await runtime.supervisor.guarded("hand-over of an operator", adoption)
     handover.close()
--- a/forwarder/runtime/ownership.py
+++ b/forwarder/runtime/ownership.py
@@ -1,15 +1,15 @@
-r"""Upgrades: which process owns the journal, and how it hands all that it has to the one that takes over.
+r"""Upgrades: which process owns the journal, and how the owner hands its state over to a new process.
 
-Whoever holds the lock on `lock` in $LB_STATE owns the journal and every message. The owner also listens on the Unix
-socket `upgrade` beside it. A process that finds the lock taken asks there:
+The process that holds the lock on the file `lock` in $LB_STATE owns the journal and every message. The owner also
+listens on the Unix socket `upgrade` in the same folder. A new process that finds the lock held connects to that socket:
 
-    new: "take over 1\n"       old: stands still; its description as JSON, and descriptors in chunks
-    new: "taken\n"             once it could serve, without having written anything
-    old: "yours\n" + the lock  from the moment at which it has read that, the old one owns nothing
+    new: "take over 1\n"       old: blocks its event loop; sends its description as JSON, and descriptors in chunks
+    new: "taken\n"             sent once it is able to serve, without having written anything
+    old: "yours\n" + the lock  once this is sent, the old process owns nothing
 
-Up to "taken" any fault leaves the old process as it was. If it dies before "yours" came, the lock is free, and the new
-one starts from the journal as after any crash. The lock goes with its processes, so no file that was left behind can
-stand for an owner.
+Any failure before "taken" leaves the old process unchanged. If the old process dies before "yours" arrives, the lock is
+free, and the new process starts from the journal as after any crash. The kernel releases the lock when its processes
+end, so a file that was left behind is never mistaken for an owner.
 """
 
 from __future__ import annotations
@@ -35,20 +35,26 @@
 TAKEOVER_READY = b"taken\n"
 OWNERSHIP_GRANTED = b"yours\n"
 HANDOVER_HEADER = struct.Struct("<II")
-"""Bytes of the description, and number of descriptors."""
+"""Size of the description in bytes, and number of descriptors."""
 DESCRIPTORS_PER_MESSAGE = 100
 HANDOVER_TIMEOUT_S = 0.8
-"""Either side waits so long for the other; the old one stands still meanwhile."""
-ASK_TIMEOUT_S = 0.2
-"""Who connects asks at once."""
-RETRY_S = 0.1
-LOCK_PATIENCE_S = 2.0
-"""A start waits so long for a lock that cannot be opened. Then it serves, and writes nothing until the lock is had."""
-ADDRESS_PATIENCE_S = 20.0
-"""So long a start waits for an address that another process has, which may be about to take the lock and hand over."""
-LISTEN_RETRY_S = 0.5
-REFUSALS = frozenset({errno.ENOSYS, errno.EPERM, errno.EACCES, errno.EOPNOTSUPP, errno.EAFNOSUPPORT})
-"""Errors of a platform that has no Unix sockets for this process."""
+"""Each side waits this long for the other. The event loop of the old process is blocked meanwhile."""
+REQUEST_TIMEOUT_S = 0.2
+"""A process that connects has to send its request within this time."""
+RETRY_INTERVAL_S = 0.1
+LOCK_OPEN_TIMEOUT_S = 2.0
+"""A starting process retries for this long if the lock file cannot be opened.
+
+After that it serves, but writes nothing until it holds the lock.
+"""
+ADDRESS_TIMEOUT_S = 20.0
+"""A starting process retries for this long if another process has its listening address.
+
+That process may be about to take the lock and hand over.
+"""
+LISTEN_RETRY_INTERVAL_S = 0.5
+UNSUPPORTED_ERRORS = frozenset({errno.ENOSYS, errno.EPERM, errno.EACCES, errno.EOPNOTSUPP, errno.EAFNOSUPPORT})
+"""Errors of a platform on which this process cannot use Unix sockets."""
 BACKLOG = 4
 NOT_OPEN = -1
 Made = TypeVar("Made")
@@ -56,7 +62,7 @@
 
 
 class HandoverState:
-    """What the process before handed over. Descriptors belong to whoever takes them out."""
+    """The state that the previous process handed over. A descriptor belongs to the caller that takes it out."""
 
     def __init__(self, link: socket.socket, description: HandoverDescription, descriptors: Sequence[int]) -> None:
         self.link = link
@@ -64,16 +70,16 @@
         self._descriptors = dict(enumerate(descriptors))
 
     def socket(self, index: int) -> socket.socket:
-        """Takes out a descriptor, by its index in the description. Returns its socket.
+        """Takes out the descriptor with the given index in the description, and returns it as a socket.
 
         Raises:
-            KeyError: there is none, or it was taken out before.
-            OSError: it is no socket.
+            KeyError: there is no such descriptor, or it has already been taken out.
+            OSError: the descriptor is not a socket.
         """
         return socket.socket(fileno=self._descriptors.pop(index))
 
     def confirm(self) -> int:
-        """Says that all is taken. Returns the lock's descriptor, or `NOT_OPEN`: then nothing was handed over."""
+        """Confirms the hand-over. Returns the lock's descriptor, or `NOT_OPEN` if nothing was handed over."""
         try:
             self.link.sendall(TAKEOVER_READY)
             reply, descriptors, *_ = socket.recv_fds(self.link, len(OWNERSHIP_GRANTED), 1)
@@ -82,24 +88,24 @@
             return NOT_OPEN
 
     def close(self) -> None:
-        """Closes the connection, and the descriptors that nobody has taken out."""
+        """Closes the connection and all descriptors that were not taken out."""
         self.link.close()
         while self._descriptors:
             close_descriptor(self._descriptors.popitem()[1])
 
 
 MakeServer = Callable[[HandoverState | None], Awaitable[Made]]
-"""Makes what will serve: alone, or from what was handed over."""
+"""Creates the server: with no prior state for None, otherwise from the state that was handed over."""
 
 
 class Ownership:
-    """The lock and the socket of one folder."""
+    """The lock and the upgrade socket of one state folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.listener: socket.socket | None = None
         self.has_lock = False
-        """Whether no other process can own the folder: the lock is held, or the platform refuses locks."""
+        """Whether no other process can own the folder: this one holds the lock, or the platform refuses locks."""
         self.locking = FailureSpan(log, "take the lock")
         self._folder_descriptor = NOT_OPEN
         self._lock = NOT_OPEN
@@ -107,42 +113,44 @@
 
     @property
     def path(self) -> str:
-        """The socket's path by way of the folder's descriptor: a Unix socket's path has 107 bytes at most."""
+        """The socket's path through the folder's descriptor, because a Unix socket path is limited to 107 bytes."""
         return f"/proc/self/fd/{self._folder_descriptor}/upgrade"
 
     # Becoming the owner
 
     async def obtain(self, make: MakeServer[Made]) -> Made:
-        """Becomes the owner: alone, or by taking over.
+        """Becomes the owner, either from the free lock or by taking over from the current owner.
 
         Args:
-            make: is called again where a take-over came to nothing.
+            make: creates the server; called again after a failed take-over.
 
         Raises:
-            OSError: what serves alone cannot be made.
+            OSError: the server cannot be created without a hand-over.
         """
-        give_up_s = time.monotonic() + ADDRESS_PATIENCE_S
+        deadline_s = time.monotonic() + ADDRESS_TIMEOUT_S
         while True:
-            await self._open_patiently()
+            await self._open_with_retries()
             if self._lock == NOT_OPEN or self._try_lock():
                 try:
                     return await make(None)
                 except OSError as error:
-                    if error.errno != errno.EADDRINUSE or time.monotonic() > give_up_s:
+                    if error.errno != errno.EADDRINUSE or time.monotonic() > deadline_s:
                         raise
-                    log.warning("another process serves, and has no lock that it could hand over yet: %s", error)
+                    log.warning(
+                        "another process is serving but does not hold the lock yet, so it cannot hand over: %s", error
+                    )
                     self._unlock()
             else:
-                made = await self._ask_and_take_over(make)
+                made = await self._request_take_over(make)
                 if made is not None:
                     return made
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def acquire(self) -> None:
-        """Takes the lock, if it is not held yet: nothing may be written to the folder before.
+        """Takes the lock unless this process already holds it. Nothing may be written to the folder before.
 
         Raises:
-            OSError: it cannot be opened just now, or another process has it.
+            OSError: the lock file cannot be opened now, or another process holds the lock.
         """
         if self.has_lock:
             return
@@ -154,18 +162,18 @@
             raise error
         self.locking.worked()
 
-    async def _open_patiently(self) -> None:
-        """Opens folder and lock, again for a while: without the lock the process before cannot be told from none."""
-        give_up_s = time.monotonic() + LOCK_PATIENCE_S
+    async def _open_with_retries(self) -> None:
+        """Opens the folder and the lock file, with retries: only the lock shows whether there is another owner."""
+        deadline_s = time.monotonic() + LOCK_OPEN_TIMEOUT_S
         while (error := self._open()) is not None:
             self.locking.failed(error)
-            if time.monotonic() > give_up_s:
-                # Whoever else serves here has the listening address, so that this process will not come to serve.
+            if time.monotonic() > deadline_s:
+                # Any other process that serves here has the listening address, so this one cannot start to serve.
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _open(self) -> OSError | None:
-        """Opens folder and lock, if they are not open yet. Returns why that failed, if it did."""
+        """Opens the folder and the lock file unless they are open. Returns the error on failure, otherwise None."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             if self._folder_descriptor == NOT_OPEN:
@@ -177,36 +185,36 @@
         return None
 
     def _try_lock(self) -> bool:
-        """Takes the lock if nobody has it. Where locks are refused, nobody can have it."""
+        """Takes the lock if it is free. Where the platform refuses locks, no process can hold it."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             return False
         except OSError as error:
-            log.warning("the lock is refused here, going on without it: %s", error)
+            log.warning("the platform refuses the lock; continuing without it: %s", error)
         self.has_lock = True
         return True
 
     def _unlock(self) -> None:
-        """Leaves the lock to the process that serves."""
+        """Releases the lock, so that the process that is serving can take it."""
         self.has_lock = False
         if self._lock != NOT_OPEN:
             with suppress(OSError):
                 fcntl.flock(self._lock, fcntl.LOCK_UN)
 
-    async def _ask_and_take_over(self, make: MakeServer[Made]) -> Made | None:
-        """Returns what serves from now on, if the owner has handed over."""
-        handover = self._ask()
+    async def _request_take_over(self, make: MakeServer[Made]) -> Made | None:
+        """Returns the new server if the owner has handed over, otherwise None."""
+        handover = self._request_state()
         if handover is None:
             return None
         made = await self._take_over(handover, make)
         if made is None:
             handover.close()
-            log.warning("the process before has not handed over; trying again")
+            log.warning("the previous process did not complete the hand-over; retrying")
         return made
 
-    def _ask(self) -> HandoverState | None:
-        """Asks the owner for all that it has. Returns None where it does not answer as it should."""
+    def _request_state(self) -> HandoverState | None:
+        """Requests the owner's state. Returns None if the owner does not send a valid answer."""
         descriptors: list[int] = []
         link = None
         try:
@@ -220,30 +228,30 @@
                 received, more, *_ = socket.recv_fds(link, 1, DESCRIPTORS_PER_MESSAGE)
                 descriptors += more
                 if not received:
-                    raise ConnectionResetError("the process before has gone")
+                    raise ConnectionResetError("the previous process closed the connection")
             return HandoverState(link, decode_description(data), descriptors)
         except (OSError, ValueError, struct.error) as error:
-            self._log_refused_handover(error)
+            self._log_request_failure(error)
             if link is not None:
                 HandoverState(link, HandoverDescription(), descriptors).close()
             return None
 
-    def _log_refused_handover(self, error: Exception) -> None:
-        """Logs a problem once: asked again and again, the process before may well say the same for seconds."""
+    def _log_request_failure(self, error: Exception) -> None:
+        """Logs a problem unless it is the same as the last one: every retry may fail in the same way for seconds."""
         problem = str(error) or type(error).__name__
         if problem != self._logged_problem:
-            log.warning("the process before does not hand over: %s", problem)
+            log.warning("the previous process does not hand over: %s", problem)
         self._logged_problem = problem
 
     async def _take_over(self, handover: HandoverState, make: MakeServer[Made]) -> Made | None:
-        """Returns what serves from now on, if it could be made and the process before has let go.
+        """Returns the new server if it was created and the previous process has given up ownership.
 
-        The process before goes on otherwise.
+        Otherwise returns None, and the previous process keeps serving.
         """
         try:
             made = await make(handover)
         except OSError as error:
-            log.warning("cannot take over just now: %s", error)
+            log.warning("cannot take over now: %s", error)
             return None
         lock = handover.confirm()
         if lock == NOT_OPEN:
@@ -257,10 +265,10 @@
     # Being the owner
 
     def listen(self, hand_over: Callable[[socket.socket], None]) -> None:
-        """Waits for the process that takes over, and calls `hand_over` with its connection.
+        """Listens for a new process that takes over, and calls `hand_over` with its connection.
 
-        Only the owner may: a socket that lies there is a leftover. Where the platform refuses Unix sockets, an upgrade
-        is a restart.
+        Only the owner may call this, because it deletes an existing socket file as a leftover. Where the platform does
+        not support Unix sockets, an upgrade is a restart.
         """
         try:
             Path(self.path).unlink(missing_ok=True)
@@ -268,51 +276,53 @@
             self.listener.bind(self.path)
             self.listener.listen(BACKLOG)
         except OSError as error:
-            self._listening_failed(error, hand_over)
+            self._handle_listen_error(error, hand_over)
             return
         self.listener.setblocking(False)
         self._watch_listener(hand_over)
 
-    def _listening_failed(self, error: OSError, hand_over: Callable[[socket.socket], None]) -> None:
-        """Listens later, unless the platform has no such sockets."""
-        log.warning("no process can take over from this one: %s", error)
+    def _handle_listen_error(self, error: OSError, hand_over: Callable[[socket.socket], None]) -> None:
+        """Schedules another attempt to listen, unless the platform does not support Unix sockets."""
+        log.warning("cannot listen for a process that takes over: %s", error)
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        if error.errno not in REFUSALS:
-            asyncio.get_running_loop().call_later(LISTEN_RETRY_S, self.listen, hand_over)
+        if error.errno not in UNSUPPORTED_ERRORS:
+            asyncio.get_running_loop().call_later(LISTEN_RETRY_INTERVAL_S, self.listen, hand_over)
 
     def _watch_listener(self, hand_over: Callable[[socket.socket], None]) -> None:
         if self.listener is not None:
             asyncio.get_running_loop().add_reader(self.listener, self._accept, hand_over)
 
     def _accept(self, hand_over: Callable[[socket.socket], None]) -> None:
-        """Hands over to the process that has connected, if it asks at once."""
+        """Accepts a connection, and hands over if the request arrives in time."""
         assert self.listener is not None
         try:
             link, _ = self.listener.accept()
         except BlockingIOError:
             return
-        except OSError as error:  # the other process asks again
-            log.warning("no process can take over just now: %s", error)
+        except OSError as error:  # the other process retries
+            log.warning("cannot accept a process that takes over: %s", error)
             loop = asyncio.get_running_loop()
             loop.remove_reader(self.listener)
-            loop.call_later(RETRY_S, self._watch_listener, hand_over)
+            loop.call_later(RETRY_INTERVAL_S, self._watch_listener, hand_over)
             return
         with link:
-            link.settimeout(ASK_TIMEOUT_S)
+            link.settimeout(REQUEST_TIMEOUT_S)
             try:
                 if receive(link, len(TAKEOVER_REQUEST)) == TAKEOVER_REQUEST:
                     link.settimeout(HANDOVER_TIMEOUT_S)
                     hand_over(link)
             except OSError as error:
-                log.warning("not handed over: %s", error or type(error).__name__)
+                log.warning("the hand-over failed: %s", error or type(error).__name__)
+
+    def transfer(self, link: socket.socket, description: HandoverDescription, descriptors: Sequence[int]) -> bool:
+        """Sends the state, then the lock. Returns whether the other process is the owner now.
 
-    def give(self, link: socket.socket, description: HandoverDescription, descriptors: Sequence[int]) -> bool:
-        """Hands all over. Returns whether the other process owns it now: nothing may be written or sent here then.
+        If it is, this process may not write or send anything more.
 
         Raises:
-            OSError: the other process has gone, or is silent; this one is still the owner.
+            OSError: the other process has closed the connection or does not answer; this one is still the owner.
         """
         data = encode_description(description)
         link.sendall(HANDOVER_HEADER.pack(len(data), len(descriptors)) + data)
@@ -322,12 +332,12 @@
             return False
         try:
             socket.send_fds(link, [OWNERSHIP_GRANTED], [self._lock])
-        except OSError:  # it has gone, so it cannot own anything
+        except OSError:  # the other process has ended, so it cannot be the owner
             return False
         return True
 
     def close(self) -> None:
-        """Stops listening. The lock goes with the process: it is not given back before its end."""
+        """Stops listening. The lock stays held until the process ends."""
         if self.listener is not None:
             asyncio.get_running_loop().remove_reader(self.listener)
             self.listener.close()
@@ -335,16 +345,16 @@
 
 
 def receive(link: socket.socket, size: int) -> bytes:
-    """Returns exactly so many bytes.
+    """Reads exactly `size` bytes.
 
     Raises:
-        ConnectionResetError: the other process has gone.
-        TimeoutError: it is silent.
+        ConnectionResetError: the other process has closed the connection.
+        TimeoutError: the other process does not send within the connection's timeout.
     """
     data = b""
     while len(data) < size:
         chunk = link.recv(size - len(data))
         if not chunk:
-            raise ConnectionResetError("the other process has gone")
+            raise ConnectionResetError("the other process closed the connection")
         data += chunk
     return data
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -19,7 +19,7 @@
 from forwarder.discovery.notifier import RETRY_PAUSES_S, Notifier, render_notices
 from forwarder.endpoints.connection import GIVEN_UP_S
 from forwarder.protocol.http1 import MAX_BODY_BYTES
-from forwarder.runtime.ownership import LOCK_PATIENCE_S
+from forwarder.runtime.ownership import LOCK_OPEN_TIMEOUT_S
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.storage.messages import PendingNotice
 from lab.shim import FILE_CALLS, Failure
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_PATIENCE_S + BIND_TIMEOUT_S + 1.0)]
+    ("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_OPEN_TIMEOUT_S + BIND_TIMEOUT_S + 1.0)]
 )
 def test_an_upgrade_outlasts_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
     """Found by the soak.
