--- a/forwarder/runtime/handover_format.py
+++ b/forwarder/runtime/handover_format.py
@@ -1,9 +1,9 @@
-"""The form in which a process describes its state to the one that takes over from it.
+"""The format in which a process describes its state to the new process that takes over.
 
-The description is JSON. Its keys are those of the first version and never change: a process may be followed by one of
-another version. They are mapped to the names of the code here, and in `learned_state_format`, alone.
+The description is JSON. Its keys are those of the first version and never change, because the new process may run
+another version. Only this module and `learned_state_format` map them to the names in the code.
 
-Sockets travel beside the description as file descriptors. A record names its descriptor by its index among them.
+Sockets are sent next to the description as file descriptors. A record refers to its descriptor by index.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from forwarder.runtime.learned_state_format import StoredRecord, learned_state_from_stored, learned_state_to_stored
 
 NO_CONNECTION = -1
-"""In place of an index: the call was never written to a connection."""
+"""Used in place of an index if the call was never written to a connection."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,12 +37,12 @@
     """Index among the endpoint connections, or `NO_CONNECTION`."""
     endpoint: int
     limit_scope: tuple[int, int]
-    """Destination and route that share a Retry-After."""
+    """The destination and route to which a Retry-After applies."""
     sent_us: int
     batched: bool
     attempts: tuple[AttemptRecord, ...]
     received: bytes
-    """What has been read of the response."""
+    """The bytes of the response that have been read."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,22 +62,22 @@
     calls: tuple[CallRecord, ...] = ()
     idle: tuple[IdleConnectionRecord, ...] = ()
     retry_after_until_us: tuple[tuple[tuple[int, int], int], ...] = ()
-    """Until when each limit scope is left alone."""
+    """For each limit scope, the time until which no calls are made to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRecord:
-    """A client connection that was read from."""
+    """A client connection from which something has been read."""
 
     connected_at_us: int
     last_used_us: int
     has_sent_request: bool
     handed_over_at_us: int | None
-    """None where the older process did not say."""
+    """None if the previous process did not send it."""
     request_began_us: int
-    """When the request that is being read began; 0 between requests."""
+    """When the first bytes of the request that is being read arrived; 0 between requests."""
     received: bytes
-    """What has been read of that request."""
+    """The bytes of that request that have been read."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,41 +86,41 @@
 
     descriptor: int
     state: ClientRecord | None
-    """None for one that was accepted and not read from."""
+    """None for a connection that was accepted, but not read from."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedAdminConnection:
-    """An operator's connection that has no answer yet."""
+    """An admin connection that has no answer yet."""
 
     descriptor: int
     line: bytes
-    """What has been read of its command."""
+    """The bytes of its command that have been read."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverDescription:
-    """All that a process has beside its journal."""
+    """The state of a process that is not in its journal."""
 
     clock_base_ns: int | None = None
-    """What the clock adds to the monotonic time; None where the older process did not say."""
+    """The clock's offset from the monotonic time; None if the previous process did not send it."""
     endpoint_numbers: Mapping[str, int] | None = None
     destinations: Sequence[int] = ()
     learned_state: LearnedState | None = None
     is_draining: bool = False
     client_listener: int = 0
     endpoint_connections: Sequence[int] = ()
-    """The descriptor of each connection that the pool's records name."""
+    """The descriptor of each connection that the pool's records refer to."""
     pool: PoolRecord = PoolRecord()
     admin_listeners: Sequence[int] = ()
     admin_connections: Sequence[HandedAdminConnection] = ()
     clients: Sequence[HandedClient] = ()
     notice_connection: int | None = None
-    """The descriptor of the connection for notices; None where the older process had none to give."""
+    """The descriptor of the connection for notices; None if the previous process handed over none."""
 
 
 def encode_description(description: HandoverDescription) -> bytes:
-    """Returns the description as JSON, under its stored keys."""
+    """Returns the description as JSON with its stored keys."""
     learned_state = description.learned_state
     stored = {
         "clock": description.clock_base_ns,
@@ -133,17 +133,18 @@
         "pool": _pool_to_stored(description.pool),
         "controls": [*description.admin_listeners],
         "callers": [
-            {"fd": caller.descriptor, "line": _to_base64(caller.line)} for caller in description.admin_connections
+            {"fd": connection.descriptor, "line": _to_base64(connection.line)}
+            for connection in description.admin_connections
         ],
         "doors": [_client_to_stored(client) for client in description.clients],
     }
-    if description.notice_connection is not None:  # a version before does not know the key, and passes over it
+    if description.notice_connection is not None:  # an earlier version ignores this unknown key
         stored["notices"] = description.notice_connection
     return json.dumps(stored, separators=(",", ":")).encode()
 
 
 def decode_description(data: bytes) -> HandoverDescription:
-    """Returns the description that another process has encoded.
+    """Returns the description that another process encoded.
 
     Raises:
         ValueError: the data is not JSON.
@@ -162,7 +163,8 @@
         pool=_pool_from_stored(stored["pool"]),
         admin_listeners=stored["controls"],
         admin_connections=[
-            HandedAdminConnection(caller["fd"], base64.b64decode(caller["line"])) for caller in stored["callers"]
+            HandedAdminConnection(connection["fd"], base64.b64decode(connection["line"]))
+            for connection in stored["callers"]
         ],
         clients=[_client_from_stored(client) for client in stored["doors"]],
         notice_connection=stored.get("notices"),
@@ -178,7 +180,7 @@
                 "place": call.limit_scope,
                 "sent_us": call.sent_us,
                 "batched": call.batched,
-                "items": [[item.message_id, item.number, item.timeout_at_us] for item in call.attempts],
+                "items": [[attempt.message_id, attempt.number, attempt.timeout_at_us] for attempt in call.attempts],
                 "seen": _to_base64(call.received),
             }
             for call in pool.calls
--- a/forwarder/runtime/learned_state_format.py
+++ b/forwarder/runtime/learned_state_format.py
@@ -1,8 +1,8 @@
-"""The form in which learned state is handed over to the process that takes over.
+"""The format in which learned state is handed over to a new process.
 
-Stored names are those of the first version and never change; here, and only here, they are mapped to the names of the
-code. A process may be followed by one of another version: a name that the reader does not know is passed over, and one
-that the writer did not know leaves the reader's own value as it is.
+Stored names are those of the first version and never change; only this module maps them to the names in the code. The
+two processes may run different versions: the reader ignores names that it does not know, and keeps its own value for a
+name that the writer did not know.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from forwarder.decisions.learned_state import CallInFlight, LearnedFields, LearnedState
 
 StoredRecord = Mapping[str, Any]
-"""A JSON object under its stored keys."""
+"""A JSON object with its stored keys."""
 
 STORED_LIMIT_SCOPE_FIELDS = {
     "concurrency_window": "window",
@@ -30,7 +30,7 @@
     "reported_at_us": "told_at",
     "next_call_at_us": "pace_at",
 }
-"""Fields of a limit scope, each with its stored name."""
+"""Maps each field of a limit scope to its stored name."""
 
 STORED_ENDPOINT_FIELDS = {
     "error_rate": "failing",
@@ -40,11 +40,11 @@
     "recovering_since_us": "back_at",
     "slow_start_jitter": "spread",
 }
-"""Fields of an endpoint, each with its stored name."""
+"""Maps each field of an endpoint to its stored name."""
 
 
 def learned_state_to_stored(state: LearnedState) -> StoredRecord:
-    """Returns the state as JSON can carry it, under its stored names."""
+    """Returns the state as values that JSON can represent, with its stored names."""
     return {
         "places": [
             [destination, endpoint, _to_stored(fields, STORED_LIMIT_SCOPE_FIELDS)]
@@ -69,10 +69,10 @@
 
 
 def learned_state_from_stored(stored: StoredRecord) -> LearnedState:
-    """Returns the state that another process has stored.
+    """Returns the learned state from a record that another process wrote.
 
     Raises:
-        KeyError, TypeError, ValueError: the record is not one of learned state.
+        KeyError, TypeError, ValueError: the record does not describe learned state.
     """
     return LearnedState(
         limit_scopes=tuple(
