--- a/forwarder/runtime/descriptor_reserve.py
+++ b/forwarder/runtime/descriptor_reserve.py
@@ -1,7 +1,7 @@
-"""A descriptor in reserve, for the moment in which the process has none left (EMFILE).
+"""A descriptor in reserve, for use when the process has reached its descriptor limit (EMFILE).
 
-It tells a process that really is short of descriptors from one that is told so for a moment: only the first cannot
-fill the reserve again. Only there does closing something help, and one closed connection is enough.
+The reserve also shows whether the process is really at its limit or the error was transient: only in the first case
+can the reserve not be refilled. Only then does closing a connection help, and closing one is enough.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class DescriptorReserve:
-    """Holds one descriptor, and gives it to whoever needs one when there is no other.
+    """Holds one descriptor, and frees it for an allocation that would otherwise fail.
 
     Args:
-        free_one: closes something, so that the reserve can be filled again.
+        free_one: closes a descriptor in use, so that the reserve can be refilled.
     """
 
     def __init__(self, free_one: Callable[[], object]) -> None:
@@ -28,14 +28,14 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether there is a descriptor in reserve."""
+        """Whether a descriptor is in reserve."""
         return self._spare is not None
 
     def allocate(self, make: Callable[[], Made]) -> Made:
-        """Calls what takes a descriptor, and once more with the reserve free where the process has no other.
+        """Calls `make`, which allocates a descriptor; if that fails with EMFILE, frees the reserve and calls it again.
 
         Raises:
-            OSError: it fails, and a free descriptor does not help, or there is none in reserve.
+            OSError: `make` failed with another error, failed again, or there is no descriptor in reserve.
         """
         if self._spare is None:
             self._fill()
@@ -47,15 +47,15 @@
             if self._spare is None:
                 self.free_one()
                 raise
-        return self._make_with_spare(make)
+        return self._make_with_reserve_freed(make)
 
     def close(self) -> None:
-        """Gives the descriptor back for good."""
+        """Closes the descriptor in reserve."""
         if self._spare is not None:
             self._spare.close()
             self._spare = None
 
-    def _make_with_spare(self, make: Callable[[], Made]) -> Made:
+    def _make_with_reserve_freed(self, make: Callable[[], Made]) -> Made:
         self.close()
         try:
             return make()
--- a/forwarder/runtime/descriptor_watch.py
+++ b/forwarder/runtime/descriptor_watch.py
@@ -1,8 +1,9 @@
-"""Watches descriptors though the kernel fails to for a moment (epoll_ctl(2) and poll(2): ENOMEM, ENOSPC).
+"""Watches descriptors in spite of transient kernel errors (ENOMEM of epoll_ctl(2) and poll(2), ENOSPC of epoll_ctl(2)).
 
-A descriptor that cannot be watched now is asked for again with each wait, so that a connection is heard late and not
-never. One that cannot be looked at now is told apart from one with nothing to read. One whose call has just failed,
-though it is ready, is left alone for a moment, or the event loop would make the call again and again.
+A registration that fails is repeated before each wait, so that events of the descriptor are reported late and not
+lost. A descriptor that cannot be polled now is distinguished from one with nothing to read. A descriptor whose system
+call has just failed although it was ready is paused for a short time; otherwise the event loop would repeat the call
+in a busy loop.
 """
 
 from __future__ import annotations
@@ -13,71 +14,71 @@
 import time
 from contextlib import suppress
 
-RETRY_S = 0.01
-"""A wait lasts no longer while a descriptor is not watched that should be."""
+RETRY_INTERVAL_S = 0.01
+"""Maximum duration of a wait while the kernel does not watch every wanted descriptor, and duration of a pause."""
 TRANSIENT_ERRORS = frozenset({errno.ENOMEM, errno.ENOSPC})
-"""Errors of epoll_ctl that say nothing of the descriptor."""
+"""Errors of epoll_ctl(2) that do not concern the descriptor itself."""
 
 
 class RetryingEpoll:
-    """As `select.epoll`, for the selector of an event loop; registrations that fail for a moment are made again."""
+    """Replaces `select.epoll` in the selector of an event loop, and repeats registrations that failed transiently."""
 
     def __init__(self) -> None:
         self.unwatched_since_ns: int | None = None
-        """Since when, by the monotonic clock, some events may go unreported; None while none do."""
+        """Monotonic time since which a failed registration may hide events; None while no registration is pending."""
         self._epoll = select.epoll()
         self._watched: dict[int, int] = {}
-        """Events of the descriptors that the kernel watches."""
+        """Descriptors that the kernel watches, with the events that it watches for."""
         self._wanted: dict[int, int] = {}
-        """Events of the descriptors that the kernel does not watch for just these yet."""
-        self._resting_until_s: dict[int, float] = {}
-        """Those of them that are left alone, by the monotonic clock."""
+        """Descriptors that the kernel does not yet watch for the wanted events, with these events."""
+        self._paused_until_s: dict[int, float] = {}
+        """Paused descriptors, all of them in `_wanted`, with the monotonic time at which the pause ends."""
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watches a descriptor.
+        """Starts to watch a descriptor.
 
         Raises:
-            OSError: it cannot be watched at all.
+            OSError: the descriptor cannot be watched at all.
         """
-        self._watched.pop(descriptor, None)  # the kernel has dropped one that was closed without being unregistered
-        self._resting_until_s.pop(descriptor, None)
+        self._watched.pop(descriptor, None)  # the kernel drops a descriptor that is closed without being unregistered
+        self._paused_until_s.pop(descriptor, None)
         self._watch(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Watches a descriptor for other events.
+        """Changes the events for which a descriptor is watched.
 
         Raises:
-            OSError: it cannot be watched at all.
+            OSError: the descriptor cannot be watched at all.
         """
-        if descriptor in self._resting_until_s:
+        if descriptor in self._paused_until_s:
             self._wanted[descriptor] = events
         else:
             self._watch(descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
-        """Watches a descriptor no more."""
+        """Stops watching a descriptor."""
         self._wanted.pop(descriptor, None)
-        self._resting_until_s.pop(descriptor, None)
+        self._paused_until_s.pop(descriptor, None)
         if descriptor in self._watched:
             del self._watched[descriptor]
             self._epoll.unregister(descriptor)
 
-    def rest(self, descriptor: int) -> None:
-        """Reports nothing of a descriptor for a moment."""
+    def pause(self, descriptor: int) -> None:
+        """Reports no events of a descriptor for `RETRY_INTERVAL_S`."""
         if descriptor in self._watched:
             self._wanted[descriptor] = self._watched.pop(descriptor)
-            self._resting_until_s[descriptor] = time.monotonic() + RETRY_S
+            self._paused_until_s[descriptor] = time.monotonic() + RETRY_INTERVAL_S
             with suppress(OSError):
                 self._epoll.unregister(descriptor)
 
     def poll(self, timeout_s: float | None = None, max_events: int = -1) -> list[tuple[int, int]]:
-        """Waits for events, a short time only while some may go unreported. Returns descriptors and their events."""
+        """Waits for events, only briefly while some may go unreported. Returns descriptors and their events."""
         if self._wanted:
             self._watch_wanted()
-        if len(self._wanted) == len(self._resting_until_s):
+        if len(self._wanted) == len(self._paused_until_s):
             self.unwatched_since_ns = None
-        if self._wanted and (timeout_s is None or not 0 <= timeout_s <= RETRY_S):
-            timeout_s = RETRY_S
+        if self._wanted and (timeout_s is None or not 0 <= timeout_s <= RETRY_INTERVAL_S):
+            timeout_s = RETRY_INTERVAL_S
         return self._epoll.poll(timeout_s, max_events)
 
     def close(self) -> None:
@@ -91,8 +92,8 @@
     def _watch_wanted(self) -> None:
         now_s = time.monotonic()
         for descriptor, events in list(self._wanted.items()):
-            if self._resting_until_s.get(descriptor, now_s) <= now_s:
-                self._resting_until_s.pop(descriptor, None)
+            if self._paused_until_s.get(descriptor, now_s) <= now_s:
+                self._paused_until_s.pop(descriptor, None)
                 with suppress(OSError):
                     self._watch(descriptor, events)
 
@@ -114,16 +115,16 @@
             self._wanted.pop(descriptor, None)
 
 
-def rest(descriptor: int) -> None:
-    """Lets the running event loop leave a descriptor alone for a moment; does nothing on one that cannot."""
-    selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public way to it
+def pause(descriptor: int) -> None:
+    """Pauses a descriptor in the running event loop; does nothing if the loop does not use `RetryingEpoll`."""
+    selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public access to the selector
     epoll = getattr(selector, "_selector", None)
     if isinstance(epoll, RetryingEpoll):
-        epoll.rest(descriptor)
+        epoll.pause(descriptor)
 
 
 def ready_now(poller: select.poll) -> list[tuple[int, int]] | None:
-    """Returns what of the registered descriptors is ready, without a wait; None where the kernel cannot tell."""
+    """Returns the registered descriptors that are ready now, with their events; None if the poll fails."""
     try:
         return poller.poll(0)
     except OSError:
--- a/forwarder/runtime/handover.py
+++ b/forwarder/runtime/handover.py
@@ -212,8 +212,8 @@
         sock = handover.socket(client.descriptor)
         await runtime.supervisor.guarded("hand-over of a client", runtime.server.adopt(sock, client.state))
     runtime.server.eviction_order.sort()
-    for descriptor in description.admin_listeners:
-        listener = runtime.admin.listen(handover.socket(descriptor))
+    for index in description.admin_listeners:
+        listener = runtime.admin.listen(handover.socket(index))
         if listener.address() != runtime.config.admin:
             asyncio.get_running_loop().call_later(OLD_ADMIN_ADDRESS_S, listener.close)
     for connection in description.admin_connections:
--- a/forwarder/runtime/retrying_socket.py
+++ b/forwarder/runtime/retrying_socket.py
@@ -1,4 +1,4 @@
-"""Sockets whose connection outlasts a passing shortage of this machine, and connecting with them."""
+"""Sockets whose connections survive a transient lack of memory or buffers on this machine, and connecting them."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 from forwarder.config.config import Address
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
-from forwarder.runtime.descriptor_watch import rest
+from forwarder.runtime.descriptor_watch import pause
 
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer, WriteableBuffer
 
 TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM, errno.EINTR})
-"""Errors of send(2) and recv(2) that say nothing about the connection."""
+"""Errors of send(2) and recv(2) that do not concern the connection itself."""
 Made = TypeVar("Made", bound=asyncio.BaseProtocol)
 
 
 class RetryingSocket(socket.socket):
-    """A socket that tries again where memory or buffers were not to be had.
+    """A socket on which calls that fail for lack of memory or buffers are retried.
 
-    The event loop makes the call again a moment later. To end the connection instead would leave its request
+    The event loop repeats the call a short time later. Closing the connection instead would leave its request
     unanswered.
     """
 
     is_short_of_buffers = False
-    """Whether the last send failed for want of memory or buffers, so that it says nothing about the peer."""
+    """Whether the last send failed for lack of memory or buffers, which says nothing about the peer."""
 
     is_unreadable = False
-    """Whether something has come that could not be read for want of memory or buffers."""
+    """Whether the last read failed for lack of memory or buffers, although there was something to read."""
     sent_bytes = 0
-    """Bytes that the kernel has taken since this object was made."""
+    """Number of bytes that the kernel has accepted since this object was created."""
 
     @classmethod
     def of(cls, sock: socket.socket) -> RetryingSocket:
-        """Takes the place of a plain socket, which has no descriptor any more then."""
+        """Creates a socket from a plain one, and takes over its descriptor."""
         return cls(sock.family, sock.type, sock.proto, sock.detach())
 
     def recv(self, bufsize: int, flags: int = 0) -> bytes:
-        """Reads, as the base class does.
+        """Reads as the base class does.
 
         Raises:
             BlockingIOError: nothing can be read now.
@@ -53,12 +53,12 @@
             data = super().recv(bufsize, flags)
         except OSError as error:
             self.is_unreadable = error.errno in TRANSIENT_ERRORS
-            raise self._to_be_retried(error) from None
+            raise self._convert_transient_error(error) from None
         self.is_unreadable = False
         return data
 
     def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
-        """Reads into a buffer, as the base class does.
+        """Reads into a buffer as the base class does.
 
         Raises:
             BlockingIOError: nothing can be read now.
@@ -67,10 +67,10 @@
         try:
             return super().recv_into(buffer, nbytes, flags)
         except OSError as error:
-            raise self._to_be_retried(error) from None
+            raise self._convert_transient_error(error) from None
 
     def send(self, data: ReadableBuffer, flags: int = 0) -> int:
-        """Sends from a buffer, as the base class does.
+        """Sends from a buffer as the base class does.
 
         Raises:
             BlockingIOError: nothing can be sent now.
@@ -80,37 +80,37 @@
             sent = super().send(data, flags)
         except OSError as error:
             self.is_short_of_buffers = error.errno in TRANSIENT_ERRORS
-            raise self._to_be_retried(error) from None
+            raise self._convert_transient_error(error) from None
         self.is_short_of_buffers = False
         self.sent_bytes += sent
         return sent
 
-    def _to_be_retried(self, error: OSError) -> OSError:
-        """Returns a transient error in the form by which the event loop knows it, and leaves the socket alone."""
+    def _convert_transient_error(self, error: OSError) -> OSError:
+        """Converts a transient error to one after which the event loop retries, and pauses the socket's descriptor."""
         if error.errno not in TRANSIENT_ERRORS:
             return error
-        rest(self.fileno())
+        pause(self.fileno())
         return BlockingIOError(errno.EAGAIN, str(error))
 
 
 class SpareSocket:
-    """A socket in reserve, for a connection that must not wait until one can be had."""
+    """A socket in reserve, for a connection that must not wait until a new socket can be created."""
 
     def __init__(self) -> None:
         self._spare: RetryingSocket | None = None
         self.fill()
 
     def fill(self) -> None:
-        """Puts a socket in reserve, if there is none and one can be had."""
+        """Puts a socket in reserve if there is none and one can be created."""
         if self._spare is None:
             with suppress(OSError):
                 self._spare = _new_socket(socket.AF_INET)
 
     def make(self, family: int) -> RetryingSocket:
-        """Returns a new socket, or the one in reserve where no other can be had.
+        """Returns a new socket, or the one in reserve if none can be created.
 
         Raises:
-            OSError: there is none in reserve either.
+            OSError: no socket can be created, and there is none of this family in reserve.
         """
         try:
             return _new_socket(family)
@@ -131,13 +131,13 @@
     """Connects to an address, and returns the protocol of the connection.
 
     Args:
-        make_protocol: makes the protocol from the connection's socket.
-        address: where to connect to.
-        reserve: helps where the process has no descriptor left.
-        spare: helps where no socket can be had.
+        make_protocol: creates the protocol from the connection's socket.
+        address: the address of the peer.
+        reserve: used if the process has no descriptor left.
+        spare: used if no socket can be created.
 
     Raises:
-        OSError: no connection can be had.
+        OSError: the connection cannot be established.
     """
     loop = asyncio.get_running_loop()
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
@@ -154,4 +154,5 @@
 
 
 def _new_socket(family: int) -> RetryingSocket:
-    return RetryingSocket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)  # else asyncio sets no TCP_NODELAY
+    # asyncio sets TCP_NODELAY only on a socket that was created with IPPROTO_TCP.
+    return RetryingSocket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
