--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -23,7 +23,7 @@
 from lab.shim import Failure
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
-from tests.runtime.test_system_faults import LARGE, answers, shimmed
+from tests.runtime.test_system_faults import LARGE_BODY, start_with_failures, submit_all
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
 from tests.scripts import S, ask, end, sends, started
 from tests.sockets import OK, PATIENCE, Answer, Request, always
@@ -36,15 +36,15 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
-        statuses = await answers(node, [f"m{n}" for n in range(20)], body=LARGE)
+        node = await start_with_failures(folder, platform)
+        statuses = await submit_all(node, [f"m{n}" for n in range(20)], body=LARGE_BODY)
         assert set(statuses.values()) == {202}
         await node.fail(Failure("open", "ENOSPC"))
-        clients = [node.submit(f"n{n}", "status", body=LARGE) for n in range(20)]
+        clients = [node.submit(f"n{n}", "status", body=LARGE_BODY) for n in range(20)]
         statuses |= {f"n{n}": status for n, (status, _) in enumerate(await asyncio.gather(*clients))}
         async with asyncio.timeout(PATIENCE):
             while 503 not in statuses.values():
-                statuses |= await answers(node, [f"o{len(statuses)}"])
+                statuses |= await submit_all(node, [f"o{len(statuses)}"])
         rejected = {name for name, status in statuses.items() if status == 503}
         await node.end()
         await node.fail()
@@ -141,7 +141,7 @@
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         client = await node.client()
         assert (await client.submit("first", "status"))[0] == 202
         if handed_over:
@@ -151,7 +151,7 @@
         await node.fail(Failure(call, "ENOBUFS", 0.5))
         names = [f"m{n}" for n in range(20)]
         assert {(await client.submit(name, "status"))[0] for name in names[:10]} == {202}
-        assert set((await answers(node, names[10:])).values()) == {202}
+        assert set((await submit_all(node, names[10:])).values()) == {202}
         names.append("first")
         await peer.wait_until(lambda: sorted(received_ids(peer)) == sorted(names))
 
@@ -222,7 +222,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "3000"})))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         submitted_s = asyncio.get_running_loop().time()
         assert (await node.submit("held", "status", left="6"))[0] == 202
         await peer.wait_for_requests(1)
@@ -335,7 +335,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         await node.fail(Failure("epoll_ctl", error, 0.5))
         names = [f"m{n}" for n in range(20)]
         responses = await asyncio.gather(*(node.submit(name, "pay") for name in names))
@@ -352,7 +352,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
-        node = await shimmed(folder, platform)
+        node = await start_with_failures(folder, platform)
         assert (await node.submit("before", "status"))[0] == 202
         await node.fail(Failure("poll", "ENOMEM"))
         during = asyncio.create_task(node.submit("during", "status"))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -23,7 +23,7 @@
 from forwarder.membership.codec import Codec, Datagram, MemberRow
 from forwarder.membership.gossip_store import GossipRow
 from forwarder.runtime.learned_state_format import learned_state_from_stored, learned_state_to_stored
-from forwarder.runtime.ownership import ASK, HEAD, TAKEN, YOURS, receive
+from forwarder.runtime.ownership import HANDOVER_HEADER, OWNERSHIP_GRANTED, TAKEOVER_READY, TAKEOVER_REQUEST, receive
 from forwarder.simulator.adapter import SimulatorHost
 from forwarder.storage import clock, identity, lease
 from forwarder.storage.messages import AcceptedMessage, PendingNotice
@@ -303,8 +303,8 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
         connection.settimeout(PATIENCE)
         connection.connect(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
-        connection.sendall(ASK)
-        size, _ = HEAD.unpack(receive(connection, HEAD.size))
+        connection.sendall(TAKEOVER_REQUEST)
+        size, _ = HANDOVER_HEADER.unpack(receive(connection, HANDOVER_HEADER.size))
         state: dict[str, Any] = json.loads(receive(connection, size))
         return state
 
@@ -327,12 +327,12 @@
 
     def serve(self) -> None:
         connection, _ = self.listener.accept()
-        assert receive(connection, len(ASK)) == ASK
+        assert receive(connection, len(TAKEOVER_REQUEST)) == TAKEOVER_REQUEST
         data = json.dumps(self.state, separators=(",", ":")).encode()
-        connection.sendall(HEAD.pack(len(data), len(self.descriptors)) + data)
+        connection.sendall(HANDOVER_HEADER.pack(len(data), len(self.descriptors)) + data)
         socket.send_fds(connection, [b"f"], self.descriptors)
-        assert receive(connection, len(TAKEN)) == TAKEN
-        socket.send_fds(connection, [YOURS], [self.lock])
+        assert receive(connection, len(TAKEOVER_READY)) == TAKEOVER_READY
+        socket.send_fds(connection, [OWNERSHIP_GRANTED], [self.lock])
         os.close(self.lock)
         connection.close()
 
