--- a/forwarder/streaming/__init__.py
+++ b/forwarder/streaming/__init__.py
@@ -1,1 +1,1 @@
-"""Streams: HTTP exchanges that pass between a client and an endpoint while they arrive, in fixed memory."""
+"""Streams: HTTP exchanges that are relayed between a client and an endpoint as they arrive, in bounded memory."""
--- a/forwarder/streaming/client_session.py
+++ b/forwarder/streaming/client_session.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests, one after the other, and the responses that are this forwarder's own."""
+"""A client connection: serves its requests one after another, and writes the responses that the forwarder generates."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
     from forwarder.streaming.extension import StreamingExtension
 
 LINGER_S = 1.0
-"""So long a client that is still sending may read its response: to close at once would reset it."""
+"""Time that a client which is still sending has to read its response: an immediate close would reset the connection."""
 LINGER_BYTES = 1 << 20
-MAX_REJECTING = SPARE_SOCKETS // 2
-"""Clients that are told at once that there is no capacity; others are just closed."""
+MAX_CONCURRENT_REJECTIONS = SPARE_SOCKETS // 2
+"""Clients to which a 503 is being written at one time; the connections of further clients are closed without one."""
 RESERVED_PATHS = frozenset({b"hook", b"notice", b"up", b"discovery", b"v1"})
-"""First segments of the paths that messages, discovery and the front use; the classes' names are added to them."""
+"""First path segments that messages, discovery and the platform use. The names of the message classes are added."""
 
 
 class ClientSession:
     """Serves a client from its first request to the end of its connection.
 
     Attributes:
-        connection: the client's.
-        task: that serves it.
-        exchange: the stream that it carries.
-        is_busy: it is in the middle of a request.
-        idle_since_s: since when it is not, by the monotonic clock.
+        connection: The client's connection.
+        task: The task that serves the client.
+        exchange: The stream in progress, if any.
+        is_busy: Whether a request is in progress.
+        idle_since_s: Time at which the last request ended, on the monotonic clock.
     """
 
     def __init__(self, extension: StreamingExtension, connection: StreamConnection, task: asyncio.Task[None]) -> None:
@@ -49,10 +49,10 @@
         self.idle_since_s = 0.0
 
     async def run(self) -> None:
-        """Serves the client."""
+        """Serves requests until the connection ends."""
         extension = self._extension
         try:
-            if not extension.has_capacity():
+            if not extension.ensure_capacity():
                 await self._reject_client()
                 return
             extension.sessions.add(self)
@@ -62,7 +62,7 @@
         except (OSError, StalledError):
             pass
         except (EndpointFailedError, ClientFailedError) as error:
-            self.connection.reset_on_end(True)
+            self.connection.set_reset_on_close(True)
             extension.count("cut", f"an answer was cut: {error.text}")
         finally:
             extension.sessions.discard(self)
@@ -71,18 +71,18 @@
     async def _reject_client(self) -> None:
         extension = self._extension
         extension.count("without room", "no room for more clients")
-        if extension.rejecting >= MAX_REJECTING:
+        if extension.rejections_in_progress >= MAX_CONCURRENT_REJECTIONS:
             return
-        extension.rejecting += 1
+        extension.rejections_in_progress += 1
         try:
             await self._respond(HTTPStatus.SERVICE_UNAVAILABLE, "no room", retry_s=1)
         finally:
-            extension.rejecting -= 1
+            extension.rejections_in_progress -= 1
 
     # One request
 
     async def _serve_request(self) -> bool:
-        """Serves one request. Returns whether the connection goes on."""
+        """Serves one request. Returns whether the connection stays open."""
         method = b""
         try:
             request = await self._read_request()
@@ -97,17 +97,17 @@
         except MalformedMessageError as error:
             self._extension.count("refused as malformed", f"refused with {error.status.value}: {error.text}")
             return await self._respond(error.status, error.text, method)
-        del request  # the exchange has it, for as long as it is needed
+        del request  # the exchange holds it for as long as it is needed
         try:
             return await self._run_exchange(self.exchange)
         finally:
             self.exchange = None
 
     async def _read_request(self) -> Request | None:
-        """Returns the next request's head, or None where no more comes."""
+        """Returns the head of the next request, or None if the client closed the connection."""
         settings = self._extension.settings
         if not self.connection.unread:
-            timeout_s = settings.head_s if self.is_busy else settings.idle_s
+            timeout_s = settings.head_timeout_s if self.is_busy else settings.idle_timeout_s
             if not await self.connection.read_more(settings.buffer_bytes, timeout_s):
                 return None
         self.is_busy = True
@@ -117,7 +117,7 @@
         """Returns the destination that a request names.
 
         Raises:
-            MalformedMessageError: it names none, or its path is reserved.
+            MalformedMessageError: The request does not name exactly one destination, or its path is reserved.
         """
         values = request.values(b"x-addressing")
         destination = parse_destination(values[0].decode("latin-1")) if len(values) == 1 else None
@@ -130,66 +130,68 @@
         return destination
 
     async def _run_exchange(self, exchange: Exchange) -> bool:
-        """Carries a stream, and responds where no endpoint did. Returns whether the connection goes on."""
+        """Runs an exchange, and responds if no endpoint has. Returns whether the client's connection stays open."""
         extension, method = self._extension, exchange.method
         if extension.is_draining or extension.host.run_state.is_frozen:
             exchange.release()
             extension.count("turned away")
             return await self._respond(HTTPStatus.SERVICE_UNAVAILABLE, "leaving", method, retry_s=1)
         extension.count("begun")
-        failed = await exchange.run()
-        match failed:
+        failure = await exchange.run()
+        match failure:
             case None:
                 return await self._end_exchange(exchange)
             case RejectStream():
                 extension.count("turned away")
-                retry_s = retry_after_s(failed.retry_after_us)
+                retry_s = retry_after_s(failure.retry_after_us)
                 status, text = HTTPStatus.SERVICE_UNAVAILABLE, "no endpoint has room now"
-                return await self._respond(status, text, method, retry_s, self._may_keep(exchange))
+                return await self._respond(status, text, method, retry_s, self._can_keep_alive(exchange))
             case EndpointFailedError():
-                extension.count("failed", f"{failed.status.value} for an endpoint: {failed.text}")
-                retry_s = 1 if failed.status is HTTPStatus.SERVICE_UNAVAILABLE else 0
-                return await self._respond(failed.status, failed.text, method, retry_s, self._may_keep(exchange))
+                extension.count("failed", f"{failure.status.value} for an endpoint: {failure.text}")
+                retry_s = 1 if failure.status is HTTPStatus.SERVICE_UNAVAILABLE else 0
+                return await self._respond(
+                    failure.status, failure.text, method, retry_s, self._can_keep_alive(exchange)
+                )
             case ClientFailedError():
-                extension.count("left", f"a client failed: {failed.text}")
-                if failed.status is None:
+                extension.count("left", f"a client failed: {failure.text}")
+                if failure.status is None:
                     return False
-                return await self._respond(failed.status, failed.text, method)
+                return await self._respond(failure.status, failure.text, method)
 
     async def _end_exchange(self, exchange: Exchange) -> bool:
-        """An endpoint's response has ended. Returns whether the connection goes on."""
+        """Handles the end of an endpoint's response. Returns whether the client's connection stays open."""
         self._extension.count("ended")
         if not exchange.request_complete or (exchange.closes_client and self.connection.unread):
             await self._linger()
         return not exchange.closes_client and not self._extension.is_draining
 
-    def _may_keep(self, exchange: Exchange) -> bool:
+    def _can_keep_alive(self, exchange: Exchange) -> bool:
         return exchange.request_complete and not exchange.closes_client and not self._extension.is_draining
 
-    # Own responses
+    # Responses that the forwarder generates
 
     async def _respond(
-        self, status: HTTPStatus, text: str, method: bytes = b"", retry_s: int = 0, keep: bool = False
+        self, status: HTTPStatus, text: str, method: bytes = b"", retry_s: int = 0, keep_alive: bool = False
     ) -> bool:
-        """Writes a response of this forwarder's own. Returns whether the connection goes on."""
+        """Writes a response generated by the forwarder. Returns whether the connection stays open."""
         body = text.encode() + b"\n"
         fields = [(b"Content-Type", b"text/plain; charset=utf-8"), (b"Content-Length", b"%d" % len(body))]
         if retry_s:
             fields.append((b"Retry-After", b"%d" % retry_s))
-        if not keep:
+        if not keep_alive:
             fields.append((b"Connection", b"close"))
         head = render_head(f"HTTP/1.1 {status.value} {status.phrase}".encode(), fields)
         data = head if method == b"HEAD" else head + body
-        await self.connection.write(data, self._extension.settings.head_s)
-        if not keep:
+        await self.connection.write(data, self._extension.settings.head_timeout_s)
+        if not keep_alive:
             await self._linger()
-        return keep
+        return keep_alive
 
     async def _linger(self) -> None:
-        """Lets a client that is still sending read its response first: a close over unread bytes is a reset."""
+        """Discards what a client still sends: closing a socket with unread bytes would reset the connection."""
         deadline_s = time.monotonic() + LINGER_S
         bytes_left = LINGER_BYTES
-        self.connection.end_sending()
+        self.connection.shutdown_write()
         while bytes_left > 0 and (timeout_s := deadline_s - time.monotonic()) > 0:
             try:
                 data = await self.connection.read(self._extension.settings.buffer_bytes, timeout_s)
--- a/forwarder/streaming/connection.py
+++ b/forwarder/streaming/connection.py
@@ -1,7 +1,7 @@
-"""One connection of a stream: bounded reads, and writes that count until the socket has taken them.
+"""A connection that carries streams: bounded reads, and writes that are accounted until the socket accepts them.
 
-Sockets are used without transports: a transport reads up to 256 KiB at once, past any limit, and one that fails to
-write throws away an answer that has come already.
+Plain sockets are used in place of asyncio transports. A transport reads up to 256 KiB at once, whatever the limit, and
+discards a response that has already arrived when a write fails.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 from forwarder.clients.listener import reset_on_close
 
 THROUGHPUT_WINDOW_S = 5.0
-"""Time that a peer has kept this forwarder waiting, after which its throughput is judged."""
+"""Time spent waiting for a peer after which its throughput is checked."""
 
 
 class StalledError(Exception):
-    """A peer took longer than it may."""
+    """A peer exceeded a timeout, or transferred bytes too slowly."""
 
 
 class BufferAccount:
-    """What all streams together have read and not yet written, in bytes."""
+    """Counts the bytes that all streams together have read and not yet written."""
 
     def __init__(self) -> None:
         self.held_bytes = 0
         self.peak_bytes = 0
 
     def add(self, size: int) -> None:
-        """Counts bytes that were read."""
+        """Adds bytes that were read."""
         self.held_bytes += size
         self.peak_bytes = max(self.peak_bytes, self.held_bytes)
 
     def release(self, size: int) -> None:
-        """Counts bytes that were written, or are not needed any more."""
+        """Subtracts bytes that were written or discarded."""
         self.held_bytes -= size
 
 
 class ThroughputMonitor:
-    """Judges whether a peer moves enough bytes. Only the time counts that it kept this forwarder waiting."""
+    """Checks the throughput of a peer. Only the time that the forwarder waits for the peer counts."""
 
     def __init__(self, min_bytes_per_s: int) -> None:
         self.min_bytes_per_s = min_bytes_per_s
@@ -46,10 +46,10 @@
         self._moved_bytes = 0
 
     def record(self, waited_s: float, moved_bytes: int) -> None:
-        """Counts one read or write.
+        """Records one read or write.
 
         Raises:
-            StalledError: the peer was too slow over the window.
+            StalledError: The throughput over the window is below the minimum.
         """
         self._waited_s += waited_s
         self._moved_bytes += moved_bytes
@@ -62,39 +62,40 @@
 
 
 class StreamConnection:
-    """A client's or an endpoint's connection.
+    """A connection to a client or an endpoint.
 
     Attributes:
-        unread: bytes that were read from the socket, but not used yet.
-        idle_since_s: since when it is kept without use, by the monotonic clock.
-        closed: the socket is closed.
+        account: Counts the bytes that the connection holds.
+        unread: Bytes that were read from the socket but not consumed yet.
+        idle_since_s: Time since which the connection is idle, on the monotonic clock.
+        closed: Whether the socket is closed.
     """
 
     def __init__(self, sock: socket.socket, account: BufferAccount, min_bytes_per_s: int) -> None:
         self._sock = sock
         self.account = account
         self.unread = b""
-        self._reads = ThroughputMonitor(min_bytes_per_s)
-        self._writes = ThroughputMonitor(min_bytes_per_s)
+        self._read_throughput = ThroughputMonitor(min_bytes_per_s)
+        self._write_throughput = ThroughputMonitor(min_bytes_per_s)
         self.idle_since_s = 0.0
         self.closed = False
 
     # Reading
 
     def put_back(self, data: bytes) -> None:
-        """Keeps bytes that belong to what comes next, in place of those that were kept."""
+        """Replaces the unread bytes with bytes that belong to the next message."""
         self.account.release(len(self.unread))
         self.unread = data
         self.account.add(len(data))
 
     def take_unread(self) -> bytes:
-        """Returns the bytes that were kept, which are the caller's to count now."""
+        """Returns the unread bytes and removes them from the account; the caller accounts for them."""
         data = self.unread
         self.put_back(b"")
         return data
 
     async def _receive(self, max_bytes: int, timeout_s: float) -> bytes:
-        """Returns bytes as they come from the socket, none at the end."""
+        """Receives bytes from the socket. Returns no bytes at the end of the stream."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await asyncio.get_running_loop().sock_recv(self._sock, max_bytes)
@@ -102,36 +103,36 @@
             raise StalledError(f"nothing came for {timeout_s:g} s") from None
 
     async def read_more(self, max_bytes: int, timeout_s: float) -> bool:
-        """Reads on behind what is kept. Returns False where the peer has ended its side.
+        """Appends received bytes to the unread bytes. Returns False if the peer has shut down its side.
 
         Raises:
-            StalledError: nothing came in time.
-            OSError: the connection is broken.
+            StalledError: Nothing was received within the timeout.
+            OSError: The connection is broken.
         """
         data = await self._receive(max_bytes, timeout_s)
         self.put_back(self.unread + data)
         return data != b""
 
     async def read(self, max_bytes: int, timeout_s: float) -> bytes:
-        """Returns what was kept, else bytes as they come; none at the end.
+        """Returns the unread bytes, or else the next received bytes. Returns no bytes at the end of the stream.
 
         Raises:
-            StalledError: nothing came in time, or the peer is too slow.
-            OSError: the connection is broken.
+            StalledError: Nothing was received within the timeout, or the peer is too slow.
+            OSError: The connection is broken.
         """
         if self.unread:
             return self.take_unread()
         began_s = time.monotonic()
         data = await self._receive(max_bytes, timeout_s)
         if data:
-            self._reads.record(time.monotonic() - began_s, len(data))
+            self._read_throughput.record(time.monotonic() - began_s, len(data))
         return data
 
     async def wait_readable(self) -> bool:
-        """Waits until something can be read, and leaves it there. Returns False where it is the end.
+        """Waits until the socket is readable, without consuming data. Returns False at the end of the stream.
 
         Raises:
-            OSError: the connection is broken.
+            OSError: The connection is broken.
         """
         if self.unread:
             return True
@@ -144,8 +145,8 @@
             loop.remove_reader(self._sock)
         return self._sock.recv(1, socket.MSG_PEEK) != b""
 
-    def is_quiet(self) -> bool:
-        """Whether a kept connection is as it was left: nothing has come, not even its end."""
+    def is_reusable(self) -> bool:
+        """Returns whether an idle connection can be reused: neither data nor the end of the stream has arrived."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -157,11 +158,11 @@
     # Writing
 
     async def write(self, data: bytes, timeout_s: float) -> None:
-        """Writes all of it. For no longer than the timeout may the peer take no byte.
+        """Writes all of the data. The timeout applies to each wait for the peer to accept more bytes.
 
         Raises:
-            StalledError: the peer took nothing in time, or is too slow.
-            OSError: the connection is broken.
+            StalledError: The peer accepted nothing within the timeout, or is too slow.
+            OSError: The connection is broken.
         """
         view = memoryview(data)
         written = 0
@@ -176,15 +177,15 @@
                     continue
                 written += size
                 self.account.release(size)
-                self._writes.record(waited_s, size)
+                self._write_throughput.record(waited_s, size)
                 waited_s = 0.0
-        except TimeoutError:  # also the socket's own, ETIMEDOUT
+        except TimeoutError:  # also raised by the socket itself, for ETIMEDOUT
             raise StalledError(f"it took no bytes for {timeout_s:g} s") from None
         finally:
             self.account.release(len(data) - written)
 
     async def _wait_writable(self, timeout_s: float) -> float:
-        """Returns how long that took, in seconds. Raises TimeoutError."""
+        """Waits until the socket is writable. Returns the waiting time in seconds; raises TimeoutError."""
         loop = asyncio.get_running_loop()
         ready = asyncio.Event()
         began_s = time.monotonic()
@@ -196,24 +197,24 @@
             loop.remove_writer(self._sock)
         return time.monotonic() - began_s
 
-    # Ending
+    # Closing
 
-    def reset_on_end(self, enabled: bool) -> None:
-        """Sets whether the connection ends by a reset, also by the death of this process.
+    def set_reset_on_close(self, enabled: bool) -> None:
+        """Sets whether closing the socket resets the connection, also when this process dies.
 
-        It has to as long as its end would be taken for the end of an answer that is not complete.
+        A reset is needed while the peer would take an orderly close for the end of a response that is incomplete.
         """
         if not self.closed:
             reset_on_close(self._sock, enabled)
 
-    def end_sending(self) -> None:
-        """Ends this side in order, so that the peer reads all that was written."""
+    def shutdown_write(self) -> None:
+        """Shuts down the write side in order, so that the peer can read everything that was written."""
         self._sock.shutdown(socket.SHUT_WR)
 
     def close(self, abort: bool = False) -> None:
-        """Closes the socket. An abort resets the connection: what was cut must not look as if it had ended."""
+        """Closes the socket. An abort resets the connection, so that a truncated message does not look complete."""
         if abort:
-            self.reset_on_end(True)
+            self.set_reset_on_close(True)
         if not self.closed:
             self.closed = True
             self.put_back(b"")
--- a/forwarder/streaming/errors.py
+++ b/forwarder/streaming/errors.py
@@ -1,4 +1,4 @@
-"""Why a stream could not be carried to its end."""
+"""Errors that end a stream early."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointFailedError(Exception):
-    """The endpoint did not do its part; with the status that the client gets, if it can still get one."""
+    """The endpoint failed. Carries the status for the client, which is used if no response has been started."""
 
     def __init__(self, outcome: Outcome, text: str, status: HTTPStatus = HTTPStatus.BAD_GATEWAY) -> None:
         super().__init__(text)
@@ -18,7 +18,7 @@
 
 
 class ClientFailedError(Exception):
-    """The client did not do its part; with the status that it gets, or none where it has gone."""
+    """The client failed. Carries the status for the client, or None if the client has disconnected."""
 
     def __init__(self, text: str, status: HTTPStatus | None = None) -> None:
         super().__init__(text)
--- a/forwarder/streaming/exchange.py
+++ b/forwarder/streaming/exchange.py
@@ -1,7 +1,7 @@
-"""One stream: a request taken to an endpoint, and its response brought back, both while they arrive.
+"""One stream: relays a request to an endpoint and the response back to the client, both as they arrive.
 
-Two tasks move bytes, one each way; each reads again only when what it read before is written. Where a stream goes is
-decided elsewhere; `ExchangeHost` is what an exchange needs of the extension around it.
+Two tasks relay bytes, one in each direction; each reads again only after everything that it read before is written.
+The dispatcher chooses the endpoint; `ExchangeHost` is the interface to the extension that owns the exchange.
 """
 
 from __future__ import annotations
@@ -30,42 +30,42 @@
 from forwarder.units import SECOND_US
 
 MAX_INTERIM_RESPONSES = 16
-"""1xx responses that are brought back before the final one."""
+"""Limit on the 1xx responses before the final response."""
 FAILURE_STATUSES = frozenset({500, 502, 504})
-"""Responses that say that the endpoint has failed."""
+"""Status codes that count as a failure of the endpoint."""
 NO_ENDPOINT = -1
 
 
 ExchangeResult = RejectStream | EndpointFailedError | ClientFailedError | None
-"""What kept an exchange from a response, which the client is then owed; None where it had one to its end."""
+"""Why the client still needs a response from the forwarder; None if it received a complete one from an endpoint."""
 
 
 class ExchangeHost(Protocol):
-    """What an exchange needs of the extension."""
+    """The interface through which an exchange uses the extension."""
 
     settings: StreamSettings
 
     async def route(self, stream: int, destination: int, avoid_endpoint: int) -> RouteStream | RejectStream:
-        """Decides where a stream goes."""
+        """Chooses an endpoint for a stream, or rejects the stream."""
 
     async def connect(self, endpoint: int, reuse: bool) -> StreamConnection:
-        """Returns a connection to an endpoint. A kept one may be dead: it serves only requests that may be repeated.
+        """Returns a connection to an endpoint. An idle one may be closed, so only idempotent requests may reuse one.
 
         Raises:
-            EndpointFailedError: none can be had.
+            EndpointFailedError: The endpoint is not available, or the connection attempt failed.
         """
 
     def report_outcome(self, stream: int, endpoint: int, outcome: Outcome, headers: Headers) -> None:
-        """An endpoint has shown how it does, by the head of its response or by failing."""
+        """Reports the outcome of an attempt, known from the head of the response or from a failure."""
 
     def end_stream(self, stream: int) -> None:
-        """The stream is over."""
+        """Reports that a stream has ended."""
 
     def keep_connection(self, endpoint: int, connection: StreamConnection) -> None:
-        """The connection may serve another stream."""
+        """Accepts a connection that may serve another stream."""
 
-    def count(self, what: str, text: str = "") -> None:
-        """Counts an event, and logs its text now and then."""
+    def count(self, event: str, log_text: str = "") -> None:
+        """Counts an event, and logs the text at a limited rate."""
 
 
 async def _wait_for_any(*tasks: asyncio.Task[None] | asyncio.Task[bool]) -> None:
@@ -76,15 +76,15 @@
     """One request of a client, and the response to it.
 
     Attributes:
-        endpoint_connection: the connection that carries it.
-        request_complete: all of the request was read from the client.
-        closes_client: the client's connection ends with this response.
+        endpoint_connection: The connection to the endpoint of the current attempt.
+        request_complete: Whether all of the request has been read from the client.
+        closes_client: Whether the client's connection is closed after this response.
     """
 
     def __init__(
         self, host: ExchangeHost, stream: int, client: StreamConnection, request: Request, destination: int
     ) -> None:
-        """Raises MalformedMessageError where what came with the head is no body."""
+        """Raises MalformedMessageError if the bytes received with the head are not a valid body."""
         self._host = host
         self._stream = stream
         self._client = client
@@ -95,23 +95,23 @@
         self.closes_client = request.closes_connection()
         self._endpoint = NO_ENDPOINT
         self._request_sent = False
-        """All of the request is written to the endpoint."""
+        """Whether all of the request has been written to the endpoint."""
         self._reached_endpoint = False
-        """A byte of the request may have reached an endpoint."""
+        """Whether a byte of the request may have reached an endpoint."""
         self._response_started = False
-        """A byte of the final response may have reached the client."""
+        """Whether a byte of the final response may have reached the client."""
         self._request_body = None if self.request_complete else Body(request)
-        request.raw = b""  # its fields hold the same
-        self._first_part = self._frame_request(client.take_unread()) if client.unread else b""
-        client.account.add(len(self._first_part) + request.size)
+        request.raw = b""  # the parsed fields hold the same data
+        self._initial_body = self._frame_request_body(client.take_unread()) if client.unread else b""
+        client.account.add(len(self._initial_body) + request.size)
 
     @property
     def method(self) -> bytes:
-        """Method of the request."""
+        """The method of the request."""
         return self._request.method
 
-    def _frame_request(self, data: bytes) -> bytes:
-        """Returns what of the client's bytes goes on to the endpoint; what belongs to its next request is kept."""
+    def _frame_request_body(self, data: bytes) -> bytes:
+        """Returns the client's bytes framed for the endpoint. Bytes of the client's next request are put back."""
         body = self._request_body
         if body is None:
             self._client.put_back(data)
@@ -123,27 +123,27 @@
         self.closes_client = self.closes_client or body.has_extra_bytes
         return frame_pieces(self._request.framing, pieces, self.request_complete, body.trailers)
 
-    def _take_first_part(self) -> bytes:
-        data = self._first_part
-        self._first_part = b""
+    def _take_initial_body(self) -> bytes:
+        data = self._initial_body
+        self._initial_body = b""
         self._client.account.release(len(data))
         return data
 
     def release(self) -> None:
-        """Nothing of the request is needed any more."""
-        self._take_first_part()
+        """Removes the request from the buffer account; it is not needed any more."""
+        self._take_initial_body()
         self._client.account.release(self._request.size)
 
     # Attempts
 
     async def run(self) -> ExchangeResult:
-        """Carries the stream.
+        """Runs the exchange, with retries on other endpoints.
 
         Returns:
-            What kept it from a response; None where it had one to its end.
+            Why the client still needs a response; None if it received a complete one.
 
         Raises:
-            EndpointFailedError, ClientFailedError: its response was cut, and the client's connection must be reset.
+            EndpointFailedError, ClientFailedError: The response was truncated; the client's connection must be reset.
         """
         try:
             return await self._run_attempts()
@@ -153,25 +153,25 @@
 
     async def _run_attempts(self) -> ExchangeResult:
         avoid_endpoint = NO_ENDPOINT
-        failed: ExchangeResult = None
+        failure: ExchangeResult = None
         for attempt in range(self._host.settings.max_attempts):
             if attempt:
                 self._host.count("retried")
             route = await self._host.route(self._stream, self._destination, avoid_endpoint)
             if isinstance(route, RejectStream):
-                return failed or route
-            failed = await self._attempt(route.endpoint)
-            if not isinstance(failed, EndpointFailedError):
-                return failed
+                return failure or route
+            failure = await self._attempt(route.endpoint)
+            if not isinstance(failure, EndpointFailedError):
+                return failure
             if self._response_started:
-                raise failed
+                raise failure
             if self._reached_endpoint and not self._request.is_idempotent:
-                return failed
+                return failure
             avoid_endpoint = route.endpoint
-        return failed
+        return failure
 
     async def _attempt(self, endpoint: int) -> EndpointFailedError | ClientFailedError | None:
-        """Takes the request to one endpoint."""
+        """Sends the request to one endpoint and relays the response."""
         self._endpoint = endpoint
         try:
             connection = await self._host.connect(endpoint, reuse=self._request.is_idempotent)
@@ -179,15 +179,15 @@
             try:
                 is_reusable = await self._relay(connection)
             except BaseException:
-                connection.close(abort=True)  # what it has of the request must not look complete
+                connection.close(abort=True)  # a truncated request must not look complete to the endpoint
                 raise
-        except EndpointFailedError as failed:
-            self._host.report_outcome(self._stream, endpoint, failed.outcome, {})
-            return failed
-        except ClientFailedError as failed:
+        except EndpointFailedError as error:
+            self._host.report_outcome(self._stream, endpoint, error.outcome, {})
+            return error
+        except ClientFailedError as error:
             if self._response_started:
                 raise
-            return failed
+            return error
         if is_reusable:
             self._host.keep_connection(endpoint, connection)
         else:
@@ -195,10 +195,10 @@
         return None
 
     async def _relay(self, endpoint: StreamConnection) -> bool:
-        """Moves bytes both ways at once, until the response has ended.
+        """Relays bytes in both directions at once, until the response has ended.
 
         Returns:
-            Whether the endpoint's connection may be kept.
+            Whether the endpoint's connection can be reused.
         """
         upload = asyncio.create_task(self._upload(endpoint))
         download = asyncio.create_task(self._download(endpoint))
@@ -207,7 +207,7 @@
             await _wait_for_any(upload, download)
             if download.done():
                 if not upload.done() and download.exception() is None and download.result():
-                    # The endpoint may still take the rest of the request, until it closes.
+                    # The endpoint may still read the rest of the request, until it closes the connection.
                     tasks.append(asyncio.create_task(endpoint.wait_readable()))
                     await _wait_for_any(upload, tasks[-1])
             elif upload.exception() is None:
@@ -227,31 +227,31 @@
     # The request
 
     async def _upload(self, endpoint: StreamConnection) -> None:
-        """Writes the request to the endpoint, as far as it takes it."""
-        data = self._request.render() + self._take_first_part()
+        """Writes the request to the endpoint, until all is written or the connection breaks."""
+        data = self._request.render() + self._take_initial_body()
         self._reached_endpoint = True
         while True:
             try:
-                await endpoint.write(data, self._host.settings.idle_s)
+                await endpoint.write(data, self._host.settings.idle_timeout_s)
             except StalledError as error:
                 text = f"of the request {error}"
                 raise EndpointFailedError(Outcome.TIMED_OUT, text, HTTPStatus.GATEWAY_TIMEOUT) from None
             except OSError:
-                return  # it may have answered and gone: the other way tells
+                return  # the endpoint may have responded and closed: the download finds out
             if self.request_complete:
                 self._request_sent = True
                 return
-            data = b""  # it must not be held while the next is waited for
-            await asyncio.sleep(0)  # a client that always has more must not keep the loop to itself
+            data = b""  # frees the memory before waiting for the next bytes
+            await asyncio.sleep(0)  # a client that always has more data must not monopolize the event loop
             data = await self._read_client()
 
     async def _read_client(self) -> bytes:
         settings = self._host.settings
         try:
-            data = await self._client.read(settings.buffer_bytes, settings.idle_s)
+            data = await self._client.read(settings.buffer_bytes, settings.idle_timeout_s)
             if not data:
                 raise ClientFailedError("the body did not come to its end", HTTPStatus.BAD_REQUEST)
-            return self._frame_request(data)
+            return self._frame_request_body(data)
         except StalledError as error:
             raise ClientFailedError(f"of the body {error}", HTTPStatus.REQUEST_TIMEOUT) from None
         except MalformedMessageError as error:
@@ -260,19 +260,19 @@
             raise ClientFailedError("gone") from None
 
     async def _watch_client(self) -> None:
-        """Raises ClientFailedError where the client goes while its response is waited for."""
+        """Raises ClientFailedError if the client disconnects while the response is awaited."""
         if not self._request_sent:
-            return  # the endpoint takes no more, and the client may not have sent all
+            return  # the endpoint accepts no more data, and the client may still be sending
         try:
             if not await self._client.wait_readable():
-                self.closes_client = True  # it has ended its side, and may still read
+                self.closes_client = True  # the client has shut down its side, and may still read
         except OSError:
             raise ClientFailedError("gone") from None
 
     # The response
 
     async def _download(self, endpoint: StreamConnection) -> bool:
-        """Brings the response to the client. Returns whether the endpoint keeps its connection."""
+        """Relays the response to the client. Returns whether the endpoint's connection stays open."""
         reader = ResponseReader(endpoint, self._host.settings)
         response = await self._read_response_head(reader)
         outcome, headers = response_outcome(response), response_headers(response)
@@ -285,25 +285,25 @@
         self.closes_client = self.closes_client or not self.request_complete or ends_with_connection
         data = response.render(method, framing, self.closes_client)
         body = None if has_no_body else Body(response)
-        del response, headers  # they may be large, and what follows may be long
+        del response, headers  # they may be large, and the body may take a long time
         self._response_started = True
         if body is None:
             await self._write_client(data)
             return not closes_endpoint and not endpoint.unread
-        self._client.reset_on_end(ends_with_connection)
+        self._client.set_reset_on_close(ends_with_connection)
         data += reader.frame(body, framing, endpoint.take_unread())
         while True:
             await self._write_client(data)
             if body.complete:
                 break
-            data = b""  # it must not be held while the next is waited for
+            data = b""  # frees the memory before waiting for the next bytes
             await asyncio.sleep(0)
-            data = await reader.read_part(body, framing)
-        self._client.reset_on_end(False)
+            data = await reader.read_body_part(body, framing)
+        self._client.set_reset_on_close(False)
         return not (closes_endpoint or endpoint.unread or body.has_extra_bytes or body.framing == UNTIL_CLOSE)
 
     async def _read_response_head(self, reader: ResponseReader) -> Response:
-        """Returns the final response's head; those before it go to the client at once."""
+        """Returns the head of the final response, and relays interim responses at once."""
         for _ in range(MAX_INTERIM_RESPONSES):
             response = await reader.read_head()
             if response.is_final:
@@ -313,10 +313,10 @@
         raise EndpointFailedError(Outcome.UNREADABLE, "too many interim answers")
 
     def _response_framing(self, response: Response) -> Framing:
-        """Returns how the response's body goes on.
+        """Returns the framing of the response's body towards the client.
 
-        A client of HTTP/1.0 knows no chunks; to others a body that ends with its connection goes in chunks, so that
-        its end can be told from a cut.
+        An HTTP/1.0 client does not support the chunked encoding. For other clients a body of unknown length is sent in
+        chunks, so that its end can be distinguished from a broken connection.
         """
         if response.framing.length is not None:
             return response.framing
@@ -326,13 +326,13 @@
         if not data:
             return
         try:
-            await self._client.write(data, self._host.settings.idle_s)
+            await self._client.write(data, self._host.settings.idle_timeout_s)
         except (StalledError, OSError) as error:
             raise ClientFailedError(f"of the answer {error}") from None
 
 
 def response_outcome(response: Response) -> Outcome:
-    """Returns what a response tells of its endpoint. Whatever else it says, the endpoint has done its part."""
+    """Maps a response to an outcome. A status without a rule counts as delivered: the endpoint has done its part."""
     if response.status == HTTPStatus.TOO_MANY_REQUESTS:
         return Outcome.REJECTED
     if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
@@ -341,10 +341,10 @@
 
 
 def response_headers(response: Response) -> Headers:
-    """Returns a response's fields, their names in lower case."""
+    """Returns the fields of a response, with their names in lower case."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in response.fields}
 
 
 def retry_after_s(retry_after_us: int) -> int:
-    """Returns a Retry-After in whole seconds, as HTTP has them."""
+    """Converts a delay to whole seconds, at least one, as the Retry-After field requires."""
     return max(1, math.ceil(retry_after_us / SECOND_US))
--- a/forwarder/streaming/extension.py
+++ b/forwarder/streaming/extension.py
@@ -1,7 +1,7 @@
-"""Streaming as an extension: its own address, its state, and its events and actions with the dispatcher.
+"""The streaming extension: its listener, its state, and the events and actions that it exchanges with the dispatcher.
 
-Clients are served in client_session.py, connections to endpoints are kept in endpoint_connections.py, and what may wait
-or go wrong with one stream is in exchange.py.
+client_session.py serves the clients, endpoint_connections.py keeps the connections to endpoints, and exchange.py relays
+a stream and handles its timeouts and failures.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 
 BACKLOG = 128
 DECISION_TIMEOUT_S = 5.0
-"""The dispatcher answers in the next round; only a fault keeps it from that."""
+"""The dispatcher normally decides in the next round; a longer wait means that it has failed."""
 LOG_INTERVAL_S = 10.0
-"""Between two lines of one kind."""
+"""Minimum time between two log lines for the same event."""
 log = logging.getLogger("forwarder.streaming")
 
 
 class StreamListener(Listener):
-    """Accepts connections as bare sockets."""
+    """Accepts connections as plain sockets, without a transport."""
 
     def __init__(self, sock: socket.socket, extension: StreamingExtension) -> None:
         self._extension = extension
         super().__init__(sock, BACKLOG, lambda _sock, _waited_us: asyncio.Protocol(), lambda: SPARE_SOCKETS // 2)
 
     async def attach(self, conn: PatientSocket, queued_since_s: float) -> None:
-        """Serves a connection that was accepted, to its end."""
+        """Serves an accepted connection until it ends."""
         try:
             await self._extension.serve_client(conn)
         finally:
@@ -62,31 +62,31 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamingExtensionFactory:
-    """Makes the extension from its table."""
+    """Creates the extension from its settings."""
 
     settings: StreamSettings
 
     @property
     def descriptors(self) -> int:
-        """File descriptors that it takes at most."""
+        """The maximum number of file descriptors that the extension uses."""
         return self.settings.descriptors
 
     def __call__(self, host: ExtensionHost) -> StreamingExtension:
-        """Makes the extension."""
+        """Creates the extension."""
         return StreamingExtension(host, self.settings)
 
 
 def prepare(table: ExtensionTable, config: Config) -> StreamingExtensionFactory:
-    """Reads the table `[streaming]`.
+    """Reads the table `[streaming]` of the extensions file.
 
     Raises:
-        ConfigError: it cannot hold; the text names the key.
+        ConfigError: A setting is invalid; the text names its key.
     """
     return StreamingExtensionFactory(parse_settings(table, config))
 
 
 class StreamingExtension:
-    """Carries streams: the host of all exchanges."""
+    """Accepts clients and runs their streams; implements ExchangeHost for all exchanges."""
 
     name = "streaming"
 
@@ -96,33 +96,33 @@
         host.dispatcher.extensions.append(StreamRouter(host.dispatcher, settings.slots_share))
         self.account = BufferAccount()
         self.sessions: set[ClientSession] = set()
-        self.rejecting = 0
-        """Connections that are only told that there is no capacity."""
+        self.rejections_in_progress = 0
+        """Number of connections to which a 503 for lack of capacity is being written."""
         self.endpoint_connections = EndpointConnections(host, settings, self.account, self.sessions)
         self.is_draining = False
         self._decisions: dict[int, asyncio.Future[RouteStream | RejectStream]] = {}
-        """By stream, what the dispatcher has yet to decide."""
+        """Routing decisions that the dispatcher has yet to make, by stream."""
         self._last_stream = 0
         self._counts: Counter[str] = Counter()
         self._logged_at_s: dict[str, float] = {}
         self._listener: StreamListener | None = None
 
-    # As an extension
+    # Interface of an extension
 
     @property
     def commands(self) -> CommandTable:
-        """Commands for operators."""
+        """The admin commands of the extension."""
         return {"STREAMS": without_arguments(self.describe_state)}
 
     async def open(self) -> None:
         """Listens for clients.
 
         Raises:
-            OSError: the address is taken.
+            OSError: The address is in use.
         """
         self._listener = StreamListener(await bind(self.settings.listen), self)
         log.info(
-            "streams at %s:%d: %d at once, %d bytes each at most",
+            "listening for streams on %s:%d: at most %d connections, at most %d bytes per stream",
             self.settings.listen.host,
             self.settings.listen.port,
             self.settings.max_connections,
@@ -130,7 +130,7 @@
         )
 
     def apply_actions(self, actions: Iterable[Action]) -> None:
-        """Tells exchanges what was decided, and closes connections that are not trusted any more."""
+        """Passes routing decisions to the exchanges, and closes idle connections that must not be reused."""
         for action in actions:
             match action:
                 case RouteStream() | RejectStream():
@@ -141,18 +141,18 @@
                     self.endpoint_connections.close_idle(endpoint)
 
     def update_endpoints(self, where: dict[int, Address]) -> None:
-        """The endpoints that may be called have changed: what is in progress goes on, but nothing is kept."""
+        """Closes idle connections to endpoints that are not listed any more; streams in progress continue."""
         self.endpoint_connections.close_unlisted(where)
 
     def start_draining(self) -> None:
-        """New streams are rejected from now on; those in progress go on."""
+        """Starts to reject new streams and closes idle clients; streams in progress continue."""
         self.is_draining = True
         for session in self.sessions:
             if not session.is_busy:
                 session.task.cancel()
 
     def stop_draining(self) -> None:
-        """New streams are taken again."""
+        """Accepts new streams again."""
         self.is_draining = False
 
     def is_busy(self) -> bool:
@@ -160,7 +160,10 @@
         return any(session.is_busy for session in self.sessions)
 
     def abort(self) -> None:
-        """Ends everything at once. Connections in the middle of a stream are reset: no cut response looks complete."""
+        """Ends everything at once.
+
+        Connections of streams in progress are reset, so that no truncated response looks complete.
+        """
         if self._listener is not None:
             self._listener.close()
         exchanges = {session: session.exchange for session in self.sessions if session.exchange is not None}
@@ -169,18 +172,18 @@
         for session in list(self.sessions):
             session.task.cancel()
         for session, exchange in exchanges.items():
-            session.connection.reset_on_end(True)
+            session.connection.set_reset_on_close(True)
             if exchange.endpoint_connection is not None:
-                exchange.endpoint_connection.reset_on_end(True)
+                exchange.endpoint_connection.set_reset_on_close(True)
         self.endpoint_connections.close_all()
 
     def reload(self) -> None:
-        """Nothing: the parts file is read at the start only."""
+        """Does nothing: the extensions file is read only at startup."""
 
     def describe_state(self) -> str:
-        """Returns its state in a few words, for the log and for operators."""
+        """Returns a one-line summary of the state, for the log and for the admin command STREAMS."""
         streams = sum(session.exchange is not None for session in self.sessions)
-        counts = ", ".join(f"{count} {what}" for what, count in sorted(self._counts.items()))
+        counts = ", ".join(f"{count} {event}" for event, count in sorted(self._counts.items()))
         return (
             f"{streams} streams and {len(self.sessions)} of {self.settings.max_connections} clients; "
             f"{self.account.held_bytes} bytes held, {self.account.peak_bytes} at most; {counts or 'none yet'}"
@@ -189,15 +192,15 @@
     # Clients
 
     async def serve_client(self, sock: socket.socket) -> None:
-        """Serves a client's connection to its end."""
+        """Serves the connection of a client until it ends."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = StreamConnection(sock, self.account, self.settings.min_bytes_per_s)
         task = asyncio.current_task()
         assert task is not None
         await ClientSession(self, connection, task).run()
 
-    def has_capacity(self) -> bool:
-        """Whether one more client may stay: the one that has been idle longest goes for it."""
+    def ensure_capacity(self) -> bool:
+        """Makes room for one more client, if needed by closing the longest idle one. Returns whether there is room."""
         if len(self.sessions) < self.settings.max_connections:
             return True
         idle = [session for session in self.sessions if not session.is_busy]
@@ -209,14 +212,14 @@
         return True
 
     def next_stream(self) -> int:
-        """Returns the number of a new stream."""
+        """Returns the number for a new stream."""
         self._last_stream += 1
         return self._last_stream
 
-    # What an exchange needs
+    # Interface for exchanges
 
     async def route(self, stream: int, destination: int, avoid_endpoint: int) -> RouteStream | RejectStream:
-        """Lets the dispatcher decide where a stream goes."""
+        """Asks the dispatcher for the endpoint of a stream."""
         decision: asyncio.Future[RouteStream | RejectStream] = asyncio.get_running_loop().create_future()
         self._decisions[stream] = decision
         self.host.post(StreamRequested(stream, destination, avoid_endpoint))
@@ -229,15 +232,15 @@
             self._decisions.pop(stream, None)
 
     async def connect(self, endpoint: int, reuse: bool) -> StreamConnection:
-        """Returns a connection to an endpoint, a kept one if that may be reused.
+        """Returns a connection to an endpoint, an idle one if `reuse` is set and there is one.
 
         Raises:
-            EndpointFailedError: none can be had.
+            EndpointFailedError: The endpoint is not available, or the connection attempt failed.
         """
         return await self.endpoint_connections.connect(endpoint, reuse)
 
     def report_outcome(self, stream: int, endpoint: int, outcome: Outcome, headers: Headers) -> None:
-        """Tells the dispatcher what it learns from calls as well."""
+        """Reports the outcome, a Retry-After and a load report to the dispatcher, as for the calls of messages."""
         retry_after_us = (parse_retry_after_us(headers) or 0) if outcome is Outcome.REJECTED else 0
         pool, table = self.host.pool, self.host.endpoint_table
         listed = table.endpoints.get(table.names.get(endpoint, ""))
@@ -247,20 +250,20 @@
         self.host.post(StreamAttemptEnded(stream, outcome, retry_after_us, report))
 
     def end_stream(self, stream: int) -> None:
-        """Tells the dispatcher that a stream is over."""
+        """Reports to the dispatcher that a stream has ended."""
         self.host.post(StreamEnded(stream))
 
     def keep_connection(self, endpoint: int, connection: StreamConnection) -> None:
-        """Keeps a connection for the next stream, as long as its endpoint would."""
+        """Keeps a connection for the next stream, for no longer than its endpoint does; closes it during a drain."""
         if self.is_draining:
             connection.close()
         else:
             self.endpoint_connections.keep(endpoint, connection)
 
-    def count(self, what: str, text: str = "") -> None:
-        """Counts an event, and logs at most one line of its kind in a while."""
-        self._counts[what] += 1
+    def count(self, event: str, log_text: str = "") -> None:
+        """Counts an event, and logs the text at most once per LOG_INTERVAL_S for each event."""
+        self._counts[event] += 1
         now_s = time.monotonic()
-        if text and now_s - self._logged_at_s.get(what, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
-            self._logged_at_s[what] = now_s
-            log.warning("%s (%d so far)", text, self._counts[what])
+        if log_text and now_s - self._logged_at_s.get(event, -LOG_INTERVAL_S) >= LOG_INTERVAL_S:
+            self._logged_at_s[event] = now_s
+            log.warning("%s (%d so far)", log_text, self._counts[event])
--- a/forwarder/streaming/http_body.py
+++ b/forwarder/streaming/http_body.py
@@ -1,4 +1,4 @@
-"""Bodies of HTTP messages: cut out of what arrives, and framed anew for the next hop."""
+"""Bodies of HTTP messages: extracted from the bytes received, and framed for the next hop."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 )
 
 CHUNK_OVERHEAD_BYTES = 64
-"""Bytes that framing a read anew may add to it."""
+"""Maximum number of bytes that chunked framing adds to the bytes of one read."""
 FORBIDDEN_TRAILERS = (
     HOP_BY_HOP | PROTECTED_FIELDS | {b"trailer", b"range", b"set-cookie", b"max-forwards", b"x-addressing"}
 )
 
 
 class _Parser(Protocol):
-    """What is used of httptools' parsers."""
+    """The method of the httptools parsers that is used here."""
 
     def feed_data(self, data: bytes) -> None:
-        """Parses on."""
+        """Parses the next bytes."""
 
 
 class Body:
-    """One message's body, out of the bytes that follow its head. httptools finds its end.
+    """Extracts the body of one message from the bytes that follow its head. httptools finds the end of the body.
 
     Attributes:
-        framing: in which the body comes.
-        trailers: fields behind the last chunk.
-        complete: the body has come to its end.
-        has_extra_bytes: something came behind its end that cannot be told apart from it.
+        framing: The framing in which the body is received.
+        trailers: Fields after the last chunk.
+        complete: Whether the end of the body has been received.
+        has_extra_bytes: Whether bytes were received after the body that cannot be separated from it.
     """
 
     def __init__(self, head: Request | Response) -> None:
@@ -64,54 +64,54 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                cause = error.__context__  # what a callback of this class has raised
+                cause = error.__context__  # the error raised by a callback of this class
                 if isinstance(cause, MalformedMessageError):
                     raise cause from None
                 raise MalformedMessageError(f"not HTTP: {error}") from None
             self.has_extra_bytes = True
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes]:
-        """Takes in what has come.
+        """Processes received bytes.
 
         Returns:
-            The pieces of the body in it, and what does not belong to the body. Behind the last chunk the rest cannot
-            be told apart: `has_extra_bytes` says that there was some.
+            The pieces of the body, and the bytes that follow the body. Bytes after the last chunk cannot be separated
+            from the body: they are discarded, and `has_extra_bytes` is set.
 
         Raises:
-            MalformedMessageError: it is not HTTP, or the trailers are too large.
+            MalformedMessageError: The data is not valid HTTP, or the trailers are too large.
         """
         if self.complete:
             return [], data
-        own, rest = data, b""
+        body_data, rest = data, b""
         if self._bytes_left is not None:
-            own, rest = data[: self._bytes_left], data[self._bytes_left :]
-            self._bytes_left -= len(own)
-        self._parse(own)
+            body_data, rest = data[: self._bytes_left], data[self._bytes_left :]
+            self._bytes_left -= len(body_data)
+        self._parse(body_data)
         pieces = self._pieces
         self._pieces = []
         return pieces, rest
 
     def end(self) -> bool:
-        """The connection has ended in order. Returns whether that completes the body."""
+        """Handles an orderly end of the connection. Returns whether the body is complete."""
         if self.framing == UNTIL_CLOSE:
             self.complete = True
         return self.complete
 
-    # Called by the parser
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """A message begins; a second one does not belong to this body."""
+        """Notes extra bytes if a second message begins after this body."""
         self.has_extra_bytes = self.complete
 
     def on_headers_complete(self) -> None:
-        """The head has ended: what fields come now are trailers."""
+        """Notes that further fields are trailers."""
         self._has_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps trailers."""
+        """Keeps a trailer; ignores the fields of the head."""
         if self._has_head and not self.has_extra_bytes:
             self.trailers.append((name, value))
-            if sum(len(known) + len(text) for known, text in self.trailers) > MAX_HEAD_BYTES:
+            if sum(len(field) + len(content) for field, content in self.trailers) > MAX_HEAD_BYTES:
                 raise MalformedMessageError("the trailers are too large", HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_body(self, data: bytes) -> None:
@@ -120,12 +120,12 @@
             self._pieces.append(data)
 
     def on_message_complete(self) -> None:
-        """The body has ended."""
+        """Notes that the body is complete."""
         self.complete = True
 
 
 def frame_pieces(framing: Framing, pieces: list[bytes], last: bool, trailers: Fields) -> bytes:
-    """Returns pieces of a body in the framing that it goes on with; at its end with the last chunk and trailers."""
+    """Returns pieces of a body in the given framing. `last` adds the last chunk and the trailers to a chunked body."""
     data = b"".join(pieces)
     if not framing.chunked:
         return data
--- a/forwarder/streaming/http_head.py
+++ b/forwarder/streaming/http_head.py
@@ -1,7 +1,7 @@
 """Heads of HTTP messages: checked line by line, and rendered for the next hop.
 
-They are checked more strictly than a parser for all the world does; httptools then parses head and body. Two readers of
-the same bytes must not see two different messages, so what can be read in more than one way is refused.
+The checks are stricter than those of a general-purpose parser; httptools then parses head and body. Ambiguous messages
+are refused, because two parsers that interpret the same bytes differently allow request smuggling.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 HEAD_END = b"\r\n\r\n"
 PSEUDONYM = b"lemonshunt"
-"""This forwarder's name in `Via`; others see it, so it outlasts a change of the program's name."""
+"""The name of this forwarder in `Via`. Peers see it, so it stays although the program has been renamed."""
 
 LONE_LINE_END = re.compile(rb"(?<!\r)\n|\r(?=[^\n])")
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
@@ -39,15 +39,15 @@
         b"date",
     }
 )
-"""Fields that a Connection field cannot remove: without them the message would mean something else."""
+"""Fields that a Connection field cannot remove, because the message would change its meaning without them."""
 IDEMPOTENT_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS", b"PUT", b"DELETE"})
 
 Fields = list[tuple[bytes, bytes]]
-"""Names and values, in their order."""
+"""Names and values, in the order in which they were received."""
 
 
 class MalformedMessageError(Exception):
-    """What came is not a message that can be passed on; of a request, with the status that says so."""
+    """A message cannot be forwarded. Carries the status of the response, if the message is a request."""
 
     def __init__(self, text: str, status: HTTPStatus = HTTPStatus.BAD_REQUEST) -> None:
         super().__init__(text)
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Framing:
-    """Where a body ends: after so many bytes, after its last chunk, or with its connection (neither)."""
+    """How the end of a body is marked: by its length, by its last chunk, or (neither) by the end of the connection."""
 
     length: int | None = None
     chunked: bool = False
 
     def fields(self) -> Fields:
-        """The header fields that announce it."""
+        """Returns the header fields that declare the framing."""
         if self.chunked:
             return [(b"Transfer-Encoding", b"chunked")]
         return [] if self.length is None else [(b"Content-Length", b"%d" % self.length)]
@@ -75,10 +75,10 @@
 
 @dataclass(slots=True)
 class Head:
-    """What a request's head and a response's have in common."""
+    """The common part of the head of a request and of a response."""
 
     raw: bytes
-    """As it came."""
+    """The head as received."""
     minor: int
     """Minor version of HTTP/1."""
     fields: Fields
@@ -86,23 +86,23 @@
 
     @property
     def size(self) -> int:
-        """Bytes that its fields hold."""
+        """The size of the names and values of the fields, in bytes."""
         return sum(len(name) + len(value) for name, value in self.fields)
 
     def values(self, name: bytes) -> list[bytes]:
-        """Returns the values of a field, whose name is given in lower case."""
-        return [value for known, value in self.fields if known.lower() == name]
+        """Returns the values of a field. The name is given in lower case."""
+        return [value for field, value in self.fields if field.lower() == name]
 
     def tokens(self, name: bytes) -> set[bytes]:
         """Returns the items of a list field, in lower case."""
-        return {word.strip().lower() for value in self.values(name) for word in value.split(b",")} - {b""}
+        return {item.strip().lower() for value in self.values(name) for item in value.split(b",")} - {b""}
 
     def closes_connection(self) -> bool:
-        """Whether its sender ends the connection behind this message."""
+        """Returns whether the sender closes the connection after this message."""
         return self.minor == 0 or b"close" in self.tokens(b"connection")
 
     def end_to_end_fields(self) -> Fields:
-        """Returns the fields for the next hop, less those that frame the body."""
+        """Returns the fields for the next hop, without those that frame the body."""
         removed = HOP_BY_HOP | (self.tokens(b"connection") - PROTECTED_FIELDS) | {b"content-length"}
         return [(name, value) for name, value in self.fields if name.lower() not in removed]
 
@@ -113,18 +113,18 @@
 
 @dataclass(slots=True)
 class Request(Head):
-    """A request's head."""
+    """The head of a request."""
 
     method: bytes
     target: bytes
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may be sent to another endpoint after it may have reached one."""
+        """Whether the request may be sent to another endpoint after it may have reached one."""
         return self.method in IDEMPOTENT_METHODS and self.framing == NO_BODY
 
     def hops_left(self) -> int | None:
-        """Returns how many forwarders an OPTIONS may still meet, where it says so."""
+        """Returns the Max-Forwards value of an OPTIONS request, or None if it has no valid one."""
         values = self.values(b"max-forwards")
         return int(values[0]) if self.method == b"OPTIONS" and values and values[0].isdigit() else None
 
@@ -137,34 +137,34 @@
         fields = self.end_to_end_fields()
         hops = self.hops_left()
         if hops is not None:
-            left = b"%d" % (hops - 1)
-            fields = [(name, left if name.lower() == b"max-forwards" else value) for name, value in fields]
+            remaining = b"%d" % (hops - 1)
+            fields = [(name, remaining if name.lower() == b"max-forwards" else value) for name, value in fields]
         return render_head(b"%s %s HTTP/1.1" % (self.method, self.target), [*fields, self.via(), *framing_fields])
 
 
 @dataclass(slots=True)
 class Response(Head):
-    """A response's head."""
+    """The head of a response."""
 
     status: int
     reason: bytes
 
     @property
     def is_final(self) -> bool:
-        """Whether no other response to the same request follows."""
+        """Whether this is the final response to the request, not an interim one (1xx)."""
         return self.status >= 200
 
     def has_no_body(self, method: bytes) -> bool:
-        """Whether no body follows, whatever its fields say, as the response to this method."""
+        """Returns whether a response to this method has no body, whatever its fields say."""
         return not self.is_final or method == b"HEAD" or self.status in (204, 304)
 
     def render(self, method: bytes, framing: Framing, close: bool) -> bytes:
         """Returns the head for the client.
 
         Args:
-            method: of the request.
-            framing: in which the body goes on.
-            close: whether the client's connection ends behind it.
+            method: The method of the request.
+            framing: The framing of the body towards the client.
+            close: Whether the client's connection is closed after this response.
         """
         fields = [*self.end_to_end_fields(), self.via()]
         if self.is_final and not self.values(b"date"):
@@ -179,19 +179,19 @@
 
 
 def render_head(first_line: bytes, fields: Fields) -> bytes:
-    """Returns the bytes of a head."""
+    """Returns a head as bytes, with the empty line that ends it."""
     return b"\r\n".join([first_line, *(b"%s: %s" % field for field in fields)]) + HEAD_END
 
 
 def split_head(data: bytes, searched: int = 0) -> tuple[bytes, bytes] | None:
-    """Returns the first head in what has come, and the rest; None while the head is not complete.
+    """Splits received bytes into the head and the rest. Returns None while the head is incomplete.
 
     Args:
-        data: what has come.
-        searched: bytes of it that were searched before, and are not searched again.
+        data: The bytes received so far.
+        searched: Number of leading bytes that an earlier call searched; they are not searched again.
 
     Raises:
-        MalformedMessageError: a line ends with a lone CR or LF, or the head is too large.
+        MalformedMessageError: A line ends with a lone CR or LF, or the head is too large.
     """
     start = max(0, searched - len(HEAD_END) + 1)
     end = data.find(HEAD_END, start)
@@ -206,10 +206,10 @@
 
 
 def parse_fields(lines: Iterable[bytes]) -> Fields:
-    """Returns the fields of a head.
+    """Parses the field lines of a head.
 
     Raises:
-        MalformedMessageError: a line is none.
+        MalformedMessageError: A line is not a valid field.
     """
     fields: Fields = []
     for line in lines:
@@ -221,10 +221,10 @@
 
 
 def parse_framing(fields: Fields, minor: int) -> Framing | None:
-    """Returns what the fields say of the body's end; None where they say nothing.
+    """Returns the framing that the fields declare, or None if they declare none.
 
     Raises:
-        MalformedMessageError: they contradict each other, or cannot be read.
+        MalformedMessageError: The fields contradict each other or are invalid.
     """
     codings = [value for name, value in fields if name.lower() == b"transfer-encoding"]
     lengths = [value for name, value in fields if name.lower() == b"content-length"]
@@ -242,19 +242,19 @@
         raise MalformedMessageError("both Content-Length and Transfer-Encoding")
     if minor == 0:
         raise MalformedMessageError("Transfer-Encoding in HTTP/1.0")
-    words = [word.strip().lower() for word in b",".join(codings).split(b",")]
-    if words != [b"chunked"]:
-        is_framed = words[-1] == b"chunked" and words.count(b"chunked") == 1
-        status = HTTPStatus.NOT_IMPLEMENTED if is_framed else HTTPStatus.BAD_REQUEST
+    coding_names = [name.strip().lower() for name in b",".join(codings).split(b",")]
+    if coding_names != [b"chunked"]:
+        ends_in_chunked = coding_names[-1] == b"chunked" and coding_names.count(b"chunked") == 1
+        status = HTTPStatus.NOT_IMPLEMENTED if ends_in_chunked else HTTPStatus.BAD_REQUEST
         raise MalformedMessageError("unknown Transfer-Encoding", status)
     return Framing(chunked=True)
 
 
 def parse_request(raw: bytes) -> Request:
-    """Returns a request's head.
+    """Parses the head of a request.
 
     Raises:
-        MalformedMessageError: it cannot be passed on.
+        MalformedMessageError: The request is invalid or not supported.
     """
     first_line, *lines = raw[: -len(HEAD_END)].split(b"\r\n")
     match = REQUEST_LINE.fullmatch(first_line)
@@ -277,7 +277,7 @@
 
 
 def _use_absolute_target(request: Request) -> None:
-    """Cuts an absolute target down to its path; its host goes before that of the field."""
+    """Reduces an absolute target to its path. The host of the target replaces the value of the Host field."""
     match = ABSOLUTE_TARGET.fullmatch(request.target)
     if match is None:
         return
@@ -294,10 +294,10 @@
 
 
 def parse_response(raw: bytes) -> Response:
-    """Returns a response's head.
+    """Parses the head of a response.
 
     Raises:
-        MalformedMessageError: it cannot be passed on.
+        MalformedMessageError: The response is invalid or not supported.
     """
     first_line, *lines = raw[: -len(HEAD_END)].split(b"\r\n")
     match = STATUS_LINE.fullmatch(first_line)
--- a/forwarder/streaming/request_reader.py
+++ b/forwarder/streaming/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads a request's head from a client."""
+"""Reads the head of a request from a client."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 async def read_request_head(client: StreamConnection, settings: StreamSettings) -> Request | None:
-    """Returns the head of the request whose first bytes have come; None where the client goes before its end.
+    """Reads the rest of a head whose first bytes were received. Returns None if the client closes the connection first.
 
     Raises:
-        MalformedMessageError: it cannot be passed on, or did not come to its end in time.
-        OSError: the connection is broken.
+        MalformedMessageError: The request is invalid or not supported, or its head was not complete in time.
+        OSError: The connection is broken.
     """
-    deadline_s = time.monotonic() + settings.head_s
+    deadline_s = time.monotonic() + settings.head_timeout_s
     searched = 0
     while (parts := split_head(client.unread, searched)) is None:
-        if client.unread.startswith(b"\r\n"):  # some clients end a body with one too many
+        if client.unread.startswith(b"\r\n"):  # some clients send an extra CRLF after a body
             client.put_back(client.unread[2:])
         searched = len(client.unread)
         timeout_s = max(MIN_TIMEOUT_S, deadline_s - time.monotonic())
--- a/forwarder/streaming/reserved_paths.py
+++ b/forwarder/streaming/reserved_paths.py
@@ -1,4 +1,4 @@
-"""Tells paths that are reserved for messages and discovery, however they are written."""
+"""Detects paths that are reserved for messages and discovery, in any encoding or spelling."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 from urllib.parse import unquote_to_bytes
 
 MAX_DECODINGS = 4
-"""A path that is still encoded after being decoded so often counts as reserved."""
+"""A path that is still percent-encoded after this number of decodings counts as reserved."""
 CONTROL_CHARACTER = re.compile(rb"[\x00-\x1f\x7f]")
 SEPARATORS = re.compile(rb"[/\\]+")
 
 
 def is_reserved_path(target: bytes, names: frozenset[bytes]) -> bool:
-    """Whether an endpoint may take a path for one that begins with a reserved name.
+    """Returns whether an endpoint may interpret a path as one that begins with a reserved name.
 
-    What hides control characters counts as reserved too.
+    A path that contains control characters, encoded or not, counts as reserved too.
 
     Args:
-        target: the request's target, with its query.
-        names: reserved first segments, in lower case.
+        target: The target of the request, with its query.
+        names: The reserved first segments, in lower case.
     """
-    path = _decoded(target.partition(b"?")[0])
+    path = _decode_fully(target.partition(b"?")[0])
     if path is None or CONTROL_CHARACTER.search(path):
         return True
     segments: list[bytes] = []
@@ -35,8 +35,8 @@
     return bool(segments) and segments[0] in names
 
 
-def _decoded(path: bytes) -> bytes | None:
-    """Returns the path with nothing encoded left in it; None where there is no end to it."""
+def _decode_fully(path: bytes) -> bytes | None:
+    """Decodes a path until it does not change any more. Returns None if that takes too many decodings."""
     for _ in range(MAX_DECODINGS):
         decoded = unquote_to_bytes(path)
         if decoded == path:
--- a/forwarder/streaming/response_reader.py
+++ b/forwarder/streaming/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads a response from an endpoint, head by head and part by part."""
+"""Reads the heads and the body of a response from an endpoint."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ResponseReader:
-    """What comes on an endpoint's connection. Each method raises EndpointFailedError where it does not come."""
+    """Reads a response. Each method raises EndpointFailedError if the connection fails or the response is invalid."""
 
     def __init__(self, endpoint: StreamConnection, settings: StreamSettings) -> None:
         self._endpoint = endpoint
         self._settings = settings
 
     async def read_head(self) -> Response:
-        """Returns the next head; what comes behind it is kept."""
+        """Returns the next head. Bytes after it are put back."""
         searched = 0
         try:
             while (parts := split_head(self._endpoint.unread, searched)) is None:
@@ -34,15 +34,15 @@
         self._endpoint.put_back(rest)
         return response
 
-    async def read_part(self, body: Body, framing: Framing) -> bytes:
-        """Returns what comes next of a body, in the framing that it goes on with."""
+    async def read_body_part(self, body: Body, framing: Framing) -> bytes:
+        """Returns the next part of a body, framed for the client."""
         data = self._endpoint.take_unread() if await self._read_more() else b""
         if not data and not body.end():
             raise EndpointFailedError(Outcome.RESET, "the answer was cut")
         return self.frame(body, framing, data)
 
     def frame(self, body: Body, framing: Framing, data: bytes) -> bytes:
-        """Returns what of these bytes goes on to the client; what belongs to no response is kept."""
+        """Returns received bytes framed for the client. Bytes that do not belong to the response are put back."""
         try:
             pieces, rest = body.feed(data) if data else ([], b"")
         except MalformedMessageError as error:
@@ -51,9 +51,9 @@
         return frame_pieces(framing, pieces, body.complete, body.trailers)
 
     async def _read_more(self) -> bool:
-        """Returns False where the endpoint has ended its side."""
+        """Receives more bytes. Returns False if the endpoint has shut down its side."""
         try:
-            return await self._endpoint.read_more(self._settings.buffer_bytes, self._settings.response_idle_s)
+            return await self._endpoint.read_more(self._settings.buffer_bytes, self._settings.response_idle_timeout_s)
         except StalledError as error:
             text = f"of the answer {error}"
             raise EndpointFailedError(Outcome.TIMED_OUT, text, HTTPStatus.GATEWAY_TIMEOUT) from None
