--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -37,7 +37,7 @@
 from tests.nodes import SETTINGS, Node, message
 from tests.platforms import Platform
 from tests.sockets import own_host
-from tests.streaming.peers import streaming
+from tests.streaming.peers import start_streaming_node
 
 MIB = 1 << 20
 PAIRS = 5
@@ -128,7 +128,7 @@
     for destination in range(FIRST_DESTINATION, LAST_DESTINATION + 1):
         platform.add_endpoint(f"s{destination}", port, block=destination)
     with tempfile.TemporaryDirectory() as folder:
-        node, stream_port = await streaming(Path(folder), platform, dict(SETTINGS_TABLE))
+        node, stream_port = await start_streaming_node(Path(folder), platform, dict(SETTINGS_TABLE))
         try:
             yield Scene(node, (node.host, stream_port), ("127.0.0.1", port), received)
         finally:
--- a/tests/config/test_extensions_file.py
+++ b/tests/config/test_extensions_file.py
@@ -18,7 +18,7 @@
 from tests.platforms import Platform
 from tests.scripts import settings
 from tests.sockets import OK, PATIENCE, ROOT, Peer, always
-from tests.streaming.peers import streaming
+from tests.streaming.peers import start_streaming_node
 
 CONFIG = Config(
     "n0",
@@ -209,7 +209,7 @@
         assert await node.end(signal.SIGTERM) == 0
         assert "forwarder.runtime.engine" in imported(node)
         assert not [name for name in imported(node) if name.startswith((*PARTS, *OFF))]
-        node, _ = await streaming(tmp_path, platform, {}, "[health.passive]\n")
+        node, _ = await start_streaming_node(tmp_path, platform, {}, "[health.passive]\n")
         await node.end()
         for part in PARTS:
             assert [name for name in imported(node) if name.startswith(part)]
--- a/tests/streaming/peers.py
+++ b/tests/streaming/peers.py
@@ -124,7 +124,7 @@
             await self.notify_all()
 
 
-async def streaming(
+async def start_streaming_node(
     folder: Path, platform: Platform, table: dict[str, Any] | None = None, others: str = "", **more: Any
 ) -> tuple[Node, int]:
     """A node with streaming turned on, started, and the port of its streams."""
--- a/tests/streaming/stage.py
+++ b/tests/streaming/stage.py
@@ -12,7 +12,7 @@
 from tests.nodes import Node
 from tests.platforms import Platform
 from tests.sockets import PATIENCE
-from tests.streaming.peers import Endpoint, Exchange, Handler, Visitor, streaming
+from tests.streaming.peers import Endpoint, Exchange, Handler, Visitor, start_streaming_node
 
 Scene = Callable[["Stage"], Awaitable[None]]
 BIG = random.Random(1).randbytes(300_000)
@@ -38,7 +38,7 @@
         return endpoint
 
     async def node(self, table: dict[str, Any] | None = None, **more: Any) -> None:
-        node, self.port = await streaming(self.folder, self.platform, table, **more)
+        node, self.port = await start_streaming_node(self.folder, self.platform, table, **more)
         self.nodes.append(node)
 
     async def come(self, **more: Any) -> Visitor:
