--- a/tests/streaming/test_early_ends.py
+++ b/tests/streaming/test_early_ends.py
@@ -13,8 +13,8 @@
 import pytest
 
 from tests.sockets import free_port
+from tests.streaming.harness import BIG, Stage, echo, play
 from tests.streaming.peers import CHUNKED, Exchange
-from tests.streaming.stage import BIG, Stage, echo, play
 
 
 @pytest.mark.parametrize("status", ["413 Too Large", "200 OK"])
--- a/tests/streaming/test_framing.py
+++ b/tests/streaming/test_framing.py
@@ -8,8 +8,8 @@
 import asyncio
 from pathlib import Path
 
+from tests.streaming.harness import BIG, ROUNDS_S, Stage, chunked, echo, play
 from tests.streaming.peers import CHUNKED, Exchange
-from tests.streaming.stage import BIG, ROUNDS_S, Stage, chunked, echo, play
 
 
 def test_heads_that_can_be_read_in_two_ways_are_refused_and_nothing_is_sent_on(tmp_path: Path) -> None:
--- a/tests/streaming/test_lifecycle.py
+++ b/tests/streaming/test_lifecycle.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.sockets import OK, PATIENCE, Peer, always
+from tests.streaming.harness import Stage, play
 from tests.streaming.peers import CHUNKED, Exchange, Handler
-from tests.streaming.stage import Stage, play
 
 
 def lasting(go: asyncio.Event) -> Handler:
--- a/tests/streaming/test_relay.py
+++ b/tests/streaming/test_relay.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.sockets import OK, Peer, always
+from tests.streaming.harness import BIG, Stage, chunked, echo, parts, play
 from tests.streaming.peers import CHUNKED, Exchange
-from tests.streaming.stage import BIG, Stage, chunked, echo, parts, play
 
 
 def test_upload_and_answer_pass_unchanged_beside_messages(tmp_path: Path) -> None:
--- a/tests/streaming/test_retries.py
+++ b/tests/streaming/test_retries.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from tests.sockets import free_port
+from tests.streaming.harness import BIG, Stage, echo, play
 from tests.streaming.peers import Exchange
-from tests.streaming.stage import BIG, Stage, echo, play
 
 
 def test_only_what_does_no_harm_is_sent_again(tmp_path: Path) -> None:
--- a/tests/streaming/test_stalled_peers.py
+++ b/tests/streaming/test_stalled_peers.py
@@ -8,8 +8,8 @@
 import asyncio
 from pathlib import Path
 
+from tests.streaming.harness import Stage, echo, play
 from tests.streaming.peers import CHUNKED, Exchange
-from tests.streaming.stage import Stage, echo, play
 
 
 def test_stalled_peers_are_given_up(tmp_path: Path) -> None:
