--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -1,4 +1,4 @@
-"""A platform, a forwarder with streaming, and endpoints: what the tests of the streaming extension are played on."""
+"""The test harness of the streaming extension: a platform, a forwarder with streaming, endpoints and clients."""
 
 from __future__ import annotations
 
@@ -12,99 +12,99 @@
 from tests.nodes import Node
 from tests.platforms import Platform
 from tests.sockets import PATIENCE
-from tests.streaming.peers import Endpoint, Exchange, Handler, Visitor, start_streaming_node
+from tests.streaming.peers import Endpoint, Handler, ReceivedRequest, StreamClient, start_streaming_node
 
-Scene = Callable[["Stage"], Awaitable[None]]
-BIG = random.Random(1).randbytes(300_000)
-ROUNDS_S = 0.05  # some rounds of decisions
+Scenario = Callable[["StreamingHarness"], Awaitable[None]]
+LARGE_BODY = random.Random(1).randbytes(300_000)
+DECISION_ROUNDS_S = 0.05  # time for several rounds of the dispatcher
 
 
-class Stage:
-    """A platform, a node with streaming, and one endpoint for destination 7."""
+class StreamingHarness:
+    """A platform and, once they are started, nodes with streaming, endpoints (destination 7 by default) and clients."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.platform = folder, Platform()
         self.nodes: list[Node] = []
-        self.visitors: list[Visitor] = []
+        self.clients: list[StreamClient] = []
 
-    async def open(self, handler: Handler, table: dict[str, Any] | None = None, **more: Any) -> Endpoint:
-        endpoint = await self.endpoint(handler)
-        await self.node(table, **more)
+    async def start(self, handler: Handler, settings: dict[str, Any] | None = None, **node_options: Any) -> Endpoint:
+        endpoint = await self.add_endpoint(handler)
+        await self.start_node(settings, **node_options)
         return endpoint
 
-    async def endpoint(self, handler: Handler, name: str = "s1", **more: Any) -> Endpoint:
+    async def add_endpoint(self, handler: Handler, name: str = "s1", **entry_fields: Any) -> Endpoint:
         endpoint = await Endpoint(handler).start()
-        self.platform.add_endpoint(name, endpoint.port, **more)
+        self.platform.add_endpoint(name, endpoint.port, **entry_fields)
         return endpoint
 
-    async def node(self, table: dict[str, Any] | None = None, **more: Any) -> None:
-        node, self.port = await start_streaming_node(self.folder, self.platform, table, **more)
+    async def start_node(self, settings: dict[str, Any] | None = None, **node_options: Any) -> None:
+        node, self.port = await start_streaming_node(self.folder, self.platform, settings, **node_options)
         self.nodes.append(node)
 
-    async def come(self, **more: Any) -> Visitor:
-        visitor = await Visitor.come(self.nodes[-1], self.port, **more)
-        self.visitors.append(visitor)
-        return visitor
-
-    async def ask(self, *args: Any, **more: Any) -> Visitor:
-        visitor = await self.come()
-        visitor.ask(*args, **more)
-        return visitor
-
-    async def standing(self) -> dict[str, int]:
-        """What operators are told of streams."""
-        told = await self.nodes[-1].call(b"STREAMS\n")
-        found = re.match(r"ok (\d+) streams and (\d+) of \d+ clients; (\d+) bytes held, (\d+) at most", told)
-        assert found is not None, told
-        return dict(zip(("streams", "clients", "held", "most"), map(int, found.groups()), strict=True))
-
-    async def until_none(self) -> dict[str, int]:
-        """Until no stream is out. No byte is held then."""
+    async def connect(self, **reader_options: Any) -> StreamClient:
+        client = await StreamClient.connect(self.nodes[-1], self.port, **reader_options)
+        self.clients.append(client)
+        return client
+
+    async def connect_and_send(self, *args: Any, **request_options: Any) -> StreamClient:
+        client = await self.connect()
+        client.send_request(*args, **request_options)
+        return client
+
+    async def stream_state(self) -> dict[str, int]:
+        """Returns the figures that the admin command STREAMS reports."""
+        answer = await self.nodes[-1].call(b"STREAMS\n")
+        match = re.match(r"ok (\d+) streams and (\d+) of \d+ clients; (\d+) bytes held, (\d+) at most", answer)
+        assert match is not None, answer
+        return dict(zip(("streams", "clients", "held", "most"), map(int, match.groups()), strict=True))
+
+    async def wait_until_no_streams(self) -> dict[str, int]:
+        """Waits until no stream is in progress, and checks that no bytes are held then."""
         async with asyncio.timeout(PATIENCE):
-            while (now := await self.standing())["streams"]:
+            while (state := await self.stream_state())["streams"]:
                 await asyncio.sleep(0.02)
-        assert now["held"] == 0
-        return now
+        assert state["held"] == 0
+        return state
 
-    async def settled(self) -> int:
-        """The bytes that are held, once nothing moves any more."""
-        held, same = -1, 0
+    async def wait_until_settled(self) -> int:
+        """Waits until the number of held bytes is stable and not zero. Returns it."""
+        held, unchanged = -1, 0
         async with asyncio.timeout(PATIENCE):
-            while same < 5:
-                now = (await self.standing())["held"]
-                same = same + 1 if now == held and now else 0
+            while unchanged < 5:
+                now = (await self.stream_state())["held"]
+                unchanged = unchanged + 1 if now == held and now else 0
                 held = now
                 await asyncio.sleep(0.05)
         return held
 
-    async def logged(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
         async with asyncio.timeout(PATIENCE):
             while not any(text in line for line in self.nodes[-1].log):
                 await asyncio.sleep(0.01)
 
 
-def play(scene: Scene, folder: Path) -> None:
+def run_scenario(scenario: Scenario, folder: Path) -> None:
     async def run() -> None:
-        stage = Stage(folder)
-        await stage.platform.start()
+        harness = StreamingHarness(folder)
+        await harness.platform.start()
         try:
-            await scene(stage)
+            await scenario(harness)
         finally:
-            for visitor in stage.visitors:
-                visitor.close()
-            for node in stage.nodes:
+            for client in harness.clients:
+                client.close()
+            for node in harness.nodes:
                 await node.end()
 
     asyncio.run(run())
 
 
-async def echo(exchange: Exchange) -> None:
-    await exchange.answer(await exchange.read(), headers="Content-Type: text/x-echo\r\n")
+async def echo(request: ReceivedRequest) -> None:
+    await request.respond(await request.read_body(), headers="Content-Type: text/x-echo\r\n")
 
 
-def parts(data: bytes, size: int = 50_000) -> list[bytes]:
+def split_parts(data: bytes, size: int = 50_000) -> list[bytes]:
     return [data[at : at + size] for at in range(0, len(data), size)]
 
 
-def chunked(*pieces: bytes, trailers: bytes = b"") -> bytes:
+def encode_chunked(*pieces: bytes, trailers: bytes = b"") -> bytes:
     return b"".join(b"%x\r\n%s\r\n" % (len(p), p) for p in pieces) + b"0\r\n" + trailers + b"\r\n"
--- a/tests/streaming/test_early_ends.py
+++ b/tests/streaming/test_early_ends.py
@@ -1,6 +1,6 @@
-"""Ends that come early: of clients, of endpoints, of responses.
+"""Early ends: of clients, of endpoints, and of responses.
 
-Streams over loopback sockets, through the real program.
+The streams pass over loopback sockets through the real program.
 """
 
 from __future__ import annotations
@@ -13,151 +13,156 @@
 import pytest
 
 from tests.sockets import free_port
-from tests.streaming.harness import BIG, Stage, echo, play
-from tests.streaming.peers import CHUNKED, Exchange
+from tests.streaming.harness import LARGE_BODY, StreamingHarness, echo, run_scenario
+from tests.streaming.peers import CHUNKED_FIELD, ReceivedRequest
 
 
 @pytest.mark.parametrize("status", ["413 Too Large", "200 OK"])
-def test_an_answer_before_the_end_of_the_upload_reaches_the_client(tmp_path: Path, status: str) -> None:
-    """The endpoint answers and closes over unread bytes, which resets its connection."""
+def test_a_response_before_the_end_of_the_upload_reaches_the_client(tmp_path: Path, status: str) -> None:
+    """The endpoint responds and closes a socket with unread bytes, which resets the connection."""
 
-    async def early(exchange: Exchange) -> None:
-        await exchange.answer(b"enough", status)
-        await exchange.read(1000)
-        exchange.writer.close()
+    async def respond_early(request: ReceivedRequest) -> None:
+        await request.respond(b"enough", status)
+        await request.read_body(1000)
+        request.writer.close()
 
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(early)
-        visitor = await stage.come()
-        visitor.ask("POST", headers="Content-Length: 500000\r\n", body=BIG[:1000])
-        assert await visitor.whole() == (int(status[:3]), b"enough")
-        assert visitor.header("Connection") == "close"
-        assert await visitor.gone() == b""
-        assert not endpoint.exchanges[0].whole
-        await stage.until_none()
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(respond_early)
+        client = await harness.connect()
+        client.send_request("POST", headers="Content-Length: 500000\r\n", body=LARGE_BODY[:1000])
+        assert await client.read_response() == (int(status[:3]), b"enough")
+        assert client.header("Connection") == "close"
+        assert await client.read_until_close() == b""
+        assert not endpoint.requests[0].complete
+        await harness.wait_until_no_streams()
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 @pytest.mark.parametrize(
     ("headers", "body"),
-    [("Content-Length: 300000\r\n", BIG[:100_000]), (CHUNKED, b"c350\r\n" + BIG[:50_000] + b"\r\n")],
+    [
+        ("Content-Length: 300000\r\n", LARGE_BODY[:100_000]),
+        (CHUNKED_FIELD, b"c350\r\n" + LARGE_BODY[:50_000] + b"\r\n"),
+    ],
 )
-def test_a_client_that_goes_in_its_upload_leaves_a_cut_request(tmp_path: Path, headers: str, body: bytes) -> None:
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(echo)
-        visitor = await stage.ask("POST", headers=headers, body=body)
-        await endpoint.wait_for_exchanges(1)
-        visitor.writer.transport.abort()
-        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
-        assert endpoint.ended[0].cut
-        assert not endpoint.ended[0].whole
-        await stage.until_none()
-
-    play(scene, tmp_path)
-
-
-def test_a_client_that_ends_its_side_in_its_upload_is_told(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(echo)
-        visitor = await stage.ask("POST", headers="Content-Length: 300000\r\n", body=BIG[:1000])
-        await endpoint.wait_for_exchanges(1)
-        visitor.writer.write_eof()
-        assert (await visitor.whole())[0] == 400
-        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
-        assert endpoint.ended[0].cut
-
-    play(scene, tmp_path)
-
-
-def test_a_client_that_goes_in_its_answer_frees_the_endpoint(tmp_path: Path) -> None:
-    async def endless(exchange: Exchange) -> None:
-        await exchange.say("HTTP/1.1 200 OK\r\n" + CHUNKED + "\r\n")
+def test_the_endpoint_sees_a_truncated_request_if_the_client_disconnects_during_the_upload(
+    tmp_path: Path, headers: str, body: bytes
+) -> None:
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(echo)
+        client = await harness.connect_and_send("POST", headers=headers, body=body)
+        await endpoint.wait_for_requests(1)
+        client.writer.transport.abort()
+        await endpoint.wait_until(lambda: len(endpoint.finished_requests) == 1)
+        assert endpoint.finished_requests[0].truncated
+        assert not endpoint.finished_requests[0].complete
+        await harness.wait_until_no_streams()
+
+    run_scenario(scenario, tmp_path)
+
+
+def test_a_client_that_shuts_down_its_side_during_the_upload_receives_an_error_response(tmp_path: Path) -> None:
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(echo)
+        client = await harness.connect_and_send("POST", headers="Content-Length: 300000\r\n", body=LARGE_BODY[:1000])
+        await endpoint.wait_for_requests(1)
+        client.writer.write_eof()
+        assert (await client.read_response())[0] == 400
+        await endpoint.wait_until(lambda: len(endpoint.finished_requests) == 1)
+        assert endpoint.finished_requests[0].truncated
+
+    run_scenario(scenario, tmp_path)
+
+
+def test_a_client_that_disconnects_during_the_response_frees_the_endpoint(tmp_path: Path) -> None:
+    async def respond_endlessly(request: ReceivedRequest) -> None:
+        await request.send("HTTP/1.1 200 OK\r\n" + CHUNKED_FIELD + "\r\n")
         while True:
-            await exchange.say(b"2710\r\n" + bytes(10_000) + b"\r\n")
+            await request.send(b"2710\r\n" + bytes(10_000) + b"\r\n")
 
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(endless)
-        visitor = await stage.ask()
-        assert await visitor.answered() == 200
-        visitor.writer.transport.abort()
-        await endpoint.wait_until(lambda: len(endpoint.ended) == 1)
-        await stage.until_none()
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(respond_endlessly)
+        client = await harness.connect_and_send()
+        assert await client.read_status() == 200
+        client.writer.transport.abort()
+        await endpoint.wait_until(lambda: len(endpoint.finished_requests) == 1)
+        await harness.wait_until_no_streams()
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_client_that_is_reset_while_the_endpoint_is_silent_frees_it(tmp_path: Path) -> None:
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(lambda e: asyncio.sleep(3600))
-        visitor = await stage.ask()
-        await endpoint.wait_for_exchanges(1)
-        reset = visitor.writer.get_extra_info("socket")
-        reset.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        visitor.writer.transport.abort()
-        await stage.until_none()
+def test_a_client_that_resets_its_connection_while_the_endpoint_is_silent_frees_the_endpoint(tmp_path: Path) -> None:
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(lambda request: asyncio.sleep(3600))
+        client = await harness.connect_and_send()
+        await endpoint.wait_for_requests(1)
+        sock = client.writer.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        client.writer.transport.abort()
+        await harness.wait_until_no_streams()
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_a_client_that_ends_its_side_still_reads_its_answer(tmp_path: Path) -> None:
-    go = asyncio.Event()
+def test_a_client_that_shuts_down_its_side_still_receives_the_response(tmp_path: Path) -> None:
+    may_respond = asyncio.Event()
 
-    async def later(exchange: Exchange) -> None:
-        await exchange.read()
-        await go.wait()
-        await exchange.answer(BIG)
+    async def respond_later(request: ReceivedRequest) -> None:
+        await request.read_body()
+        await may_respond.wait()
+        await request.respond(LARGE_BODY)
 
-    async def scene(stage: Stage) -> None:
-        endpoint = await stage.open(later)
-        visitor = await stage.ask("POST", headers="Content-Length: 5\r\n", body=b"hello")
-        visitor.writer.write_eof()
-        await endpoint.wait_until(lambda: bool(endpoint.exchanges) and endpoint.exchanges[0].whole)
-        go.set()
-        assert await visitor.whole() == (200, BIG)
-        assert await visitor.gone() == b""
+    async def scenario(harness: StreamingHarness) -> None:
+        endpoint = await harness.start(respond_later)
+        client = await harness.connect_and_send("POST", headers="Content-Length: 5\r\n", body=b"hello")
+        client.writer.write_eof()
+        await endpoint.wait_until(lambda: bool(endpoint.requests) and endpoint.requests[0].complete)
+        may_respond.set()
+        assert await client.read_response() == (200, LARGE_BODY)
+        assert await client.read_until_close() == b""
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-CUTS = {
+TRUNCATED_RESPONSES = {
     "sized": "Content-Length: 5000\r\n\r\n" + 4000 * "x",
-    "chunked": CHUNKED + "\r\n7d0\r\n" + 2000 * "x" + "\r\n",
-    "chunk": CHUNKED + "\r\n7d0\r\n" + 200 * "x",
+    "chunked": CHUNKED_FIELD + "\r\n7d0\r\n" + 2000 * "x" + "\r\n",
+    "chunk": CHUNKED_FIELD + "\r\n7d0\r\n" + 200 * "x",
 }
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-@pytest.mark.parametrize("kind", [*CUTS, "to its end"])
-def test_an_answer_that_is_cut_never_looks_complete(tmp_path: Path, kind: str, version: str) -> None:
-    heard = asyncio.Event()
-
-    async def dying(exchange: Exchange) -> None:
-        await exchange.say("HTTP/1.1 200 OK\r\n" + CUTS.get(kind, "\r\n" + 500 * "x"))
-        await heard.wait()
-        if kind in CUTS:
-            exchange.writer.close()
+@pytest.mark.parametrize("kind", [*TRUNCATED_RESPONSES, "to its end"])
+def test_a_truncated_response_never_looks_complete(tmp_path: Path, kind: str, version: str) -> None:
+    head_received = asyncio.Event()
+
+    async def truncate_response(request: ReceivedRequest) -> None:
+        await request.send("HTTP/1.1 200 OK\r\n" + TRUNCATED_RESPONSES.get(kind, "\r\n" + 500 * "x"))
+        await head_received.wait()
+        if kind in TRUNCATED_RESPONSES:
+            request.writer.close()
         else:
-            exchange.reset()
+            request.reset()
 
-    async def scene(stage: Stage) -> None:
-        await stage.open(dying)
-        visitor = await stage.ask(version=version)
-        assert await visitor.answered() == 200
-        heard.set()
+    async def scenario(harness: StreamingHarness) -> None:
+        await harness.start(truncate_response)
+        client = await harness.connect_and_send(version=version)
+        assert await client.read_status() == 200
+        head_received.set()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
-            await visitor.body()
-        await stage.until_none()
+            await client.read_body()
+        await harness.wait_until_no_streams()
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
-def test_failures_before_the_answer_have_their_status(tmp_path: Path) -> None:
-    async def dies(exchange: Exchange) -> None:
-        await exchange.read()
-        exchange.writer.close()
+def test_a_failure_of_the_endpoint_before_its_response_gives_status_502(tmp_path: Path) -> None:
+    async def close_without_response(request: ReceivedRequest) -> None:
+        await request.read_body()
+        request.writer.close()
 
-    said = [
+    invalid_responses = [
         text.replace("|", "\r\n")
         for text in (
             "HTTP/1.1 200 OK|Content-Length: 3|Content-Length: 4||abcd",
@@ -173,27 +178,27 @@
         )
     ]
 
-    async def garbles(exchange: Exchange) -> None:
-        await exchange.read()
-        await exchange.say(said[int(exchange.headers["x-say"])])
+    async def send_invalid_response(request: ReceivedRequest) -> None:
+        await request.read_body()
+        await request.send(invalid_responses[int(request.headers["x-say"])])
         await asyncio.sleep(3600)
 
-    async def scene(stage: Stage) -> None:
-        await stage.endpoint(dies, block=7)
-        endpoint = await stage.endpoint(garbles, "s2", block=8)
-        stage.platform.add_endpoint("s3", free_port(), block=9)
-        await stage.node({"tries": 1})
-        visitor = await stage.come()
-        visitor.ask("POST", headers="Content-Length: 3\r\n", body=b"abc")
-        assert (await visitor.whole())[0] == 502
-        visitor.ask(dest=9)  # the connection to the client went on
-        assert (await visitor.whole())[0] == 502
-        for n, text in enumerate(said):
-            visitor.ask("POST", headers=f"X-Say: {n}\r\nContent-Length: 0\r\n", dest=8)
-            while (status := await visitor.answered()) < 200:
+    async def scenario(harness: StreamingHarness) -> None:
+        await harness.add_endpoint(close_without_response, block=7)
+        endpoint = await harness.add_endpoint(send_invalid_response, "s2", block=8)
+        harness.platform.add_endpoint("s3", free_port(), block=9)
+        await harness.start_node({"tries": 1})
+        client = await harness.connect()
+        client.send_request("POST", headers="Content-Length: 3\r\n", body=b"abc")
+        assert (await client.read_response())[0] == 502
+        client.send_request(dest=9)  # the client's connection is still open
+        assert (await client.read_response())[0] == 502
+        for n, text in enumerate(invalid_responses):
+            client.send_request("POST", headers=f"X-Say: {n}\r\nContent-Length: 0\r\n", dest=8)
+            while (status := await client.read_status()) < 200:
                 pass
             assert status == 502, text
-            await visitor.body()
-        assert len(endpoint.exchanges) == len(said)
+            await client.read_body()
+        assert len(endpoint.requests) == len(invalid_responses)
 
-    play(scene, tmp_path)
+    run_scenario(scenario, tmp_path)
