--- a/forwarder/streaming/connection.py
+++ b/forwarder/streaming/connection.py
@@ -65,7 +65,7 @@
     """A connection to a client or an endpoint.
 
     Attributes:
-        account: Counts the bytes that the connection holds.
+        account: The byte count that all connections of streams share.
         unread: Bytes that were read from the socket but not consumed yet.
         idle_since_s: Time since which the connection is idle, on the monotonic clock.
         closed: Whether the socket is closed.
