--- a/tests/runtime/test_failure_span.py
+++ b/tests/runtime/test_failure_span.py
@@ -1,4 +1,4 @@
-"""The log tells since when something fails, and when it works again."""
+"""The log reports when an operation begins to fail, and when it succeeds again."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from forwarder.runtime.failure_span import FailureSpan
 
 
-def test_both_ends_of_a_failure_are_logged_and_not_each_of_its_repeats(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_start_and_end_of_a_failure_are_logged_but_not_each_repetition(caplog: pytest.LogCaptureFixture) -> None:
     span = FailureSpan(logging.getLogger("test"), "accept")
     span.worked()
     for _ in range(50):
--- a/tests/runtime/test_handover.py
+++ b/tests/runtime/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one folder: what the old one has passes to the new one complete, or stays where it is."""
+"""Two processes on one folder: the state of the old process passes to the new one completely, or not at all."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def upgrade(node: Node) -> Node:
-    """Start the new process and wait until it serves and the old one has ended by itself."""
+    """Starts the new process, and waits until it serves and the old one has ended without a signal."""
     new = node.successor()
     end_with_scene(new)
     await new.start()
@@ -37,11 +37,11 @@
     return new
 
 
-async def half_calls(node: Node) -> set[bytes]:
-    """Operators that have sent half a line, one each 0.1 s, until the process hands over; then they send the rest.
+async def send_split_commands(node: Node) -> set[bytes]:
+    """Opens an admin connection with half a command every 0.1 s until the process hands over, then sends the rest.
 
-    What they are answered. An old process answers half a line after 0.5 s, so however long the new one takes to start,
-    some are handed over half way.
+    Returns the answers. The old process answers an incomplete line after 0.5 s, so some connections are handed over
+    with half a command however long the new process takes to start.
     """
     writers, answers = [], []
     while not any("handed over" in line for line in node.log):
@@ -56,9 +56,9 @@
         return set(await asyncio.gather(*answers))
 
 
-async def hold_answers(free: asyncio.Event, peer: Peer, status: int = 200) -> None:
+async def hold_answers(release: asyncio.Event, peer: Peer, status: int = 200) -> None:
     async def handler(request: Request) -> Answer:
-        await free.wait()
+        await release.wait()
         return Answer(status)
 
     peer.handler = handler
@@ -67,8 +67,8 @@
 def test_clients_calls_and_order_pass_to_the_new_process(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         one, two = await start_endpoint(platform, hang), await start_endpoint(platform, always(OK), "s2", block=8)
-        free = asyncio.Event()
-        await hold_answers(free, one)
+        release = asyncio.Event()
+        await hold_answers(release, one)
         node = await start_node(folder, platform)
         kept, half = await node.client(), await node.client()
         assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202
@@ -76,19 +76,21 @@
         assert (await kept.submit("b", "turn", dest=8, X_Session_Key="claim"))[0] == 202
         data = message("c", "turn", dest=8, X_Session_Key="other")
         half.writer.write(data[:70])
-        calling = asyncio.create_task(half_calls(node))
+        commands = asyncio.create_task(send_split_commands(node))
         new = await upgrade(node)
-        told = await calling
-        assert b"ok serving\n" in told
-        assert told <= {b"ok serving\n", b"fail no whole line came\n"}
+        admin_answers = await commands
+        assert b"ok serving\n" in admin_answers
+        assert admin_answers <= {b"ok serving\n", b"fail no whole line came\n"}
         half.writer.write(data[70:])
         assert (await half.answer())[0] == 202
         assert (await kept.submit("d", "turn", dest=8, X_Session_Key="claim"))[0] == 202
-        assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202, "it is ours already"
+        assert (await kept.submit("a", "turn", X_Session_Key="claim"))[0] == 202, (
+            "this forwarder has accepted it already"
+        )
         await two.wait_for_requests(1)
         assert received_ids(one) == ["a"]
         assert received_ids(two) == ["c"]
-        free.set()
+        release.set()
         await two.wait_for_requests(3)
         assert received_ids(one) == ["a"]
         assert received_ids(two) == ["c", "b", "d"]
@@ -101,9 +103,9 @@
 
 def test_disabled_endpoints_retry_after_drains_and_pending_notices_pass_to_the_new_process(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        told = Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
+        rejection = Answer(429, {"X-RateLimit-Wait-Ms": "60000"})
         one, two = (
-            await start_endpoint(platform, always(told)),
+            await start_endpoint(platform, always(rejection)),
             await start_endpoint(platform, always(OK), "s2", block=8),
         )
         three = await start_endpoint(platform, always(Answer(500)), "s3", block=9)
@@ -134,11 +136,11 @@
     play(scene, tmp_path)
 
 
-def test_no_connection_is_refused_or_closed_unread_while_processes_change(tmp_path: Path) -> None:
+def test_no_connection_is_refused_or_closed_unread_during_upgrades(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform, max_open=10_000)
-        taken: set[str] = set()
+        accepted: set[str] = set()
         stop = asyncio.Event()
 
         async def client(number: int) -> None:
@@ -147,42 +149,42 @@
                 name = f"c{number}-{n}"
                 status, _ = await node.submit(name, "pay")
                 assert status == 202
-                taken.add(name)
+                accepted.add(name)
                 n += 1
 
         clients = [asyncio.create_task(client(n)) for n in range(6)]
         last = node
         for _ in range(3):
-            before = len(taken)
-            while len(taken) < before + 20:
+            before = len(accepted)
+            while len(accepted) < before + 20:
                 await asyncio.sleep(0.01)
             last = await upgrade(last)
         stop.set()
         await asyncio.gather(*clients)
         async with asyncio.timeout(PATIENCE):
-            while set(received_ids(peer)) != taken:
+            while set(received_ids(peer)) != accepted:
                 await asyncio.sleep(0.05)
-        assert len(peer.requests) == len(taken), "each was sent once"
+        assert len(peer.requests) == len(accepted), "each message has to be sent once"
 
     play(scene, tmp_path)
 
 
 def successor_of(dispatcher: Dispatcher, messages: list[Event], now: int) -> Dispatcher:
-    """A dispatcher that takes over from another, with its learned state as it is handed over."""
+    """Returns a dispatcher that takes over from another one, with the learned state that a hand-over transfers."""
     new = Dispatcher(settings(), 8, now)
-    told = json.loads(json.dumps(learned_state_to_stored(dispatcher.learned_state())))
+    stored = json.loads(json.dumps(learned_state_to_stored(dispatcher.learned_state())))
     new.handle(
         now,
         [
             EndpointListReceived(EndpointListKind.SAVED, ENTRIES),
             *messages,
-            HandoverReceived(learned_state_from_stored(told)),
+            HandoverReceived(learned_state_from_stored(stored)),
         ],
     )
     return new
 
 
-def test_the_dispatcher_goes_on_with_slots_retry_after_and_key_order() -> None:
+def test_a_new_dispatcher_keeps_slots_retry_after_and_key_order() -> None:
     d = started()
     cls = {c.name: c for c in settings().classes}["turns"]
     first = sends(d.handle(0, [ask("a", 11, cls="turns", due=9 * S, key="k")]))[0]
@@ -194,14 +196,16 @@
         MessageRecovered("b", 11, cls, 9 * S, "k"),
     ]
     new = successor_of(d, held, 2 * MS)
-    assert not sends(new.handle(S, [ask("y")])), "the wait still binds, and the key is still out"
+    assert not sends(new.handle(S, [ask("y")])), (
+        "the Retry-After still applies, and a call with the key is still in flight"
+    )
     after = sends(new.handle(2 * S, [end(first, Outcome.DELIVERED)]))
     assert [s.message_id for s in after] == ["b"]
     assert {s.message_id for s in sends(new.handle(4 * S, [TimerFired("look")]))} <= {"x", "y"}
     assert new.calls_in_flight == len(new.calls.attempts) > 1
 
 
-def test_an_admin_address_that_is_taken_does_not_hold_up_clients(tmp_path: Path) -> None:
+def test_an_admin_address_that_is_in_use_does_not_delay_clients(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
         node = Node(folder, platform)
--- a/tests/runtime/test_handover_format.py
+++ b/tests/runtime/test_handover_format.py
@@ -1,4 +1,4 @@
-"""The description of a process: what another version has written is read, and written again as it was."""
+"""The hand-over's description: what another version wrote is read, and encoded again without a change."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 STORED = json.loads((ROOT / "tests/data/e0ee873/handover.json").read_text())["told"]
 
 
-def test_a_description_of_an_older_version_is_written_again_as_it_was() -> None:
+def test_a_description_of_an_older_version_is_encoded_again_unchanged() -> None:
     description = decode_description(json.dumps(STORED).encode())
 
     assert json.loads(encode_description(description)) == STORED
 
 
-def test_a_description_of_an_older_version_is_read_under_the_names_of_the_code() -> None:
+def test_a_description_of_an_older_version_is_decoded_into_the_current_names() -> None:
     description = decode_description(json.dumps(STORED).encode())
 
     assert description.clock_base_ns == STORED["clock"]
@@ -30,7 +30,7 @@
     ]
 
 
-def test_what_an_older_version_did_not_say_has_its_default() -> None:
+def test_fields_that_an_older_version_did_not_send_have_their_defaults() -> None:
     stored = {key: value for key, value in STORED.items() if key not in ("clock", "numbers", "destinations", "memory")}
     description = decode_description(json.dumps(stored).encode())
 
@@ -42,6 +42,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"\xff"])
-def test_what_is_no_json_is_refused(data: bytes) -> None:
+def test_data_that_is_not_json_is_refused(data: bytes) -> None:
     with pytest.raises(ValueError, match=r"."):
         decode_description(data)
--- a/tests/runtime/test_local_failures.py
+++ b/tests/runtime/test_local_failures.py
@@ -1,4 +1,4 @@
-"""Failures of this machine that last for a while, played on the real program: they cost no message (lab/shim.py)."""
+"""Runs the real program through lasting local failures (lab/shim.py): no message is lost."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from tests.sockets import OK, always
 
 CLASSES = ("order", "status", "turn", "pay")
-BEFORE_S = 0.3
+BEFORE_FAILURE_S = 0.3
 FAILING_S = 0.9
 INTERVAL_S = 0.05
-MAX_OPEN_MESSAGES = 1000  # so that none is refused for want of room
+MAX_OPEN_MESSAGES = 1000  # high enough that no message is refused because the forwarder is full
 FAILURES = {"poll": "ENOMEM", "connect": "EADDRNOTAVAIL", "socket": "ENFILE", "epoll_ctl": "ENOMEM"}
 
 
 class Clients:
-    """Submit messages of all classes; a connection that the program cannot watch is answered once it can."""
+    """Submits messages of all classes. A connection that the program cannot watch is answered once it can."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -30,8 +30,8 @@
 
     async def submit_for(self, duration_s: float) -> None:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + duration_s
-        while loop.time() < until_s:
+        end_s = loop.time() + duration_s
+        while loop.time() < end_s:
             for message_class in CLASSES:
                 name = f"{message_class}-{len(self.submissions)}"
                 self.submissions[name] = loop.create_task(self.node.submit(name, message_class))
@@ -44,21 +44,23 @@
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new connections", "kept connections"])
 @pytest.mark.parametrize("call", FAILURES)
-def test_what_is_accepted_while_a_call_fails_arrives_once(tmp_path: Path, call: str, kept: bool) -> None:
-    """Guards against messages returned unsent: a look that failed was taken for a connection that had ended."""
+def test_messages_that_are_accepted_while_a_system_call_fails_arrive_once(
+    tmp_path: Path, call: str, kept: bool
+) -> None:
+    """Guards against returning messages unsent: a failed poll was taken for a connection that had ended."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform, max_open=MAX_OPEN_MESSAGES)
         clients = Clients(node)
-        await clients.submit_for(BEFORE_S if kept else 0.0)
+        await clients.submit_for(BEFORE_FAILURE_S if kept else 0.0)
         accepted_before = len(await clients.accepted())
         await peer.wait_until(lambda: len(peer.requests) == accepted_before)
         closed = peer.closed
         await node.fail(Failure(call, FAILURES[call]))
         await clients.submit_for(FAILING_S)
         if call == "poll" and kept:
-            assert peer.closed == closed, "a failed look costs no idle connection"
+            assert peer.closed == closed, "a failed poll must not close an idle connection"
         await node.fail()
         accepted = await clients.accepted()
         assert len(accepted) > accepted_before
--- a/tests/runtime/test_missing_lock.py
+++ b/tests/runtime/test_missing_lock.py
@@ -1,4 +1,4 @@
-"""The lock cannot be opened for a while around a start, played on the real program: it is had as soon as it can be."""
+"""Runs the real program while the lock file cannot be opened around a start: it takes the lock once it can."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.sockets import OK, PATIENCE, always
 
 FAILING_S = 4.5
-BACK_S = 1.0
-"""Service is back so soon after the end of a failure."""
+RECOVERY_S = 1.0
+"""Maximum time from the end of the failure until the process holds the lock."""
 
 
 def is_locked(folder: Path) -> bool:
@@ -34,15 +34,15 @@
 
 
 async def start_without_lock(platform: Platform, folder: Path) -> Node:
-    """Starts a node whose folder cannot be opened; returns once it serves all the same."""
+    """Starts a node whose folder cannot be opened. Returns once it serves in spite of that."""
     node = Node(folder, platform)
     end_with_scene(node)
     await node.fail(Failure("open", "EIO"))
     return await node.start()
 
 
-def test_the_lock_is_had_soon_after_it_can_be_opened_and_an_upgrade_passes(tmp_path: Path) -> None:
-    """Guards against a process that went on without lock and socket for its whole life, and upgrades that ended."""
+def test_the_lock_is_taken_soon_after_it_can_be_opened_and_an_upgrade_succeeds(tmp_path: Path) -> None:
+    """Guards against a process that never got the lock and the upgrade socket, and against upgrades that failed."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
@@ -50,9 +50,11 @@
         assert "the lock is missing" in await node.call(b"JOURNAL\n")
         assert (await node.submit("without", "status"))[0] == 503
         await asyncio.sleep(FAILING_S)
-        assert not [file.name for file in (folder / "state").iterdir() if file.name != "lock"], "nothing was written"
+        assert not [file.name for file in (folder / "state").iterdir() if file.name != "lock"], (
+            "nothing may be written without the lock"
+        )
         await node.fail()
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RECOVERY_S)
         assert is_locked(folder)
         assert (await node.submit("with", "status"))[0] == 202
         assert "the lock is missing" not in await node.call(b"JOURNAL\n")
@@ -66,7 +68,10 @@
 
 @pytest.mark.parametrize("failing_s", [0.0, 2.0])
 def test_an_upgrade_waits_for_a_process_that_has_no_lock_yet(tmp_path: Path, failing_s: float) -> None:
-    """Guards against `cannot serve: address already in use`: the new process had the lock, and the old one served."""
+    """Guards against `cannot serve: address already in use`: the new process has the lock while the old one serves.
+
+    The old process could not open the lock file when it started.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
@@ -81,6 +86,6 @@
             await starting
         assert (await new.submit("upgraded", "status"))[0] == 202
         await peer.wait_for_requests(1)
-        assert await node.end() == 0, "it has handed over"
+        assert await node.end() == 0, "the old process has to end by a hand-over"
 
     play(scene, tmp_path)
--- a/tests/runtime/test_ownership.py
+++ b/tests/runtime/test_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a folder: another process takes it over complete, or not at all."""
+"""Ownership of a state folder: a new process takes it over completely, or not at all."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.sockets import OK, PATIENCE, always, hang
 
 
-def ask_owner(folder: Path) -> socket.socket:
+def request_takeover(folder: Path) -> socket.socket:
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     link.settimeout(PATIENCE)
     link.connect(f"/proc/self/fd/{os.open(folder / 'state', os.O_RDONLY)}/upgrade")
@@ -29,44 +29,44 @@
     return link
 
 
-def dies_at_once(link: socket.socket) -> None:
+def close_at_once(link: socket.socket) -> None:
     link.close()
 
 
-def dies_when_it_has_all(link: socket.socket) -> None:
+def close_after_state(link: socket.socket) -> None:
     size, count = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
     assert json.loads(receive(link, size))["memory"]
     assert count > 0
     link.close()
 
 
-def says_nonsense(link: socket.socket) -> None:
+def send_invalid_reply(link: socket.socket) -> None:
     size, _ = HANDOVER_HEADER.unpack(receive(link, HANDOVER_HEADER.size))
     receive(link, size)
     link.sendall(b"broken")
     assert receive(link, 1) == b"f"
 
 
-def says_nothing(link: socket.socket) -> None:
-    """Until the old process has had enough of it."""
+def send_nothing(link: socket.socket) -> None:
+    """Sends nothing, until the old process reaches its timeout."""
 
 
-@pytest.mark.parametrize("successor", [dies_at_once, dies_when_it_has_all, says_nonsense, says_nothing])
-def test_a_new_process_that_fails_leaves_the_old_one_as_it_was(
-    tmp_path: Path, successor: Callable[[socket.socket], None]
+@pytest.mark.parametrize("misbehave", [close_at_once, close_after_state, send_invalid_reply, send_nothing])
+def test_a_new_process_that_fails_leaves_the_old_one_unchanged(
+    tmp_path: Path, misbehave: Callable[[socket.socket], None]
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
-        free = asyncio.Event()
-        await hold_answers(free, peer)
+        release = asyncio.Event()
+        await hold_answers(release, peer)
         node = await start_node(folder, platform)
         client = await node.client()
         assert (await client.submit("a", "pay"))[0] == 202
         await peer.wait_for_requests(1)
-        link = ask_owner(folder)
-        await asyncio.to_thread(successor, link)
+        link = request_takeover(folder)
+        await asyncio.to_thread(misbehave, link)
         assert (await client.submit("b", "pay"))[0] == 202
-        free.set()
+        release.set()
         await peer.wait_for_requests(2)
         link.close()
         new = await upgrade(node)
@@ -79,7 +79,7 @@
     play(scene, tmp_path)
 
 
-def test_a_new_process_that_cannot_start_ends_and_the_old_one_serves(tmp_path: Path) -> None:
+def test_a_new_process_that_cannot_start_ends_and_the_old_one_keeps_serving(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
@@ -94,7 +94,7 @@
 
 
 def test_an_owner_that_dies_while_it_hands_over_leaves_the_journal(tmp_path: Path) -> None:
-    """The new process waits for as long as the lock is held, says no to operators, and then starts alone."""
+    """The new process waits while the lock is held, answers `fail` to operators, and then starts from the journal."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
@@ -123,7 +123,7 @@
     play(scene, tmp_path)
 
 
-def test_files_left_behind_stand_for_no_owner(tmp_path: Path) -> None:
+def test_files_left_behind_are_not_taken_for_an_owner(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         (folder / "state").mkdir(exist_ok=True)
@@ -138,10 +138,10 @@
     play(scene, tmp_path)
 
 
-def test_what_the_platform_refuses_of_an_upgrade_is_logged_once_and_left_out(
+def test_a_refused_lock_and_a_refused_socket_are_each_logged_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """No Unix socket and no lock: the process owns its folder and serves."""
+    """On a platform without Unix sockets and locks, the process owns its folder and serves."""
 
     def refused(*_: object) -> None:
         raise OSError(errno.ENOSYS, os.strerror(errno.ENOSYS))
@@ -161,6 +161,6 @@
         ownership.close()
 
     asyncio.run(scene())
-    told = [r.getMessage() for r in caplog.records if r.name == "forwarder.upgrade"]
-    assert len(told) == 2
-    assert all("not implemented" in text for text in told)
+    messages = [r.getMessage() for r in caplog.records if r.name == "forwarder.upgrade"]
+    assert len(messages) == 2
+    assert all("not implemented" in text for text in messages)
--- a/tests/runtime/test_retrying_socket.py
+++ b/tests/runtime/test_retrying_socket.py
@@ -1,4 +1,4 @@
-"""Sockets whose connection outlasts a passing shortage of this machine."""
+"""Sockets whose connections survive a transient lack of memory or buffers on this machine."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from forwarder.runtime.retrying_socket import connect
 
 
-def test_small_writes_on_a_connection_that_was_made_are_not_held_back() -> None:
-    """Guards against calls that wait for the acknowledgement of what was written before."""
+def test_small_writes_on_an_established_connection_are_not_delayed() -> None:
+    """Guards against requests that wait for the acknowledgement of earlier data (Nagle's algorithm)."""
 
     async def scene() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/runtime/test_unsent_answers.py
+++ b/tests/runtime/test_unsent_answers.py
@@ -1,4 +1,4 @@
-"""A 202 that cannot leave, played on the real program: its client goes elsewhere with its message."""
+"""Runs the real program when a 202 cannot be sent: the client submits its message to another forwarder."""
 
 from __future__ import annotations
 
@@ -17,42 +17,42 @@
 from tests.sockets import OK, Answer, Request, always
 
 CLIENT_TIMEOUT_S = 0.4
-"""A client waits so long for its answer (PROTOCOL)."""
+"""Time that a client waits for its answer (PROTOCOL)."""
 FAILING_S = 1.5
 CLASSES = ("order", "status", "turn", "pay")
 MAX_CPU_SHARE = 0.5
-"""Of a core, for a forwarder that has next to nothing to do."""
+"""Maximum share of a core for a forwarder that is almost idle."""
 WAIT_MS = 800
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["closed", "reset"])
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
-def test_a_message_whose_202_never_left_is_not_sent_once_its_client_has_gone(
+def test_a_message_whose_202_was_never_sent_is_dropped_when_its_client_disconnects(
     tmp_path: Path, error: str, reset: bool
 ) -> None:
-    """Guards against a second effect: the client has handed the message in elsewhere."""
+    """Guards against delivering a message twice: the client has submitted it to another forwarder."""
 
     async def scene(platform: Platform, folder: Path) -> None:
-        told_wait = Answer(429, {"X-RateLimit-Wait-Ms": str(WAIT_MS)})
+        rejection = Answer(429, {"X-RateLimit-Wait-Ms": str(WAIT_MS)})
 
-        async def first_waits(request: Request) -> Answer:
-            return told_wait if len(peer.requests) == 1 else OK
+        async def reject_first(request: Request) -> Answer:
+            return rejection if len(peer.requests) == 1 else OK
 
-        peer = await start_endpoint(platform, first_waits)
+        peer = await start_endpoint(platform, reject_first)
         node = await start_shimmed(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
-        await peer.wait_for_requests(1)  # its destination is left alone from here on
+        await peer.wait_for_requests(1)  # no calls to its destination from here on
         await node.fail(Failure("client-send", error))
         clients = {message_class: await node.client() for message_class in CLASSES}
         for message_class, client in clients.items():
             client.writer.write(message(f"unheard-{message_class}", message_class, X_Session_Key="k"))
-        began_cpu_s, began_s = processor_s(node.process.pid), time.monotonic()
+        start_cpu_s, start_s = processor_s(node.process.pid), time.monotonic()
         await asyncio.sleep(CLIENT_TIMEOUT_S)
         for client in clients.values():
             end = client.writer.transport.abort if reset else client.writer.close
             end()
         await asyncio.sleep(FAILING_S)
-        assert (processor_s(node.process.pid) - began_cpu_s) / (time.monotonic() - began_s) < MAX_CPU_SHARE
+        assert (processor_s(node.process.pid) - start_cpu_s) / (time.monotonic() - start_s) < MAX_CPU_SHARE
         await node.fail()
         assert (await node.submit("next", "turn", X_Session_Key="k"))[0] == 202
         await peer.wait_until(lambda: "next" in received_ids(peer))
@@ -66,8 +66,8 @@
     play(scene, tmp_path)
 
 
-def test_a_message_whose_202_had_not_left_as_the_process_ended_is_not_sent_by_the_next(tmp_path: Path) -> None:
-    """Guards against the same second effect over a restart: the client saw its connection end unanswered."""
+def test_a_message_whose_202_was_not_sent_before_the_process_ended_is_not_forwarded_by_the_next(tmp_path: Path) -> None:
+    """Guards against the same double delivery after a restart: the client saw its connection end unanswered."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "10000"}), OK))
@@ -88,8 +88,8 @@
     play(scene, tmp_path)
 
 
-def test_a_202_that_waits_for_its_socket_leaves_once_it_can(tmp_path: Path) -> None:
-    """The client stays: it hears that its message was accepted, and the message goes."""
+def test_a_202_that_waits_for_its_socket_is_sent_once_it_can_be(tmp_path: Path) -> None:
+    """The client stays connected: it receives the 202, and its message is forwarded."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         async def answer(request: Request) -> Answer:
@@ -108,8 +108,8 @@
     play(scene, tmp_path)
 
 
-def test_an_upgrade_waits_for_a_202_that_cannot_leave_just_now(tmp_path: Path) -> None:
-    """Guards against a connection that ended unanswered: what its process had written could not be handed over."""
+def test_an_upgrade_waits_for_a_202_that_cannot_be_sent_yet(tmp_path: Path) -> None:
+    """Guards against closing a connection unanswered: an answer in the write buffer cannot be handed over."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
@@ -121,7 +121,7 @@
         new.shim = None
         end_with_scene(new)
         starting = asyncio.create_task(new.start())
-        await asyncio.sleep(1.5)  # it has asked by then, again and again
+        await asyncio.sleep(1.5)  # by then it has requested the hand-over several times
         await node.fail()
         assert (await client.answer())[0] == 202
         await starting
