--- a/tests/runtime/test_failing_accept.py
+++ b/tests/runtime/test_failing_accept.py
@@ -1,4 +1,4 @@
-"""accept(2) fails for a while, played on the real program: its working clients stay, and others are served again."""
+"""Runs the real program while accept(2) fails: connected clients are kept, and new ones are served afterwards."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.scenes import play, received_ids, start_endpoint, start_shimmed
 from tests.sockets import OK, always
 
-BEFORE_S = 0.5
+BEFORE_FAILURE_S = 0.5
 FAILING_S = 2.5
-BACK_S = 1.0
-"""Service is back so soon after the end of a failure."""
+RECOVERY_S = 1.0
+"""Maximum time from the end of the failure until clients are served again."""
 CLIENT_TIMEOUT_S = 0.4
-"""A client waits so long for its answer (PROTOCOL)."""
+"""Time that a client waits for its answer (PROTOCOL)."""
 MAX_OPEN_MESSAGES = 1000
 DESCRIPTORS = 64
 
@@ -28,29 +28,36 @@
 @pytest.mark.parametrize("share", [1.0, 0.3])
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "ENOMEM", "EMFILE"])
 def test_clients_keep_their_connections_while_accept_fails(tmp_path: Path, error: str, share: float) -> None:
-    """Guards against evictions for a shortage that closing connections does not end."""
+    """Guards against evicting clients for a shortage that closing connections does not end."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform, max_open=MAX_OPEN_MESSAGES)
         load = SteadyLoad(node)
         await load.start()
-        await asyncio.sleep(BEFORE_S)
+        await asyncio.sleep(BEFORE_FAILURE_S)
         await node.fail(Failure("accept", error, share))
         await asyncio.sleep(FAILING_S)
         await node.fail()
-        healed_s = asyncio.get_running_loop().time()
-        await asyncio.sleep(BACK_S)
+        failure_ended_s = asyncio.get_running_loop().time()
+        await asyncio.sleep(RECOVERY_S)
         await load.finish()
         assert load.closed_kept == 0
         assert not load.unanswered()
-        later = [each for each in load.submitted.values() if each.begun_s > healed_s]
-        assert max(each.answered_s for each in load.submitted.values() if each.begun_s < healed_s) < healed_s + BACK_S
-        assert max(each.answered_s - each.begun_s for each in later) < BACK_S
+        later = [submission for submission in load.submitted.values() if submission.begun_s > failure_ended_s]
+        assert (
+            max(submission.answered_s for submission in load.submitted.values() if submission.begun_s < failure_ended_s)
+            < failure_ended_s + RECOVERY_S
+        )
+        assert max(submission.answered_s - submission.begun_s for submission in later) < RECOVERY_S
         if share < 1.0:
-            failing = [each for each in load.submitted.values() if each.name.startswith(NEW)]
-            late = [each.name for each in failing if each.answered_s - each.begun_s > CLIENT_TIMEOUT_S]
-            assert not late, "a client has left by then"
+            new_clients = [submission for submission in load.submitted.values() if submission.name.startswith(NEW)]
+            late = [
+                submission.name
+                for submission in new_clients
+                if submission.answered_s - submission.begun_s > CLIENT_TIMEOUT_S
+            ]
+            assert not late, "the client has given up by then"
         accepted = load.accepted()
         assert len(accepted) == len(load.submitted)
         await peer.wait_until(lambda: set(received_ids(peer)) >= set(accepted))
@@ -59,14 +66,14 @@
     play(scene, tmp_path)
 
 
-def test_descriptors_that_are_short_cost_no_more_connections_than_are_needed(tmp_path: Path) -> None:
-    """Guards against eight evictions for one missing descriptor, where the process holds few connections itself."""
+def test_a_lack_of_descriptors_closes_no_more_connections_than_needed(tmp_path: Path) -> None:
+    """Guards against eight evictions for one missing descriptor when the process has few connections of its own."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform, max_open=MAX_OPEN_MESSAGES)
-        resting = [await node.client() for _ in range(20)]
-        for number, client in enumerate(resting):
+        idle = [await node.client() for _ in range(20)]
+        for number, client in enumerate(idle):
             assert (await client.submit(f"rest-{number}", "status"))[0] == 202
         await asyncio.sleep(0.3)
         held = len(os.listdir(f"/proc/{node.process.pid}/fd"))
@@ -75,9 +82,9 @@
             client = await node.client()
             async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 assert (await client.submit(f"new-{number}", "status"))[0] == 202
-            resting.append(client)
+            idle.append(client)
         await asyncio.sleep(0.3)
-        closed = [client for client in resting if client.reader.at_eof()]
-        assert len(closed) <= 6, "one for each new connection, and one for what the process needs itself"
+        closed = [client for client in idle if client.reader.at_eof()]
+        assert len(closed) <= 6, "one for each new connection, and one for the process itself"
 
     play(scene, tmp_path)
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Failing writes, stepped clocks and failing system calls, played on the real program (lab/shim.py)."""
+"""Runs the real program with failing writes, clock steps and failing system calls (lab/shim.py)."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 FULL_DISK = (Failure("write", "ENOSPC"), Failure("open", "ENOSPC"))
 MESSAGES = 40
-LARGE_BODY = b"x" * 9000  # so many of these make a snapshot due
+LARGE_BODY = b"x" * 9000  # `MESSAGES` of these make a snapshot due
 
 
 async def start_with_failures(folder: Path, platform: Platform, *failures: Failure, clock_s: float = 0.0) -> Node:
-    """The program, with calls that may fail, from its start on."""
+    """Starts the program with the given failures in effect from the start."""
     node = Node(folder, platform)
     end_with_scene(node)
     await node.fail(*failures, clock_s=clock_s)
@@ -42,21 +42,21 @@
 
 
 async def submit_all(node: Node, names: list[str], cls: str = "status", body: bytes = b"hello") -> dict[str, int]:
-    """What each hand-in is answered: always something."""
+    """Submits messages one after another. Returns the status of each; every submission is answered."""
     return {name: (await node.submit(name, cls, body=body))[0] for name in names}
 
 
-async def until_taken(node: Node, cls: str = "status") -> str:
-    """Hand messages in until one is taken on. Its name."""
+async def submit_until_accepted(node: Node, cls: str = "status") -> str:
+    """Submits messages until one is accepted. Returns its name."""
     async with asyncio.timeout(PATIENCE):
         for n in range(10_000):
             if (await node.submit(f"again-{n}", cls))[0] == 202:
                 return f"again-{n}"
             await asyncio.sleep(0.05)
-    raise AssertionError("never taken on")
+    raise AssertionError("no message was accepted")
 
 
-def test_what_cannot_be_written_is_refused_and_taken_on_again_once_it_can(tmp_path: Path) -> None:
+def test_messages_are_refused_while_the_disk_is_full_and_accepted_afterwards(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
@@ -66,18 +66,18 @@
         refused = await submit_all(node, ["a", "b", "c"])
         assert set(refused.values()) == {503}, refused
         await node.fail()
-        taken = await until_taken(node)  # with nothing held, and no work that could be written before
+        accepted = await submit_until_accepted(node)  # nothing is held, so no other work triggers a write
         await peer.wait_for_requests(2)
         await node.restart()
         await asyncio.sleep(0.5)
-        assert set(received_ids(peer)) == {"before", taken}
+        assert set(received_ids(peer)) == {"before", accepted}
 
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize(("cls", "leaves"), [("status", True), ("pay", False)])
-def test_only_calls_that_may_be_repeated_leave_unrecorded(tmp_path: Path, cls: str, leaves: bool) -> None:
-    """The others end in time by a notice, or go once their attempt can be written."""
+@pytest.mark.parametrize(("cls", "is_sent"), [("status", True), ("pay", False)])
+def test_only_repeatable_calls_are_sent_unrecorded(tmp_path: Path, cls: str, is_sent: bool) -> None:
+    """Other messages end in time with a notice, or are sent once their attempt can be recorded."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "600"}), OK))
@@ -86,7 +86,7 @@
         await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
         await asyncio.sleep(1.5)
-        assert len(peer.requests) == (2 if leaves else 1)
+        assert len(peer.requests) == (2 if is_sent else 1)
         await node.fail()
         await peer.wait_for_requests(2)
         assert received_ids(peer) == ["long", "long"]
@@ -96,16 +96,16 @@
     play(scene, tmp_path)
 
 
-def test_what_is_held_is_ended_in_time_though_nothing_can_be_written(tmp_path: Path) -> None:
+def test_held_messages_end_in_time_while_nothing_can_be_written(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"})))
         node = await start_with_failures(folder, platform)
-        handed_s = time.monotonic()
+        submitted_at_s = time.monotonic()
         assert (await node.submit("held", "pay", left="2.5"))[0] == 202
         await peer.wait_for_requests(1)
         await node.fail(*FULL_DISK)
         await platform.wait_for_notice("held")
-        assert time.monotonic() - handed_s > 0  # it came; the lab's judge bounds how late
+        assert time.monotonic() - submitted_at_s > 0  # the notice arrived; the lab's rules limit its delay
 
     play(scene, tmp_path)
 
@@ -113,9 +113,9 @@
 @pytest.mark.parametrize("moment", ["start", "service", "end"])
 @pytest.mark.parametrize("call", FILE_CALLS)
 def test_any_call_on_the_state_folder_may_fail(tmp_path: Path, call: str, moment: str) -> None:
-    """At the start, in service with a snapshot under way, or at the end; then SIGKILL and a healthy start.
+    """A call fails at the start, in service during a snapshot, or at the end. After SIGKILL, no call fails any more.
 
-    Each client is answered, what was taken on is delivered, and what was refused is not.
+    Each client is answered, accepted messages are delivered, and refused ones are not.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -123,11 +123,11 @@
         failure = Failure(call, "EIO")
         node = await start_with_failures(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
-            told = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE_BODY)
+            statuses = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE_BODY)
             await node.fail(failure)
-            told |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE_BODY)
+            statuses |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE_BODY)
         else:
-            told = await submit_all(node, [f"m{n}" for n in range(5)])
+            statuses = await submit_all(node, [f"m{n}" for n in range(5)])
         if moment == "end":
             await node.fail(failure)
             await node.end(signal.SIGTERM)
@@ -135,28 +135,30 @@
             await node.end()
         await node.fail()
         await node.start()
-        taken = {name for name, status in told.items() if status == 202}
-        assert set(told.values()) <= {202, 503}
-        assert taken or moment == "start"
-        await peer.wait_until(lambda: taken <= set(received_ids(peer)))
+        accepted = {name for name, status in statuses.items() if status == 202}
+        assert set(statuses.values()) <= {202, 503}
+        assert accepted or moment == "start"
+        await peer.wait_until(lambda: accepted <= set(received_ids(peer)))
         assert not platform.notices
-        assert await until_taken(node)
-        assert set(received_ids(peer)) <= taken | {name for name in received_ids(peer) if name.startswith("again")}
+        assert await submit_until_accepted(node)
+        assert set(received_ids(peer)) <= accepted | {name for name in received_ids(peer) if name.startswith("again")}
 
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize("steps", [(0.0, 3600.0), (0.0, -3600.0), (3600.0, 0.0)], ids=["forward", "back", "set right"])
+@pytest.mark.parametrize("steps", [(0.0, 3600.0), (0.0, -3600.0), (3600.0, 0.0)], ids=["forward", "back", "corrected"])
 @pytest.mark.parametrize("running", [True, False], ids=["while it runs", "over a restart"])
-def test_a_step_of_the_wall_clock_moves_no_time(tmp_path: Path, steps: tuple[float, float], running: bool) -> None:
-    """A message that is held with time left is delivered once its destination's wait is over, no sooner."""
+def test_a_step_of_the_wall_clock_changes_no_deadline_or_wait(
+    tmp_path: Path, steps: tuple[float, float], running: bool
+) -> None:
+    """A held message with time left is delivered once the Retry-After of its destination is over, and not before."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(503), Answer(429, {"X-RateLimit-Wait-Ms": "1500"}), OK))
         node = await start_with_failures(folder, platform, clock_s=steps[0])
         assert (await node.submit("held", "status", left="12"))[0] == 202
         await peer.wait_for_requests(2)
-        told_s = time.monotonic()
+        rejected_at_s = time.monotonic()
         if running:
             await node.fail(clock_s=steps[1])
         else:
@@ -164,7 +166,7 @@
             await node.fail(clock_s=steps[1])
             await node.start()
         await peer.wait_for_requests(3)
-        assert not running or time.monotonic() - told_s > 1.4
+        assert not running or time.monotonic() - rejected_at_s > 1.4
         await asyncio.sleep(0.2)
         assert received_ids(peer) == ["held"] * 3
         assert not platform.notices
@@ -172,20 +174,20 @@
     play(scene, tmp_path)
 
 
-LOCAL = [("socket", "ENFILE"), ("socket", "ENOBUFS"), ("connect", "EADDRNOTAVAIL"), ("connect", "ENETUNREACH")]
+LOCAL_FAILURES = [("socket", "ENFILE"), ("socket", "ENOBUFS"), ("connect", "EADDRNOTAVAIL"), ("connect", "ENETUNREACH")]
 
 
-@pytest.mark.parametrize(("call", "error"), LOCAL)
-def test_a_failure_of_this_machine_costs_no_try_and_tells_nothing_of_an_endpoint(
+@pytest.mark.parametrize(("call", "error"), LOCAL_FAILURES)
+def test_a_local_failure_uses_no_attempt_and_is_not_held_against_the_endpoint(
     tmp_path: Path, call: str, error: str
 ) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
-        await platform.wait_for_requests(2)  # its watch is up
+        await platform.wait_for_requests(2)  # the watch of the endpoint list is established
         await node.fail(Failure(call, error))
         assert (await node.submit("held", "pay"))[0] == 202
-        await asyncio.sleep(1.0)  # six tries, the most there may be, would be over
+        await asyncio.sleep(1.0)  # long enough for six attempts, the maximum
         assert not peer.requests
         assert not platform.notices
         await node.fail()
@@ -205,7 +207,7 @@
     ],
     ids=lambda failure: f"{failure.call}-{failure.errno}",
 )
-def test_clients_are_served_through_failing_accepts_and_short_reads(tmp_path: Path, failure: Failure) -> None:
+def test_clients_are_served_despite_failing_accepts_and_short_reads(tmp_path: Path, failure: Failure) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform, failure)
@@ -218,82 +220,85 @@
     play(scene, tmp_path)
 
 
-@pytest.mark.parametrize(("error", "tries"), [(errno.EIO, 3), (errno.EMFILE, 3), (errno.ENOENT, 1)])
-def test_a_configuration_that_cannot_be_read_for_a_moment_ends_no_start(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int, tries: int
+@pytest.mark.parametrize(("error", "attempts"), [(errno.EIO, 3), (errno.EMFILE, 3), (errno.ENOENT, 1)])
+def test_a_configuration_that_is_briefly_unreadable_does_not_end_the_start(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int, attempts: int
 ) -> None:
-    """A passing failure is tried again; one that names no file is told at once."""
-    left, made = [OSError(error, "for the test")] * 2, []
+    """A transient error is retried; a missing file is reported at once."""
+    errors, paths_read = [OSError(error, "for the test")] * 2, []
 
     def read_bytes(path: Path) -> bytes:
-        made.append(path)
-        if left:
-            raise left.pop()
+        paths_read.append(path)
+        if errors:
+            raise errors.pop()
         return b"{}"
 
     monkeypatch.setattr(Path, "read_bytes", read_bytes)
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
     with pytest.raises(ConfigError):
         retry_transient(load_config, is_transient_read_error)
-    assert len(made) == tries
+    assert len(paths_read) == attempts
 
 
-class Book:
-    """One end that is owed."""
+class FakeMessageStore:
+    """A message store with one pending notice."""
 
     def __init__(self) -> None:
-        self.owed = {"m": PendingNotice("failed", 0, None)}
+        self.pending = {"m": PendingNotice("failed", 0, None)}
 
     def pending_notices(self) -> dict[str, PendingNotice]:
-        return self.owed
+        return self.pending
 
     def acknowledge_notices(self, names: list[str]) -> None:
         for name in names:
-            del self.owed[name]
+            del self.pending[name]
 
 
-def test_notices_go_on_after_an_error_that_nobody_foresaw() -> None:
+def test_notices_continue_after_an_unexpected_error() -> None:
     async def scene() -> None:
         platform = await Platform().start()
         supervisor = Supervisor()
-        book = Book()
-        notices = Notifier(Address("127.0.0.1", platform.port), book, supervisor)
-        real: Callable[..., Awaitable[object]] = notices.client.request
-        failing = [RuntimeError("unforeseen"), AssertionError()]
+        store = FakeMessageStore()
+        notices = Notifier(Address("127.0.0.1", platform.port), store, supervisor)
+        send_request: Callable[..., Awaitable[object]] = notices.client.request
+        errors = [RuntimeError("unexpected"), AssertionError()]
 
-        async def ask(*args: object, **named: object) -> object:
-            if failing:
-                raise failing.pop()
-            return await real(*args, **named)
+        async def fail_first_requests(*args: object, **kwargs: object) -> object:
+            if errors:
+                raise errors.pop()
+            return await send_request(*args, **kwargs)
 
-        notices.client.request = ask  # type: ignore[assignment, method-assign]
+        notices.client.request = fail_first_requests  # type: ignore[assignment, method-assign]
         notices.wake()
         await platform.wait_for_notice("m")
         async with asyncio.timeout(PATIENCE):
-            while book.owed:
+            while store.pending:
                 await asyncio.sleep(0.01)
         assert supervisor.failures == {"notices": 2}
 
     asyncio.run(scene())
 
 
-def test_a_post_that_fails_is_made_again_within_what_an_end_may_be_late() -> None:
-    """A message without its end is lost 0.3 s after its time, and a given-up call takes 0.1 s of that (PROTOCOL)."""
+def test_a_failed_post_of_notices_is_retried_within_the_permitted_delay() -> None:
+    """A message without an end is lost 0.3 s after its deadline; giving up a call takes 0.1 s of that (PROTOCOL)."""
     assert GIVEN_UP_S + max(RETRY_PAUSES_S) <= 0.2
 
 
-def test_a_post_of_notices_stays_within_what_a_body_may_hold() -> None:
-    owed = [(f"{n:0128d}", PendingNotice("returned", 500, None)) for n in range(500)]
-    left = owed
-    while left:
-        body, told = render_notices(left)
+def test_a_post_of_notices_stays_within_the_maximum_body_size() -> None:
+    pending = [(f"{n:0128d}", PendingNotice("returned", 500, None)) for n in range(500)]
+    remaining = pending
+    while remaining:
+        body, rendered = render_notices(remaining)
         assert len(body) <= MAX_BODY_BYTES
-        assert len(body.splitlines()) == len(told) > 0
-        left = left[len(told) :]
+        assert len(body.splitlines()) == len(rendered) > 0
+        remaining = remaining[len(rendered) :]
+
 
+def test_a_process_whose_journal_is_incomplete_does_not_hand_over(tmp_path: Path) -> None:
+    """Guards against calls to a draining endpoint after an upgrade.
 
-def test_nothing_is_handed_over_that_the_journal_lacks(tmp_path: Path) -> None:
-    """Found by the soak: a process that took over while the old one could not write went by the list before a drain."""
+    The soak found that the old process could not write the drain, and the new one used the list before it.
+    """
 
     async def scene(platform: Platform, folder: Path) -> None:
         drained = await start_endpoint(platform, always(OK))
@@ -306,14 +311,15 @@
         platform.changes[platform.version + 1].append(dict(platform.endpoints["s1"]))
         platform.version += 1
         await platform.notify_all()
-        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))  # it was told
-        answered, answer_now = platform.handler, asyncio.Event()
+        # A poll from version 2 shows that the process has received the change.
+        await platform.wait_until(lambda: any("from=2" in r.path for r in platform.requests))
+        handler, answer_now = platform.handler, asyncio.Event()
 
-        async def slow(request: Request) -> Answer | bytes | None:
+        async def answer_later(request: Request) -> Answer | bytes | None:
             await answer_now.wait()
-            return await answered(request)
+            return await handler(request)
 
-        platform.handler = slow
+        platform.handler = answer_later
         new = node.successor()
         new.shim = None
         end_with_scene(new)
@@ -333,11 +339,11 @@
 @pytest.mark.parametrize(
     ("call", "for_s"), [("close", 1.0), ("open", 1.0), ("open", LOCK_OPEN_TIMEOUT_S + BIND_TIMEOUT_S + 1.0)]
 )
-def test_an_upgrade_outlasts_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
-    """Found by the soak.
+def test_an_upgrade_survives_a_failing_call_on_the_folder(tmp_path: Path, call: str, for_s: float) -> None:
+    """Guards against two failures that the soak found.
 
-    The process that had taken over ended as it closed its own lock, and all went with it; one that could not open the
-    lock for longer took the address for free, and ended as it was not.
+    The new process ended on an error when it closed its own lock file after the hand-over, and the state was lost. A
+    new process that could not open the lock for longer assumed that the address was free, and ended because it was not.
     """
 
     async def scene(platform: Platform, folder: Path) -> None:
@@ -357,44 +363,44 @@
     play(scene, tmp_path)
 
 
-def test_a_list_whose_connection_ends_unread_is_asked_for_again_at_once() -> None:
-    """Found by the soak: what discovery had written counts as told, and the next question came 1.2 s later."""
+def test_an_endpoint_list_whose_connection_ends_unread_is_requested_again_at_once() -> None:
+    """Guards against a next poll only 1.2 s later (found by the soak): discovery counts a written list as received."""
 
     async def scene() -> None:
-        listing = json.dumps(Platform().listing()).encode()
-        peer = await Peer(always(None, None, None, Answer(200, body=listing), None)).start()
-        told: list[EndpointList | None] = []
-        watch = EndpointListWatch(Address("127.0.0.1", peer.port), -1, told.append)
+        body = json.dumps(Platform().listing()).encode()
+        peer = await Peer(always(None, None, None, Answer(200, body=body), None)).start()
+        received: list[EndpointList | None] = []
+        watch = EndpointListWatch(Address("127.0.0.1", peer.port), -1, received.append)
         watch.subscribe()
         async with asyncio.timeout(PATIENCE):
-            while not told:
+            while not received:
                 await asyncio.sleep(0.01)
-        assert told[0] is not None
-        assert told[0].is_complete
+        assert received[0] is not None
+        assert received[0].is_complete
         watch.client.close()
 
     asyncio.run(scene())
 
 
-def test_the_list_is_asked_for_again_after_an_error_in_taking_it_on() -> None:
-    """An error beside the watch ended it untold, so that nobody asked again."""
+def test_the_endpoint_list_is_requested_again_after_an_error_in_applying_it() -> None:
+    """Guards against a watch that an error in its callback ended unreported, so that no further poll followed."""
 
     async def scene() -> None:
         platform = await Platform().start()
-        told: list[EndpointList | None] = []
+        received: list[EndpointList | None] = []
 
-        def listed(news: EndpointList | None) -> None:
-            told.append(news)
-            if len(told) == 1:
-                raise RuntimeError("unforeseen")
+        def apply_list(endpoint_list: EndpointList | None) -> None:
+            received.append(endpoint_list)
+            if len(received) == 1:
+                raise RuntimeError("unexpected")
 
         supervisor = Supervisor()
-        watch = EndpointListWatch(Address("127.0.0.1", platform.port), -1, listed, supervisor=supervisor)
+        watch = EndpointListWatch(Address("127.0.0.1", platform.port), -1, apply_list, supervisor=supervisor)
         watch.subscribe()
         async with asyncio.timeout(PATIENCE):
-            while len(told) < 2:
+            while len(received) < 2:
                 await asyncio.sleep(0.01)
-        assert told[1] is None
+        assert received[1] is None
         assert supervisor.failures == {"list": 1}
         watch.subscribe()
         await platform.wait_until(lambda: len(platform.requests) > 1)
