--- a/forwarder/__init__.py
+++ b/forwarder/__init__.py
@@ -1,4 +1,4 @@
-"""A message forwarder: its decisions (`decisions`), and the program that applies them on sockets (`runtime`)."""
+"""A message forwarder: its decisions (`decisions`) and the program that applies them to sockets (`runtime`)."""
 
 from forwarder.decisions.dispatcher import Dispatcher
 
--- a/forwarder/__main__.py
+++ b/forwarder/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one forwarder on sockets: `python -m forwarder`; with `state`, looks into a state folder."""
+"""Starts one forwarder: `python -m forwarder`; with `state`, inspects a state folder instead."""
 
 from __future__ import annotations
 
@@ -21,81 +21,81 @@
 from forwarder.runtime.ownership import HandoverState, Ownership
 from forwarder.storage.errors import ForeignStateError, NewerFormatError
 
-START_PATIENCE_S = 20.0
-"""What fails for a moment is tried again for so long: a start has to be ready within 30 s."""
-START_RETRY_S = 0.2
+START_RETRY_TIMEOUT_S = 20.0
+"""How long transient errors are retried; a start has to be ready within 30 s."""
+START_RETRY_INTERVAL_S = 0.2
 IN_USE_TIMEOUT_S = 0.1
-"""An address that another process has is waited for so long at once: meanwhile that process cannot take the lock."""
+"""The longest single wait for an address that another process holds; that process cannot take the lock meanwhile."""
 SIGNALS = frozenset({signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
-"""The signals that are handled while the forwarder runs, and blocked once it ends."""
+"""The signals that are handled while the forwarder runs, and blocked once it has ended."""
 EXIT_CANNOT_SERVE = 1
 EXIT_BAD_CONFIG = 2
 Result = TypeVar("Result")
 log = logging.getLogger("forwarder")
 
 
-def retry_transient(make: Callable[[], Result], is_transient: Callable[[Exception], bool]) -> Result:
-    """Makes it, again for a while where it fails by a transient error: a start that ends for one is a crash.
+def retry_transient(operation: Callable[[], Result], is_transient: Callable[[Exception], bool]) -> Result:
+    """Runs an operation and retries it after transient errors, since ending the start on one would be a crash.
 
     Raises:
-        ConfigUnreadableError, OSError: the error is not transient, or patience is over.
+        ConfigUnreadableError, OSError: the error is not transient, or it has persisted for START_RETRY_TIMEOUT_S.
     """
-    give_up_s = time.monotonic() + START_PATIENCE_S
+    deadline_s = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
-            return make()
+            return operation()
         except (ConfigUnreadableError, OSError) as error:
-            if not is_transient(error) or time.monotonic() > give_up_s:
+            if not is_transient(error) or time.monotonic() > deadline_s:
                 raise
-            log.error("cannot start yet, trying again: %s", error)
-        time.sleep(START_RETRY_S)
+            log.error("cannot start yet; retrying: %s", error)
+        time.sleep(START_RETRY_INTERVAL_S)
 
 
 def is_transient_read_error(error: Exception) -> bool:
-    """Returns whether the configuration may be readable in a moment."""
+    """Returns whether the configuration may become readable shortly."""
     return isinstance(error, ConfigUnreadableError) and error.is_transient
 
 
 def is_system_error(error: Exception) -> bool:
-    """Returns whether a call of the system has failed."""
+    """Returns whether the error comes from a system call."""
     return isinstance(error, OSError)
 
 
-async def retry_unreadable_journal(make: Callable[[], Engine]) -> Engine:
-    """Makes the engine, which reads the journal; again for a while where reading fails.
+async def retry_unreadable_journal(make_engine: Callable[[], Engine]) -> Engine:
+    """Makes the engine, which reads the journal, and retries while the journal cannot be read.
 
     Raises:
-        OSError: patience is over.
+        OSError: the journal has been unreadable for START_RETRY_TIMEOUT_S.
     """
-    give_up_s = time.monotonic() + START_PATIENCE_S
+    deadline_s = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
-            return make()
+            return make_engine()
         except OSError as error:
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise
-            log.error("the journal cannot be read, trying again: %s", error)
-        await asyncio.sleep(START_RETRY_S)
+            log.error("cannot read the journal; retrying: %s", error)
+        await asyncio.sleep(START_RETRY_INTERVAL_S)
 
 
 async def serve(config: Config, extensions: Sequence[ExtensionFactory] = ()) -> None:
-    """Becomes the owner of the folder, alone or by a hand-over, and serves until a shutdown is over.
+    """Takes ownership of the state folder, alone or by a hand-over, and serves until a shutdown has finished.
 
     Raises:
-        OSError: the address, or the folder, cannot be had.
-        NewerFormatError: the journal is of a newer program.
-        ForeignStateError: the folder is another forwarder's.
+        OSError: the address or the state folder is not available.
+        NewerFormatError: the journal was written by a newer version of the program.
+        ForeignStateError: the state folder belongs to another forwarder.
     """
     loop = asyncio.get_running_loop()
-    early_hangups: list[int] = []
-    loop.add_signal_handler(signal.SIGHUP, early_hangups.append, signal.SIGHUP)
+    early_sighups: list[int] = []
+    loop.add_signal_handler(signal.SIGHUP, early_sighups.append, signal.SIGHUP)
     admin = AdminServer()
     ownership = Ownership(config.state_folder)
-    await _listen_for_operators(admin, config.admin)
+    await _listen_for_admin(admin, config.admin)
 
     async def _make_engine(handover: HandoverState | None) -> Engine:
         if handover is None:
-            # The address before the journal: where another forwarder serves, nothing may be sent.
+            # Bind before reading the journal: while another forwarder serves, nothing may be sent.
             client_socket = await bind(config.listen, in_use_timeout_s=IN_USE_TIMEOUT_S)
             return await retry_unreadable_journal(
                 lambda: Engine(config, ownership, admin, client_socket, extensions=extensions)
@@ -109,31 +109,31 @@
     loop.add_signal_handler(signal.SIGTERM, engine.shutdown.start)
     loop.add_signal_handler(signal.SIGINT, engine.shutdown.start)
     loop.add_signal_handler(signal.SIGHUP, engine.reloader.reload)
-    if early_hangups:
+    if early_sighups:
         loop.call_soon(engine.reloader.reload)
-    gc.freeze()  # what is made at the start stays: the collector need not visit it
+    gc.freeze()  # objects made during the start live on; the garbage collector need not scan them
     try:
         await engine.run()
     finally:
-        # As it closes, the loop takes its handlers back: a signal from here on would end the process by itself.
+        # The event loop removes its signal handlers when it closes; a signal after that would kill the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
-async def _listen_for_operators(admin: AdminServer, address: Address | None) -> None:
-    """Listens on the admin address, if it is free: the process before may have it, and hand it over."""
+async def _listen_for_admin(admin: AdminServer, address: Address | None) -> None:
+    """Listens on the admin address if it is free; the previous process may still hold it, and hands it over then."""
     if address is None:
         return
     try:
         admin.listen(await bind(address, timeout_s=0))
     except OSError as error:
-        log.info("control address not free yet: %s", error)
+        log.info("admin address is not free yet: %s", error)
 
 
 def requested_extensions(arguments: Sequence[str], config: Config) -> list[ExtensionFactory]:
-    """Returns what makes the extensions that the command line asks for. The others are not even imported.
+    """Returns the factories of the extensions that the command line enables; other extensions are not imported.
 
     Raises:
-        ConfigError: the parts file cannot be read or cannot hold.
+        ConfigError: the parts file cannot be read or is invalid.
     """
     if not arguments:
         return []
@@ -145,7 +145,7 @@
 
 
 def main() -> int:
-    """Runs the program. Returns its exit code."""
+    """Runs the program and returns its exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     if sys.argv[1:2] == ["state"]:
         from forwarder.storage.state_check import main as check_state
--- a/forwarder/admin/commands.py
+++ b/forwarder/admin/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the admin interface: what operators may ask of a running forwarder (docs/operating.md)."""
+"""The commands of the admin interface, by which operators control a running forwarder (docs/operating.md)."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class AdminCommands:
-    """The commands of one forwarder. Each returns its answer, or raises CommandRefusedError."""
+    """The commands of one forwarder. Each returns its answer or raises CommandRefusedError."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime = runtime
 
     def table(self) -> CommandTable:
-        """Returns all commands by their words, those of the extensions among them."""
+        """Returns all commands by name, including those of the extensions."""
         commands: dict[str, Command] = {
             "HEALTH": without_arguments(self.health),
             "LEAVE": without_arguments(self.leave),
@@ -39,7 +39,7 @@
         return commands
 
     def health(self) -> str:
-        """`HEALTH`: whether the forwarder serves."""
+        """`HEALTH`: reports whether the forwarder serves."""
         self._check_not_stopping()
         return "serving"
 
@@ -48,7 +48,7 @@
             raise CommandRefusedError("stopping")
 
     def offline(self, name: str) -> str:
-        """`OFFLINE ID`: disables an endpoint. Once this returns, nothing more can leave for it."""
+        """`OFFLINE ID`: disables an endpoint. After this returns, nothing more is sent to it."""
         self._check_listed(name)
         store = self.runtime.store
         if name not in store.disabled_endpoints:
@@ -56,17 +56,17 @@
             self.runtime.apply_command(
                 EndpointDisabled(self.runtime.endpoint_number(name), store.disabled_endpoints[name])
             )
-            log.info("maintenance: %s is left out", name)
+            log.info("maintenance: endpoint %s is disabled", name)
         return f"{name} is left out"
 
     def online(self, name: str) -> str:
-        """`ONLINE ID`: enables an endpoint again that was disabled."""
+        """`ONLINE ID`: enables a disabled endpoint again."""
         self._check_listed(name)
         store = self.runtime.store
         if name in store.disabled_endpoints:
             store.enable_endpoint(name)
             self.runtime.apply_command(EndpointEnabled(self.runtime.endpoint_number(name)))
-            log.info("maintenance: %s is used again", name)
+            log.info("maintenance: endpoint %s is enabled again", name)
         return f"{name} is used"
 
     def _check_listed(self, name: str) -> None:
@@ -74,13 +74,13 @@
             raise CommandRefusedError("no endpoint of that id was ever listed")
 
     def journal(self) -> str:
-        """`JOURNAL`: how the journal was found, and how it stands."""
+        """`JOURNAL`: the state in which the journal was recovered, and its current state."""
         store = self.runtime.store
         identity = self.runtime.identity
         start = (
             f"start {identity.start_count} of {identity.folder_id}: {self.runtime.start_kind.value}" if identity else ""
         )
-        facts = (
+        details = (
             store.describe_damage() if store.recovered.is_damaged else "sound",
             f"{store.recovered.torn_bytes} bytes of a torn tail cut",
             start,
@@ -89,10 +89,10 @@
             "cannot be written" if store.write_failed else "",
             "" if self.runtime.ownership.has_lock else "the lock is missing",
         )
-        return "; ".join(fact for fact in facts if fact)
+        return "; ".join(detail for detail in details if detail)
 
     def rules(self) -> str:
-        """`RULES`: what was held back, which invariants were violated, and what has failed."""
+        """`RULES`: counts of violated invariants, attempts held back, and failures."""
         runtime = self.runtime
         journal = "cannot be written" if runtime.store.write_failed else "written"
         return (
@@ -102,13 +102,13 @@
         )
 
     def phase(self) -> str:
-        """`PHASE`: how far the start has come."""
+        """`PHASE`: the current phase of the start."""
         return self.runtime.startup_progress.describe(self.runtime.clock())
 
     def why(self, scope: str) -> str:
-        """`WHY [json | dest=N | id=X]`: what holds messages back, and for how long.
+        """`WHY [json | dest=N | id=X]`: the hold reasons of messages, and the time held for each.
 
-        Of all messages, of one destination, or of one message.
+        The scope is all messages, one destination or one message.
         """
         if scope == "json":
             return self._hold_times_as_json()
@@ -122,10 +122,10 @@
         return "; ".join(times) or "nothing was held"
 
     def _hold_times(self, scope: str) -> list[tuple[HoldReason, int]]:
-        """Returns the reasons of a scope with the microseconds held by each.
+        """Returns the hold reasons within a scope, each with its time held in microseconds.
 
         Raises:
-            ValueError: the destination is no number.
+            ValueError: the destination is not a number.
             KeyError: the message is not held.
         """
         dispatcher = self.runtime.dispatcher
@@ -139,10 +139,10 @@
         raise CommandRefusedError("WHY stands alone, or with json, dest=N or id=X")
 
     def _hold_times_as_json(self) -> str:
-        """Returns two lists of rows, `held` and `refused`, each row with destination, class and hold reason.
+        """Returns two lists of rows, `held` and `refused`; each row has a destination, a class and a hold reason.
 
-        The rows of `held` end with the microseconds since the start, what is held now among them; those of `refused`
-        with the number of messages that were rejected for it.
+        The last column of `held` is the time held since the start in microseconds, including messages held now; that
+        of `refused` is the number of messages rejected for the reason.
         """
         dispatcher = self.runtime.dispatcher
         held_us = {
@@ -165,15 +165,15 @@
         return json.dumps(rows, separators=(",", ":"))
 
     def leave(self) -> str:
-        """`LEAVE`: sends clients away; what was accepted goes on."""
-        log.info("drain: clients are sent away")
+        """`LEAVE`: starts a drain, which closes client connections; accepted messages are still delivered."""
+        log.info("drain started: closing client connections between requests")
         self.runtime.start_draining()
         return "leaving"
 
     def join(self) -> str:
         """`JOIN`: ends the drain."""
         self._check_not_stopping()
-        log.info("drain: back to work")
+        log.info("drain ended: keeping client connections open again")
         self.runtime.drain.stop()
         for extension in self.runtime.extensions:
             extension.stop_draining()
--- a/forwarder/admin/server.py
+++ b/forwarder/admin/server.py
@@ -1,7 +1,7 @@
-"""The admin interface's listener: a connection carries one line, and is answered by a line with `ok` or `fail`.
+"""The listener of the admin interface: a connection carries one command line and one answer, `ok` or `fail`.
 
-It decides nothing: what a command does is for the runtime. A line counts only with its end, since what comes before it
-may be the start of another id.
+The commands themselves are implemented elsewhere. A line is run only once its line feed has arrived, since an
+incomplete line may hold only the beginning of an id.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 MAX_LINE_BYTES = 256
 MAX_CONNECTIONS = 32
 LINE_TIMEOUT_S = 0.5
-"""A connection that has sent no complete line by then is told so."""
+"""The time within which a complete line must arrive; the connection is answered with an error otherwise."""
 LINGER_S = 1.0
-"""After an answer, for callers that are still sending."""
+"""How long a connection stays open after its answer, for callers that are still sending."""
 BACKLOG = 128
 log = logging.getLogger("forwarder.control")
 
 
 class CommandRefusedError(ForwarderError):
-    """The command cannot be carried out; the text says why, in one line."""
+    """The command cannot be run; the text gives the reason in one line."""
 
 
 Command = Callable[[str], str]
-"""Takes the rest of its line. Returns its answer, or raises CommandRefusedError."""
+"""Called with the rest of its line; returns its answer or raises CommandRefusedError."""
 CommandTable = Mapping[str, Command]
-"""Commands by the word that their line starts with."""
+"""Commands by name, the first word of their line."""
 
 
 def without_arguments(command: Callable[[], str]) -> Command:
-    """Returns a command that has to stand alone on its line."""
+    """Returns a command that accepts no arguments."""
 
     def _without_arguments(arguments: str) -> str:
         if arguments:
@@ -52,7 +52,7 @@
     """One connection, for one command."""
 
     def __init__(self, server: AdminServer, line: bytes = b"") -> None:
-        """Goes on with what another process has read of the line."""
+        """Starts with the part of the line that a previous process has already read."""
         self.server = server
         self.line = line
         self.transport: asyncio.Transport | None = None
@@ -60,7 +60,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Waits for the line."""
+        """Registers the connection and starts the time-out for its line."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         loop = asyncio.get_running_loop()
@@ -68,7 +68,7 @@
         self.server.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Carries out the line once it is complete."""
+        """Runs the line once it is complete."""
         if self.is_answered:
             return
         line, end, _ = (self.line + data[: MAX_LINE_BYTES + 1]).partition(b"\n")
@@ -79,19 +79,19 @@
             self.answer(self.server.run_command(line))
 
     def eof_received(self) -> bool:
-        """Refuses what has no line feed."""
+        """Rejects a line without a line feed."""
         if not self.is_answered:
             self.answer("fail the line has no end")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forgets the connection."""
+        """Removes the connection from the server."""
         self.server.connections.pop(self, None)
         if self._timer is not None:
             self._timer.cancel()
 
     def answer(self, text: str) -> None:
-        """Answers, and closes once the caller has had time to read: a close over unread bytes is a reset."""
+        """Writes the answer and closes after LINGER_S: a close with unread input would reset the connection."""
         if self.is_answered or self.transport is None or self.transport.is_closing():
             return
         self.is_answered = True
@@ -109,38 +109,38 @@
 
 
 class AdminServer:
-    """Listens for operators."""
+    """Accepts connections to the admin interface."""
 
     def __init__(self) -> None:
         self.commands: CommandTable | None = None
-        """None before the process can serve: every command fails until then."""
+        """None until the process can serve; every command fails until then."""
         self.connections: dict[AdminConnection, None] = {}
-        """The oldest first."""
+        """The open connections, oldest first."""
         self.listeners: dict[Address, Listener] = {}
-        """By address: its own, and for a time that of the process before."""
+        """The listeners by address: its own and, for a time, that of the previous process."""
 
     def listen(self, sock: socket.socket) -> Listener:
-        """Accepts connections on a socket that is bound."""
+        """Accepts connections on a bound socket."""
         listener = Listener(sock, BACKLOG, lambda _sock, _waited_us: AdminConnection(self), self.free_connections)
         self.listeners[listener.address()] = listener
         return listener
 
     async def adopt(self, sock: socket.socket, line: bytes) -> None:
-        """Goes on with a connection of the process before.
+        """Continues with a connection of the previous process.
 
         Raises:
-            OSError: the connection has gone.
+            OSError: the connection has ended.
         """
         sock.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(lambda: AdminConnection(self, line), sock)
 
     def free_connections(self) -> int:
-        """Returns how many may be accepted now: those that close hold a descriptor until the loop's next turn."""
+        """Returns the number of connections that may be accepted; one that is closing still holds a descriptor."""
         accepted = sum(len(listener.attaching) for listener in self.listeners.values())
         return 2 * MAX_CONNECTIONS - len(self.connections) - accepted
 
     def add(self, connection: AdminConnection) -> None:
-        """Keeps the bound: a connection beyond it costs the oldest one, one that is answered first."""
+        """Adds a connection; beyond the limit, closes the oldest one, preferably one that has been answered."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = min(self.connections, key=lambda candidate: not candidate.is_answered)
@@ -149,7 +149,7 @@
             oldest.close()
 
     def run_command(self, line: bytes) -> str:
-        """Carries out one line. Returns the answer."""
+        """Runs one line and returns the answer."""
         try:
             return f"ok {self._run(line)}".rstrip()
         except UnicodeDecodeError:
@@ -157,20 +157,20 @@
         except CommandRefusedError as refused:
             text = f"fail {refused}"
         if self.commands is not None:
-            log.warning("called %r: %s", line, text)
+            log.warning("command %r: %s", line, text)
         return text
 
     def _run(self, line: bytes) -> str:
-        word, _, arguments = line.decode("ascii").strip().partition(" ")
+        name, _, arguments = line.decode("ascii").strip().partition(" ")
         if self.commands is None:
             raise CommandRefusedError("not serving yet")
-        if word not in self.commands:
+        if name not in self.commands:
             raise CommandRefusedError("no such call")
-        answer = attempt(partial(self.commands[word], arguments.strip()))
+        answer = attempt(partial(self.commands[name], arguments.strip()))
         if isinstance(answer, CommandRefusedError):
             raise answer
         if isinstance(answer, Exception):
-            log.error("a call failed", exc_info=answer)
+            log.error("admin command failed", exc_info=answer)
             raise CommandRefusedError("internal fault")
         return answer
 
--- a/forwarder/config/__init__.py
+++ b/forwarder/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration file, and the file that turns extensions on."""
+"""The configuration file, and the parts file that enables extensions."""
--- a/forwarder/config/config.py
+++ b/forwarder/config/config.py
@@ -1,6 +1,7 @@
 """The configuration: the file at $LB_CONFIG and the environment, checked at the start and again on SIGHUP.
 
-The file's keys and the words of an endpoint list are those of the platform. They are mapped here to the code's names.
+The keys of the file and the words of an endpoint list are defined by the platform. This module maps them to the names
+used in the code.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from forwarder.protocol.settings_format import parse_endpoint_entry, parse_settings
 
 TRANSIENT_ERRORS = frozenset({errno.EIO, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
-"""Errors of open and read that may be over in a moment (open(2), read(2))."""
+"""Errors of open and read that may pass shortly (open(2), read(2))."""
 MAX_PORT = 65535
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
@@ -31,18 +32,18 @@
 BYTES_PER_MB = 1_000_000
 
 JsonObject = dict[str, Any]
-"""A JSON object as it was read."""
+"""A decoded JSON object."""
 
 
 class ConfigError(ForwarderError):
-    """The configuration is missing or cannot hold; the text is one line."""
+    """The configuration is missing or invalid; the text is one line."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file could not be read just now; it may be later."""
+    """The file could not be read; a later attempt may succeed."""
 
     def __init__(self, text: str, is_transient: bool = False) -> None:
-        """Takes whether the error says nothing of the file."""
+        """Stores whether the error is unrelated to the file itself."""
         super().__init__(text)
         self.is_transient = is_transient
 
@@ -56,7 +57,7 @@
 
 
 class EndpointHealth(StrEnum):
-    """What discovery says of an endpoint."""
+    """The state that discovery reports for an endpoint."""
 
     UP = "up"
     DRAINING = "draining"
@@ -68,7 +69,7 @@
     EndpointHealth.DRAINING: "DRAINING",
     EndpointHealth.REMOVED: "DELETED",
 }
-"""The simulator's word for each."""
+"""The simulator's word for each state."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,10 +81,10 @@
     destination: int
     health: EndpointHealth
     raw: JsonObject
-    """The entry as it was read."""
+    """The entry as decoded from JSON."""
 
     def entry(self, number: int) -> EndpointEntry:
-        """Returns the decisions' entry, by way of the simulator adapter's own translation.
+        """Returns the entry for the decisions, parsed by the same function as the simulator's entries.
 
         Raises:
             MalformedInputError: a field of the entry is missing or of another type.
@@ -106,19 +107,19 @@
 
     version: int
     is_complete: bool
-    """Whether what is not listed is gone."""
+    """Whether endpoints that are not listed have been removed."""
     endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one forwarder is started with."""
+    """The configuration of one forwarder."""
 
     name: str
     listen: Address
     discovery: Address
     admin: Address | None
-    """Where operators call; None where they do not."""
+    """The address of the admin interface; None for no admin interface."""
     state_folder: Path
     seed: int
     memory_mb: int
@@ -129,14 +130,14 @@
     report_fields: tuple[str, ...]
     """The fields of an endpoint's load report."""
     document: JsonObject
-    """The file as it was read."""
+    """The file as decoded from JSON."""
 
 
 def parse_address(text: object) -> Address:
-    """Returns the address of the form HOST:PORT.
+    """Parses an address of the form HOST:PORT.
 
     Raises:
-        MalformedInputError: the text is none.
+        MalformedInputError: the text is not an address.
     """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
@@ -145,10 +146,10 @@
 
 
 def parse_endpoint(raw: object) -> ListedEndpoint:
-    """Returns one entry of an endpoint list.
+    """Parses one entry of an endpoint list.
 
     Raises:
-        MalformedInputError: it is not one.
+        MalformedInputError: the value is not an entry of an endpoint list.
     """
     health = require_field(raw, "health", str)
     if health not in {known.value for known in EndpointHealth}:
@@ -163,15 +164,15 @@
         EndpointHealth(health),
         raw,
     )
-    endpoint.entry(0)  # a malformed entry must be found here, not in the middle of a round
+    endpoint.entry(0)  # detects a malformed entry here rather than in the middle of a round
     return endpoint
 
 
 def parse_endpoint_list(answer: object) -> EndpointList:
-    """Returns one answer of discovery.
+    """Parses one answer of discovery.
 
     Raises:
-        MalformedInputError: it is not an endpoint list.
+        MalformedInputError: the answer is not an endpoint list.
     """
     return EndpointList(
         require_field(answer, "seq", int),
@@ -181,12 +182,12 @@
 
 
 def check_complete(before: object, after: object, path: str) -> None:
-    """Checks that a file that is read again holds every key that it held before, with a value of the same kind.
+    """Checks that a reloaded file still has all of its previous keys, with values of the same types.
 
-    In a list, each entry must have the keys that all entries had before.
+    In a list, each entry must have the keys that all previous entries had in common.
 
     Raises:
-        MalformedInputError: names the path within the file.
+        MalformedInputError: a key is missing or has another type; the text names its path within the file.
     """
     _check_same_kind(before, after, path)
     if isinstance(before, dict) and isinstance(after, dict):
@@ -201,7 +202,7 @@
 
 
 def _common_entries(values: list[object]) -> JsonObject | None:
-    """Returns the entries of the first object whose keys all others have too; None where not all are objects."""
+    """Returns the first object reduced to the keys that all objects have; None unless all values are objects."""
     objects = [value for value in values if isinstance(value, dict)]
     if not objects or len(objects) < len(values):
         return None
@@ -209,7 +210,7 @@
 
 
 def _check_same_kind(before: object, after: object, path: str) -> None:
-    kinds: tuple[type | tuple[type, ...], ...] = (bool, (int, float), str, dict, list)  # bool is an int, too
+    kinds: tuple[type | tuple[type, ...], ...] = (bool, (int, float), str, dict, list)  # bool is a subclass of int
     for kind in kinds:
         if isinstance(before, kind):
             if not isinstance(after, kind) or (isinstance(after, bool) and kind is not bool):
@@ -218,16 +219,16 @@
 
 
 def load_config(environ: Mapping[str, str] = os.environ, before: Config | None = None) -> Config:
-    """Reads the configuration. The environment's values go before those in the file.
+    """Reads the configuration. Values from the environment take precedence over those in the file.
 
     Args:
         environ: the environment.
-        before: what was read before, where the file is read again. It must be complete then, and the address of
-            discovery is the file's: the environment cannot have followed a change.
+        before: the previous configuration on a reload. The file must then have all of its previous keys, and its
+            address of discovery takes precedence, because the environment of a running process cannot change.
 
     Raises:
         ConfigUnreadableError: the file cannot be read.
-        ConfigError: the configuration cannot hold.
+        ConfigError: the configuration is invalid.
     """
     path = environ.get("LB_CONFIG")
     if not path:
--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -1,6 +1,6 @@
-"""The parts file, which turns extensions on: `--parts FILE`, a TOML file with one table for each extension.
+"""The parts file, which enables extensions: `--parts FILE`, a TOML file with one table for each extension.
 
-What is unknown or cannot hold ends the start, and names its key.
+An unknown key or an invalid value ends the start with an error that names the key.
 """
 
 from __future__ import annotations
@@ -16,74 +16,74 @@
 
 
 class ExtensionTable:
-    """One table of the file. Each key is taken once; `check_all_taken` finds those that nobody took.
+    """One table of the file. Each key is read once; `check_all_taken` detects keys that were not read.
 
-    Each method that takes a key raises ConfigError, with the key's name, where its value is missing or cannot hold.
+    Each method that reads a key raises ConfigError with the key's name if its value is missing or invalid.
     """
 
     def __init__(self, name: str, values: dict[str, object]) -> None:
         self.name = name
-        self._untaken = dict(values)
+        self._unread = dict(values)
 
     def error(self, key: str, problem: str) -> ConfigError:
-        """Returns the error that names a key and its problem."""
+        """Returns an error that names a key and its problem."""
         return ConfigError(f"parts: {self.name}.{key} {problem}")
 
     def __contains__(self, key: str) -> bool:
-        return key in self._untaken
+        return key in self._unread
 
     def take(self, key: str, default: object) -> object:
-        """Takes a value of any type. A default of None: the key has to be there."""
-        value = self._untaken.pop(key, default)
+        """Reads a value of any type; the key is required if the default is None."""
+        value = self._unread.pop(key, default)
         if value is None:
             raise self.error(key, "is missing")
         return value
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0, most: float = math.inf) -> float:
-        """Takes a number within bounds."""
+    def number(self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = math.inf) -> float:
+        """Reads a number within bounds."""
         value = self.take(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.error(key, f"is no number: {value!r}")
-        if not least <= value <= most:  # NaN is refused too
-            raise self.error(key, f"is {value!r}, not from {least:g} to {most:g}")
+        if not minimum <= value <= maximum:  # also rejects NaN
+            raise self.error(key, f"is {value!r}, not from {minimum:g} to {maximum:g}")
         return float(value)
 
-    def integer(self, key: str, default: int | None = None, least: int = 0, most: float = math.inf) -> int:
-        """Takes a whole number within bounds."""
-        value = self.number(key, default, least, most)
+    def integer(self, key: str, default: int | None = None, minimum: int = 0, maximum: float = math.inf) -> int:
+        """Reads an integer within bounds."""
+        value = self.number(key, default, minimum, maximum)
         if not value.is_integer():
             raise self.error(key, f"is no whole number: {value!r}")
         return int(value)
 
     def boolean(self, key: str, default: bool) -> bool:
-        """Takes true or false."""
+        """Reads a boolean."""
         value = self.take(key, default)
         if not isinstance(value, bool):
             raise self.error(key, f"is neither true nor false: {value!r}")
         return value
 
     def address(self, key: str) -> Address:
-        """Takes an address of the form HOST:PORT."""
+        """Reads an address of the form HOST:PORT."""
         try:
             return parse_address(self.take(key, None))
         except MalformedInputError as error:
             raise self.error(key, f"is {error}") from None
 
     def table(self, key: str) -> ExtensionTable:
-        """Takes a table within the table."""
+        """Reads a nested table."""
         values = self.take(key, None)
         if not isinstance(values, dict):
             raise self.error(key, f"is no table: {values!r}")
         return ExtensionTable(f"{self.name}.{key}", values)
 
     def check_all_taken(self) -> None:
-        """Raises ConfigError for a key that nobody took."""
-        for key in self._untaken:
+        """Raises ConfigError if a key was not read."""
+        for key in self._unread:
             raise self.error(key, "is unknown")
 
 
 def extensions_path(arguments: Sequence[str]) -> Path | None:
-    """Returns the parts file that the command line names, if it does."""
+    """Returns the path of the parts file given on the command line, or None."""
     parser = argparse.ArgumentParser(prog="python -m forwarder")
     parser.add_argument("--parts", type=Path, metavar="FILE", help="a TOML file, one table for each part")
     path: Path | None = parser.parse_args(arguments).parts
@@ -94,7 +94,7 @@
     """Yields the tables of a parts file.
 
     Raises:
-        ConfigError: the file cannot be read, or one of its entries is unknown or no table.
+        ConfigError: the file cannot be read, or one of its entries is unknown or not a table.
     """
     try:
         entries = tomllib.loads(path.read_text())
--- a/forwarder/discovery/__init__.py
+++ b/forwarder/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch of the endpoint list, and notices to the platform."""
+"""Watches the endpoint list and posts notices to the platform."""
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -1,4 +1,4 @@
-"""Requests to discovery, one after the other on one connection that is kept open."""
+"""Makes requests to discovery, one at a time on a persistent connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from forwarder.protocol.http1 import MAX_ENDPOINT_LIST_BYTES, BadResponseError, ResponseReader, render_request
 from forwarder.runtime.patient_socket import PatientSocket, SpareSocket, connect
 
-RECONNECT_PAUSES_S = (0.0, 0.02, 0.05)  # short: until an answer has been read, calls go by an older endpoint list
+RECONNECT_PAUSES_S = (0.0, 0.02, 0.05)  # short: until an answer has been read, calls use an older endpoint list
 
 
 class DiscoveryChannel(asyncio.Protocol):
@@ -21,19 +21,19 @@
         self.reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
         self.answer: asyncio.Future[None] | None = None
-        """Is done when the answer to the request is complete; None without a request."""
+        """Done when the answer to the request is complete; None if no request is under way."""
         self.ended = asyncio.Event()
-        """The connection has ended."""
+        """Set when the connection has ended."""
 
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to use the connection; called by the event loop."""
+        """Stores the transport of the new connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Reads a part of an answer; called by the event loop."""
+        """Feeds received bytes to the reader; called by the event loop."""
         try:
             self.reader.feed(data)
         except BadResponseError as error:
@@ -44,14 +44,14 @@
             self._end_request(None)
 
     def eof_received(self) -> bool:
-        """Reads discovery's end of the connection, which may complete an answer; called by the event loop."""
+        """Handles the end of the stream, which may complete an answer; called by the event loop."""
         self.reader.end()
         if self.reader.complete:
             self._end_request(None)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fails the request that has no answer; called by the event loop."""
+        """Fails the request that is still unanswered; called by the event loop."""
         self.transport = None
         self.ended.set()
         self._end_request(ConnectionResetError("the connection ended"))
@@ -59,21 +59,22 @@
 
     # Requests
 
-    async def request(self, data: bytes, give_up_s: float) -> ResponseReader:
+    async def request(self, data: bytes, deadline_s: float) -> ResponseReader:
         """Writes a request and waits for the answer.
 
-        Cancelled or timed out, it leaves the connection in the middle of an answer: it must be closed then. What has
-        come by the time it looks counts, though the time is over: the process may have stood still.
+        After a cancellation or a time-out, the connection may be in the middle of an answer and must be closed. An
+        answer that is complete when the wait ends counts even if the deadline has passed: the process may have been
+        suspended.
 
         Args:
             data: the request.
-            give_up_s: until when the answer is waited for, by the loop's clock.
+            deadline_s: the time, by the loop's clock, until which the answer is waited for.
 
         Returns:
             The reader that holds the answer, until the next request.
 
         Raises:
-            TimeoutError: no complete answer has come in time.
+            TimeoutError: no complete answer has arrived in time.
             ConnectionError: the connection ended before the answer was complete.
             BadResponseError: the answer is malformed or too large.
         """
@@ -84,7 +85,7 @@
         self.answer = answer = loop.create_future()
         self.transport.write(data)
         try:
-            await asyncio.wait([answer], timeout=max(0.0, give_up_s - loop.time()))
+            await asyncio.wait([answer], timeout=max(0.0, deadline_s - loop.time()))
         finally:
             self.answer = None
         if not answer.done():
@@ -95,11 +96,11 @@
         return self.reader
 
     def is_usable(self) -> bool:
-        """Returns whether a request may be made on it."""
+        """Returns whether a request may be made on this connection."""
         return self.transport is not None and not self.transport.is_closing()
 
     def has_unread_answer(self) -> bool:
-        """Returns whether a part of an answer has come that whoever made the request has not seen yet."""
+        """Returns whether part of an answer has arrived that the requester has not processed yet."""
         if self.answer is None:
             return False
         return self.answer.done() or (self.is_usable() and bool(unread([self.transport])))
@@ -121,12 +122,13 @@
 class DiscoveryClient:
     """Makes requests to discovery.
 
-    One whose connection ends without an answer is made again at once, a few times: all requests to discovery are
-    idempotent, and what it had written counts as known to the forwarder (PROTOCOL).
+    A request whose connection ends without an answer is retried a few times with short pauses: all requests to
+    discovery are idempotent, and anything that discovery had already written counts as known to the forwarder
+    (PROTOCOL).
 
     Args:
-        address: where discovery is.
-        spare: helps where no socket can be had; None for no help.
+        address: the address of discovery.
+        spare: a reserve for when no new socket can be created; None for no reserve.
     """
 
     def __init__(self, address: Address, spare: SpareSocket | None = None) -> None:
@@ -136,42 +138,42 @@
         self._connecting = asyncio.Lock()
 
     def close(self) -> None:
-        """Closes the connection; the next request opens another."""
+        """Closes the connection; the next request opens a new one."""
         self.channel.close()
 
     async def request(self, method: str, path: str, timeout_s: float, body: bytes = b"") -> ResponseReader:
-        """Makes a request and waits for the answer; cancelled or failed, it closes the connection.
+        """Makes a request and waits for the answer; closes the connection on cancellation or failure.
 
         Returns:
             The reader that holds the answer, until the next request.
 
         Raises:
-            TimeoutError: no complete answer has come in time.
-            OSError: discovery cannot be reached, or the connection ended every time.
+            TimeoutError: no complete answer has arrived in time.
+            OSError: discovery cannot be reached, or the connection ended on every attempt.
             BadResponseError: the answer is malformed or too large.
         """
         data = render_request(method, path, f"{self.address.host}:{self.address.port}", (), body)
-        give_up_s = asyncio.get_running_loop().time() + timeout_s
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
         try:
-            return await self._request_with_retries(data, give_up_s)
+            return await self._request_with_retries(data, deadline_s)
         except BaseException:
             self.channel.close()
             raise
 
-    async def _request_with_retries(self, data: bytes, give_up_s: float) -> ResponseReader:
+    async def _request_with_retries(self, data: bytes, deadline_s: float) -> ResponseReader:
         for pause_s in RECONNECT_PAUSES_S:
-            if await self._try_connect(give_up_s):
+            if await self._try_connect(deadline_s):
                 try:
-                    return await self.channel.request(data, give_up_s)
+                    return await self.channel.request(data, deadline_s)
                 except ConnectionError:
                     pass
             await asyncio.sleep(pause_s)
-        async with asyncio.timeout_at(give_up_s):
+        async with asyncio.timeout_at(deadline_s):
             await self._connect()
-        return await self.channel.request(data, give_up_s)
+        return await self.channel.request(data, deadline_s)
 
     async def adopt(self, sock: socket.socket) -> None:
-        """Goes on with a connection of the process before, on which no request is under way.
+        """Continues with a connection of the previous process, on which no request is under way.
 
         Raises:
             OSError: the connection cannot be used.
@@ -181,10 +183,10 @@
         _, self.channel = await loop.create_connection(DiscoveryChannel, sock=PatientSocket.of(sock))
 
     async def connect(self, timeout_s: float) -> None:
-        """Opens the connection, if it is not open, so that the next request need not.
+        """Opens the connection if it is not open, so that the next request need not open it.
 
         Raises:
-            TimeoutError: it has not come up in time.
+            TimeoutError: the connection has not been established in time.
             OSError: discovery cannot be reached.
         """
         async with asyncio.timeout(timeout_s):
@@ -195,15 +197,15 @@
             if not self.channel.is_usable():
                 self.channel = await connect(lambda _: DiscoveryChannel(), self.address, spare=self.spare)
 
-    async def _try_connect(self, give_up_s: float) -> bool:
-        """Connects, if that is not done; returns False where this machine could not, for a moment.
+    async def _try_connect(self, deadline_s: float) -> bool:
+        """Connects if necessary; returns False after a local failure, which may pass.
 
         Raises:
-            TimeoutError: it has not come up in time.
+            TimeoutError: the connection has not been established in time.
             OSError: discovery cannot be reached.
         """
         try:
-            async with asyncio.timeout_at(give_up_s):
+            async with asyncio.timeout_at(deadline_s):
                 await self._connect()
         except OSError as error:
             if error.errno not in LOCAL_ERRORS:
--- a/forwarder/discovery/endpoint_list_watch.py
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: polls discovery for changes, and polls again as soon as one has come."""
+"""Watches the endpoint list: polls discovery for changes, and polls again as soon as one has arrived."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 LIST_PATH = "/discovery/hosts"
 NO_VERSION = -1
-FIRST_POLL_HOLD_MS = 1  # the first poll after a start is answered at once, with what discovery has
-POLL_HOLD_MS = 20_000  # how long discovery may hold a poll until there is a change
-POLL_GRACE_S = 0.8  # a poll without an answer so long after its hold is given up (PROTOCOL: a change counts 2 s after)
-ANSWER_TIMEOUT_S = 2.5  # how long an answer to a poll without a hold may take
-FIRST_LIST_TIMEOUT_US = 2_000_000  # discovery answers a poll without a hold by then, or not at all (PROTOCOL, Figures)
-LOCAL_RETRY_S = 0.1  # after a failure of this machine, which nothing of reaches discovery
-MIN_POLL_INTERVAL_S = 0.1  # between two polls without a change; the next must come within 0.2 s (PROTOCOL)
+FIRST_POLL_HOLD_MS = 1  # the first poll after a start is answered at once with the current state
+POLL_HOLD_MS = 20_000  # how long discovery may hold a poll while there is no change
+POLL_GRACE_S = 0.8  # an unanswered poll times out this long after its hold (PROTOCOL: a change counts 2 s after it)
+ANSWER_TIMEOUT_S = 2.5  # for the answer to a poll without a hold
+FIRST_LIST_TIMEOUT_US = 2_000_000  # discovery answers a poll without a hold by then or never (PROTOCOL, Figures)
+LOCAL_RETRY_S = 0.1  # after a local failure
+MIN_POLL_INTERVAL_S = 0.1  # between polls without a change; the next must follow within 0.2 s (PROTOCOL)
 log = logging.getLogger("forwarder.discovery")
 
-ListObserver = Callable[[EndpointList | None], None]
+ListCallback = Callable[[EndpointList | None], None]
 
 
 class EndpointListWatch:
-    """Follows the endpoint list from a version on. It ends with its first failure, until it is subscribed again.
+    """Watches the endpoint list from a version on. It stops at its first failure, until `subscribe` is called again.
 
     Args:
-        address: where discovery is.
-        version: the version that is known; `NO_VERSION` for none, so that the complete list is polled first.
-        on_list: takes each list or change, and None where the watch has failed.
-        is_current: whether that version is what discovery answered last, not one that was saved.
+        address: the address of discovery.
+        version: the known version; `NO_VERSION` for none, so that the complete list is polled first.
+        on_list: called with each list or change, and with None when the watch has failed.
+        is_current: whether that version came from discovery's last answer, rather than from saved state.
         supervisor: counts unexpected errors.
     """
 
@@ -46,7 +46,7 @@
         self,
         address: Address,
         version: int,
-        on_list: ListObserver,
+        on_list: ListCallback,
         is_current: bool = False,
         supervisor: Supervisor | None = None,
     ) -> None:
@@ -56,20 +56,20 @@
         self.is_current = is_current
         self.supervisor = supervisor or Supervisor()
         self._task: asyncio.Task[None] | None = None
-        self._polled: EndpointList | None = None
+        self._poll_result: EndpointList | None = None
         self.connecting = FailureSpan(log, "connect to poll the endpoint list")
 
     def has_unread_list(self) -> bool:
-        """Returns whether discovery has answered something that is not handed on yet."""
+        """Returns whether discovery has sent an answer that has not been passed on yet."""
         return self.client.channel.has_unread_answer()
 
     def subscribe(self) -> None:
-        """Begins to follow the list, unless that is under way."""
+        """Starts to watch the list, unless the watch is already running."""
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def change_address(self, address: Address) -> None:
-        """Follows the list at a new address of discovery, at once and from the version that is known."""
+        """Switches to a new address of discovery at once, and watches on from the known version."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -79,9 +79,9 @@
 
     async def _follow(self) -> None:
         while True:
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             await self.supervisor.guarded("watch", self._poll())
-            endpoint_list = self._polled
+            endpoint_list = self._poll_result
             if endpoint_list is None:
                 self._fail()
                 return
@@ -93,23 +93,23 @@
             ):
                 self._fail()
                 return
-            if not is_change and time.monotonic() - began_s < MIN_POLL_INTERVAL_S:
+            if not is_change and time.monotonic() - started_s < MIN_POLL_INTERVAL_S:
                 await asyncio.sleep(MIN_POLL_INTERVAL_S)
 
     async def _poll(self) -> None:
-        """Polls once, for `_polled`: the answer, or None where none can be had."""
-        self._polled = None
+        """Polls once and stores the answer in `_poll_result`, or None if the poll failed."""
+        self._poll_result = None
         path, timeout_s = self._next_poll()
         try:
-            self._polled = _read_list(await self._request(path, timeout_s))
+            self._poll_result = _read_list(await self._request(path, timeout_s))
         except (OSError, BadResponseError, MalformedInputError, ValueError) as error:
             log.warning("cannot poll the endpoint list: reason=%s", error or type(error).__name__)
 
     async def _request(self, path: str, timeout_s: float) -> ResponseReader:
-        """Makes a request, again and again while this machine cannot: a backoff would only be for discovery's sake.
+        """Makes a request; retries it at a fixed interval after local failures, which put no load on discovery.
 
         Raises:
-            OSError: discovery cannot be reached, or has not answered in time.
+            OSError: discovery cannot be reached or has not answered in time.
             BadResponseError: the answer is malformed or too large.
         """
         while True:
@@ -125,8 +125,8 @@
                 return answer
 
     def _next_poll(self) -> tuple[str, float]:
-        """Returns the path of the next poll, and its time-out in seconds."""
-        if self.version < 0:  # version 0 is that of a list that never changed
+        """Returns the path of the next poll and its time-out in seconds."""
+        if self.version < 0:  # version 0 is valid: the list has never changed
             return LIST_PATH, ANSWER_TIMEOUT_S
         hold_ms = POLL_HOLD_MS if self.is_current else FIRST_POLL_HOLD_MS
         timeout_s = max(ANSWER_TIMEOUT_S, POLL_GRACE_S + hold_ms / 1000)
@@ -138,10 +138,10 @@
 
 
 def _read_list(answer: ResponseReader) -> EndpointList:
-    """Returns the list that an answer holds.
+    """Returns the endpoint list in an answer.
 
     Raises:
-        BadResponseError: the answer has another status than 200.
+        BadResponseError: the status of the answer is not 200.
         MalformedInputError: its body is not an endpoint list.
         ValueError: its body is not JSON.
     """
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -1,7 +1,7 @@
 """Posts pending notices to the platform until it has acknowledged them.
 
-A post that has no answer yet is not given up when the next is made on another connection: a silent connection costs
-little time, and a platform that answers slowly is heard all the same.
+An unanswered post is not cancelled when the next one starts on another connection: a connection without answers
+delays notices only briefly, and late answers of a slow platform still count.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
 NOTICES_PATH = "/v1/notices"
 POST_TIMEOUT_S = 2.0
-FIRST_REPOST_S = 0.2  # short: a message without its end 0.3 s after its deadline counts as lost (PROTOCOL)
-MAX_REPOST_S = 0.5  # so that a platform which can be reached again is soon asked
-SLOW_POST_S = 0.05  # notices that came since a post was made do not wait for its answer for longer
+FIRST_REPOST_S = 0.2  # short: a message without a final state 0.3 s after its deadline counts as lost (PROTOCOL)
+MAX_REPOST_S = 0.5  # bounds the delay once the platform can be reached again
+NEW_NOTICE_DELAY_S = 0.05  # how long newer notices wait for the answer to an earlier post
 MIN_WAIT_S = 0.005
-MAX_POSTS = 6  # under way at once
-RETRY_PAUSES_S = (0.05, 0.1)  # after failed posts, the last for all further ones
+MAX_CONCURRENT_POSTS = 6
+RETRY_PAUSES_S = (0.05, 0.1)  # after failed posts; the last value repeats
 CONNECT_TIMEOUT_S = 1.0
-RECONNECT_PAUSES_S = (0.02, 0.1, 0.5)  # after the connection could not be had, the last for all further times
-LASTING_S = 1.0  # a connection that ended sooner is not opened again at once
+RECONNECT_PAUSES_S = (0.02, 0.1, 0.5)  # after failed attempts to connect; the last value repeats
+MIN_CONNECTION_LIFETIME_S = 1.0  # a connection that ended sooner is reopened after a pause
 MAX_NOTICES_PER_POST = 500
 MAX_POST_BYTES = MAX_BODY_BYTES
 log = logging.getLogger("forwarder.discovery")
 
 
 class PendingNoticeSource(Protocol):
-    """Where notices are kept until they are acknowledged."""
+    """Stores notices until they are acknowledged."""
 
     def pending_notices(self) -> Mapping[str, PendingNotice]:
         """Returns the notices that may be posted now, by message id."""
 
     def acknowledge_notices(self, message_ids: list[str]) -> None:
-        """The platform has acknowledged the notices of these messages."""
+        """Removes the notices of these messages, which the platform has acknowledged."""
 
 
 @dataclass(slots=True, eq=False)
@@ -53,23 +53,23 @@
 
     message_ids: frozenset[str]
     client: DiscoveryClient
-    began_s: float
+    started_s: float
     task: asyncio.Task[None]
 
 
 class Notifier:
-    """Posts notices, again and again until the platform has answered 204.
+    """Posts notices, and repeats them until the platform has answered 204.
 
     Args:
-        address: where the platform takes notices.
+        address: the address at which the platform accepts notices.
         source: the pending notices.
         supervisor: restarts the posting after an unexpected error.
 
     Attributes:
-        client: the connection that is used first.
-        posting: since when posts fail.
-        spare: a socket in reserve, for when the connection ends while no other can be had.
-        connecting: since when the connection that is kept open cannot be had.
+        client: the preferred connection.
+        posting: the failures of posts in a row.
+        spare: a reserve socket, for when the connection ends while no new socket can be created.
+        connecting: the failures in a row to open the persistent connection.
     """
 
     def __init__(self, address: Address, source: PendingNoticeSource, supervisor: Supervisor | None = None) -> None:
@@ -81,28 +81,28 @@
         self.posting = FailureSpan(log, "post notices")
         self.connecting = FailureSpan(log, "connect for notices")
         self._posts: list[Post] = []
-        """The oldest first."""
-        self._repost_s = FIRST_REPOST_S
-        """So long after the newest post, what it told is posted again."""
+        """The posts under way, oldest first."""
+        self._repost_delay_s = FIRST_REPOST_S
+        """Time after the newest post until its notices are posted again."""
         self._retry_at_s = 0.0
-        self._wanted = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._keeping: asyncio.Task[None] | None = None
+        self._connection_task: asyncio.Task[None] | None = None
 
     def wake(self) -> None:
         """Posts what is pending as soon as possible."""
-        self._wanted.set()
+        self._wake_event.set()
         if self._task is None:
             self._task = self.supervisor.keep("notices", self._run)
 
     def keep_connected(self) -> None:
-        """Keeps a connection open from now on: a notice that falls due needs none to be opened then."""
-        self._keeping = self.supervisor.keep("connection for notices", self._keep_connected)
+        """Keeps a connection open from now on, so that a notice that falls due need not wait for one."""
+        self._connection_task = self.supervisor.keep("connection for notices", self._keep_connected)
 
     def idle_connection(self) -> asyncio.Transport | None:
-        """Returns the connection that is kept open, if there is one and no post is under way on it."""
-        is_used = any(post.client is self.client for post in self._posts)
-        return None if is_used or not self.client.channel.is_usable() else self.client.channel.transport
+        """Returns the persistent connection if it is open and no post is under way on it."""
+        is_busy = any(post.client is self.client for post in self._posts)
+        return None if is_busy or not self.client.channel.is_usable() else self.client.channel.transport
 
     async def _keep_connected(self) -> None:
         loop = asyncio.get_running_loop()
@@ -118,51 +118,51 @@
                 self.connecting.worked()
                 self.spare.fill()
                 await client.channel.ended.wait()
-            failures = 0 if loop.time() - opened_s > LASTING_S else failures + 1
+            failures = 0 if loop.time() - opened_s > MIN_CONNECTION_LIFETIME_S else failures + 1
             if failures and client is self.client:
                 await asyncio.sleep(RECONNECT_PAUSES_S[min(failures, len(RECONNECT_PAUSES_S)) - 1])
 
     def change_address(self, address: Address) -> None:
-        """Posts to a new address from now on; posts that are under way are cut off and made again."""
-        self._drop_posts()
+        """Posts to a new address from now on; posts under way are cancelled and repeated."""
+        self._cancel_posts()
         self.client.close()
         self.address = address
         self.client = DiscoveryClient(address, self.spare)
-        self._wanted.set()
+        self._wake_event.set()
 
     async def _run(self) -> None:
-        self._wanted.set()  # an error may have ended the run before after it had cleared this
+        self._wake_event.set()  # an error may have ended the previous run after it had cleared the event
         try:
             while True:
-                await self._wanted.wait()
-                self._wanted.clear()
+                await self._wake_event.wait()
+                self._wake_event.clear()
                 while pending := self.source.pending_notices():
                     self._start_post_if_due(pending)
                     await self._wait_for_posts(pending)
-                    self._finish_posts()
-                self._drop_posts()
+                    self._process_finished_posts()
+                self._cancel_posts()
         finally:
-            self._drop_posts()
+            self._cancel_posts()
 
     def _next_post_s(self, pending: Mapping[str, PendingNotice]) -> float:
         """Returns when the next post is due, by the loop's clock."""
         if not self._posts:
             return self._retry_at_s
-        interval_s = SLOW_POST_S if self._untold(pending) else self._repost_s
-        return max(self._retry_at_s, self._posts[-1].began_s + interval_s)
+        interval_s = NEW_NOTICE_DELAY_S if self._unposted(pending) else self._repost_delay_s
+        return max(self._retry_at_s, self._posts[-1].started_s + interval_s)
 
-    def _untold(self, pending: Mapping[str, PendingNotice]) -> list[tuple[str, PendingNotice]]:
-        """Returns the pending notices that no post under way tells."""
+    def _unposted(self, pending: Mapping[str, PendingNotice]) -> list[tuple[str, PendingNotice]]:
+        """Returns the pending notices that no post under way contains."""
         return [each for each in pending.items() if not any(each[0] in post.message_ids for post in self._posts)]
 
     def _start_post_if_due(self, pending: Mapping[str, PendingNotice]) -> None:
         loop = asyncio.get_running_loop()
-        if len(self._posts) >= MAX_POSTS or loop.time() < self._next_post_s(pending):
+        if len(self._posts) >= MAX_CONCURRENT_POSTS or loop.time() < self._next_post_s(pending):
             return
-        untold = self._untold(pending)
-        if self._posts and not untold:
-            self._repost_s = min(2 * self._repost_s, MAX_REPOST_S)
-        body, message_ids = render_notices((untold or list(pending.items()))[:MAX_NOTICES_PER_POST])
+        unposted = self._unposted(pending)
+        if self._posts and not unposted:
+            self._repost_delay_s = min(2 * self._repost_delay_s, MAX_REPOST_S)
+        body, message_ids = render_notices((unposted or list(pending.items()))[:MAX_NOTICES_PER_POST])
         client = self._free_client()
         task = loop.create_task(self._post(client, body, message_ids))
         task.add_done_callback(_retrieve_error)
@@ -170,8 +170,8 @@
 
     def _free_client(self) -> DiscoveryClient:
         """Returns a connection on which no post is under way."""
-        is_used = any(post.client is self.client for post in self._posts)
-        return DiscoveryClient(self.address) if is_used else self.client
+        is_busy = any(post.client is self.client for post in self._posts)
+        return DiscoveryClient(self.address) if is_busy else self.client
 
     async def _post(self, client: DiscoveryClient, body: bytes, message_ids: list[str]) -> None:
         answer = await client.request("POST", NOTICES_PATH, POST_TIMEOUT_S, body)
@@ -180,17 +180,17 @@
         self.source.acknowledge_notices(message_ids)
 
     async def _wait_for_posts(self, pending: Mapping[str, PendingNotice]) -> None:
-        """Waits until a post has ended, or until it is time to look whether another is due."""
+        """Waits until a post has ended or another may be due."""
         wait_s = self._next_post_s(pending) - asyncio.get_running_loop().time()
         if self._posts:
             tasks = [post.task for post in self._posts]
-            timeout_s = min(max(wait_s, MIN_WAIT_S), SLOW_POST_S)
+            timeout_s = min(max(wait_s, MIN_WAIT_S), NEW_NOTICE_DELAY_S)
             await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         else:
             await asyncio.sleep(max(0.0, wait_s))
 
-    def _finish_posts(self) -> None:
-        """Goes on after the posts that have ended. An error that was not foreseen goes on to the caller."""
+    def _process_finished_posts(self) -> None:
+        """Handles the results of finished posts; an unexpected error is passed to the caller."""
         now_s = asyncio.get_running_loop().time()
         for post in [each for each in self._posts if each.task.done()]:
             self._posts.remove(post)
@@ -200,36 +200,36 @@
                 self._retry_at_s = now_s + RETRY_PAUSES_S[min(self.posting.failures, len(RETRY_PAUSES_S) - 1)]
                 self.posting.failed(f"{error or type(error).__name__} notices={len(post.message_ids)}")
             else:
-                self._post_succeeded(post, now_s - post.began_s)
+                self._post_succeeded(post, now_s - post.started_s)
 
-    def _post_succeeded(self, post: Post, took_s: float) -> None:
-        """Keeps the connection that works, and repeats later posts only once they take longer than this one has."""
+    def _post_succeeded(self, post: Post, duration_s: float) -> None:
+        """Keeps the working connection, and adapts the repost delay to the duration of this post."""
         self.posting.worked()
         self.spare.fill()
-        self._repost_s = min(max(FIRST_REPOST_S, 2 * took_s), MAX_REPOST_S)
+        self._repost_delay_s = min(max(FIRST_REPOST_S, 2 * duration_s), MAX_REPOST_S)
         if post.client is not self.client:
             if all(other.client is not self.client for other in self._posts):
                 self.client.close()
             self.client = post.client
 
-    def _drop_posts(self) -> None:
-        """Ends the posts under way, and with them their connections: a late answer must not be taken for another's."""
+    def _cancel_posts(self) -> None:
+        """Cancels the posts under way, which closes their connections: a late answer must not match another post."""
         for post in self._posts:
             post.task.cancel()
         self._posts.clear()
 
 
 def _retrieve_error(task: asyncio.Task[None]) -> None:
-    """Takes note of the error of a post that nobody asks any more, or the event loop would log it."""
+    """Retrieves the error of a post that is no longer awaited; the event loop would log it otherwise."""
     if not task.cancelled():
         task.exception()
 
 
 def render_notices(pending: Sequence[tuple[str, PendingNotice]]) -> tuple[bytes, list[str]]:
-    """Renders as many notices as one post holds, one JSON object a line.
+    """Renders as many notices as fit into one post, one JSON object per line.
 
     Returns:
-        The body of the post, and the ids of the messages whose notices it holds.
+        The body of the post and the ids of the messages whose notices it contains.
     """
     lines: list[bytes] = []
     size = 0
--- a/forwarder/errors.py
+++ b/forwarder/errors.py
@@ -4,4 +4,4 @@
 
 
 class ForwarderError(Exception):
-    """An error that the forwarder raises itself; its text says what went wrong and where."""
+    """An error raised by the forwarder itself; its text says what went wrong and where."""
--- a/forwarder/health/extension.py
+++ b/forwarder/health/extension.py
@@ -1,4 +1,4 @@
-"""Outlier detection as an extension: its table, and what operators are told. It decides no verdict."""
+"""Outlier detection as an extension: its settings and its admin command. The verdicts are made in `decisions`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Reads the table `[health.passive]`.
 
     Raises:
-        ConfigError: a key is unknown or cannot hold; the text names it.
+        ConfigError: a key is unknown or has an invalid value; the text names it.
     """
     passive = table.table("passive")
     ejection_s = passive.number("eject_s", 5.0, 0.1, 3600.0)
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthExtensionFactory:
-    """Makes the extension from its table."""
+    """Makes the extension from its settings."""
 
     settings: OutlierSettings
     descriptors: int = 0
@@ -52,13 +52,13 @@
     """Reads the table `[health]`.
 
     Raises:
-        ConfigError: it cannot hold; the text names the key.
+        ConfigError: the table is invalid; the text names the key.
     """
     return HealthExtensionFactory(parse_settings(table))
 
 
 class HealthExtension(BaseExtension):
-    """Joins the outlier detector to the dispatcher, and answers operators."""
+    """Attaches the outlier detector to the dispatcher and answers the admin interface."""
 
     name = "health"
 
@@ -69,11 +69,11 @@
 
     @property
     def commands(self) -> CommandTable:
-        """Commands for operators."""
+        """The commands that this extension adds to the admin interface."""
         return {"VERDICT": self.verdict}
 
     def verdict(self, name: str) -> str:
-        """`VERDICT ID`: the verdict of an endpoint, and why."""
+        """`VERDICT ID`: the verdict on an endpoint and its reason."""
         number = self._host.endpoint_table.numbers.get(name, -1)
         endpoint = self._host.dispatcher.endpoints.get(number)
         if endpoint is None:
@@ -82,7 +82,7 @@
         return f"{name} {verdict.value}: {reason}"
 
     def describe_state(self) -> str:
-        """Returns its state in a few words, for the log."""
+        """Returns a short description of the state, for the log."""
         endpoints = self._host.dispatcher.endpoints.values()
         verdicts = Counter(self._detector.verdict(endpoint)[0].value for endpoint in endpoints if endpoint.serving)
         counts = ", ".join(f"{count} {verdict}" for verdict, count in sorted(verdicts.items()))
--- a/forwarder/protocol/__init__.py
+++ b/forwarder/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Formats at the edge, read and checked once."""
+"""External formats; input is parsed and checked here, once."""
--- a/forwarder/protocol/checked_fields.py
+++ b/forwarder/protocol/checked_fields.py
@@ -1,4 +1,4 @@
-"""Reads fields of decoded JSON objects, with a check of their types."""
+"""Reads fields of decoded JSON objects and checks their types."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from forwarder.errors import ForwarderError
 
 JsonObject = dict[str, Any]
-"""A decoded JSON object. Its fields are checked where they are read."""
+"""A decoded JSON object, whose fields are checked when they are read."""
 
 MAX_QUOTED_LENGTH = 80
-"""Characters of an object that an error quotes."""
+"""The most characters of an object that an error quotes."""
 
 T = TypeVar("T")
 
 
 class MalformedInputError(ForwarderError):
-    """The input does not have the form that the protocol promises."""
+    """The input does not have the form that the protocol requires."""
 
 
 def require_field(record: object, name: str, kind: type[T]) -> T:
@@ -26,7 +26,7 @@
     Whole floats count as integers and integers as floats; booleans are neither.
 
     Raises:
-        MalformedInputError: It is no object, or the field is missing or of another type.
+        MalformedInputError: The record is not an object, or the field is missing or of another type.
     """
     if not isinstance(record, dict) or name not in record:
         raise MalformedInputError(f"no field {name!r} in {_quote(record)}")
@@ -41,10 +41,10 @@
 
 
 def require_word(words: Mapping[str, T], record: object, name: str) -> T:
-    """Returns a field that is one of several words, translated.
+    """Returns the value that a field's word stands for.
 
     Raises:
-        MalformedInputError: The field is missing, no string or an unknown word.
+        MalformedInputError: The field is missing, is not a string, or is an unknown word.
     """
     value = require_field(record, name, str)
     if value not in words:
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client: reading answers as they arrive, rendering requests, and the platform's own headers."""
+"""The client side of HTTP/1.1: an incremental parser of answers, requests, and the platform's own headers."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 MAX_FIRST_LINE_BYTES = 256
 FIRST_LINE_OK = re.compile(rb"HTTP/1\.[01] 200( [^\r\n]*)?\r?\n")
 MAX_LIMIT_LEFT = 16.0
-"""A load report with a larger share of a limit is ignored: reports are noisy, but a share is one at most."""
+"""A load report with a larger share of a limit is ignored. A share is at most 1, but reports are noisy."""
 MAX_LIMIT_PER_S = 1e9
 MAX_RETRY_AFTER_US = 86_400_000_000
-"""One day: a longer Retry-After is shortened to it."""
+"""One day; a longer Retry-After is reduced to it."""
 MAX_DESTINATION_DIGITS = 10
 Headers = dict[str, str]
-"""Headers by their names in lower case."""
+"""Header values by lower-case header name."""
 
 
 class BadResponseError(ForwarderError):
-    """An answer is not valid HTTP, is too large, or is not what was asked for."""
+    """An answer is not valid HTTP, is too large, or does not fit the request."""
 
 
 class ResponseReader:
-    """Reads one answer after the other from the bytes of a connection.
+    """Parses successive answers from the bytes of a connection.
 
     Args:
-        max_bytes: the greatest size of an answer's headers and body.
+        max_bytes: the maximum size of an answer's headers and body together.
 
     Attributes:
         status: the status code; 0 until the headers are complete.
-        headers: the headers that have come so far.
-        begun: whether a byte of the answer has come.
-        complete: whether all of the answer has come.
+        headers: the headers received so far.
+        begun: whether any byte of the answer has been received.
+        complete: whether the whole answer has been received.
         keep_alive: whether the connection may carry another request; known when the answer is complete.
     """
 
@@ -47,7 +47,7 @@
         self.renew()
 
     def renew(self) -> None:
-        """Begins with the next answer."""
+        """Prepares for the next answer."""
         self.parser = httptools.HttpResponseParser(self)
         self.status = 0
         self.headers: Headers = {}
@@ -59,19 +59,19 @@
         self._body_parts: list[bytes] = []
 
     def release(self) -> None:
-        """Drops the parser, which refers back to this reader, so that both are freed without the cyclic collector."""
+        """Drops the parser, which refers back to this reader, so that both are freed without a garbage collection."""
         del self.parser
 
     @property
     def body(self) -> bytes:
-        """The body, as far as it has come."""
+        """The part of the body received so far."""
         return b"".join(self._body_parts)
 
     def feed(self, data: bytes) -> None:
-        """Reads the next bytes of the connection.
+        """Parses the next bytes of the connection.
 
         Raises:
-            BadResponseError: they are not HTTP, or the answer is too large.
+            BadResponseError: the bytes are not valid HTTP, or the answer is too large.
         """
         self.begun = True
         if len(self._first_bytes) < MAX_FIRST_LINE_BYTES:
@@ -86,13 +86,13 @@
             raise BadResponseError("the answer is too large")
 
     def end(self) -> None:
-        """The peer has ended the connection in order, which completes an answer whose length is not stated."""
+        """Handles an orderly end of the connection, which completes an answer of unstated length."""
         if self.status and not {"content-length", "transfer-encoding"} & self.headers.keys():
             self.complete = True
             self.keep_alive = False
 
     def says_ok(self) -> bool:
-        """Returns whether the first line is complete and has status 200, whatever is wrong with the rest."""
+        """Returns whether the status line is complete and has status 200, even if the rest is malformed."""
         return self.status == 200 or FIRST_LINE_OK.match(self._first_bytes) is not None
 
     # Called by the parser
@@ -103,7 +103,7 @@
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Notes the status; called by the parser."""
+        """Stores the status; called by the parser."""
         self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
@@ -113,7 +113,7 @@
             self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Notes that the answer is complete, unless it is an interim one; called by the parser."""
+        """Marks the answer as complete, unless it is an interim one; called by the parser."""
         if 100 <= self.status < 200:
             self.status = 0
             self.headers = {}
@@ -123,7 +123,7 @@
 
 
 def parse_destination(addressing: str) -> int | None:
-    """Returns the number that the `dest` of an X-Addressing header names, or None where it names none."""
+    """Returns the destination number in the `dest` field of an X-Addressing header, or None if there is none."""
     parts = addressing.replace(",", ";").split(";")
     dest = dict(part.strip().partition("=")[::2] for part in parts).get("dest", "")
     is_number = dest.isascii() and dest.isdigit() and len(dest) <= MAX_DESTINATION_DIGITS
@@ -131,7 +131,7 @@
 
 
 def parse_retry_after_us(headers: Headers) -> int | None:
-    """Returns the Retry-After of an answer in microseconds, 0 without one, or None where it is malformed."""
+    """Returns the Retry-After of an answer in microseconds, 0 if there is none, or None if it is malformed."""
     try:
         retry_after_us = -int(-float(headers.get("x-ratelimit-wait-ms", "0")) * 1000 // 1)
     except (ValueError, OverflowError):
@@ -140,11 +140,11 @@
 
 
 def parse_load_report(headers: Headers, fields: tuple[str, ...]) -> LoadReport | None:
-    """Returns the load report of an answer, or None where there is none or it is malformed.
+    """Returns the load report of an answer, or None if there is none or it is malformed.
 
     Args:
         headers: the headers of the answer.
-        fields: the names of the fields that reports hold, by the settings.
+        fields: the names of the fields in a report, from the settings.
     """
     text = headers.get("x-backend-load")
     if not text or "x0" not in fields or "x1" not in fields:
--- a/forwarder/protocol/settings_format.py
+++ b/forwarder/protocol/settings_format.py
@@ -1,4 +1,4 @@
-"""The format of the settings and of endpoint entries, in the configuration and on the simulator's wire."""
+"""The format of settings and endpoint entries in the configuration and on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 EFFECTS = {"repeatable": Effect.REPEATABLE, "by_key": Effect.KEYED, "once": Effect.ONCE}
 KEY_SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.ALL}
-"""Words for key scopes; any other is a single endpoint."""
+"""Key scopes by word; any other word means a single endpoint."""
 ENDPOINT_STATES = {
     "SERVING": EndpointState.SERVING,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
 REPORTED_WEIGHT_SOURCES = ("nominal", "rough")
-"""Sources of weights that are capacities."""
+"""The weight sources whose weights are capacities."""
 
 
-def parse_settings(facts: JsonObject) -> Settings:
-    """Returns the settings of a site; fields that it does not know are ignored.
+def parse_settings(raw_settings: JsonObject) -> Settings:
+    """Returns the settings of a site; unknown fields are ignored.
 
     Raises:
         MalformedInputError: A field is missing or of another type.
-        ValueError: A setting has no meaning.
+        ValueError: A setting has an invalid value.
     """
-    allowed = facts.get("allowed", {})
-    contract = facts.get("contract", {})
-    family = facts.get("family_info", {})
+    allowed = raw_settings.get("allowed", {})
+    contract = raw_settings.get("contract", {})
+    family_info = raw_settings.get("family_info", {})
     return Settings(
-        classes=_parse_classes(facts),
-        kinds=_parse_kinds(facts, family),
-        tenants=_parse_tenants(facts),
-        slots=require_field(family, "slots", int),
-        zone_fees=dict(zip(facts.get("zones", []), family.get("carriage") or [], strict=False)),
-        forwarders=int(facts.get("balancers", 1)),
+        classes=_parse_classes(raw_settings),
+        kinds=_parse_kinds(raw_settings, family_info),
+        tenants=_parse_tenants(raw_settings),
+        slots=require_field(family_info, "slots", int),
+        zone_fees=dict(zip(raw_settings.get("zones", []), family_info.get("carriage") or [], strict=False)),
+        forwarders=int(raw_settings.get("balancers", 1)),
         max_open_messages=int(allowed.get("max_open", 1_000_000)),
         max_attempts=int(allowed.get("max_attempts", 1_000_000)),
         hedging_allowed=bool(allowed.get("parallel_tries", False)),
@@ -42,11 +42,11 @@
         health_checks_allowed=bool(allowed.get("probes", False)),
         retry_after_allowed=bool(allowed.get("retry_after", False)),
         max_retry_after_us=int(allowed.get("max_retry_after_us", 0)),
-        poll_endpoint_list=facts.get("discovery") == "on_request",
-        weights_reported=facts.get("weight_source") in REPORTED_WEIGHT_SOURCES,
-        rejection_cost=float(family.get("turned_away_price", 0.0)),
-        over_quota_weight=float(facts.get("over_share_worth", 1.0)),
-        late_weight_halves=family.get("loses_worth") == "halves",
+        poll_endpoint_list=raw_settings.get("discovery") == "on_request",
+        weights_reported=raw_settings.get("weight_source") in REPORTED_WEIGHT_SOURCES,
+        rejection_cost=float(family_info.get("turned_away_price", 0.0)),
+        over_quota_weight=float(raw_settings.get("over_share_worth", 1.0)),
+        late_weight_halves=family_info.get("loses_worth") == "halves",
         answer_grace_us=int(contract.get("grace_to_answer_us", 0)),
         drain_grace_us=int(contract.get("drain_grace_us", 0)),
         list_poll_within_us=int(contract.get("ask_within_us", 0)),
@@ -60,7 +60,7 @@
     )
 
 
-def _parse_classes(facts: JsonObject) -> tuple[MessageClass, ...]:
+def _parse_classes(raw_settings: JsonObject) -> tuple[MessageClass, ...]:
     return tuple(
         MessageClass(
             name=require_field(service, "name", str),
@@ -73,27 +73,27 @@
             priority_weight=float(service.get("gain", 1.0)),
             late_weight=float(service.get("late_worth", 0.0)),
         )
-        for service in require_field(facts, "services", list)
+        for service in require_field(raw_settings, "services", list)
     )
 
 
-def _parse_kinds(facts: JsonObject, family: JsonObject) -> tuple[DestinationKind, ...]:
-    batches = family.get("kind_batch", [])
-    separate_routes = family.get("routes_apart", [])
+def _parse_kinds(raw_settings: JsonObject, family_info: JsonObject) -> tuple[DestinationKind, ...]:
+    batches = family_info.get("kind_batch", [])
+    separate_routes = family_info.get("routes_apart", [])
     return tuple(
         DestinationKind(
             name=name,
             max_batch=int(batches[number]) if number < len(batches) else 1,
             separate_routes=bool(separate_routes[number]) if number < len(separate_routes) else False,
         )
-        for number, name in enumerate(facts.get("host_types", []))
+        for number, name in enumerate(raw_settings.get("host_types", []))
     )
 
 
-def _parse_tenants(facts: JsonObject) -> tuple[Tenant, ...]:
+def _parse_tenants(raw_settings: JsonObject) -> tuple[Tenant, ...]:
     return tuple(
         Tenant(require_field(tenant, "name", str), float(tenant.get("allowance_per_s", 0.0)))
-        for tenant in facts.get("orgs") or []
+        for tenant in raw_settings.get("orgs") or []
     )
 
 
--- a/forwarder/simulator/__init__.py
+++ b/forwarder/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions against the simulator, on its wire."""
+"""Runs the decisions against the simulator, over its wire format."""
--- a/forwarder/simulator/adapter.py
+++ b/forwarder/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts dispatchers on the simulator's wire: JSON lines in, JSON lines out. It decides nothing."""
+"""Connects dispatchers to the simulator's wire: reads and writes JSON lines, and makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -22,48 +22,48 @@
 
 
 class ForwarderInstance:
-    """One simulated forwarder: its dispatcher, and the events of the batch that it has not taken in yet."""
+    """One simulated forwarder: its dispatcher, and the events of the batch that are not handled yet."""
 
     def __init__(self, start: JsonObject, now_us: int) -> None:
-        facts = require_field(start, "facts", dict)
-        self.report_fields = parse_report_fields(facts)
-        self.dispatcher = Dispatcher(parse_settings(facts), require_field(start, "entropy", int), now_us)
+        raw_settings = require_field(start, "facts", dict)
+        self.report_fields = parse_report_fields(raw_settings)
+        self.dispatcher = Dispatcher(parse_settings(raw_settings), require_field(start, "entropy", int), now_us)
         self.inbox: list[Event] = []
 
 
 class SimulatorHost:
-    """The instances of one wire. They share nothing but the numbered endpoint tables of the wire itself."""
+    """The instances of one simulator. They share only the numbered endpoint tables."""
 
     def __init__(self) -> None:
         self.instances: dict[str, ForwarderInstance] = {}
         self.endpoint_tables: dict[int, tuple[EndpointEntry, ...]] = {}
-        self.touched: dict[str, ForwarderInstance] = {}
-        """The instances with a round in this batch, in the order of their first event."""
+        self.active_instances: dict[str, ForwarderInstance] = {}
+        """The instances that run a round in this batch, in the order of their first events."""
         self.commands: list[JsonObject] = []
         """The commands of this batch so far."""
 
     def batch(self, line: str) -> str:
-        """Answers one line: applies its events, gives each instance concerned a round, and returns the commands.
+        """Answers one line: applies its events, runs a round for each instance concerned, and returns the commands.
 
         Raises:
-            MalformedInputError: The line does not have the form of the wire.
+            MalformedInputError: The line does not match the wire format.
         """
         try:
             batch = json.loads(line)
         except ValueError as error:
             raise MalformedInputError(f"not JSON: {error}") from None
         now_us = require_field(batch, "clock_us", int)
-        self.touched = {}
+        self.active_instances = {}
         self.commands = []
         for event in require_field(batch, "inbox", list):
             self._apply_event(now_us, event)
-        for name, instance in self.touched.items():
+        for name, instance in self.active_instances.items():
             if self.instances.get(name) is instance:
                 self._run_round(now_us, name, instance)
         return json.dumps({"do": self.commands}, separators=(",", ":"))
 
     def _run_round(self, now_us: int, name: str, instance: ForwarderInstance) -> None:
-        """Gives an instance a round. An error of its decisions is reported on the wire, in one line."""
+        """Runs a round for an instance. An error of its decisions is reported on the wire, in one line."""
         events = instance.inbox
         instance.inbox = []
         try:
@@ -75,21 +75,21 @@
             self.commands.append(render_error(name, error))
 
     def _apply_event(self, now_us: int, event: JsonObject) -> None:
-        """Applies one event of a batch; ignores those of unknown types and for unknown instances."""
+        """Applies one event of a batch; ignores events of unknown types and for unknown instances."""
         kind = require_field(event, "type", str)
         if kind == "TABLE":
             self._store_table(event)
         elif kind == "DOWN":
             name = require_field(event, "forwarder_id", str)
             self.instances.pop(name, None)
-            self.touched.pop(name, None)
+            self.active_instances.pop(name, None)
         elif kind == "UP":
             self._start_instance(now_us, require_field(event, "forwarder_id", str), event)
         elif kind == "MEMBERS" or kind in EVENT_PARSERS:
             name = require_field(event, "forwarder_id", str)
             instance = self.instances.get(name)
             if instance is not None:
-                self.touched[name] = instance
+                self.active_instances[name] = instance
                 instance.inbox.append(self._parse_event(kind, event, instance))
 
     def _store_table(self, event: JsonObject) -> None:
@@ -103,7 +103,7 @@
             self.commands.append(render_error(name, error))
         else:
             self.instances[name] = instance
-            self.touched[name] = instance
+            self.active_instances[name] = instance
 
     def _parse_event(self, kind: str, event: JsonObject, instance: ForwarderInstance) -> Event:
         if kind == "MEMBERS":
--- a/forwarder/simulator/wire_format.py
+++ b/forwarder/simulator/wire_format.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: its events and commands, mapped to the events and actions of the decisions."""
+"""The simulator's wire format: maps its events and commands to the events and actions of the decisions."""
 
 from __future__ import annotations
 
@@ -50,21 +50,21 @@
 
 LIMIT_LEFT_FIELD = "x0"
 LIMIT_PER_S_FIELD = "x1"
-"""Names of the two numbers of a load report."""
+"""The names of the two numbers in a load report."""
 
 US_PER_MS = 1000
 
 ReportFields = Sequence[str]
-"""The names of the numbers in an instance's load reports, in their order."""
+"""The names of the numbers in an instance's load reports, in order."""
 
 
-def parse_report_fields(facts: JsonObject) -> ReportFields:
+def parse_report_fields(raw_settings: JsonObject) -> ReportFields:
     """Returns the names of the numbers in load reports, from an instance's settings."""
-    return list((facts.get("telemetry") or {}).get("fields") or [])
+    return list((raw_settings.get("telemetry") or {}).get("fields") or [])
 
 
 def parse_load_report(report_fields: ReportFields, event: JsonObject) -> LoadReport | None:
-    """Returns what an event's endpoint reported of its limit; None if it reported nothing."""
+    """Returns the load report in an event, or None if it has none."""
     numbers = event.get("telemetry")
     if not numbers:
         return None
@@ -131,13 +131,13 @@
     "CLIENT_LEFT": parse_message_withdrawn,
     "DEADLINE_HIT": parse_timer_fired,
 }
-"""By the type of a wire event that is for one instance's dispatcher alone. All raise MalformedInputError."""
+"""Parsers by type of wire event, for events addressed to a single instance. All raise MalformedInputError."""
 
 
 def render_actions(instance: str, actions: Sequence[Action]) -> list[JsonObject]:
     """Returns the commands of one instance.
 
-    An instance of the simulator always starts empty, so what is to be stored for a restart has no command.
+    A simulated instance always starts empty, so actions that store state for a restart have no command.
     """
     return [
         render_action(instance, action)
@@ -150,7 +150,7 @@
     """Returns the command of one action.
 
     Raises:
-        TypeError: The wire has no command for it.
+        TypeError: The wire has no command for the action.
     """
     match action:
         case SendAttempt():
--- a/forwarder/units.py
+++ b/forwarder/units.py
@@ -1,4 +1,4 @@
-"""Units of time that all of the program shares."""
+"""Units of time shared by the whole program."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 """One second, in microseconds."""
 
 NEVER_US = 1 << 62
-"""A time, in microseconds, that does not come."""
+"""A time in microseconds that is never reached."""
