--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -80,7 +80,7 @@
         """
         if self.transport is None:
             raise ConnectionResetError("the connection ended")
-        self.reader.renew()
+        self.reader.reset()
         loop = asyncio.get_running_loop()
         self.answer = answer = loop.create_future()
         self.transport.write(data)
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -163,7 +163,7 @@
         except OSError as error:
             self.close(f"cannot send: {error.strerror}")
             return SendResult.CONNECTION_DEAD
-        self.reader.renew()
+        self.reader.reset()
         self.received.clear()
         self._answered = False
         self.transport.write(memoryview(request)[sent:])
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -44,9 +44,9 @@
 
     def __init__(self, max_bytes: int = MAX_BODY_BYTES) -> None:
         self.max_bytes = max_bytes
-        self.renew()
+        self.reset()
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Prepares for the next answer."""
         self.parser = httptools.HttpResponseParser(self)
         self.status = 0
