--- a/forwarder/endpoints/call_outcome.py
+++ b/forwarder/endpoints/call_outcome.py
@@ -61,7 +61,7 @@
     A first line with status 200 is a delivery though the rest is cut. Of a batch call only the complete answer counts.
     Nothing else that is cut or malformed is believed, not even a rejection: the call may have run.
     """
-    if reader.says_ok() and not call.batched:
+    if reader.has_ok_status() and not call.batched:
         return Outcome.DELIVERED
     if reader.begun:
         return Outcome.UNREADABLE
--- a/forwarder/endpoints/in_flight_calls.py
+++ b/forwarder/endpoints/in_flight_calls.py
@@ -113,7 +113,7 @@
 
         A call that has timed out while the rest of a delivery did not come is a delivery.
         """
-        is_delivery = given_up is Outcome.TIMED_OUT and reader.says_ok() and not call.batched
+        is_delivery = given_up is Outcome.TIMED_OUT and reader.has_ok_status() and not call.batched
         if given_up is None or is_delivery:
             self.answer_ended(call, reader, broken=True)
         elif call.written or given_up is Outcome.LOCAL_FAILURE:
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -91,7 +91,7 @@
             self.complete = True
             self.keep_alive = False
 
-    def says_ok(self) -> bool:
+    def has_ok_status(self) -> bool:
         """Returns whether the status line is complete and has status 200, even if the rest is malformed."""
         return self.status == 200 or FIRST_LINE_OK.match(self._first_bytes) is not None
 
