--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -16,7 +16,7 @@
 
 
 class ExtensionTable:
-    """One table of the file. Each key is read once; `check_all_taken` detects keys that were not read.
+    """One table of the file. Each key is read once; `reject_unknown_keys` detects keys that were not read.
 
     Each method that reads a key raises ConfigError with the key's name if its value is missing or invalid.
     """
@@ -76,7 +76,7 @@
             raise self.error(key, f"is no table: {values!r}")
         return ExtensionTable(f"{self.name}.{key}", values)
 
-    def check_all_taken(self) -> None:
+    def reject_unknown_keys(self) -> None:
         """Raises ConfigError if a key was not read."""
         for key in self._unread:
             raise self.error(key, "is unknown")
--- a/forwarder/health/extension.py
+++ b/forwarder/health/extension.py
@@ -32,7 +32,7 @@
         retry_us=int(passive.number("again_s", 1.0, 0.01, 3600.0) * SECOND_US),
         trial_calls=passive.integer("trial_calls", 5, 1),
     )
-    passive.check_all_taken()
+    passive.reject_unknown_keys()
     return settings
 
 
--- a/forwarder/runtime/extension_loader.py
+++ b/forwarder/runtime/extension_loader.py
@@ -27,5 +27,5 @@
     factories: list[ExtensionFactory] = []
     for table in read_tables(path, MODULES):
         factories.append(importlib.import_module(MODULES[table.name]).prepare(table, config))
-        table.check_all_taken()
+        table.reject_unknown_keys()
     return factories
