--- a/forwarder/config/extensions_file.py
+++ b/forwarder/config/extensions_file.py
@@ -32,7 +32,7 @@
     def __contains__(self, key: str) -> bool:
         return key in self._unread
 
-    def take(self, key: str, default: object) -> object:
+    def value(self, key: str, default: object) -> object:
         """Reads a value of any type; the key is required if the default is None."""
         value = self._unread.pop(key, default)
         if value is None:
@@ -41,7 +41,7 @@
 
     def number(self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = math.inf) -> float:
         """Reads a number within bounds."""
-        value = self.take(key, default)
+        value = self.value(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.error(key, f"is no number: {value!r}")
         if not minimum <= value <= maximum:  # also rejects NaN
@@ -57,7 +57,7 @@
 
     def boolean(self, key: str, default: bool) -> bool:
         """Reads a boolean."""
-        value = self.take(key, default)
+        value = self.value(key, default)
         if not isinstance(value, bool):
             raise self.error(key, f"is neither true nor false: {value!r}")
         return value
@@ -65,13 +65,13 @@
     def address(self, key: str) -> Address:
         """Reads an address of the form HOST:PORT."""
         try:
-            return parse_address(self.take(key, None))
+            return parse_address(self.value(key, None))
         except MalformedInputError as error:
             raise self.error(key, f"is {error}") from None
 
     def table(self, key: str) -> ExtensionTable:
         """Reads a nested table."""
-        values = self.take(key, None)
+        values = self.value(key, None)
         if not isinstance(values, dict):
             raise self.error(key, f"is no table: {values!r}")
         return ExtensionTable(f"{self.name}.{key}", values)
--- a/forwarder/membership/settings.py
+++ b/forwarder/membership/settings.py
@@ -60,12 +60,12 @@
         raise ConfigError("parts: members: by settings.allowed.may_tell forwarders may not talk to each other")
     listen = table.address("listen")
     advertise = table.address("advertise") if "advertise" in table else listen
-    cluster = table.take("cluster", None)
+    cluster = table.value("cluster", None)
     if not isinstance(cluster, str) or not 0 < len(cluster) <= MAX_CLUSTER_NAME:
         raise table.error("cluster", f"is no name of 1 to {MAX_CLUSTER_NAME} characters: {cluster!r}")
     period_s = table.number("period_s", Timing().period_us / SECOND_US, 0.02, 60.0)
     timing = _parse_timing(table, period_s)
-    seeds = table.take("seeds", [])
+    seeds = table.value("seeds", [])
     divide_quota = table.boolean("divide", False)
     gossip_enabled = table.boolean("news", False)
     if gossip_enabled and not divide_quota:
@@ -76,7 +76,7 @@
         advertise=advertise,
         cluster=cluster,
         seeds=Path(seeds) if isinstance(seeds, str) else _parse_addresses(table, seeds),
-        key_file=Path(str(table.take("key_file", None))),
+        key_file=Path(str(table.value("key_file", None))),
         timing=timing,
         divide_quota=divide_quota,
         settle_us=spans.settle_us,
--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -66,7 +66,7 @@
     Raises:
         ConfigError: a value is invalid; the message names its key.
     """
-    value = table.take("durability", None)
+    value = table.value("durability", None)
     values = [durability.value for durability in Durability]
     if value not in values:
         raise table.error("durability", f"is {value!r}, not one of {', '.join(values)}")
