--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators: health, disabled endpoints, drains."""
+"""Tests of the admin commands for health, disabled endpoints and drains."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.sockets import OK, PATIENCE, Peer, always, hang
 
 
-def test_every_caller_is_answered_and_none_holds_up_another(tmp_path: Path) -> None:
+def test_every_connection_is_answered_and_none_blocks_another(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
@@ -38,7 +38,7 @@
     play(scene, tmp_path)
 
 
-def test_a_line_without_its_end_does_nothing(tmp_path: Path) -> None:
+def test_a_line_without_a_line_feed_is_rejected(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
@@ -57,7 +57,7 @@
         await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
         client = await node.client()
-        client.writer.write(message("m")[:40])  # a request under way: the process stays until its end
+        client.writer.write(message("m")[:40])  # a request under way keeps the process running
         node.process.send_signal(signal.SIGTERM)
         while not any("stopping" in line for line in node.log):
             await asyncio.sleep(0.01)
@@ -66,7 +66,7 @@
     play(scene, tmp_path)
 
 
-async def up(node: Node) -> int:
+async def up_status(node: Node) -> int:
     client = await node.client()
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
     try:
@@ -75,12 +75,12 @@
         client.writer.close()
 
 
-async def closes(client: Client) -> None:
+async def assert_closed(client: Client) -> None:
     async with asyncio.timeout(PATIENCE):
         assert await client.reader.read() == b""
 
 
-def test_a_drain_lets_clients_go_between_requests_and_loses_nothing(tmp_path: Path) -> None:
+def test_a_drain_closes_connections_between_requests_and_loses_no_message(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, hang)
         node = await start_node(folder, platform)
@@ -90,7 +90,7 @@
         half.writer.write(message("half", "status")[:60])
         for _ in range(2):
             assert (await node.call(b"LEAVE\n")).startswith("ok")
-        assert await up(node) == 503
+        assert await up_status(node) == 503
         status, headers = await kept.submit("during", "status")
         assert status == 202
         assert headers["connection"] == "close"
@@ -99,30 +99,30 @@
         half.writer.write(message("half", "status")[60:])
         assert (await half.answer())[0] == 202
         for client in (idle, kept, half, late):
-            await closes(client)
+            await assert_closed(client)
         assert (await node.call(b"HEALTH\n")).startswith("ok")
         assert node.process.returncode is None
         assert (await node.call(b"JOIN\n")).startswith("ok")
-        assert await up(node) == 200
-        stays = await node.client()
+        assert await up_status(node) == 200
+        client_after = await node.client()
         for n in range(2):
-            status, headers = await stays.submit(f"after{n}", "status")
+            status, headers = await client_after.submit(f"after{n}", "status")
             assert status == 202
             assert "connection" not in headers
         peer.handler = always(OK)
         await node.restart()
-        names = {"before0", "before1", "during", "late", "half", "after0", "after1"}
-        await peer.wait_until(lambda: {r.headers["x-correlation-id"] for r in peer.requests} == names)
+        expected_ids = {"before0", "before1", "during", "late", "half", "after0", "after1"}
+        await peer.wait_until(lambda: {r.headers["x-correlation-id"] for r in peer.requests} == expected_ids)
 
     play(scene, tmp_path)
 
 
-def names(peer: Peer) -> set[str]:
+def message_ids(peer: Peer) -> set[str]:
     return {r.headers["x-correlation-id"] for r in peer.requests}
 
 
-@pytest.mark.parametrize("sign", [signal.SIGKILL, signal.SIGTERM])
-def test_a_disabled_endpoint_gets_nothing_new_until_it_is_enabled(tmp_path: Path, sign: int) -> None:
+@pytest.mark.parametrize("stop_signal", [signal.SIGKILL, signal.SIGTERM])
+def test_a_disabled_endpoint_gets_nothing_new_until_it_is_enabled(tmp_path: Path, stop_signal: int) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         one, two = await start_endpoint(platform, always(OK)), await start_endpoint(platform, always(OK), "s2")
         node = await start_node(folder, platform)
@@ -135,7 +135,7 @@
         for health in ("draining", "up"):
             await platform.change("s1", health)
             await platform.wait_until(lambda: any(f"from={platform.version}" in r.path for r in platform.requests))
-        await node.restart(sign)
+        await node.restart(stop_signal)
         for n in range(8, 16):
             assert (await node.submit(f"banned{n}", "status"))[0] == 202
         await two.wait_for_requests(16)
@@ -144,7 +144,7 @@
         assert (await node.submit("waits", "status"))[0] == 202
         assert (await node.call(b"ONLINE s1\n")).startswith("ok")
         await one.wait_for_requests(before + 1)
-        assert names(one) == {"waits"}
+        assert message_ids(one) == {"waits"}
         assert len(two.requests) == 16
 
     play(scene, tmp_path)
@@ -169,13 +169,15 @@
     play(scene, tmp_path)
 
 
-def test_an_endpoint_that_is_enabled_again_warms_up() -> None:
+def test_an_endpoint_that_is_enabled_again_goes_through_slow_start() -> None:
     d = started()
     d.handle(0, [EndpointDisabled(1, 0), EndpointDisabled(2, 0)])
     assert not sends(d.handle(S, [ask("a"), ask("b"), ask("c")]))
     d.handle(2 * S, [EndpointListReceived(EndpointListKind.WHOLE, ENTRIES)])
     first = d.handle(3 * S, [EndpointEnabled(1), EndpointEnabled(1)])
-    assert [s.endpoint for s in sends(first)] == [1], "one at a time, and none for the other"
+    assert [s.endpoint for s in sends(first)] == [1], (
+        "one call at a time, and none to the endpoint that is still disabled"
+    )
     assert EjectionChanged(1, 0, 3 * S) in first
     again = d.handle(3 * S + 5 * MS, [end(sends(first)[0], Outcome.DELIVERED, took=5 * MS)])
-    assert not sends(again), "a cold endpoint gets turns"
+    assert not sends(again), "an endpoint in slow start waits for its next slow-start slot"
--- a/tests/config/test_config_errors.py
+++ b/tests/config/test_config_errors.py
@@ -1,4 +1,4 @@
-"""A configuration that cannot hold."""
+"""Tests of invalid configurations."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
     if config is not None:
         (tmp_path / "config.json").write_text(config)
         env["LB_CONFIG"] = str(tmp_path / "config.json")
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "forwarder"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
     )
-    assert done.returncode == 2
-    assert len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith("forwarder: ")
+    assert result.returncode == 2
+    assert len(result.stderr.splitlines()) == 1
+    assert result.stderr.startswith("forwarder: ")
--- a/tests/config/test_extensions_file.py
+++ b/tests/config/test_extensions_file.py
@@ -1,4 +1,4 @@
-"""The parts file: what it may say, and that a part that is off is not there at all."""
+"""Tests of the parts file: its checks, and that the modules of disabled extensions are not loaded."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     (),
     {},
 )
-GOOD = '[streaming]\nlisten = "127.0.0.1:3100"\nmemory_bytes = 1_000_000\n'
+VALID_TABLE = '[streaming]\nlisten = "127.0.0.1:3100"\nmemory_bytes = 1_000_000\n'
 
 
-def refused(text: str, folder: Path, config: Config = CONFIG) -> str:
+def load_error(text: str, folder: Path, config: Config = CONFIG) -> str:
     (folder / "parts.toml").write_text(text)
     with pytest.raises(ConfigError) as caught:
         load_extensions(folder / "parts.toml", config)
@@ -46,8 +46,8 @@
     return str(caught.value)
 
 
-def test_what_is_unknown_or_cannot_hold_names_its_key(tmp_path: Path) -> None:
-    for line, told in (
+def test_an_error_names_the_unknown_or_invalid_key(tmp_path: Path) -> None:
+    for line, expected in (
         ("colour = 1", "streaming.colour is unknown"),
         ("buffer_bytes = 100", "streaming.buffer_bytes is 100, not from 4096"),
         ("buffer_bytes = 1e6", "streaming.memory_bytes is 1000000: one stream may hold 2032896"),
@@ -61,58 +61,58 @@
         ("tries = 1.5", "streaming.tries is no whole number"),
         ("least_bytes_per_s = -1", "streaming.least_bytes_per_s is -1"),
     ):
-        assert told in refused(GOOD + line, tmp_path)
-    assert "streaming.memory_bytes is missing" in refused('[streaming]\nlisten = "127.0.0.1:1"', tmp_path)
-    assert "streaming.listen is missing" in refused("[streaming]", tmp_path)
-    assert "streaming.listen is not an address" in refused('[streaming]\nlisten = "here"', tmp_path)
-    assert "streaming.listen is the address of listen" in refused(GOOD.replace("3100", "3000"), tmp_path)
-    assert "health.passive is missing" in refused("[health]", tmp_path)
-    assert "health.passive is no table" in refused("[health]\npassive = 1", tmp_path)
-    assert "health.passive.most_ejected is 2" in refused("[health.passive]\nmost_ejected = 2", tmp_path)
-    assert "health.passive.eject_top_s is 1, not from 5" in refused("[health.passive]\neject_top_s = 1", tmp_path)
-    assert "health.passive.colour is unknown" in refused("[health.passive]\ncolour = 1", tmp_path)
-    assert "health.active is unknown" in refused("[health.passive]\n[health.active]", tmp_path)
-    assert "journal.durability is missing" in refused("[journal]", tmp_path)
-    assert "journal.durability is 'some', not one of none" in refused('[journal]\ndurability = "some"', tmp_path)
-    assert "journal.interval_s is 0, not" in refused('[journal]\ndurability = "data"\ninterval_s = 0', tmp_path)
-    assert "warp is unknown" in refused("[warp]", tmp_path)
-    assert "streaming is no table" in refused("streaming = 1", tmp_path)
-    assert "cannot read" in refused("[streaming", tmp_path)
-
-
-def test_what_the_limits_cannot_hold_is_refused(tmp_path: Path) -> None:
-    small = replace(CONFIG, memory_mb=32)
-    assert "streaming.memory_bytes is 1000000: of 32 MB" in refused(GOOD, tmp_path, small)
-    few = replace(CONFIG, max_sockets=50)
-    assert "streaming.listen cannot be served: 50 descriptors" in refused(GOOD, tmp_path, few)
-    two = replace(CONFIG, settings=settings(slots=2))
-    assert "streaming.slots_share is 0.5: of 2 slots" in refused(GOOD, tmp_path, two)
-
-
-def test_streams_at_once_follow_from_memory_and_descriptors(tmp_path: Path) -> None:
+        assert expected in load_error(VALID_TABLE + line, tmp_path)
+    assert "streaming.memory_bytes is missing" in load_error('[streaming]\nlisten = "127.0.0.1:1"', tmp_path)
+    assert "streaming.listen is missing" in load_error("[streaming]", tmp_path)
+    assert "streaming.listen is not an address" in load_error('[streaming]\nlisten = "here"', tmp_path)
+    assert "streaming.listen is the address of listen" in load_error(VALID_TABLE.replace("3100", "3000"), tmp_path)
+    assert "health.passive is missing" in load_error("[health]", tmp_path)
+    assert "health.passive is no table" in load_error("[health]\npassive = 1", tmp_path)
+    assert "health.passive.most_ejected is 2" in load_error("[health.passive]\nmost_ejected = 2", tmp_path)
+    assert "health.passive.eject_top_s is 1, not from 5" in load_error("[health.passive]\neject_top_s = 1", tmp_path)
+    assert "health.passive.colour is unknown" in load_error("[health.passive]\ncolour = 1", tmp_path)
+    assert "health.active is unknown" in load_error("[health.passive]\n[health.active]", tmp_path)
+    assert "journal.durability is missing" in load_error("[journal]", tmp_path)
+    assert "journal.durability is 'some', not one of none" in load_error('[journal]\ndurability = "some"', tmp_path)
+    assert "journal.interval_s is 0, not" in load_error('[journal]\ndurability = "data"\ninterval_s = 0', tmp_path)
+    assert "warp is unknown" in load_error("[warp]", tmp_path)
+    assert "streaming is no table" in load_error("streaming = 1", tmp_path)
+    assert "cannot read" in load_error("[streaming", tmp_path)
+
+
+def test_settings_beyond_the_resource_limits_are_rejected(tmp_path: Path) -> None:
+    low_memory = replace(CONFIG, memory_mb=32)
+    assert "streaming.memory_bytes is 1000000: of 32 MB" in load_error(VALID_TABLE, tmp_path, low_memory)
+    few_sockets = replace(CONFIG, max_sockets=50)
+    assert "streaming.listen cannot be served: 50 descriptors" in load_error(VALID_TABLE, tmp_path, few_sockets)
+    two_slots = replace(CONFIG, settings=settings(slots=2))
+    assert "streaming.slots_share is 0.5: of 2 slots" in load_error(VALID_TABLE, tmp_path, two_slots)
+
+
+def test_the_number_of_concurrent_streams_follows_from_memory_and_descriptors(tmp_path: Path) -> None:
     def connections(text: str, config: Config) -> int:
         (tmp_path / "parts.toml").write_text(text)
-        maker = load_extensions(tmp_path / "parts.toml", config)[0]
-        assert isinstance(maker, StreamingExtensionFactory)
-        return maker.settings.max_connections
+        factory = load_extensions(tmp_path / "parts.toml", config)[0]
+        assert isinstance(factory, StreamingExtensionFactory)
+        return factory.settings.max_connections
 
-    assert connections(GOOD, CONFIG) == 1_000_000 // (2 * (16_384 + 65_536 + 64)) == 6
-    assert connections(GOOD + "buffer_bytes = 4096", CONFIG) == (256 // 6 - 8) // 2 == 17
-    assert connections(GOOD + "buffer_bytes = 4096", replace(CONFIG, max_sockets=1024)) == 24
+    assert connections(VALID_TABLE, CONFIG) == 1_000_000 // (2 * (16_384 + 65_536 + 64)) == 6
+    assert connections(VALID_TABLE + "buffer_bytes = 4096", CONFIG) == (256 // 6 - 8) // 2 == 17
+    assert connections(VALID_TABLE + "buffer_bytes = 4096", replace(CONFIG, max_sockets=1024)) == 24
 
 
-MAY_TELL = replace(CONFIG, document={"settings": {"allowed": {"may_tell": True}}})
+GOSSIP_ALLOWED = replace(CONFIG, document={"settings": {"allowed": {"may_tell": True}}})
 
 
-def test_the_example_file_holds(tmp_path: Path) -> None:
+def test_the_example_file_is_valid(tmp_path: Path) -> None:
     (tmp_path / "members.key").write_text("00" * 32)
     example = (ROOT / "deploy/parts.toml").read_text().replace("members.key", str(tmp_path / "members.key"))
     (tmp_path / "parts.toml").write_text(example)
-    assert len(load_extensions(tmp_path / "parts.toml", MAY_TELL)) == len(MODULES)
+    assert len(load_extensions(tmp_path / "parts.toml", GOSSIP_ALLOWED)) == len(MODULES)
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "expected"),
     [
         ("colour = 1", "members.colour is unknown"),
         ("period_s = 0", "members.period_s is 0, not from 0.02"),
@@ -133,32 +133,32 @@
         ("listen = 3", "members.listen is not an address"),
     ],
 )
-def test_a_table_of_members_that_cannot_hold_names_its_key(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: str, told: str
+def test_an_error_in_the_members_table_names_its_key(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, line: str, expected: str
 ) -> None:
     monkeypatch.chdir(tmp_path)
     for name, text in (("k", "00" * 32), ("short.key", "00"), ("odd.key", "no hex")):
         (tmp_path / name).write_text(text)
-    good = {"listen": '"127.0.0.1:3200"', "cluster": '"c"', "key_file": '"k"', "period_s": "0.5"}
+    valid = {"listen": '"127.0.0.1:3200"', "cluster": '"c"', "key_file": '"k"', "period_s": "0.5"}
     key, _, value = line.partition(" = ")
-    text = "[members]\n" + "\n".join(f"{k} = {v}" for k, v in (good | {key: value}).items())
-    assert told in refused(text, tmp_path, MAY_TELL)
-    assert "may not talk to each other" in refused(text, tmp_path)
+    text = "[members]\n" + "\n".join(f"{k} = {v}" for k, v in (valid | {key: value}).items())
+    assert expected in load_error(text, tmp_path, GOSSIP_ALLOWED)
+    assert "may not talk to each other" in load_error(text, tmp_path)
 
 
 def run(scene: Callable[[Platform], Awaitable[None]]) -> None:
-    async def played() -> None:
+    async def run_scene() -> None:
         platform = Platform()
         await platform.start()
         await scene(platform)
 
-    asyncio.run(played())
+    asyncio.run(run_scene())
 
 
 def test_a_malformed_file_ends_the_start_with_one_line(tmp_path: Path) -> None:
     async def scene(platform: Platform) -> None:
         node = Node(tmp_path, platform)
-        (tmp_path / "parts.toml").write_text(GOOD + "colour = 1")
+        (tmp_path / "parts.toml").write_text(VALID_TABLE + "colour = 1")
         node.arguments = ["--parts", str(tmp_path / "parts.toml")]
         await node.start(ready=False)
         async with asyncio.timeout(PATIENCE):
@@ -169,13 +169,13 @@
     run(scene)
 
 
-def imported(node: Node) -> set[str]:
-    """The modules that the process has loaded, as Python itself tells of each."""
+def imported_modules(node: Node) -> set[str]:
+    """Returns the modules that the process has imported, from Python's log of import times."""
     lines = (line.rpartition("|") for line in node.log if line.startswith("import time:"))
     return {name.strip() for _, _, name in lines}
 
 
-OFF = (
+OTHER_MODULES = (
     "forwarder.health.extension",
     "forwarder.decisions.fleet_quota",
     "forwarder.membership",
@@ -185,7 +185,7 @@
     "forwarder.storage.state_check",
     "msgspec",
 )
-PARTS = (
+EXTENSION_MODULES = (
     "forwarder.config.extensions_file",
     "forwarder.runtime.extension_loader",
     "forwarder.decisions.stream_routing",
@@ -207,24 +207,24 @@
         await peer.wait_for_requests(1)
         assert (await node.call(b"LEAVE\n")).startswith("ok")
         assert await node.end(signal.SIGTERM) == 0
-        assert "forwarder.runtime.engine" in imported(node)
-        assert not [name for name in imported(node) if name.startswith((*PARTS, *OFF))]
+        assert "forwarder.runtime.engine" in imported_modules(node)
+        assert not [name for name in imported_modules(node) if name.startswith((*EXTENSION_MODULES, *OTHER_MODULES))]
         node, _ = await streaming(tmp_path, platform, {}, "[health.passive]\n")
         await node.end()
-        for part in PARTS:
-            assert [name for name in imported(node) if name.startswith(part)]
+        for module in EXTENSION_MODULES:
+            assert [name for name in imported_modules(node) if name.startswith(module)]
 
     run(scene)
 
 
-def test_without_the_flag_the_bytes_on_the_wire_are_as_before(tmp_path: Path) -> None:
-    """To the letter: what a client reads, and what an endpoint reads."""
+def test_without_the_flag_the_bytes_on_the_wire_are_unchanged(tmp_path: Path) -> None:
+    """Compares the bytes that a client and an endpoint receive with literals."""
 
     async def scene(platform: Platform) -> None:
-        read = asyncio.get_running_loop().create_future()
+        endpoint_received = asyncio.get_running_loop().create_future()
 
         async def endpoint(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            read.set_result(await reader.readuntil(b"hello"))
+            endpoint_received.set_result(await reader.readuntil(b"hello"))
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
         server = await asyncio.start_server(endpoint, "127.0.0.1", 0)
@@ -233,14 +233,14 @@
         node = await Node(tmp_path, platform).start()
         client = await node.client()
         client.writer.write(message("a1"))
-        heard = await client.reader.readuntil(b"\r\n\r\n")
-        assert heard == b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+        answer = await client.reader.readuntil(b"\r\n\r\n")
+        assert answer == b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
         async with asyncio.timeout(PATIENCE):
-            got = await read
+            request = await endpoint_received
         assert re.fullmatch(
             rb"POST /hook HTTP/1\.1\r\nHost: 127\.0\.0\.1:%d\r\nX-Correlation-Id: a1\r\n"
             rb"X-Time-Left: [0-9.]+\r\nX-Session-Key: key-a1\r\nContent-Length: 5\r\n\r\nhello" % port,
-            got,
+            request,
         )
         client.writer.write(b"GET /big HTTP/1.1\r\nHost: x\r\nX-Addressing: dest=7\r\n\r\n")
         assert await client.reader.readuntil(b"message\n") == (
--- a/tests/discovery/peers.py
+++ b/tests/discovery/peers.py
@@ -1,4 +1,4 @@
-"""Discovery that answers when a test says so."""
+"""A discovery server whose answers a test writes by hand."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from tests.sockets import read_message
 
 
-class QuestionedDiscovery:
-    """Discovery of one test: its questions wait until a step answers them."""
+class ManualDiscovery:
+    """A discovery server that queues its requests until the test answers them."""
 
     def __init__(self) -> None:
-        self.questions: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self.requests: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
 
-    async def start(self) -> QuestionedDiscovery:
+    async def start(self) -> ManualDiscovery:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        self.where = Address(*self.server.sockets[0].getsockname())
+        self.address = Address(*self.server.sockets[0].getsockname())
         return self
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
-                first, _, _ = await read_message(reader)
-                self.questions.put_nowait((first.split(" ")[1], writer))
+                request_line, _, _ = await read_message(reader)
+                self.requests.put_nowait((request_line.split(" ")[1], writer))
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
 
 
-def json_answer(**told: Any) -> bytes:
-    body = json.dumps(told).encode()
+def json_response(**fields: Any) -> bytes:
+    body = json.dumps(fields).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-FACTS = {
+RAW_SETTINGS = {
     "allowed": {"max_attempts": 6, "max_open": 100, "retry_after": True, "max_retry_after_us": 1000},
     "balancers": 2,
     "discovery": "on_request",
@@ -39,9 +39,9 @@
     )
 
 
-def up(name: str, seed: int = 1) -> list[dict[str, Any]]:
+def start_events(name: str, seed: int = 1) -> list[dict[str, Any]]:
     return [
-        {"type": "UP", "forwarder_id": name, "entropy": seed, "facts": FACTS},
+        {"type": "UP", "forwarder_id": name, "entropy": seed, "facts": RAW_SETTINGS},
         {"type": "MEMBERS", "forwarder_id": name, "how": "SAVED", "epoch": 1, "buffer": 0},
     ]
 
@@ -58,12 +58,12 @@
     return {"clock_us": now, "inbox": list(events)}
 
 
-def done(result: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
+def commands_of(result: subprocess.CompletedProcess[str]) -> list[list[dict[str, Any]]]:
     assert result.returncode == 0, result.stderr
     return [json.loads(line)["do"] for line in result.stdout.splitlines()]
 
 
-def test_message_is_sent_and_its_outcome_taken_in() -> None:
+def test_a_message_is_sent_and_its_outcome_is_handled() -> None:
     closed = {
         "type": "CLOSED_ATTEMPT",
         "forwarder_id": "forwarder/0",
@@ -76,11 +76,11 @@
         "telemetry": [0.5, 3.0],
         "news": 1,
     }
-    first, second, third = done(
+    first, second, third = commands_of(
         run(
             [
                 batch(0),
-                batch(1000, table(), *up("forwarder/0"), ask("forwarder/0", "a")),
+                batch(1000, table(), *start_events("forwarder/0"), ask("forwarder/0", "a")),
                 batch(2000, closed, {"type": "NEVER_HEARD", "forwarder_id": "forwarder/0"}),
             ]
         )
@@ -93,24 +93,24 @@
 
 
 def test_start_stop_start_in_one_batch_and_tables_apply_in_event_order() -> None:
-    (actions,) = done(
+    (commands,) = commands_of(
         run(
             [
                 batch(
                     0,
                     table(5),
-                    *up("forwarder/0"),
+                    *start_events("forwarder/0"),
                     ask("forwarder/0", "old"),
                     {"type": "DOWN", "forwarder_id": "forwarder/0"},
                     table(6),
-                    *up("forwarder/0", 2),
+                    *start_events("forwarder/0", 2),
                     ask("forwarder/0", "new"),
                     table(7),
                 )
             ]
         )
     )
-    issues = [a for a in actions if a["type"] == "ISSUE"]
+    issues = [a for a in commands if a["type"] == "ISSUE"]
     assert [(a["msg_id"], a["target"]) for a in issues] == [("new", 6)]
 
 
@@ -123,9 +123,11 @@
         {"inbox": []},
         batch(0, {"forwarder_id": "forwarder/0"}),
         batch(0, {"type": "UP", "forwarder_id": "forwarder/0"}),
-        batch(0, table(), *up("forwarder/0"), {"type": "ASK", "forwarder_id": "forwarder/0", "msg_id": "a"}),
+        batch(0, table(), *start_events("forwarder/0"), {"type": "ASK", "forwarder_id": "forwarder/0", "msg_id": "a"}),
         batch(0, {"type": "TABLE", "buffer": 0, "elements": [{"target": 1}]}),
-        batch(0, table(), *up("forwarder/0"), {"type": "MEMBERS", "forwarder_id": "forwarder/0", "how": "FULL"}),
+        batch(
+            0, table(), *start_events("forwarder/0"), {"type": "MEMBERS", "forwarder_id": "forwarder/0", "how": "FULL"}
+        ),
     ],
 )
 def test_malformed_input_ends_the_process_with_one_plain_line(line: Any) -> None:
@@ -137,16 +139,16 @@
 
 
 def test_invalid_settings_are_an_internal_error() -> None:
-    bad = up("forwarder/0")
-    bad[0] = {**bad[0], "facts": {**FACTS, "family_info": {"slots": 0}}}
-    (actions,) = done(run([batch(0, table(), *bad)]))
-    assert actions[0]["type"] == "INTERNAL_ERROR"
-    assert "slots" in actions[0]["reason_text"]
-    assert "\n" not in actions[0]["reason_text"]
+    bad = start_events("forwarder/0")
+    bad[0] = {**bad[0], "facts": {**RAW_SETTINGS, "family_info": {"slots": 0}}}
+    (commands,) = commands_of(run([batch(0, table(), *bad)]))
+    assert commands[0]["type"] == "INTERNAL_ERROR"
+    assert "slots" in commands[0]["reason_text"]
+    assert "\n" not in commands[0]["reason_text"]
 
 
-def script(names: list[str]) -> list[dict[str, Any]]:
-    lines = [batch(0, table(), *[e for n in names for e in up(n, int(n[-1]))])]
+def input_lines(names: list[str]) -> list[dict[str, Any]]:
+    lines = [batch(0, table(), *[e for n in names for e in start_events(n, int(n[-1]))])]
     for n in range(60):
         lines.append(
             batch(
@@ -160,9 +162,9 @@
 
 def test_commands_are_the_same_under_any_hash_seed_and_split() -> None:
     names = ["forwarder/0", "forwarder/1", "forwarder/2"]
-    together = done(run(script(names), PYTHONHASHSEED="1"))
-    assert together == done(run(script(names), PYTHONHASHSEED="77"))
+    together = commands_of(run(input_lines(names), PYTHONHASHSEED="1"))
+    assert together == commands_of(run(input_lines(names), PYTHONHASHSEED="77"))
     for name in names:
-        alone = done(run(script([name])))
-        assert alone == [[a for a in do if a["forwarder_id"] == name] for do in together]
-    assert sum(len(do) for do in together) > 100
+        alone = commands_of(run(input_lines([name])))
+        assert alone == [[a for a in commands if a["forwarder_id"] == name] for commands in together]
+    assert sum(len(commands) for commands in together) > 100
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -39,7 +39,7 @@
 
 @dataclass
 class RecordingServer:
-    """Answers each request with the next of its answers, the last for ever, and keeps the bytes of each request."""
+    """Answers requests with its answers in turn, repeats the last one, and records the bytes of each request."""
 
     answers: list[bytes]
     requests: list[bytes] = field(default_factory=list)
@@ -162,56 +162,63 @@
 # Answers to clients
 
 
-def plain(status: bytes, text: bytes = b"", headers: bytes = b"", close: bool = False) -> bytes:
-    """An answer whose body is one line of text."""
+def text_answer(status: bytes, text: bytes = b"", headers: bytes = b"", close: bool = False) -> bytes:
+    """Returns an answer whose body is one line of text, or empty."""
     body = text + b"\n" if text else b""
-    kind = b"Content-Type: text/plain; charset=utf-8\r\n" if text else b""
-    last = b"Connection: close\r\n" if close else b""
-    return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n%s%s%s\r\n%s" % (status, len(body), headers, kind, last, body)
+    content_type = b"Content-Type: text/plain; charset=utf-8\r\n" if text else b""
+    connection = b"Connection: close\r\n" if close else b""
+    return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n%s%s%s\r\n%s" % (
+        status,
+        len(body),
+        headers,
+        content_type,
+        connection,
+        body,
+    )
 
 
 LARGE = b"x" * (16 * 1024)
 BAD = b"400 Bad Request"
 EXCHANGES: dict[str, tuple[bytes, bytes]] = {
-    "accepted": (message("accepted"), plain(b"202 Accepted")),
-    "rejected": (message("rejected"), plain(b"429 Too Many Requests", b"refused", b"Retry-After: 1.500\r\n")),
-    "busy": (message("busy"), plain(b"503 Service Unavailable", b"full", b"Retry-After: 0.700\r\n")),
-    "not kept alive": (message("accepted", Connection="close"), plain(b"202 Accepted", close=True)),
-    "health": (b"GET /up HTTP/1.1\r\n\r\n", plain(b"200 OK", b"up")),
-    "health head": (b"HEAD /up HTTP/1.1\r\n\r\n", plain(b"200 OK", b"up")[: -len(b"up\n")]),
+    "accepted": (message("accepted"), text_answer(b"202 Accepted")),
+    "rejected": (message("rejected"), text_answer(b"429 Too Many Requests", b"refused", b"Retry-After: 1.500\r\n")),
+    "busy": (message("busy"), text_answer(b"503 Service Unavailable", b"full", b"Retry-After: 0.700\r\n")),
+    "not kept alive": (message("accepted", Connection="close"), text_answer(b"202 Accepted", close=True)),
+    "health": (b"GET /up HTTP/1.1\r\n\r\n", text_answer(b"200 OK", b"up")),
+    "health head": (b"HEAD /up HTTP/1.1\r\n\r\n", text_answer(b"200 OK", b"up")[: -len(b"up\n")]),
     "health post": (
         b"POST /up HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
-        plain(b"405 Method Not Allowed", b"GET only", b"Allow: GET, HEAD\r\n"),
+        text_answer(b"405 Method Not Allowed", b"GET only", b"Allow: GET, HEAD\r\n"),
     ),
-    "unknown class": (message("m", "nowhere"), plain(b"404 Not Found", b"no such class of message")),
+    "unknown class": (message("m", "nowhere"), text_answer(b"404 Not Found", b"no such class of message")),
     "method": (
         b"GET /order HTTP/1.1\r\n\r\n",
-        plain(b"405 Method Not Allowed", b"messages are handed in by POST", b"Allow: POST\r\n"),
+        text_answer(b"405 Method Not Allowed", b"messages are handed in by POST", b"Allow: POST\r\n"),
     ),
-    "no id": (message("m", X_Correlation_Id=None), plain(BAD, b"X-Correlation-Id is missing or malformed")),
-    "id with a blank": (message("a b"), plain(BAD, b"X-Correlation-Id is missing or malformed")),
-    "no time": (message("m", X_Time_Left=None), plain(BAD, b"X-Time-Left is missing or malformed")),
-    "endless time": (message("m", left="inf"), plain(BAD, b"X-Time-Left is missing or malformed")),
-    "no destination": (message("m", dest="x"), plain(BAD, b"X-Addressing names no destination")),
-    "key": (message("m", X_Session_Key="k" * 257), plain(BAD, b"X-Session-Key is malformed")),
-    "idempotency key": (message("m", Idempotency_Key="k" * 257), plain(BAD, b"Idempotency-Key is malformed")),
-    "tenant": (message("m", X_Account="nobody"), plain(BAD, b"X-Account is missing or unknown")),
+    "no id": (message("m", X_Correlation_Id=None), text_answer(BAD, b"X-Correlation-Id is missing or malformed")),
+    "id with a blank": (message("a b"), text_answer(BAD, b"X-Correlation-Id is missing or malformed")),
+    "no time": (message("m", X_Time_Left=None), text_answer(BAD, b"X-Time-Left is missing or malformed")),
+    "endless time": (message("m", left="inf"), text_answer(BAD, b"X-Time-Left is missing or malformed")),
+    "no destination": (message("m", dest="x"), text_answer(BAD, b"X-Addressing names no destination")),
+    "key": (message("m", X_Session_Key="k" * 257), text_answer(BAD, b"X-Session-Key is malformed")),
+    "idempotency key": (message("m", Idempotency_Key="k" * 257), text_answer(BAD, b"Idempotency-Key is malformed")),
+    "tenant": (message("m", X_Account="nobody"), text_answer(BAD, b"X-Account is missing or unknown")),
     "twice": (
         b"POST /order HTTP/1.1\r\nX-Time-Left: 1\r\nX-Time-Left: 2\r\nContent-Length: 0\r\n\r\n",
-        plain(BAD, b"x-time-left stands twice"),
+        text_answer(BAD, b"x-time-left stands twice"),
     ),
-    "unreadable": (b"no request\r\n\r\n", plain(BAD, b"not a readable request", close=True)),
+    "unreadable": (b"no request\r\n\r\n", text_answer(BAD, b"not a readable request", close=True)),
     "large head": (
         b"POST /order HTTP/1.1\r\nX: " + LARGE + b"\r\n\r\n",
-        plain(b"431 Request Header Fields Too Large", b"the header is too large", close=True),
+        text_answer(b"431 Request Header Fields Too Large", b"the header is too large", close=True),
     ),
     "large body": (
         b"POST /order HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
-        plain(b"413 Request Entity Too Large", b"the body is too large", close=True),
+        text_answer(b"413 Request Entity Too Large", b"the body is too large", close=True),
     ),
     "continue": (
         message("accepted", Expect="100-continue"),
-        b"HTTP/1.1 100 Continue\r\n\r\n" + plain(b"202 Accepted"),
+        b"HTTP/1.1 100 Continue\r\n\r\n" + text_answer(b"202 Accepted"),
     ),
 }
 
@@ -243,7 +250,7 @@
     run(scene)
 
 
-def test_the_engine_answers_what_it_refuses_byte_for_byte(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_engine_answers_rejected_submissions_byte_for_byte(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(intake_module, "retry_after_jittered", lambda: "0.812")
 
     class Recording:
@@ -286,7 +293,7 @@
         while not server.connections or next(iter(server.connections)).parser.partial is None:
             await asyncio.sleep(0.002)
         next(iter(server.connections)).evict("too many clients")
-        assert await reader.read() == plain(b"503 Service Unavailable", b"too many clients", close=True)
+        assert await reader.read() == text_answer(b"503 Service Unavailable", b"too many clients", close=True)
         writer.close()
         server.close()
 
@@ -296,8 +303,8 @@
 # Requests to discovery
 
 
-class Notices:
-    """Pending notices, until they are acknowledged."""
+class NoticeSource:
+    """Holds pending notices until they are acknowledged."""
 
     def __init__(self, pending: dict[str, PendingNotice]) -> None:
         self.pending = pending
@@ -306,9 +313,9 @@
     def pending_notices(self) -> dict[str, PendingNotice]:
         return dict(self.pending)
 
-    def acknowledge_notices(self, names: list[str]) -> None:
-        for name in names:
-            del self.pending[name]
+    def acknowledge_notices(self, message_ids: list[str]) -> None:
+        for message_id in message_ids:
+            del self.pending[message_id]
         if not self.pending:
             self.done.set()
 
@@ -316,14 +323,14 @@
 def test_notices_are_posted_byte_for_byte() -> None:
     async def scene() -> None:
         discovery = await RecordingServer([b"HTTP/1.1 204 No Content\r\n\r\n"]).start()
-        book = Notices({"a": PendingNotice("failed", 0, None), "b": PendingNotice("returned", 1500, "key")})
-        notifier = Notifier(discovery.address, book)
+        source = NoticeSource({"a": PendingNotice("failed", 0, None), "b": PendingNotice("returned", 1500, "key")})
+        notifier = Notifier(discovery.address, source)
         notifier.wake()
         body = b'{"id":"a","state":"failed"}\n{"id":"b","state":"returned","after_ms":1500}\n'
         assert await discovery.received(1) == [
             b"POST /v1/notices HTTP/1.1\r\n" + discovery.host() + b"Content-Length: %d\r\n\r\n" % len(body) + body
         ]
-        await book.done.wait()
+        await source.done.wait()
         notifier.client.close()
 
     run(scene)
