--- a/forwarder/discovery/endpoint_list_watch.py
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -69,7 +69,7 @@
             self._task = asyncio.get_running_loop().create_task(self._follow())
 
     def change_address(self, address: Address) -> None:
-        """Switches to a new address of discovery at once, and watches on from the known version."""
+        """Switches to a new address of discovery at once, and continues from the known version."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -67,9 +67,9 @@
 
     Attributes:
         client: the preferred connection.
-        posting: the failures of posts in a row.
+        posting: counts and logs consecutive failures of posts.
         spare: a reserve socket, for when the connection ends while no new socket can be created.
-        connecting: the failures in a row to open the persistent connection.
+        connecting: counts and logs consecutive failures to open the persistent connection.
     """
 
     def __init__(self, address: Address, source: PendingNoticeSource, supervisor: Supervisor | None = None) -> None:
@@ -90,7 +90,7 @@
         self._connection_task: asyncio.Task[None] | None = None
 
     def wake(self) -> None:
-        """Posts what is pending as soon as possible."""
+        """Posts the pending notices as soon as possible."""
         self._wake_event.set()
         if self._task is None:
             self._task = self.supervisor.keep("notices", self._run)
--- a/forwarder/health/__init__.py
+++ b/forwarder/health/__init__.py
@@ -1,1 +1,1 @@
-"""Passive outlier detection, as an extension."""
+"""Passive outlier detection as an extension."""
--- a/forwarder/protocol/http1.py
+++ b/forwarder/protocol/http1.py
@@ -1,4 +1,4 @@
-"""The client side of HTTP/1.1: an incremental parser of answers, requests, and the platform's own headers."""
+"""The client side of HTTP/1.1: parses answers incrementally, renders requests, and reads the platform's headers."""
 
 from __future__ import annotations
 
