--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -27,18 +27,18 @@
 
 
 def fail(text: str) -> NoReturn:
-    """End with the status of bad input or of a lab that could not do its work."""
+    """Exit with the status for bad input or a failure of the lab itself."""
     click.echo(f"lab: {text}", err=True)
     sys.exit(EXIT_INVALID)
 
 
 def print_progress(text: str) -> None:
-    """Print a line of a run's progress to the error stream."""
+    """Print a line about a run's progress to the error stream."""
     click.echo(text, err=True)
 
 
 def load_plan(path: Path, nodes: int | None, seed: int | None) -> Plan:
-    """Read a scenario and draw its plan, or end with a word on what is wrong."""
+    """Read a scenario and draw its plan. Exits with an error message if the scenario is invalid."""
     try:
         return plan.make(scenario.load(path, nodes, seed))
     except ScenarioError as error:
@@ -46,7 +46,7 @@
 
 
 def play(drawn: Plan, out: Path, program: Path, parts: Path | None, asks_hold_reasons: bool = False) -> Result:
-    """Play a plan, or end with a word on what the lab could not do."""
+    """Run a plan. Exits with an error message if the lab fails."""
     try:
         extensions = None if parts is None else parts.read_text()
         return run.play(drawn, out, program, extensions, print_progress, asks_hold_reasons)
@@ -56,17 +56,19 @@
 
 @click.group()
 def cli() -> None:
-    """A fleet of forwarders on this machine, with faults between them."""
+    """Run a fleet of forwarders on this machine and inject faults."""
 
 
 @cli.command("run")
 @click.argument("path", type=FILE)
-@click.option("--nodes", type=click.IntRange(1, MAX_NODES), help="Forwarders, in place of the scenario's.")
-@click.option("--seed", type=int, help="In place of the scenario's.")
-@click.option("--parts", type=FILE, help="A parts file for all.")
-@click.option("--program", type=FOLDER, default=ROOT, help="The checkout whose forwarders are started.")
-@click.option("--out", type=click.Path(path_type=Path), help="Where the result and the logs go.")
-@click.option("--gates", "asks_hold_reasons", is_flag=True, help="Ask all once a second what holds messages back.")
+@click.option("--nodes", type=click.IntRange(1, MAX_NODES), help="Number of forwarders; replaces the scenario's.")
+@click.option("--seed", type=int, help="Random seed; replaces the scenario's.")
+@click.option("--parts", type=FILE, help="Parts file for all forwarders.")
+@click.option("--program", type=FOLDER, default=ROOT, help="Checkout whose forwarders are started.")
+@click.option("--out", type=click.Path(path_type=Path), help="Folder for the result and the logs.")
+@click.option(
+    "--gates", "asks_hold_reasons", is_flag=True, help="Ask every forwarder for its hold reasons once a second."
+)
 def run_command(
     path: Path,
     nodes: int | None,
@@ -76,7 +78,7 @@
     out: Path | None,
     asks_hold_reasons: bool,
 ) -> None:
-    """Play a scenario, judge it, and print the time to full service."""
+    """Run a scenario, check it against the rules, and print the time to full service."""
     drawn = load_plan(path, nodes, seed)
     name = f"{drawn.scenario.name}-{len(drawn.nodes)}-{drawn.scenario.seed}-{time.strftime('%H%M%S')}"
     out = out or Path("lab-out") / name
@@ -89,7 +91,7 @@
 
 @cli.command("list")
 def list_command() -> None:
-    """The scenarios that come with the lab."""
+    """List the scenarios that come with the lab."""
     for path in sorted(SCENARIOS.glob("*.toml")):
         click.echo(f"{path.relative_to(ROOT)}: {load_plan(path, None, None).scenario.about}")
 
@@ -100,12 +102,12 @@
 @click.option("--scenario", "path", type=FILE, required=True)
 @click.option("--pairs", type=click.IntRange(1, 50), default=5)
 @click.option("--nodes", type=click.IntRange(1, MAX_NODES))
-@click.option("--seed", type=int, default=1, help="Of the first pair; each further pair has the next.")
+@click.option("--seed", type=int, default=1, help="Seed of the first pair; each further pair uses the next seed.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("lab-out/compare"))
 def compare_command(
     side_a: Path, side_b: Path, path: Path, pairs: int, nodes: int | None, seed: int, out: Path
 ) -> None:
-    """Two checkouts (folders) or two parts files, in interleaved pairs: median and spread of each figure."""
+    """Compare two checkouts (folders) or two parts files in interleaved pairs: median and range of each metric."""
     sides = {"A": side_a, "B": side_b}
     metrics: dict[str, list[Metrics]] = {"A": [], "B": []}
     invalid = 0
@@ -118,7 +120,7 @@
             result = play(drawn, out / f"{side}{pair + 1}", program, parts)
             invalid += not result.is_valid
             metrics[side].append(_compared_metrics(result))
-    click.echo(f"{path.name}, {pairs} pairs; {invalid} of {2 * pairs} runs do not count, the lab was late")
+    click.echo(f"{path.name}, {pairs} pairs; {invalid} of {2 * pairs} runs do not count (event loop lag of the lab)")
     for line in reports.format_comparison(metrics["A"], metrics["B"]):
         click.echo(line)
 
@@ -134,13 +136,13 @@
 
 @cli.command("sweep")
 @click.argument("path", type=FILE)
-@click.option("--seeds", type=click.IntRange(1, MAX_RUNS), default=20, help="So many, from the first on.")
+@click.option("--seeds", type=click.IntRange(1, MAX_RUNS), default=20, help="Number of seeds, from --first on.")
 @click.option("--first", type=int, default=1)
 @click.option("--nodes", type=click.IntRange(1, MAX_NODES))
-@click.option("--parts", type=FILE, help="A parts file for all.")
+@click.option("--parts", type=FILE, help="Parts file for all forwarders.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("lab-out/sweep"))
 def sweep_command(path: Path, seeds: int, first: int, nodes: int | None, parts: Path | None, out: Path) -> None:
-    """One scenario with many seeds: each seed's findings, and the spread of each figure."""
+    """Run one scenario with many seeds: each seed's findings, and the range of each metric."""
     results = []
     for seed in range(first, first + seeds):
         click.echo(f"seed {seed}", err=True)
@@ -156,14 +158,17 @@
 
 
 @cli.command("soak")
-@click.option("--seeds", type=click.IntRange(1, MAX_RUNS), default=20, help="So many, from the first on.")
+@click.option("--seeds", type=click.IntRange(1, MAX_RUNS), default=20, help="Number of seeds, from --first on.")
 @click.option("--first", type=int, default=1)
 @click.option("--nodes", type=click.IntRange(2, 40), default=12)
-@click.option("--program", type=FOLDER, default=ROOT, help="The checkout whose forwarders are started.")
+@click.option("--program", type=FOLDER, default=ROOT, help="Checkout whose forwarders are started.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("lab-out/soak"))
-@click.option("--short", is_flag=True, help="Schedules of 8 s, as every landing plays them.")
+@click.option("--short", is_flag=True, help="Use schedules of 8 s, as in the check before every merge.")
 def soak_command(seeds: int, first: int, nodes: int, program: Path, out: Path, short: bool) -> None:
-    """Random faults that overlap, a schedule a seed. Exits 1 where one fails, 2 where the lab was late."""
+    """Run a random schedule of overlapping faults for each seed.
+
+    Exits with 1 if a seed fails, and with 2 if the event loop lag of the lab was too high.
+    """
     shape = soak.SHORT if short else soak.LONG
     verdicts = []
     for seed in range(first, first + seeds):
@@ -171,10 +176,10 @@
         result = play(plan.make(soak.draw_scenario(seed, nodes, shape)), folder, program.resolve(), None)
         verdict = soak.SeedVerdict(result, soak.find_log_violations(folder))
         verdicts.append(verdict)
-        word = ("passed" if verdict.passed else "FAILED") + ("" if result.is_valid else ", does not count: late")
+        outcome = ("passed" if verdict.passed else "FAILED") + ("" if result.is_valid else ", does not count (lag)")
         click.echo(
-            f"seed {seed}: {word}; {result.metrics['delivered']} of {result.metrics['asked']} delivered, "
-            f"{result.costs['starts']} starts, the lab {result.lateness_ms['most']:.0f} ms late at most"
+            f"seed {seed}: {outcome}; {result.metrics['delivered']} of {result.metrics['asked']} delivered, "
+            f"{result.costs['starts']} starts, event loop lag of the lab at most {result.lateness_ms['most']:.0f} ms"
         )
         for line in verdict.lines():
             click.echo(f"  {line}")
@@ -189,27 +194,27 @@
 @cli.command("plot")
 @click.argument("folder", type=FOLDER)
 def plot_command(folder: Path) -> None:
-    """A page of plots of a run, with the faults marked."""
-    from lab import plots  # matplotlib takes long to import, and only this needs it
+    """Draw a page of plots of a run, with the faults marked."""
+    from lab import plots  # matplotlib is slow to import, and only the plots need it
 
     click.echo(f"written to {plots.draw_page(folder)}")
 
 
 @cli.command("gates")
 @click.argument("folder", type=FOLDER)
-@click.option("--step", "step_s", type=click.FloatRange(1.0, 60.0), default=5.0, help="Seconds of one column.")
+@click.option("--step", "step_s", type=click.FloatRange(1.0, 60.0), default=5.0, help="Seconds per column.")
 def hold_reasons_command(folder: Path, step_s: float) -> None:
-    """What held messages back in a run with --gates, as a table and as gates.png; a column with a fault has a star."""
+    """Show the hold reasons of a run with --gates as a table and as gates.png; `*` marks a column with a fault."""
     try:
         rows = hold_reasons.hold_rows(hold_reasons.load(folder))
     except OSError as error:
-        fail(f"{error}: was it run with --gates?")
+        fail(f"{error}: was the scenario run with --gates?")
     events = event_log.read(folder / run.EVENTS_FILE)
     fault_times_s = [event.at_s for event in events if event.kind == EventKind.FAULT_INJECTED]
     for line in hold_reasons.format_table(rows, step_s, fault_times_s):
         click.echo(line)
     if rows:
-        from lab import plots  # as above
+        from lab import plots  # slow to import
 
         plots.draw_hold_reasons(rows, events, folder / plots.HOLD_REASONS_FILE)
 
@@ -218,7 +223,7 @@
 @click.argument("folder", type=FOLDER)
 @click.argument("message_id", metavar="IDENT")
 def history_command(folder: Path, message_id: str) -> None:
-    """All that the stand-ins saw of one message, from client to end."""
+    """Print all events that the lab recorded for one message, in order of time."""
     history = event_log.message_history(event_log.read(folder / run.EVENTS_FILE), message_id)
     if not history:
         fail(f"no message {message_id} in {folder}")
--- a/lab/hold_reasons.py
+++ b/lab/hold_reasons.py
@@ -1,8 +1,8 @@
-"""What held messages back over a whole fleet: seconds held and messages refused, by reason and destination.
+"""The hold reasons of a whole fleet: seconds held and messages refused, by reason and destination.
 
-Each forwarder is asked `WHY json` now and then, and the fake endpoints say meanwhile which destinations had capacity.
-Seconds for which a reason held messages for a destination that had capacity whenever it was sampled are needless: the
-reason kept them, and not the destination. A few of them are the price of safety.
+The lab sends `WHY json` to each forwarder regularly, and samples meanwhile which destinations have capacity. Seconds
+held are needless if the destination had capacity in every sample of that time: then the reason delayed the message, and
+not the destination. Safe decisions cost some needless seconds.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 OK_PREFIX = "ok "
 US_PER_S = 1e6
 MIN_SHOWN_S = 0.05
-"""Rows that come to less are left out of the table."""
+"""Rows with a smaller total are left out of the table."""
 
 
 class HoldEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -35,32 +35,32 @@
 
 
 class WhyAnswer(msgspec.Struct, frozen=True):
-    """An answer to `WHY json`, counted from the forwarder's start."""
+    """An answer to `WHY json`, with totals since the forwarder's start."""
 
     held: list[HoldEntry]
     refused: list[HoldEntry]
 
 
 class HoldReport(msgspec.Struct, frozen=True):
-    """A forwarder's answer at a moment."""
+    """A forwarder's answer and its time."""
 
     at_s: float
     node: str
     start: int
-    """Which of its starts it counts from."""
+    """The number of the start that the totals count from."""
     held: list[HoldEntry]
     refused: list[HoldEntry]
 
 
 class CapacitySample(msgspec.Struct, frozen=True):
-    """The destinations that could take a call at once."""
+    """The destinations that could take a call immediately."""
 
     at_s: float
     destinations: list[int]
 
 
 class HoldReports(msgspec.Struct, rename={"reports": "looks", "capacity": "rooms"}):
-    """All of one run."""
+    """All hold reports and capacity samples of one run."""
 
     reports: list[HoldReport] = []
     capacity: list[CapacitySample] = []
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldKey:
-    """What is held for which reason."""
+    """The destination, the message class and the hold reason that amounts are counted by."""
 
     destination: int
     message_class: str
@@ -77,10 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldRow:
-    """What one reason did between two reports of a forwarder."""
+    """The effect of one hold reason between two reports of a forwarder."""
 
     at_s: float
-    """When the second report came."""
+    """Time of the second report."""
     key: HoldKey
     held_s: float
     needless_s: float
@@ -88,12 +88,12 @@
 
     @property
     def refused_weight(self) -> float:
-        """The most that the refused messages weighed; a client may have submitted them again."""
+        """Upper bound of the weight of the refused messages; clients may have submitted some of them again."""
         return self.refused * PRIORITY_WEIGHT.get(self.key.message_class, 1.0)
 
 
 def parse_report(at_s: float, node: str, start: int, answer: str) -> HoldReport | None:
-    """Read an answer to `WHY json`; None where it is none."""
+    """Parse an answer to `WHY json`; None if the answer is an error."""
     if not answer.startswith(OK_PREFIX + "{"):
         return None
     parsed = msgspec.json.decode(answer.removeprefix(OK_PREFIX), type=WhyAnswer)
@@ -104,24 +104,24 @@
     """Read the reports of a run.
 
     Raises:
-        OSError: The run did not ask for them.
+        OSError: The run has no hold reports.
     """
     return msgspec.json.decode((folder / FILE).read_bytes(), type=HoldReports)
 
 
 def hold_rows(found: HoldReports) -> list[HoldRow]:
-    """Return the differences between each two reports of a forwarder, and between its start and the first."""
+    """Return the differences between successive reports of each forwarder; totals begin at zero with each start."""
     rows: list[HoldRow] = []
-    former: dict[str, HoldReport] = {}
+    last_reports: dict[str, HoldReport] = {}
     capacity_times_s = [sample.at_s for sample in found.capacity]
     for report in sorted(found.reports, key=lambda report: report.at_s):
-        last = former.get(report.node)
+        last = last_reports.get(report.node)
         if last is not None and last.start != report.start:
-            last = None  # a restart begins from nothing
+            last = None  # a restart resets the totals
         begin_s = report.at_s if last is None else last.at_s
         inside = slice(bisect_left(capacity_times_s, begin_s), bisect_right(capacity_times_s, report.at_s))
         rows += _differences(report, last, _always_free(found.capacity[inside]))
-        former[report.node] = report
+        last_reports[report.node] = report
     return rows
 
 
@@ -150,13 +150,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Grouping:
-    """A way to add rows up."""
+    """A way to sum rows by name."""
 
     title: str
     name: Callable[[HoldRow], str]
-    """Under which name a row is added."""
+    """Returns the name that a row is counted under."""
     seconds: Callable[[HoldRow], float]
-    """What is added of it."""
+    """Returns the seconds of a row that are added."""
 
 
 BY_REASON = Grouping("seconds held by", lambda row: row.key.reason, lambda row: row.held_s)
@@ -167,19 +167,19 @@
 
 @dataclass(frozen=True, slots=True)
 class IntervalSums:
-    """Seconds by interval, of all rows that have one name."""
+    """The seconds of all rows with one name, by interval."""
 
     name: str
     seconds: dict[int, float]
 
     @property
     def total_s(self) -> float:
-        """Seconds of all intervals together."""
+        """The sum over all intervals."""
         return sum(self.seconds.values())
 
 
 def sum_by_interval(rows: Iterable[HoldRow], grouping: Grouping, step_s: float) -> list[IntervalSums]:
-    """Add seconds up by interval and name, the most first."""
+    """Sum the seconds by name and interval, largest total first."""
     sums: dict[str, defaultdict[int, float]] = {}
     for row in rows:
         by_interval = sums.setdefault(grouping.name(row), defaultdict(float))
@@ -188,7 +188,7 @@
 
 
 def format_table(rows: list[HoldRow], step_s: float, fault_times_s: Sequence[float] = ()) -> list[str]:
-    """Return lines for people: by reason, destination and class in intervals, and then what was refused."""
+    """Return a readable table of the seconds held by reason, destination and class, and of the refused messages."""
     if not rows:
         return ["nothing was held"]
     times_s = [row.at_s for row in rows]
--- a/lab/plan.py
+++ b/lab/plan.py
@@ -1,4 +1,7 @@
-"""What a scenario and a seed come to: parties, arrivals, the schedule of faults. Pure; the same seed, the same plan."""
+"""The plan that a scenario and a seed determine: parties, arrivals, fault schedule.
+
+There is no I/O here, and the same seed gives the same plan.
+"""
 
 from __future__ import annotations
 
@@ -12,50 +15,50 @@
 STATUS_CLASS = "statusvarsel"
 """Messages that may be repeated."""
 REFUND_CLASS = "refusjon"
-"""Messages that may take effect once only, and keep the order of their key."""
+"""Messages that may take effect only once, and are delivered in the order of their key."""
 ENDPOINT_KINDS = ("banker", "butikker", "innlosere")
 LATENCY_OBJECTIVE_S = {STATUS_CLASS: 1.0, REFUND_CLASS: 2.0}
 DEADLINE_S = {STATUS_CLASS: 5.0, REFUND_CLASS: 28.0}
 PRIORITY_WEIGHT = {STATUS_CLASS: 1.0, REFUND_CLASS: 2.0}
 LATE_WEIGHT_SHARE = {STATUS_CLASS: 0.0, REFUND_CLASS: 0.4}
-"""What is left of the weight at the deadline."""
-MIN_RATE_LIMIT = 2.0
-"""Calls a second."""
+"""Share of the weight that is left at the deadline."""
+MIN_RATE_LIMIT_PER_S = 2.0
+"""Calls per second."""
 CAPACITY_HEADROOM = 1.3
-"""Capacity of a destination's endpoints, over its rate limit."""
+"""Ratio of the capacity of a destination's endpoints to its rate limit."""
 ENDPOINT_FAULTS = ("outage", "limit", "drain", "replace")
-"""Kinds of faults that strike endpoints; the others strike forwarders."""
+"""Kinds of faults that affect endpoints; the others affect forwarders."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint, as the plan has it."""
+    """An endpoint of the plan."""
 
     name: str
     number: int
     destination: int
     kind: str
     capacity_per_s: float
-    """Calls a second that it can do when it is warm."""
+    """Calls per second that it can serve after its warm-up."""
     service_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Destination:
-    """An upstream service, as the plan has it."""
+    """An upstream service of the plan."""
 
     number: int
     weight: float
     """Its share of all messages."""
     limit_per_s: float
-    """Calls a second from all forwarders together; 0 where it has none but its capacity."""
+    """Calls per second from all forwarders together; 0 if only its capacity limits it."""
     retry_after_share: float
-    """Share of its refusals that tell how long to wait."""
+    """Share of its refusals that have a Retry-After."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One message that a client wants delivered."""
+    """One message that a client submits."""
 
     at_s: float
     number: int
@@ -67,19 +70,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """One step of the schedule: a fault, and whom it strikes."""
+    """One step of the schedule: a fault and its targets."""
 
     at_s: float
     fault: Fault
     targets: tuple[str, ...]
     """Names of forwarders or endpoints."""
     parties: tuple[str, ...] = ()
-    """For a cut: whom they are cut off from, but for other forwarders."""
+    """For a cut: the endpoints or services that the targets are cut off from; never forwarders."""
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that is decided before a run begins."""
+    """Everything that is decided before a run begins."""
 
     scenario: Scenario
     nodes: tuple[str, ...]
@@ -89,13 +92,13 @@
     arrivals: tuple[Arrival, ...]
     schedule: tuple[ScheduledFault, ...]
     clock_skews_s: tuple[float, ...]
-    """How far each forwarder's wall clock is off."""
+    """The offset of each forwarder's wall clock."""
     believed_fleet_sizes: tuple[int, ...]
-    """How many forwarders each one's settings name."""
+    """The number of forwarders in each forwarder's settings."""
 
 
 def make(scenario: Scenario) -> Plan:
-    """Draw everything that chance decides before the run; each kind of thing from a stream of its own."""
+    """Draw all random parts of a plan, each kind from its own random number generator."""
     seed, fleet = scenario.seed, scenario.fleet
     nodes = tuple(f"n{number}" for number in range(fleet.nodes))
     destinations = _destinations(scenario, random.Random(f"{seed}/destinations"))
@@ -115,7 +118,7 @@
 
 
 def _load_per_s(scenario: Scenario) -> float:
-    """Messages a second of the whole fleet."""
+    """Return the messages per second of the whole fleet."""
     return scenario.fleet.nodes * scenario.load.per_node_s
 
 
@@ -125,7 +128,7 @@
     destinations = []
     for rank, weight in enumerate(weights):
         own_load_per_s = load_per_s * weight / sum(weights)
-        limit_per_s = max(MIN_RATE_LIMIT, own_load_per_s / scenario.load.of_limits)
+        limit_per_s = max(MIN_RATE_LIMIT_PER_S, own_load_per_s / scenario.load.of_limits)
         if rng.random() < scenario.endpoints.unlimited_share:
             limit_per_s = 0.0
         destinations.append(
@@ -135,7 +138,7 @@
 
 
 def _endpoints(scenario: Scenario, destinations: tuple[Destination, ...], rng: random.Random) -> tuple[Endpoint, ...]:
-    """Give each destination one endpoint, and the rest to the busiest."""
+    """Give each destination one endpoint, and the others to the destinations with the most load per endpoint."""
     owners = [destination.number for destination in destinations]
     while len(owners) < scenario.fleet.endpoints:
         owners.append(min(destinations, key=lambda each: owners.count(each.number) / each.weight).number)
@@ -143,7 +146,7 @@
     for number, owner in enumerate(sorted(owners)):
         destination = destinations[owner - 1]
         needed_per_s = destination.limit_per_s or (_load_per_s(scenario) * destination.weight / scenario.load.of_limits)
-        capacity_per_s = max(MIN_RATE_LIMIT, CAPACITY_HEADROOM * needed_per_s)
+        capacity_per_s = max(MIN_RATE_LIMIT_PER_S, CAPACITY_HEADROOM * needed_per_s)
         endpoints.append(
             Endpoint(
                 name=f"s-{number}",
@@ -184,10 +187,10 @@
         targets = _targets(fault, nodes, endpoints, rng)
         wave_size = -(-len(targets) // fault.waves)
         for wave in range(fault.waves):
-            struck = targets[wave * wave_size : (wave + 1) * wave_size]
-            if struck or not targets:
+            wave_targets = targets[wave * wave_size : (wave + 1) * wave_size]
+            if wave_targets or not targets:
                 at_s = fault.at_s + wave * fault.every_s
-                schedule.append(ScheduledFault(at_s, fault, struck, _parties(fault, endpoints, rng)))
+                schedule.append(ScheduledFault(at_s, fault, wave_targets, _parties(fault, endpoints, rng)))
     return tuple(sorted(schedule, key=lambda step: step.at_s))
 
 
@@ -202,7 +205,7 @@
 def _targets(
     fault: Fault, nodes: tuple[str, ...], endpoints: tuple[Endpoint, ...], rng: random.Random
 ) -> tuple[str, ...]:
-    """Return those that a fault strikes, in a random order."""
+    """Return the targets of a fault, in a random order."""
     if fault.names:
         return fault.names
     if fault.kind == "discovery":
--- a/lab/plots.py
+++ b/lab/plots.py
@@ -30,13 +30,13 @@
 
 
 def draw_page(folder: Path) -> Path:
-    """Draw what a run has written to a folder.
+    """Draw the plots of a run from the files in its folder.
 
     Returns:
-        The file.
+        The path of the image.
 
     Raises:
-        OSError: Something is missing in the folder.
+        OSError: A file is missing in the folder.
     """
     events = event_log.read(folder / EVENTS_FILE)
     samples = msgspec.json.decode((folder / SAMPLES_FILE).read_bytes(), type=list[ProcessSample])
@@ -60,10 +60,10 @@
 def _draw_service(axis: Axes, events: Sequence[Event], end_s: float) -> None:
     service = ServiceLevel(events)
     times_s = [step * SHARE_STEP_S for step in range(int(end_s / SHARE_STEP_S) - 2)]
-    for weight, label in ((Weight.IN_TIME, "in time"), (Weight.EARNED, "with what comes late")):
+    for weight, label in ((Weight.IN_TIME, "in time"), (Weight.EARNED, "including late")):
         shares = [service.share(at_s, at_s + SHARE_WINDOW_S, weight) for at_s in times_s]
         axis.plot(times_s, shares, label=label)  # type: ignore[arg-type]
-    axis.set_ylabel("share of worth asked for")
+    axis.set_ylabel("share of submitted weight")
     axis.set_ylim(0, 1.05)
 
 
@@ -78,14 +78,14 @@
 
 
 def _draw_discovery(axis: Axes, events: Sequence[Event], end_s: float) -> None:
-    _draw_steps(axis, events, EventKind.LIST_REQUESTED, end_s, "questions")
+    _draw_steps(axis, events, EventKind.LIST_REQUESTED, end_s, "requests")
     refused = [event for event in events if event.status != 200]
-    _draw_steps(axis, refused, EventKind.LIST_REQUESTED, end_s, "of them not answered")
+    _draw_steps(axis, refused, EventKind.LIST_REQUESTED, end_s, "refused requests")
     axis.set_ylabel("discovery / s")
 
 
 def _draw_refusals(axis: Axes, events: Sequence[Event], end_s: float) -> None:
-    for status, label in ((429, "told to wait"), (503, "turned away")):
+    for status, label in ((429, "rate limited (429)"), (503, "overloaded (503)")):
         refused = [event for event in events if event.status == status]
         _draw_steps(axis, refused, EventKind.CALL_ANSWERED, end_s, label)
     axis.set_ylabel("refused calls / s")
@@ -110,7 +110,7 @@
 
 
 def draw_hold_reasons(rows: list[HoldRow], events: Sequence[Event], target: Path) -> None:
-    """Draw the seconds held by reason, and the needless among them."""
+    """Draw the seconds held by reason, and the needless seconds among them."""
     drawing, axes = pyplot.subplots(2, 1, figsize=(11, 8), sharex=True, layout="constrained")
     steps = range(int(max(row.at_s for row in rows) // HOLD_STEP_S) + 1)
     groupings = ((BY_REASON, "seconds held / s"), (NEEDLESS_BY_REASON, "of them needless"))
--- a/lab/reports.py
+++ b/lab/reports.py
@@ -1,4 +1,4 @@
-"""What the command line prints of runs, for people."""
+"""Formats the results of runs as text for the command line."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def format_metric(value: Metric) -> str:
-    """Return a metric's value; `-` where there is none."""
+    """Return a metric's value as text, or `-` if there is none."""
     if value is None:
         return "-"
     return f"{value:.3f}" if isinstance(value, float) else str(value)
 
 
 def format_result(result: Result) -> list[str]:
-    """Return what one run came to."""
+    """Return the result of one run as lines of text."""
     metrics = result.metrics
     costs = ", ".join(f"{name} {format_metric(value)}" for name, value in result.costs.items())
     lateness = ", ".join(f"{name} {late_ms:.1f}" for name, late_ms in result.lateness_ms.items())
@@ -69,7 +69,7 @@
 
 
 def format_sweep(results: Sequence[Result]) -> list[str]:
-    """Return what many runs of one scenario came to, and the spread of each metric."""
+    """Return a summary of several runs of one scenario, and the range of each metric."""
     first = results[0]
     rules = Counter(str(finding.rule) for result in results for finding in result.findings)
     with_findings = sum(bool(result.findings) for result in results)
@@ -78,7 +78,7 @@
     by_rule = "".join(f", {count} {rule}" for rule, count in sorted(rules.items()))
     lines = [
         f"{first.scenario}, {first.forwarders} forwarders, {len(results)} seeds: {with_findings} with broken rules"
-        f"{by_rule}; {invalid} do not count, the lab was late; {crashes} crashes"
+        f"{by_rule}; {invalid} do not count (event loop lag of the lab); {crashes} crashes"
     ]
     for name in first.metrics:
         values = [result.metrics[name] for result in results]
@@ -88,7 +88,7 @@
 
 
 def format_comparison(side_a: Sequence[Metrics], side_b: Sequence[Metrics]) -> list[str]:
-    """Return each metric of two sides: median, least and most; and the median of the pairs' ratios B/A."""
+    """Return the median and range of each metric on both sides, and the median of the ratios B/A of the pairs."""
     lines = [f"{'figure':<22} {'A median (least to most)':<32} {'B median (least to most)':<32} ratio B/A"]
     for name in side_a[0]:
         values_a = [metrics[name] for metrics in side_a]
@@ -107,7 +107,7 @@
 
 
 def format_spread(values: Sequence[Metric]) -> str:
-    """Return median, least and most of the values that are there."""
+    """Return the median, minimum and maximum of the values that are not None, and the number of values that are."""
     present = [value for value in values if value is not None]
     missing = f", {len(values) - len(present)} never" if len(present) < len(values) else ""
     if not present:
--- a/lab/result.py
+++ b/lab/result.py
@@ -1,4 +1,4 @@
-"""What a run came to: rule violations, metrics, costs, and whether the scenario's limits held."""
+"""The result of a run: rule violations, metrics, costs, and whether the scenario's limits held."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from lab.scenario import Limits
 
 Costs = dict[str, float | int]
-"""By name, what the forwarders and the lab used."""
+"""Resources that the forwarders and the lab used, by name."""
 EXIT_OK = 0
 EXIT_BROKEN = 1
 EXIT_INVALID = 2
 BOUNDED_RATIOS = ("discovery_ratio", "dials_ratio", "cold_ratio")
-"""Metrics that a scenario may set a bound to, under the same name."""
+"""Metrics that a scenario can set an upper bound for, under the same name."""
 
 
 class Result(
@@ -33,34 +33,34 @@
         "is_valid": "counts_for",
     },
 ):
-    """What a run came to."""
+    """The result of a run."""
 
     scenario: str
     seed: int
     forwarders: int
     findings: list[Finding]
     forgotten_messages: int
-    """Messages that went with a folder that the schedule lost or damaged."""
+    """Messages that were lost with a state folder that a fault removed or damaged."""
     metrics: Metrics
     lateness_ms: dict[str, float]
-    """How late the lab itself was."""
+    """Event loop lag of the lab."""
     costs: Costs
     link_events: dict[str, int]
-    """How often each kind of thing befell what passed a link."""
+    """Number of events on the links, by kind."""
     broken_limits: list[str]
     is_valid: bool
-    """The lab's lateness stayed within the scenario's bound."""
+    """Whether the event loop lag of the lab stayed within the scenario's bound."""
     notes: list[str] = []
 
     def exit_status(self) -> int:
-        """Return 0, 1 for a broken rule or limit, or 2 where the lab was late."""
+        """Return 0, or 1 for a broken rule or limit, or 2 if the event loop lag of the lab was too high."""
         if not self.is_valid:
             return EXIT_INVALID
         return EXIT_BROKEN if self.broken_limits else EXIT_OK
 
 
 def broken_limits(limits: Limits, findings: Sequence[Finding], metrics: Metrics) -> list[str]:
-    """Return the limits that did not hold, in words."""
+    """Return a readable line for each limit that did not hold."""
     broken = []
     if len(findings) > limits.broken:
         broken.append(f"{len(findings)} findings, {limits.broken} allowed")
@@ -81,8 +81,8 @@
 def sum_costs(
     forwarders: Sequence[ForwarderProcess], samples: Sequence[ProcessSample], exchange: DatagramExchange | None
 ) -> Costs:
-    """Return for each forwarder the processor time over the run, and the most memory, descriptors and disk."""
-    own = resource.getrusage(resource.RUSAGE_SELF)
+    """Return the forwarders' processor time and maximum memory, descriptors and disk space, and the lab's own usage."""
+    lab_usage = resource.getrusage(resource.RUSAGE_SELF)
     cpu_by_node = _cpu_s_by_node(samples)
     cpu_s = [cpu_by_node.get(forwarder.name, 0.0) for forwarder in forwarders]
     costs: Costs = {
@@ -93,8 +93,8 @@
         "disk_kb_most": max((sample.disk_bytes for sample in samples), default=0) / 1000,
         "starts": sum(forwarder.starts for forwarder in forwarders),
         "crashes": sum(forwarder.crashes for forwarder in forwarders),
-        "lab_cpu_s": own.ru_utime + own.ru_stime,
-        "lab_memory_mb": own.ru_maxrss / 1000,
+        "lab_cpu_s": lab_usage.ru_utime + lab_usage.ru_stime,
+        "lab_memory_mb": lab_usage.ru_maxrss / 1000,
     }
     if exchange is not None:
         costs["datagrams"] = exchange.sent_datagrams.total()
@@ -103,7 +103,7 @@
 
 
 def _cpu_s_by_node(samples: Sequence[ProcessSample]) -> dict[str, float]:
-    """Add up the processor time of each forwarder's processes: one that uses less than before is another process."""
+    """Sum the processor time of each forwarder's processes. A lower value than before belongs to a new process."""
     ended: defaultdict[str, float] = defaultdict(float)
     running: defaultdict[str, float] = defaultdict(float)
     for sample in samples:
--- a/lab/run.py
+++ b/lab/run.py
@@ -1,4 +1,4 @@
-"""One run: the testbed is set up, the load and the schedule of faults are played, and what was seen is judged."""
+"""One run: sets up the testbed, applies the load and the fault schedule, and checks and measures the events."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def print_progress(text: str) -> None:
-    """Tell of a run's progress on the error stream."""
+    """Print a line about a run's progress to the error stream."""
     print(text, file=sys.stderr)
 
 
 class Run:
-    """One play of a plan."""
+    """One run of a plan."""
 
     def __init__(
         self,
@@ -43,30 +43,30 @@
         report_progress: Callable[[str], None] = ignore_progress,
         asks_hold_reasons: bool = False,
     ) -> None:
-        """Make a run.
+        """Create a run.
 
         Args:
-            plan: What is played.
+            plan: The plan to run.
             out: The folder for logs and state folders.
             program: The checkout that the forwarders run from.
-            extensions: The text of an extensions file for all forwarders.
-            report_progress: Called with a line of text now and then.
-            asks_hold_reasons: Whether every forwarder is asked once a second what holds its messages back.
+            extensions: The text of the extensions file of all forwarders.
+            report_progress: Called with a line of text from time to time.
+            asks_hold_reasons: Whether to ask every forwarder for its hold reasons once a second.
         """
         self.plan = plan
         self.testbed = Testbed(plan, out, program, extensions, report_progress)
         self.sampler = Sampler(self.testbed, asks_hold_reasons)
 
     async def open(self) -> None:
-        """Set the testbed up.
+        """Set up the testbed.
 
         Raises:
-            LabError: That could not be done.
+            LabError: The testbed could not be set up.
         """
         await self.testbed.open()
 
     async def play(self) -> None:
-        """Play the load and the schedule, and wait for what is still under way."""
+        """Apply the load and the fault schedule, and wait until the messages and faults in progress end."""
         testbed = self.testbed
         testbed.begin_load()
         self.sampler.start()
@@ -87,7 +87,7 @@
         await self.testbed.close()
 
     def result(self) -> Result:
-        """Judge and measure what was seen."""
+        """Check the events against the rules, and compute the metrics."""
         scenario = self.plan.scenario
         testbed = self.testbed
         events = testbed.event_log.events
@@ -112,7 +112,7 @@
         )
 
     def write(self, result: Result, out: Path) -> None:
-        """Write what a run leaves to a folder."""
+        """Write the result, the event log, the samples and the hold reports to a folder."""
         (out / RESULT_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
         event_log.write(self.testbed.event_log.events, out / EVENTS_FILE)
         (out / SAMPLES_FILE).write_bytes(msgspec.json.encode(self.sampler.samples))
@@ -134,16 +134,16 @@
 
 @contextlib.contextmanager
 def _cancelled_by_signals(task: asyncio.Task[object]) -> Iterator[None]:
-    """Cancel a task where the lab itself gets SIGINT or SIGTERM."""
+    """Cancel a task if the lab process receives SIGINT or SIGTERM."""
     loop = asyncio.get_running_loop()
     signals = (signal.SIGINT, signal.SIGTERM)
-    for sign in signals:
-        loop.add_signal_handler(sign, task.cancel)
+    for signal_number in signals:
+        loop.add_signal_handler(signal_number, task.cancel)
     try:
         yield
     finally:
-        for sign in signals:
-            loop.remove_signal_handler(sign)
+        for signal_number in signals:
+            loop.remove_signal_handler(signal_number)
 
 
 async def run(
@@ -154,15 +154,15 @@
     report_progress: Callable[[str], None] = ignore_progress,
     asks_hold_reasons: bool = False,
 ) -> tuple[Result, Run]:
-    """Play one plan, and write what it leaves. Whatever happens, every process that it started is ended.
+    """Run one plan, and write its files. Every process that the run started is ended, also after an error.
 
     Args:
-        plan: What is played.
+        plan: The plan to run.
         out: The folder for the result, the event log, logs and state folders.
         program: The checkout that the forwarders run from.
-        extensions: The text of an extensions file for all forwarders.
-        report_progress: Called with a line of text now and then.
-        asks_hold_reasons: Whether every forwarder is asked once a second what holds its messages back.
+        extensions: The text of the extensions file of all forwarders.
+        report_progress: Called with a line of text from time to time.
+        asks_hold_reasons: Whether to ask every forwarder for its hold reasons once a second.
 
     Raises:
         LabError: The testbed could not be set up.
@@ -170,20 +170,20 @@
     if (out / "nodes").exists():
         shutil.rmtree(out / "nodes")
     (out / "nodes").mkdir(parents=True)
-    played = Run(plan, out, program, extensions, report_progress, asks_hold_reasons)
+    lab_run = Run(plan, out, program, extensions, report_progress, asks_hold_reasons)
     task = asyncio.current_task()
     assert task is not None
     with _cancelled_by_signals(task):
         try:
             report_progress(f"starting {len(plan.nodes)} forwarders")
-            await played.open()
-            report_progress(f"all are up; {len(plan.arrivals)} messages, {len(plan.schedule)} faults to come")
-            await played.play()
+            await lab_run.open()
+            report_progress(f"all are up; {len(plan.arrivals)} messages and {len(plan.schedule)} faults are scheduled")
+            await lab_run.play()
         finally:
-            await played.close()
-    result = played.result()
-    played.write(result, out)
-    return result, played
+            await lab_run.close()
+    result = lab_run.result()
+    lab_run.write(result, out)
+    return result, lab_run
 
 
 def play(
@@ -194,5 +194,5 @@
     report_progress: Callable[[str], None] = print_progress,
     asks_hold_reasons: bool = False,
 ) -> Result:
-    """Do as `run`, from where there is no event loop yet."""
+    """Run one plan as `run` does, in a new event loop."""
     return asyncio.run(run(plan, out, program, extensions, report_progress, asks_hold_reasons))[0]
--- a/lab/scenario.py
+++ b/lab/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario file: sizes, load, a schedule of faults, and the limits that must hold. Times in seconds."""
+"""The scenario file: sizes, load, fault schedule, and the limits that must hold. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from lab.shim import CALLS
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Span = tuple[float, float]
+Range = tuple[float, float]
 Positive = Annotated[float, Meta(gt=0.0)]
 Duration = Annotated[float, Meta(ge=0.0, le=3600.0)]
 Count = Annotated[int, Meta(ge=1, le=5000)]
 MAX_MESSAGES = 500_000
-"""A scenario with more is refused."""
+"""A scenario with more messages is rejected."""
 SLOW_SHARES = (0.05, 1.0)
-"""What may be left of a slowed forwarder's processor time."""
+"""Range of the share of processor time that a slowed forwarder keeps."""
 
 
 class Fleet(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How many parties there are, and what each forwarder may use."""
+    """The number of forwarders, endpoints and destinations, and the resource limits of each forwarder."""
 
     nodes: Count = 12
     endpoints: Count = 16
@@ -36,95 +36,101 @@
     slots: Count = 8
     max_open: Count = 120
     skew_s: Duration = 0.0
-    """Wall clocks of the forwarders differ by up to this, either way."""
-    believed: Span = (1.0, 1.0)
-    """Each forwarder's settings name a number of forwarders of its own: so many times the true one."""
+    """Largest offset of a forwarder's wall clock, in either direction."""
+    believed: Range = (1.0, 1.0)
+    """Range of the ratio between the number of forwarders in each forwarder's settings and the real one."""
 
 
 class Time(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """When the phases of a run end, in seconds."""
 
     warm_s: Duration = 5.0
-    """Before this nothing counts."""
+    """Nothing before this time counts."""
     load_s: Duration = 40.0
-    """Messages are handed in until then."""
+    """Clients submit messages until this time."""
     drain_s: Duration = 30.0
-    """So long at most the last of them are waited for."""
+    """Longest wait for the last messages after the load."""
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What clients ask for."""
+    """The messages that clients submit."""
 
     per_node_s: Positive = 4.0
-    """Messages a second for each forwarder of the fleet."""
+    """Messages per second, for each forwarder of the fleet."""
     of_limits: Positive = 0.7
-    """What is asked for, as a share of what the limits allow."""
+    """Load of a destination as a share of its rate limit."""
     once_share: Share = 0.41
-    """Share of the messages that may take effect once only."""
+    """Share of the messages that may take effect only once."""
     keys: Count = 400
     retries: Annotated[int, Meta(ge=0, le=10)] = 3
     honour: Share = 0.6
     """Share of the clients that honour Retry-After."""
-    backoff_s: Span = (0.72, 1.5)
+    backoff_s: Range = (0.72, 1.5)
     skew: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.7
-    """How unequal the destinations are: weights fall by this power of their rank."""
+    """Exponent of the distribution of load over destinations: weights fall with this power of the rank."""
 
 
 class Front(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How clients find a forwarder, and how they notice that one has died."""
+    """How clients choose a forwarder, and how they detect that one has died."""
 
     poll_s: Positive = 0.25
-    notice_s: Span = (0.8, 2.0)
-    """So long after its first failure a death is noticed."""
-    again_s: Span = (0.79, 2.0)
-    """So long after a folder was lost its messages are submitted to others."""
+    notice_s: Range = (0.8, 2.0)
+    """Time from the first failed poll until a death is detected."""
+    again_s: Range = (0.79, 2.0)
+    """Time from the loss of a state folder until its messages are submitted to other forwarders."""
     connections: Count = 8
-    """Kept to one forwarder, more when all are busy."""
+    """Connections kept open to each forwarder; more are opened when all are busy."""
     stay: Share = 0.0
-    """Share of the messages that go to a forwarder which is ending, on connections that are still open."""
+    """Share of the messages that go to a forwarder that is shutting down, on connections that are still open."""
     first_share: Annotated[float, Meta(ge=0.0, le=0.9)] | None = None
-    """Of all messages, the first forwarder gets this share while all are up; its part by chance, if absent."""
+    """Share of all messages that the first forwarder gets while all are up; a random share if absent."""
 
 
 class Discovery(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What discovery bears, and how fast it is."""
+    """The capacity and the delay of discovery."""
 
     per_node_s: Positive = 2.0
-    """Calls a second that it bears, for each forwarder of the fleet; 503 beyond. A held watch counts once."""
-    late_s: Span = (0.3, 1.5)
-    """A change reaches a watch so late."""
+    """Calls per second that discovery accepts for each forwarder of the fleet; it answers 503 to more.
+
+    A watch that is held open counts once.
+    """
+    late_s: Range = (0.3, 1.5)
+    """Delay until a watch receives a change."""
 
 
 class Endpoints(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """How endpoints and destinations behave."""
 
-    service_s: Span = (0.06, 0.2)
+    service_s: Range = (0.06, 0.2)
     handshake_s: Duration = 0.01
     connections: Count = 256
     queue: Count = 30
     warm_s: Positive = 13.0
-    """So long after an outage an endpoint is warming up."""
+    """Duration of an endpoint's warm-up after an outage."""
     cold_from: Share = 0.18
-    """The share of its capacity that it begins with."""
+    """Share of its capacity that an endpoint has at the start of its warm-up."""
     fall_times: Positive = 2.5
-    """A warming-up endpoint goes down under so many times its present capacity..."""
+    """An endpoint that is warming up goes down when its calls exceed this multiple of its present capacity..."""
     fall_s: Positive = 2.0
-    """... over this time."""
+    """... within a sliding window of this length."""
     key_rest_s: Duration = 0.0
-    """Key backoff: so long the next of a key waits after a call that may still run."""
+    """Key backoff: wait before the next message of a key after a call that may still be running."""
     told_share: Share = 0.8
     """Share of the refusals above the limit that have a Retry-After."""
-    wait_s: Span = (0.7, 2.0)
-    """Of these Retry-Afters."""
+    wait_s: Range = (0.7, 2.0)
+    """Range of the Retry-After times."""
     batch: Count = 5
     unlimited_share: Share = 0.2
-    """Share of the destinations that have no limit but their capacity."""
+    """Share of the destinations that have no rate limit, only their capacity."""
     tells_limits: bool = True
-    """Answers report the limit and what is left of it, and the list what a destination takes; else nothing does."""
+    """Whether answers report the rate limit and its remainder, and the endpoint list the capacity of a destination.
+
+    If false, forwarders get none of these values.
+    """
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One line of the schedule. What a kind does not use has to be left out."""
+    """One entry of the fault schedule. Keys that its kind does not use must be left out."""
 
     at_s: Duration
     kind: Literal[
@@ -149,61 +155,64 @@
         "signals",
     ]
     share: Share | None = None
-    """Of the forwarders (or the endpoints, for outage, limit, drain, replace)."""
+    """Share of the forwarders that the fault affects, or of the endpoints for outage, limit, drain and replace."""
     names: tuple[str, ...] = ()
     for_s: Duration | None = None
     back_s: Duration | None = None
-    """A killed forwarder is started again after this; never, if absent."""
+    """Time until a killed forwarder is restarted; it is never restarted if absent."""
     on: Literal["handed", "call", "answered", "notice", "listed"] | None = None
-    """A kill waits for the next such event of its forwarder, and strikes before whoever saw it goes on: between a
-    call's last byte and its answer, a notice and its 204, ..."""
+    """A kill waits for the next such event of its forwarder, and happens before the party that saw the event continues:
+    for example between the last byte of a call and its answer, or between a notice and its 204."""
     within_ms: Duration = 0.0
-    """The kill comes so long after it at most, by chance."""
+    """Upper bound of the random delay from the event to the kill."""
     folder: Literal["kept", "lost", "old", "short", "byte", "block"] = "kept"
     old_s: Duration = 10.0
     clock_s: Annotated[float, Meta(ge=-7200.0, le=7200.0)] = 0.0
-    """The forwarder's wall clock has jumped by this when it is started again; for `clock`, while it runs."""
+    """Step of the forwarder's wall clock: at the restart, or for the kind `clock` while it runs."""
     waves: Count = 1
     every_s: Duration = 0.0
     between: Literal["endpoints", "discovery", "front", "nodes"] | None = None
     groups: Annotated[int, Meta(ge=1, le=8)] = 1
-    """For a cut between forwarders: into so many groups (1: the chosen ones from all others)."""
+    """Number of groups that a cut between forwarders makes; 1 cuts the chosen forwarders off from all others."""
     effect: Literal["silence", "refuse", "reset", "delay"] = "silence"
     of: Share = 1.0
-    """For a cut from endpoints: from this share of them."""
+    """Share of the endpoints that a cut affects."""
     way: Literal["both", "out", "in"] = "both"
-    """As the forwarder sees it."""
+    """Direction that is cut, from the forwarder's point of view."""
     delay_s: Duration = 0.0
     jitter_s: Duration = 0.0
     loss: Share = 0.0
     doubled: Share = 0.0
     swapped: Share = 0.0
     call: str | None = None
-    """Which system call fails (lab/shim.py, CALLS)."""
+    """The system call that fails (`CALLS` in lab/shim.py)."""
     connections: Count | None = None
-    """Of a crowd: so many clients connect to each forwarder at once, ask whether it is up or nothing, and stay."""
+    """Number of clients of a crowd that connect to each forwarder at the same time and stay connected.
+
+    They request the status or nothing at all.
+    """
     errno: str = "EIO"
     rate: Share = 1.0
     """Share of those calls that fail."""
     times: Positive | None = None
-    """A limit becomes so many times what it was; discovery's capacity and a forwarder's processor time likewise."""
+    """Factor applied to a rate limit, to the capacity of discovery, or to a forwarder's processor time."""
     line: str | None = None
     silent: bool = False
-    """An outage that says nothing, where others refuse connections."""
+    """Whether an endpoint in an outage is silent instead of refusing connections."""
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What must hold, beside the rules."""
+    """The limits that a run must keep in addition to the rules."""
 
     broken: Annotated[int, Meta(ge=0)] = 0
     full_s: Positive | None = None
-    """Time to full service after the last fault that counts."""
+    """Longest time to full service after the last fault that counts."""
     served: Share | None = None
     discovery_ratio: Positive | None = None
     dials_ratio: Positive | None = None
     cold_ratio: Positive | None = None
     late_ms: Positive = 250.0
-    """The lab's own lateness: past this the result does not count."""
+    """Event loop lag of the lab, in milliseconds, above which the result does not count."""
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -235,7 +244,7 @@
     "clock": ("clock_s",),
     "crowd": ("for_s", "connections"),
 }
-"""What a kind of fault cannot do without."""
+"""Keys that each kind of fault requires."""
 
 
 def load(path: Path, nodes: int | None = None, seed: int | None = None) -> Scenario:
@@ -243,11 +252,11 @@
 
     Args:
         path: The file.
-        nodes: Size of the fleet, in place of the file's.
-        seed: In place of the file's.
+        nodes: Number of forwarders; replaces the file's.
+        seed: Random seed; replaces the file's.
 
     Raises:
-        ScenarioError: The file cannot be read or played. The text names the key.
+        ScenarioError: The file cannot be read or is invalid. The text names the key.
     """
     try:
         scenario = msgspec.toml.decode(path.read_bytes(), type=Scenario)
@@ -267,25 +276,25 @@
 
 
 def validate(scenario: Scenario) -> None:
-    """Refuse what cannot be played.
+    """Check the values that the types do not check.
 
     Raises:
-        ScenarioError: The text names the key.
+        ScenarioError: A value is invalid. The text names the key.
     """
     if scenario.fleet.destinations > scenario.fleet.endpoints:
-        raise ScenarioError("fleet.destinations: more than fleet.endpoints")
+        raise ScenarioError("fleet.destinations: must not exceed fleet.endpoints")
     messages = scenario.fleet.nodes * scenario.load.per_node_s * scenario.time.load_s
     if messages > MAX_MESSAGES:
-        raise ScenarioError(f"load: {messages:.0f} messages, {MAX_MESSAGES} at most")
+        raise ScenarioError(f"load: {messages:.0f} messages exceed the maximum of {MAX_MESSAGES}")
     if scenario.time.warm_s >= scenario.time.load_s:
-        raise ScenarioError("time.warm_s: not before time.load_s")
-    _validate_spans(scenario)
+        raise ScenarioError("time.warm_s: must be less than time.load_s")
+    _validate_ranges(scenario)
     for index, fault in enumerate(scenario.faults):
         _validate_fault(f"faults[{index}]", fault, scenario.time)
 
 
-def _validate_spans(scenario: Scenario) -> None:
-    spans = {
+def _validate_ranges(scenario: Scenario) -> None:
+    ranges = {
         "load.backoff_s": scenario.load.backoff_s,
         "front.notice_s": scenario.front.notice_s,
         "front.again_s": scenario.front.again_s,
@@ -294,27 +303,27 @@
         "endpoints.wait_s": scenario.endpoints.wait_s,
         "fleet.believed": scenario.fleet.believed,
     }
-    for key, (low, high) in spans.items():
+    for key, (low, high) in ranges.items():
         if not 0 <= low <= high < math.inf:
-            raise ScenarioError(f"{key}: not a span from low to high")
+            raise ScenarioError(f"{key}: must be a range [low, high] with 0 <= low <= high")
 
 
 def _validate_fault(where: str, fault: Fault, time: Time) -> None:
     for key in REQUIRED_KEYS.get(fault.kind, ()):
         if getattr(fault, key) is None:
-            raise ScenarioError(f"{where}.{key}: needed by {fault.kind!r}")
+            raise ScenarioError(f"{where}.{key}: required by the kind {fault.kind!r}")
     if fault.at_s > time.load_s:
-        raise ScenarioError(f"{where}.at_s: after the load has ended")
+        raise ScenarioError(f"{where}.at_s: must not be after the end of the load")
     if fault.on is not None and fault.kind != "kill":
-        raise ScenarioError(f"{where}.on: only for kill")
+        raise ScenarioError(f"{where}.on: only valid for kill")
     is_restart = fault.kind in ("kill", "term")
     if fault.folder != "kept" and not is_restart:
-        raise ScenarioError(f"{where}.folder: only for kill and term")
+        raise ScenarioError(f"{where}.folder: only valid for kill and term")
     if fault.clock_s and not is_restart and fault.kind != "clock":
-        raise ScenarioError(f"{where}.clock_s: only for kill and term")
+        raise ScenarioError(f"{where}.clock_s: only valid for kill, term and clock")
     if fault.call is not None and fault.call not in CALLS:
-        raise ScenarioError(f"{where}.call: not one of {', '.join(CALLS)}")
+        raise ScenarioError(f"{where}.call: must be one of {', '.join(CALLS)}")
     if not hasattr(errno, fault.errno):
-        raise ScenarioError(f"{where}.errno: no error of that name")
+        raise ScenarioError(f"{where}.errno: no such error name")
     if fault.kind == "slow" and not SLOW_SHARES[0] <= (fault.times or 0.0) < SLOW_SHARES[1]:
-        raise ScenarioError(f"{where}.times: for slow from 0.05 to under 1")
+        raise ScenarioError(f"{where}.times: must be at least 0.05 and less than 1 for slow")
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -1,7 +1,7 @@
-"""The fault soak: random schedules of faults that overlap, on a small fleet of real processes, checked by the rules.
+"""The fault soak: random schedules of overlapping faults, on a small fleet of real processes, checked by the rules.
 
-Each seed draws a schedule of its own. Beside a finding of the rules a seed fails where a process crashed, where the
-program counted a violation of its own invariants, or where an unforeseen error is in a log.
+Each seed has its own schedule. A seed fails if the rules find a violation, if a process crashed, if the program counted
+a violation of its own invariants, or if a log contains an unexpected error.
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 DRAIN_S = 30.0
 HOUR_S = 3600.0
 LINK_DELAY_S = (0.01, 0.08)
-"""Of a link. The rules let through what arrives within 0.1 s of a Retry-After; what a network holds for longer would
-count against a forwarder that sent it in time."""
+"""Range of the delay of a link.
+
+The rules accept a call that arrives up to 0.1 s after a Retry-After. With a longer network delay, they would blame a
+forwarder for a call that it sent in time.
+"""
 FILE_ERRORS = ("ENOSPC", "EIO")
 SOCKET_ERRORS = {
     "accept": ("ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"),
@@ -45,12 +48,15 @@
     "client-send": ("ENOBUFS", "ENOMEM"),
     "poll": ("ENOMEM",),
 }
-"""Calls all of which fail for a while. Not those without which no notice can leave, which is owed at a fixed time."""
+"""System calls that fail every time for a while.
+
+Calls that sending a notice needs are left out, because a notice is due at a fixed time.
+"""
 KEY_BACKOFF_S = 1.0
 INITIAL_FAULT_SHARE = 0.15
-"""Share of the schedules in which writes fail from the start."""
+"""Share of the schedules in which file operations fail from the start."""
 LOG_VIOLATION = re.compile(r"violation: |Traceback|was left without an end|, \d+ times so far")
-"""What a log must not have."""
+"""Matches the log lines that make a seed fail."""
 MAX_LOG_LINES = 5
 TRIGGER_EVENTS: tuple[Literal["handed", "call", "answered", "notice"] | None, ...] = (
     None,
@@ -65,7 +71,7 @@
 
 
 def _kill(rng: random.Random, at_s: float) -> Fault:
-    """Right away, or in the moment after an event that has to be on record by then."""
+    """Kill at once, or right after an event that must have been recorded by then."""
     on = rng.choice(TRIGGER_EVENTS)
     return Fault(
         at_s=at_s,
@@ -82,7 +88,7 @@
 
 
 def _signals(rng: random.Random, at_s: float) -> Fault:
-    """SIGHUP, SIGTERM, SIGHUP, twice, with new configurations; SIGKILL at the page's earliest."""
+    """Alternate SIGHUP (with new configurations) and SIGTERM, and send SIGKILL at the earliest permitted time."""
     return Fault(at_s=at_s, kind="signals", share=rng.uniform(0.1, 0.4), back_s=rng.uniform(0.2, 1.0))
 
 
@@ -149,7 +155,7 @@
 
 
 def _failing_start(rng: random.Random, at_s: float) -> tuple[Fault, ...]:
-    """Forwarders are killed and started again while what a start needs fails."""
+    """Kill and restart forwarders while a system call that a start needs fails."""
     call, errors = rng.choice((("open", FILE_ERRORS), ("socket", SOCKET_ERRORS["socket"])))
     failing = Fault(
         at_s=at_s,
@@ -184,7 +190,7 @@
 
 
 def _front_cut(rng: random.Random, at_s: float) -> Fault:
-    """Between clients and forwarders."""
+    """Cut links between clients and forwarders."""
     return Fault(
         at_s=at_s,
         kind="cut",
@@ -231,7 +237,7 @@
 
 
 def _discovery(rng: random.Random, at_s: float) -> Fault:
-    """Down, or short of room."""
+    """Stop discovery, or reduce its capacity."""
     return Fault(at_s=at_s, kind="discovery", for_s=rng.uniform(1.0, 5.0), times=rng.choice((None, 0.2)))
 
 
@@ -281,20 +287,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleShape:
-    """How long a schedule is, and how many faults it has."""
+    """The duration of a schedule, and the number of its faults."""
 
     faults: tuple[int, int]
-    """The fewest and the most."""
+    """The minimum and the maximum number of faults."""
     first_s: float
     last_s: float
     load_s: float
     late_ms: float
-    """The lab's own lateness, past which a result does not count; the rules allow for what it was."""
+    """Event loop lag of the lab above which a result does not count; the rules allow for the lag that was measured."""
 
 
 LONG = ScheduleShape(faults=(8, 14), first_s=2.0, last_s=16.0, load_s=20.0, late_ms=400.0)
 SHORT = ScheduleShape(faults=(5, 8), first_s=1.0, last_s=6.0, load_s=8.0, late_ms=2000.0)
-"""For every landing: its verdict is the same beside other load on the machine."""
+"""For the check before every merge: its bound on the event loop lag allows for other load on the machine."""
 
 
 def draw_scenario(seed: int, nodes: int, shape: ScheduleShape = LONG) -> Scenario:
@@ -326,19 +332,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedVerdict:
-    """What one seed came to."""
+    """The result of one seed."""
 
     result: Result
     log_violations: list[str]
-    """Lines of logs that must not be there."""
+    """Log lines that match `LOG_VIOLATION`."""
 
     @property
     def passed(self) -> bool:
-        """Whether nothing went wrong."""
+        """Whether there are no findings, no log violations and no crashes."""
         return not (self.result.findings or self.log_violations or self.result.costs["crashes"])
 
     def lines(self) -> Iterable[str]:
-        """Yield what went wrong, for people."""
+        """Yield a readable line for each failure."""
         for finding in self.result.findings:
             yield f"{finding.rule} at {finding.at_s:.3f} s, {finding.node}, {finding.id}: {finding.text}"
         if self.result.costs["crashes"]:
@@ -347,7 +353,7 @@
 
 
 def find_log_violations(out: Path) -> list[str]:
-    """Return the lines of the forwarders' logs that tell of something unforeseen."""
+    """Return the lines of the forwarders' logs that match `LOG_VIOLATION`."""
     return [
         f"{path.parent.name}: {line}"
         for path in sorted(out.glob("nodes/*/log"))
--- a/lab/testbed.py
+++ b/lab/testbed.py
@@ -1,4 +1,4 @@
-"""All parties of one run: they are set up, the forwarders started, and everything ended again."""
+"""The testbed of one run: sets up the fake parties, starts the forwarders, and ends everything again."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
 DESCRIPTORS_PER_ENDPOINT = 2
 DESCRIPTORS_PER_FORWARDER = 8
 DATAGRAM_PORT_OFFSET = 1
-"""Above the port of HTTP, as `ADMIN_PORT_OFFSET`."""
+"""Added to the HTTP port, like `ADMIN_PORT_OFFSET`."""
 ADMIN_PORT_OFFSET = 2
 SEED_MEMBERS = 3
-"""Forwarders whose addresses stand for `@seeds@` in an extensions file."""
+"""Maximum number of forwarders whose addresses replace `@seeds@` in an extensions file."""
 SHIMMED_FAULTS = ("errors", "clock")
-"""Kinds of faults that need the forwarders to run with replaced calls."""
+"""Kinds of faults that require the forwarders to run with replaced system calls."""
 
 
 def ignore_progress(text: str) -> None:
-    """Tell nobody of a run's progress."""
+    """Ignore a line about a run's progress."""
 
 
 class Testbed:
     """The fake parties and the forwarders of one run."""
 
     __test__ = False
-    """It is no test, whatever pytest makes of its name."""
+    """Keeps pytest from collecting the class as a test because of its name."""
 
     def __init__(
         self,
@@ -61,14 +61,14 @@
         extensions: str | None = None,
         report_progress: Callable[[str], None] = ignore_progress,
     ) -> None:
-        """Make all parties but the forwarders; `open` starts them.
+        """Create the fake parties; `open` sets them up and starts the forwarders.
 
         Args:
             plan: The run's plan.
             out: The folder for logs and state folders.
             program: The checkout that the forwarders run from.
-            extensions: The text of an extensions file for all.
-            report_progress: Called with a line of text now and then.
+            extensions: The text of the extensions file of all forwarders.
+            report_progress: Called with a line of text from time to time.
         """
         self.plan = plan
         self.out = out
@@ -77,7 +77,7 @@
         self.report_progress = report_progress
         self.loop = asyncio.get_running_loop()
         self.epoch_s = self.loop.time()
-        """When the load began, by the loop's clock."""
+        """Start of the load, by the event loop's clock."""
         self.event_log = EventLog(lambda: self.loop.time() - self.epoch_s)
         self.network = Network(plan.scenario.seed)
         self.rng = random.Random(f"{plan.scenario.seed}/run")
@@ -91,7 +91,7 @@
         self.forwarders: dict[str, ForwarderProcess] = {}
         self.launcher = Launcher()
         self.exchange: DatagramExchange | None = None
-        """Passes datagrams between the forwarders on, if their extensions ask for it."""
+        """Relays datagrams between the forwarders, if their extensions file uses it."""
 
     def _make_discovery(self) -> DiscoveryServer:
         scenario = self.plan.scenario
@@ -120,21 +120,21 @@
         return {name: (host_for(role, index), self.port + port_offset) for index, name in enumerate(self.plan.nodes)}
 
     def _on_submitted(self, node: str, destination: int) -> None:
-        """Note that a forwarder has a message for a destination: it will hear of its endpoints that are down."""
+        """Record that a forwarder has a message for a destination, so it learns which of its endpoints are down."""
         for endpoint in self.endpoints.values():
             if endpoint.model.is_down and endpoint.model.spec.destination == destination:
                 endpoint.model.informed_nodes.add(node)
 
-    # Setting up
+    # Setup
 
     async def open(self) -> None:
-        """Set all parties up, start the forwarders, and wait until all are up.
+        """Set up all parties, start the forwarders, and wait until all are up.
 
         Raises:
-            SetupError: Something of that could not be done.
+            SetupError: One of these steps failed.
         """
         self._raise_descriptor_limit()
-        # Programs that start at once and compile themselves take all cores: they are late, and the lab with them.
+        # Forwarders that compile their modules at the same time take all cores, which delays them and the lab.
         await asyncio.to_thread(compileall.compile_dir, self.program / module_name(self.program), quiet=2)
         self.discovery.on_notice = self.clients.note_notice
         try:
@@ -143,7 +143,7 @@
             for name, address in self._addresses(Role.DISCOVERY, 0).items():
                 self.discovery.make_listener(name, address).open()
         except OSError as error:
-            raise SetupError(f"an address cannot be had: {error}") from None
+            raise SetupError(f"cannot listen on an address: {error}") from None
         self._add_forwarders()
         await self._open_exchange()
         self.front.open()
@@ -158,13 +158,13 @@
         per_forwarder = len(self.plan.endpoints) * DESCRIPTORS_PER_ENDPOINT + DESCRIPTORS_PER_FORWARDER
         needed = len(self.plan.nodes) * per_forwarder
         if needed > hard_limit:
-            raise SetupError(f"{needed} descriptors are needed, {hard_limit} are allowed")
+            raise SetupError(f"the run needs {needed} file descriptors, but the limit is {hard_limit}")
 
     def add_endpoint(self, spec: Endpoint) -> None:
-        """Add an endpoint, and list it.
+        """Add an endpoint, and add it to the endpoint list.
 
         Raises:
-            OSError: One of its addresses is taken.
+            OSError: One of its addresses is in use.
         """
         scenario = self.plan.scenario
         rng = random.Random(f"{scenario.seed}/{spec.name}")
@@ -217,7 +217,7 @@
         )
 
     def extensions_for(self, index: int) -> str | None:
-        """Return one forwarder's extensions file, with its values in the place of what stands between `@`."""
+        """Return one forwarder's extensions file, with its values in place of the `@name@` placeholders."""
         if self.extensions is None:
             return None
         port = self.port + DATAGRAM_PORT_OFFSET
@@ -246,28 +246,28 @@
             async with asyncio.timeout(START_TIMEOUT_S):
                 while not all(forwarder.was_up for forwarder in self.front.forwarders.values()):
                     await asyncio.sleep(START_POLL_S)
-                    self._check_none_ended()
+                    self._check_all_running()
         except TimeoutError:
-            late = [forwarder.name for forwarder in self.front.forwarders.values() if not forwarder.was_up]
-            raise SetupError(f"{len(late)} forwarders did not come up, {late[0]} first") from None
+            missing = [forwarder.name for forwarder in self.front.forwarders.values() if not forwarder.was_up]
+            raise SetupError(f"{len(missing)} forwarders did not come up; {missing[0]} is the first of them") from None
 
-    def _check_none_ended(self) -> None:
+    def _check_all_running(self) -> None:
         for forwarder in self.forwarders.values():
             if forwarder.process is None:
-                lines = forwarder.read_log().splitlines() or ["it said nothing"]
+                lines = forwarder.read_log().splitlines() or ["its log is empty"]
                 raise SetupError(f"{forwarder.name} did not start: {lines[-1]}")
 
-    # The run
+    # Load
 
     def begin_load(self) -> None:
-        """Let time count from now on."""
+        """Set the start of the event log's clock to now, and shift the earlier events."""
         shift_s = self.event_log.clock()
         self.epoch_s += shift_s
         events = self.event_log.events
         self.event_log.events = [msgspec.structs.replace(event, at_s=event.at_s - shift_s) for event in events]
         self.discovery.capacity.updated_at_s = 0.0
 
-    # Ending
+    # Shutdown
 
     async def close(self) -> None:
         """End every process and every connection."""
@@ -276,8 +276,8 @@
         for forwarder in self.forwarders.values():
             forwarder.may_start = False
             forwarder.signal(signal.SIGKILL)
-        patience_s = self.loop.time() + END_TIMEOUT_S
-        while any(each.process is not None for each in self.forwarders.values()) and self.loop.time() < patience_s:
+        deadline_s = self.loop.time() + END_TIMEOUT_S
+        while any(each.process is not None for each in self.forwarders.values()) and self.loop.time() < deadline_s:
             await asyncio.sleep(END_POLL_S)
         await self.launcher.close()
         for listener in self.network.listeners.values():
