--- a/tests/lab/fleets.py
+++ b/tests/lab/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes that know each other, and what each of them believes."""
+"""Fleets of real processes that are members of one cluster, and the membership view of each."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class Member(msgspec.Struct, frozen=True, rename={"starts": "life"}):
-    """A member, as a forwarder believes it to be."""
+    """A member in a forwarder's membership view."""
 
     name: str
     state: str
     starts: int
-    """How often it was started."""
+    """Number of starts of the member."""
     version: str
 
 
@@ -51,7 +51,7 @@
     digest: str
     members: list[Member]
     former_starts: int = 0
-    """How often it was started before its folder was lost, as others remember."""
+    """Number of its starts before its state folder was lost, as other members remember it."""
 
     def member(self, name: str) -> Member:
         """Return the member of that name."""
@@ -59,14 +59,14 @@
 
 
 class FleetView:
-    """A fleet of the lab, and what its forwarders believe."""
+    """A fleet of the lab, and the membership views of its forwarders."""
 
     def __init__(self, testbed: Testbed) -> None:
         self.testbed = testbed
         self.names = list(testbed.forwarders)
 
     async def view(self, name: str) -> MembershipView:
-        """Ask a forwarder; one that cannot be asked yet knows nobody."""
+        """Return a forwarder's membership view; it is empty while the forwarder cannot answer."""
         try:
             answer = await self.testbed.forwarders[name].admin_call("MEMBERS json")
         except OSError:
@@ -76,7 +76,7 @@
         return msgspec.json.decode(answer.removeprefix("ok "), type=MembershipView)
 
     async def live_members(self, name: str) -> set[str]:
-        """Return the members that a forwarder takes for alive, or merely suspects."""
+        """Return the members that are alive or suspect in a forwarder's view."""
         return {member.name for member in (await self.view(name)).members if member.state in ("alive", "suspect")}
 
     async def quota_shares(self, name: str) -> str:
@@ -90,7 +90,7 @@
                 await asyncio.sleep(POLL_S)
 
     async def until_agreed(self, *groups: set[str]) -> None:
-        """Wait until each of a group sees just its group, and says so by one digest."""
+        """Wait until every member of each group sees exactly its group, with the same digest."""
         for group in groups:
 
             async def is_agreed(group: set[str] = group) -> bool:
@@ -114,22 +114,22 @@
         self.cut(set(self.names))
 
 
-def _keep(testbed: Testbed) -> None:
-    """Change nothing of a testbed."""
+def _change_nothing(testbed: Testbed) -> None:
+    """Leave a testbed unchanged."""
 
 
-def play_scene(
+def run_fleet(
     tmp_path: Path,
-    scene: Callable[[FleetView], Awaitable[None]],
+    steps: Callable[[FleetView], Awaitable[None]],
     nodes: int = NODES,
     seed: int = 1,
     endpoints: int = 6,
     extensions: str = EXTENSIONS,
     load: Load = QUIET_LOAD,
-    tweak: Callable[[Testbed], None] = _keep,
+    tweak: Callable[[Testbed], None] = _change_nothing,
     believed: tuple[float, float] = (1.0, 1.0),
 ) -> tuple[Result, run.Run]:
-    """Play a scene while messages pass. No rule may be broken meanwhile."""
+    """Run the steps of a test on a fleet that forwards messages, and check that no rule is broken."""
     scenario = Scenario(
         "members",
         seed=seed,
@@ -139,20 +139,20 @@
         limits=Limits(late_ms=2000.0),
     )
 
-    async def play() -> tuple[Result, run.Run]:
+    async def run_steps() -> tuple[Result, run.Run]:
         (tmp_path / "nodes").mkdir()
-        played = run.Run(plan.make(scenario), tmp_path, ROOT, extensions)
-        tweak(played.testbed)
+        lab_run = run.Run(plan.make(scenario), tmp_path, ROOT, extensions)
+        tweak(lab_run.testbed)
         try:
-            await played.open()
-            playing = asyncio.create_task(played.play())
-            await scene(FleetView(played.testbed))
-            playing.cancel()
-            await asyncio.gather(playing, return_exceptions=True)
+            await lab_run.open()
+            load_task = asyncio.create_task(lab_run.play())
+            await steps(FleetView(lab_run.testbed))
+            load_task.cancel()
+            await asyncio.gather(load_task, return_exceptions=True)
         finally:
-            await played.close()
-        return played.result(), played
+            await lab_run.close()
+        return lab_run.result(), lab_run
 
-    result, played = asyncio.run(play())
+    result, lab_run = asyncio.run(run_steps())
     assert result.findings == [], result.findings[:3]
-    return result, played
+    return result, lab_run
--- a/tests/lab/plays.py
+++ b/tests/lab/plays.py
@@ -1,4 +1,4 @@
-"""Plays of small fleets of real processes."""
+"""Runs of scenarios with small fleets of real processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_scenario(*faults: Fault, seed: int = 1, **tables: Any) -> Scenario:
-    """Return a scenario of a small fleet; `tables` go before its own."""
+    """Return a scenario of a small fleet; `tables` replace its defaults."""
     return Scenario(
         "test",
         seed=seed,
@@ -32,10 +32,10 @@
 def play(
     scenario: Scenario, out: Path, program: Path = ROOT, asks_hold_reasons: bool = False
 ) -> tuple[Result, run.Run]:
-    """Play a scenario with the forwarders of a checkout."""
+    """Run a scenario with the forwarders of a checkout."""
     return asyncio.run(run.run(plan.make(scenario), out, program, asks_hold_reasons=asks_hold_reasons))
 
 
-def events_of(played: run.Run, kind: EventKind) -> list[Event]:
+def events_of(lab_run: run.Run, kind: EventKind) -> list[Event]:
     """Return the events of one kind."""
-    return [event for event in played.testbed.event_log.events if event.kind is kind]
+    return [event for event in lab_run.testbed.event_log.events if event.kind is kind]
--- a/tests/lab/test_gossip.py
+++ b/tests/lab/test_gossip.py
@@ -1,6 +1,6 @@
-"""Forwarders that tell each other what they see of endpoints, as real processes, with faults between them by the lab.
+"""Gossip between real processes: forwarders share their observations of endpoints while the lab injects faults.
 
-Bounds are on counts and on what is believed, not on clocks.
+Assertions bound counts and views, never durations.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from lab.network import LinkFault
 from lab.scenario import Load
 from lab.testbed import Testbed
-from tests.lab.fleets import EXTENSIONS, FleetView, play_scene
+from tests.lab.fleets import EXTENSIONS, FleetView, run_fleet
 
 GOSSIP_EXTENSIONS = EXTENSIONS + "news = true\n"
 BUSY = Load(per_node_s=4.0, keys=40, of_limits=0.9)
@@ -26,7 +26,7 @@
 
 
 async def observers_of(fleet: FleetView, name: str, subject: str, kind: str) -> set[str]:
-    """Return who says that of an endpoint, as one forwarder has heard."""
+    """Return the observers that report a kind of record about an endpoint, as far as one forwarder has heard."""
     return set(re.findall(rf"(n\d+): {subject} {kind}", await gossip_answer(fleet, name)))
 
 
@@ -52,8 +52,8 @@
     await fleet.until(heard)
 
 
-def test_disabled_endpoints_outlast_a_lost_folder_and_the_first_call_waits_for_the_others(tmp_path: Path) -> None:
-    async def scene(fleet: FleetView) -> None:
+def test_disabled_endpoints_survive_a_lost_folder_and_the_first_call_waits_for_the_others(tmp_path: Path) -> None:
+    async def steps(fleet: FleetView) -> None:
         await until_settled(fleet)
         node = fleet.testbed.forwarders["n3"]
         for line in ("OFFLINE s-1", "OFFLINE s-2", "ONLINE s-2"):
@@ -73,72 +73,74 @@
         assert (await node.admin_call("OFFLINE s-1")) == "ok s-1 is left out"
         await asyncio.sleep(3.0)
 
-    extensions = GOSSIP_EXTENSIONS + "ask_s = 6.0\n"  # long enough also where all is slow
-    _, play = play_scene(tmp_path, scene, nodes=6, extensions=extensions, load=BUSY)
+    extensions = GOSSIP_EXTENSIONS + "ask_s = 6.0\n"  # long enough for a busy machine
+    _, lab_run = run_fleet(tmp_path, steps, nodes=6, extensions=extensions, load=BUSY)
     log = (tmp_path / "nodes/n3/log").read_text()
     assert "s-1 is left out again" in log
     assert "s-2 is left out again" not in log
-    began = max(e.at_s for e in play.testbed.event_log.events if e.kind is EventKind.PROCESS_STARTED and e.node == "n3")
+    started_s = max(
+        e.at_s for e in lab_run.testbed.event_log.events if e.kind is EventKind.PROCESS_STARTED and e.node == "n3"
+    )
     calls = [
         e
-        for e in play.testbed.event_log.events
-        if e.kind is EventKind.CALL_RECEIVED and e.node == "n3" and e.at_s > began
+        for e in lab_run.testbed.event_log.events
+        if e.kind is EventKind.CALL_RECEIVED and e.node == "n3" and e.at_s > started_s
     ]
     assert calls
     assert "s-1" not in {e.party for e in calls}
 
 
 def test_a_fleet_whose_folders_are_all_new_does_not_wait_for_long(tmp_path: Path) -> None:
-    async def scene(fleet: FleetView) -> None:
-        async def all_went_on() -> bool:
+    async def steps(fleet: FleetView) -> None:
+        async def all_have_continued() -> bool:
             return all("the folder was new or lost" in n.read_log() for n in fleet.testbed.forwarders.values())
 
-        await fleet.until(all_went_on)
+        await fleet.until(all_have_continued)
         await asyncio.sleep(2.0)
 
-    result, _ = play_scene(tmp_path, scene, nodes=4, extensions=GOSSIP_EXTENSIONS)
+    result, _ = run_fleet(tmp_path, steps, nodes=4, extensions=GOSSIP_EXTENSIONS)
     assert result.metrics["delivered"] > 0
 
 
-def test_cut_in_two_an_endpoint_falls_and_comes_back_cold_and_all_keep_to_its_budget(tmp_path: Path) -> None:
-    """The two sides' calls are summed by the endpoint; a limit falls meanwhile."""
+def test_both_sides_of_a_partition_keep_to_the_budget_of_an_endpoint_that_recovers(tmp_path: Path) -> None:
+    """The endpoint counts the calls of both sides together. Its rate limit falls during the partition."""
 
-    async def scene(fleet: FleetView) -> None:
+    async def steps(fleet: FleetView) -> None:
         await until_settled(fleet)
-        few = {"n0", "n1", "n2"}
-        many = set(fleet.names) - few
-        fleet.cut(few, many)
-        await fleet.until_agreed(few, many)
+        minority = {"n0", "n1", "n2"}
+        majority = set(fleet.names) - minority
+        fleet.cut(minority, majority)
+        await fleet.until_agreed(minority, majority)
         destination = fleet.testbed.endpoints["s-0"].model.destination
         destination.scale_limit(0.4)
         fleet.testbed.endpoints["s-0"].fail(silent=False)
 
         await until_all_hear(fleet, {"n0", "n3"}, "s-0", "out")
-        assert not await observers_of(fleet, "n0", "s-0", "out") & many
-        assert not await observers_of(fleet, "n3", "s-0", "out") & few
+        assert not await observers_of(fleet, "n0", "s-0", "out") & majority
+        assert not await observers_of(fleet, "n3", "s-0", "out") & minority
         fleet.testbed.endpoints["s-0"].recover()
         await asyncio.sleep(1.0)
-        fleet.heal()  # in the middle of its return
+        fleet.heal()  # during the warm-up of the endpoint
         await until_all_hear(fleet, set(fleet.names), "s-0", "back")
         await until_settled(fleet)
         destination.scale_limit(1.0)
 
-    result, play = play_scene(tmp_path, scene, extensions=GOSSIP_EXTENSIONS, load=BUSY, endpoints=3)
+    result, lab_run = run_fleet(tmp_path, steps, extensions=GOSSIP_EXTENSIONS, load=BUSY, endpoints=3)
     assert result.metrics["cold_ratio"] <= 1.0
-    assert not [e for e in play.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
+    assert not [e for e in lab_run.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
 
 
-def test_each_believes_another_size_and_all_together_take_no_more_than_the_whole(tmp_path: Path) -> None:
-    """From the true one to twice as many; an endpoint falls meanwhile and comes back cold."""
+def test_forwarders_with_different_fleet_sizes_together_use_no_more_than_the_whole_limit(tmp_path: Path) -> None:
+    """The configured sizes range from the real one to twice as much. An endpoint fails and recovers meanwhile."""
 
-    async def scene(fleet: FleetView) -> None:
+    async def steps(fleet: FleetView) -> None:
         await fleet.until_agreed(set(fleet.names))
 
-        async def proved() -> bool:
-            said = [await fleet.quota_shares(name) for name in fleet.names]
-            return sum("unsure" in line and "held back" not in line for line in said) >= 3
+        async def has_settled() -> bool:
+            answers = [await fleet.quota_shares(name) for name in fleet.names]
+            return sum("unsure" in line and "held back" not in line for line in answers) >= 3
 
-        await fleet.until(proved)
+        await fleet.until(has_settled)
         fleet.testbed.endpoints["s-0"].fail(silent=False)
         await until_all_hear(fleet, {"n0"}, "s-0", "(?:out|holds)")
         fleet.testbed.endpoints["s-0"].recover()
@@ -150,53 +152,55 @@
             assert len(set(sizes)) > 2
             await asyncio.sleep(0.2)
 
-    result, play = play_scene(
-        tmp_path, scene, nodes=6, endpoints=3, extensions=GOSSIP_EXTENSIONS, load=BUSY, believed=(1.0, 2.0)
+    result, lab_run = run_fleet(
+        tmp_path, steps, nodes=6, endpoints=3, extensions=GOSSIP_EXTENSIONS, load=BUSY, believed=(1.0, 2.0)
     )
-    assert play.plan.believed_fleet_sizes != (6,) * 6
+    assert lab_run.plan.believed_fleet_sizes != (6,) * 6
     assert result.metrics["cold_ratio"] <= 1.0
-    assert not [e for e in play.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
+    assert not [e for e in lab_run.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_one_with_a_broken_network_takes_no_endpoint_from_the_others(tmp_path: Path, seed: int) -> None:
-    async def scene(fleet: FleetView) -> None:
+def test_a_forwarder_with_a_broken_network_takes_no_endpoint_from_the_others(tmp_path: Path, seed: int) -> None:
+    async def steps(fleet: FleetView) -> None:
         await until_settled(fleet)
         for endpoint in fleet.testbed.endpoints:
             fleet.testbed.network.set_fault(("n1", endpoint), LinkFault(refuse=True))
 
-        async def complains() -> bool:
+        async def reports_outage() -> bool:
             return bool(re.search(r"n1: s-\d+ out", await gossip_answer(fleet, "n0")))
 
-        await fleet.until(complains)
+        await fleet.until(reports_outage)
         for _ in range(10):
             for name in set(fleet.names) - {"n1"}:
                 for subject in re.findall(
                     r"s-\d+", (await gossip_answer(fleet, name)).partition("word: ")[2].partition(";")[0]
                 ):
-                    assert await observers_of(fleet, name, subject, "(?:out|back|well)") - {"n1"}, "by its word alone"
+                    assert await observers_of(fleet, name, subject, "(?:out|back|well)") - {"n1"}, (
+                        "reported by n1 alone"
+                    )
             await asyncio.sleep(0.2)
         for endpoint in fleet.testbed.endpoints:
             fleet.testbed.network.heal(("n1", endpoint))
 
-    play_scene(tmp_path, scene, nodes=6, seed=seed, extensions=GOSSIP_EXTENSIONS, load=BUSY)
+    run_fleet(tmp_path, steps, nodes=6, seed=seed, extensions=GOSSIP_EXTENSIONS, load=BUSY)
 
 
-def test_with_gossip_on_half_of_them_those_that_have_it_hear_each_other(tmp_path: Path) -> None:
-    """As in a release that is under way.
+def test_forwarders_with_gossip_hear_each_other_when_half_of_the_fleet_has_none(tmp_path: Path) -> None:
+    """The state during a rolling release.
 
-    Who has no gossip store neither hears nor passes on; nobody's budget grows by it.
+    Forwarders without a gossip store neither receive nor relay records, and no forwarder's budget grows because of it.
     """
 
-    def disable_on_odd(testbed: Testbed) -> None:
-        on_all = testbed.extensions_for
+    def disable_on_odd_forwarders(testbed: Testbed) -> None:
+        original = testbed.extensions_for
 
         def extensions_for(n: int) -> str | None:
-            return (on_all(n) or "").replace("news = true\n", "") if n % 2 else on_all(n)
+            return (original(n) or "").replace("news = true\n", "") if n % 2 else original(n)
 
         testbed.extensions_for = extensions_for  # type: ignore[method-assign]
 
-    async def scene(fleet: FleetView) -> None:
+    async def steps(fleet: FleetView) -> None:
         await until_settled(fleet)
         fleet.testbed.endpoints["s-0"].fail(silent=False)
         await until_all_hear(fleet, {"n0", "n2", "n4"}, "s-0", "(?:out|holds)")
@@ -205,8 +209,8 @@
         await until_all_hear(fleet, {"n0", "n2", "n4"}, "s-0", "(?:back|well)")
         await asyncio.sleep(3.0)
 
-    result, play = play_scene(
-        tmp_path, scene, nodes=6, endpoints=3, extensions=GOSSIP_EXTENSIONS, load=BUSY, tweak=disable_on_odd
+    result, lab_run = run_fleet(
+        tmp_path, steps, nodes=6, endpoints=3, extensions=GOSSIP_EXTENSIONS, load=BUSY, tweak=disable_on_odd_forwarders
     )
     assert result.metrics["cold_ratio"] <= 1.0
-    assert not [e for e in play.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
+    assert not [e for e in lab_run.testbed.event_log.events if e.kind is EventKind.ENDPOINT_OVERLOADED]
--- a/tests/lab/test_mutants.py
+++ b/tests/lab/test_mutants.py
@@ -1,4 +1,4 @@
-"""The rules find what is broken in a program with a line taken out."""
+"""The rules detect the fault of a program in which some lines are removed or replaced."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Edit:
-    """What stands in the place of a line of the program."""
+    """A replacement of a piece of the program's source."""
 
     file: str
     line: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A broken program, the rule that it breaks, and faults that show it."""
+    """A broken program, the rule that it breaks, and the faults that reveal it."""
 
     edits: tuple[Edit, ...]
     rule: Rule
@@ -54,7 +54,7 @@
         Rule.ORDER,
     ),
     "Retry-After": Mutant(
-        (  # decided by, and checked again as a call leaves
+        (  # checked by the decision, and again when a call is sent
             Edit(
                 "decisions/backoff.py",
                 "        scope.retry_after_until_us = max(scope.retry_after_until_us, ends_at_us)\n",
@@ -79,12 +79,13 @@
     ),
 }
 LONG_WAITS = Endpoints(service_s=(0.2, 0.3), told_share=1.0, wait_s=(3.0, 4.0), unlimited_share=0.0)
-"""Long beside the lab's own lateness, which the rules allow for."""
+"""The Retry-After times are much longer than the event loop lag of the lab, which the rules allow for."""
 KEYED_LOAD = Load(per_node_s=8.0, of_limits=1.3, keys=3, once_share=0.7, skew=0.2)
-"""So much that the limits refuse many messages."""
+"""The load exceeds the rate limits, so that they refuse many messages."""
 
 
 def write_mutant(folder: Path, edits: tuple[Edit, ...]) -> None:
+    """Write a copy of the program with the edits applied to a folder."""
     shutil.copytree(ROOT / "forwarder", folder / "forwarder", ignore=shutil.ignore_patterns("__pycache__"))
     for edit in edits:
         path = folder / "forwarder" / edit.file
@@ -94,7 +95,7 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS.values(), ids=MUTANTS)
-def test_a_program_with_a_line_taken_out_is_found(tmp_path: Path, mutant: Mutant) -> None:
+def test_the_rules_detect_a_mutant(tmp_path: Path, mutant: Mutant) -> None:
     write_mutant(tmp_path, mutant.edits)
     scenario = make_scenario(
         Fault(at_s=4.0, kind="kill", share=1.0, back_s=0.3),
--- a/tests/lab/test_reports.py
+++ b/tests/lab/test_reports.py
@@ -1,4 +1,4 @@
-"""What the command line prints of many runs."""
+"""The report of several runs of one scenario."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lab.rules import Finding, Rule
 
 
-def test_a_sweep_adds_many_seeds_up_and_names_those_that_do_not_count() -> None:
+def test_a_sweep_summarizes_its_seeds_and_counts_those_that_are_invalid() -> None:
     finding = Finding(Rule.RETRY_AFTER, 1.0, "m1", "n0", "")
     results = [
         Result(
--- a/tests/lab/test_result.py
+++ b/tests/lab/test_result.py
@@ -1,4 +1,4 @@
-"""A run in which the lab was late is no result."""
+"""The exit status of a run; too much event loop lag of the lab makes a run invalid."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("late_ms", "broken_limits", "exit_status"), [(9.0, 0, 0), (9.0, 1, 1), (300.0, 0, 2), (300.0, 1, 2)]
 )
-def test_a_run_in_which_the_lab_was_late_is_no_result(late_ms: float, broken_limits: int, exit_status: int) -> None:
+def test_a_run_with_too_much_event_loop_lag_is_invalid(late_ms: float, broken_limits: int, exit_status: int) -> None:
     result = Result(
         scenario="x",
         seed=1,
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios that cannot be played are refused."""
+"""Invalid scenarios are rejected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "key"),
     [
         ('name = "x"\nsize = 3', "size"),
         ('name = "x"\n[fleet]\nnodes = 0', "fleet.nodes"),
@@ -26,7 +26,7 @@
         ('name = "x', "x"),
     ],
 )
-def test_a_bad_scenario_is_refused_and_the_key_named(tmp_path: Path, text: str, named: str) -> None:
+def test_an_invalid_scenario_is_rejected_and_the_error_names_the_key(tmp_path: Path, text: str, key: str) -> None:
     (tmp_path / "x.toml").write_text(text)
-    with pytest.raises(ScenarioError, match=named.replace("[", r"\[").replace("]", r"\]")):
+    with pytest.raises(ScenarioError, match=key.replace("[", r"\[").replace("]", r"\]")):
         scenario.load(tmp_path / "x.toml")
