--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -45,11 +45,11 @@
         fail(str(error))
 
 
-def play(drawn: Plan, out: Path, program: Path, parts: Path | None, asks_hold_reasons: bool = False) -> Result:
+def run_plan(drawn: Plan, out: Path, program: Path, parts: Path | None, asks_hold_reasons: bool = False) -> Result:
     """Run a plan. Exits with an error message if the lab fails."""
     try:
         extensions = None if parts is None else parts.read_text()
-        return run.play(drawn, out, program, extensions, print_progress, asks_hold_reasons)
+        return run.run_blocking(drawn, out, program, extensions, print_progress, asks_hold_reasons)
     except (LabError, OSError) as error:
         fail(str(error))
 
@@ -82,7 +82,7 @@
     drawn = load_plan(path, nodes, seed)
     name = f"{drawn.scenario.name}-{len(drawn.nodes)}-{drawn.scenario.seed}-{time.strftime('%H%M%S')}"
     out = out or Path("lab-out") / name
-    result = play(drawn, out, program.resolve(), parts, asks_hold_reasons)
+    result = run_plan(drawn, out, program.resolve(), parts, asks_hold_reasons)
     for line in reports.format_result(result):
         click.echo(line)
     click.echo(f"written to {out}")
@@ -117,7 +117,7 @@
             drawn = load_plan(path, nodes, seed + pair)
             program, parts = (compared.resolve(), None) if compared.is_dir() else (ROOT, compared)
             click.echo(f"pair {pair + 1} of {pairs}, {side}: {compared}", err=True)
-            result = play(drawn, out / f"{side}{pair + 1}", program, parts)
+            result = run_plan(drawn, out / f"{side}{pair + 1}", program, parts)
             invalid += not result.is_valid
             metrics[side].append(_compared_metrics(result))
     click.echo(f"{path.name}, {pairs} pairs; {invalid} of {2 * pairs} runs do not count (event loop lag of the lab)")
@@ -146,7 +146,7 @@
     results = []
     for seed in range(first, first + seeds):
         click.echo(f"seed {seed}", err=True)
-        result = play(load_plan(path, nodes, seed), out / f"{path.stem}-{seed}", ROOT, parts)
+        result = run_plan(load_plan(path, nodes, seed), out / f"{path.stem}-{seed}", ROOT, parts)
         results.append(result)
         for line in result.broken_limits:
             click.echo(f"seed {seed}: {line}")
@@ -173,7 +173,7 @@
     verdicts = []
     for seed in range(first, first + seeds):
         folder = out / str(seed)
-        result = play(plan.make(soak.draw_scenario(seed, nodes, shape)), folder, program.resolve(), None)
+        result = run_plan(plan.make(soak.draw_scenario(seed, nodes, shape)), folder, program.resolve(), None)
         verdict = soak.SeedVerdict(result, soak.find_log_violations(folder))
         verdicts.append(verdict)
         outcome = ("passed" if verdict.passed else "FAILED") + ("" if result.is_valid else ", does not count (lag)")
--- a/lab/run.py
+++ b/lab/run.py
@@ -65,7 +65,7 @@
         """
         await self.testbed.open()
 
-    async def play(self) -> None:
+    async def execute(self) -> None:
         """Apply the load and the fault schedule, and wait until the messages and faults in progress end."""
         testbed = self.testbed
         testbed.begin_load()
@@ -178,7 +178,7 @@
             report_progress(f"starting {len(plan.nodes)} forwarders")
             await lab_run.open()
             report_progress(f"all are up; {len(plan.arrivals)} messages and {len(plan.schedule)} faults are scheduled")
-            await lab_run.play()
+            await lab_run.execute()
         finally:
             await lab_run.close()
     result = lab_run.result()
@@ -186,7 +186,7 @@
     return result, lab_run
 
 
-def play(
+def run_blocking(
     plan: Plan,
     out: Path,
     program: Path,
--- a/tests/lab/fleets.py
+++ b/tests/lab/fleets.py
@@ -145,7 +145,7 @@
         tweak(lab_run.testbed)
         try:
             await lab_run.open()
-            load_task = asyncio.create_task(lab_run.play())
+            load_task = asyncio.create_task(lab_run.execute())
             await steps(FleetView(lab_run.testbed))
             load_task.cancel()
             await asyncio.gather(load_task, return_exceptions=True)
--- a/tests/lab/plays.py
+++ b/tests/lab/plays.py
@@ -29,7 +29,7 @@
     )
 
 
-def play(
+def run_scenario(
     scenario: Scenario, out: Path, program: Path = ROOT, asks_hold_reasons: bool = False
 ) -> tuple[Result, run.Run]:
     """Run a scenario with the forwarders of a checkout."""
--- a/tests/lab/test_mutants.py
+++ b/tests/lab/test_mutants.py
@@ -10,7 +10,7 @@
 
 from lab.rules import Rule
 from lab.scenario import Endpoints, Fault, Load
-from tests.lab.plays import make_scenario, play
+from tests.lab.plays import make_scenario, run_scenario
 from tests.sockets import ROOT
 
 
@@ -104,5 +104,5 @@
         load=KEYED_LOAD,
         endpoints=LONG_WAITS,
     )
-    result, _ = play(scenario, tmp_path / "out", tmp_path)
+    result, _ = run_scenario(scenario, tmp_path / "out", tmp_path)
     assert mutant.rule in {finding.rule for finding in result.findings}
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -17,7 +17,7 @@
 from lab.metrics import ServiceLevel
 from lab.rules import Rule
 from lab.scenario import Endpoints, Fault, Fleet, Front, Load, Time
-from tests.lab.plays import events_of, make_scenario, play
+from tests.lab.plays import events_of, make_scenario, run_scenario
 
 
 def test_a_fleet_that_is_killed_cut_off_and_restarted_keeps_every_rule(tmp_path: Path) -> None:
@@ -32,7 +32,7 @@
         Fault(at_s=6.0, kind="replace", names=("s-3",)),
         Fault(at_s=5.0, kind="outage", names=("s-2",), for_s=1.0),
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert result.findings == []
     assert len(events_of(lab_run, EventKind.FAULT_INJECTED)) == 9
     assert len(events_of(lab_run, EventKind.ENDPOINT_DISABLED)) == 1
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("faults", RESTARTS.values(), ids=RESTARTS)
 def test_a_restart_keeps_every_rule_and_bounds_list_requests(tmp_path: Path, faults: tuple[Fault, ...]) -> None:
     """The number of starts bounds the load on discovery and on endpoints that are warming up."""
-    result, lab_run = play(make_scenario(*faults, seed=3), tmp_path)
+    result, lab_run = run_scenario(make_scenario(*faults, seed=3), tmp_path)
     assert result.findings == []
     starts = len(events_of(lab_run, EventKind.PROCESS_STARTED))
     faults_injected = len(events_of(lab_run, EventKind.FAULT_INJECTED))
@@ -99,7 +99,7 @@
         time=Time(warm_s=1.0, load_s=7.0, drain_s=10.0),
         seed=4,
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert result.findings == []
     assert result.metrics["cold_ratio"] <= 1.0
     logs = "".join(node.read_log() for node in lab_run.testbed.forwarders.values())
@@ -119,7 +119,7 @@
         time=Time(warm_s=1.0, load_s=16.0, drain_s=8.0),
         endpoints=Endpoints(warm_s=3.0),
     )
-    result, lab_run = play(scenario, tmp_path, asks_hold_reasons=True)
+    result, lab_run = run_scenario(scenario, tmp_path, asks_hold_reasons=True)
     assert result.findings == []
     service = ServiceLevel(lab_run.testbed.event_log.events)
     before, after = service.share(1.0, 4.0), service.share(11.0, 15.5)
@@ -153,7 +153,7 @@
         time=Time(warm_s=2.0, load_s=14.0, drain_s=8.0),
         endpoints=Endpoints(tells_limits=False, told_share=1.0, wait_s=(0.5, 1.0), unlimited_share=0.0),
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert result.findings == []
     calls = Counter(event.status for event in events_of(lab_run, EventKind.CALL_ANSWERED))
     assert calls[200] > 100
@@ -183,7 +183,7 @@
         Fault(at_s=1.0, kind="outage", share=0.8, for_s=5.0),
         load=Load(per_node_s=8.0, of_limits=1.2, keys=20, once_share=0.7),
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert result.findings == []
     events = lab_run.testbed.event_log.events
     before_kills = {
@@ -216,7 +216,7 @@
         ),
         load=Load(per_node_s=8.0, of_limits=1.2, keys=6, once_share=0.7),
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert result.findings == []
     unanswered = {event.id for event in events_of(lab_run, EventKind.SUBMIT_UNANSWERED)}
     sent = {event.id for event in events_of(lab_run, EventKind.CALL_RECEIVED)}
@@ -230,7 +230,7 @@
             for n, folder in enumerate(("lost", "old", "short", "byte", "block"))
         )
     )
-    result, lab_run = play(scenario, tmp_path)
+    result, lab_run = run_scenario(scenario, tmp_path)
     assert [finding for finding in result.findings if finding.rule is not Rule.DUPLICATE] == []
     assert {event.state for event in events_of(lab_run, EventKind.STATE_FOLDER_CHANGED)} == {
         "lost",
