--- a/tests/lab/test_mutants.py
+++ b/tests/lab/test_mutants.py
@@ -10,7 +10,7 @@
 
 from lab.rules import Rule
 from lab.scenario import Endpoints, Fault, Load
-from tests.lab.plays import make_scenario, run_scenario
+from tests.lab.scenario_runs import make_scenario, run_scenario
 from tests.sockets import ROOT
 
 
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -17,7 +17,7 @@
 from lab.metrics import ServiceLevel
 from lab.rules import Rule
 from lab.scenario import Endpoints, Fault, Fleet, Front, Load, Time
-from tests.lab.plays import events_of, make_scenario, run_scenario
+from tests.lab.scenario_runs import events_of, make_scenario, run_scenario
 
 
 def test_a_fleet_that_is_killed_cut_off_and_restarted_keeps_every_rule(tmp_path: Path) -> None:
