--- a/lab/hold_reasons.py
+++ b/lab/hold_reasons.py
@@ -109,18 +109,18 @@
     return msgspec.json.decode((folder / FILE).read_bytes(), type=HoldReports)
 
 
-def hold_rows(found: HoldReports) -> list[HoldRow]:
+def hold_rows(hold_reports: HoldReports) -> list[HoldRow]:
     """Return the differences between successive reports of each forwarder; totals begin at zero with each start."""
     rows: list[HoldRow] = []
     last_reports: dict[str, HoldReport] = {}
-    capacity_times_s = [sample.at_s for sample in found.capacity]
-    for report in sorted(found.reports, key=lambda report: report.at_s):
+    capacity_times_s = [sample.at_s for sample in hold_reports.capacity]
+    for report in sorted(hold_reports.reports, key=lambda report: report.at_s):
         last = last_reports.get(report.node)
         if last is not None and last.start != report.start:
             last = None  # a restart resets the totals
         begin_s = report.at_s if last is None else last.at_s
         inside = slice(bisect_left(capacity_times_s, begin_s), bisect_right(capacity_times_s, report.at_s))
-        rows += _differences(report, last, _always_free(found.capacity[inside]))
+        rows += _differences(report, last, _always_free(hold_reports.capacity[inside]))
         last_reports[report.node] = report
     return rows
 
--- a/lab/reports.py
+++ b/lab/reports.py
@@ -107,7 +107,7 @@
 
 
 def format_spread(values: Sequence[Metric]) -> str:
-    """Return the median, minimum and maximum of the values that are not None, and the number of values that are."""
+    """Return the median, minimum and maximum of the values that are not None, and the number of None values."""
     present = [value for value in values if value is not None]
     missing = f", {len(values) - len(present)} never" if len(present) < len(values) else ""
     if not present:
