--- a/forwarder/clients/__init__.py
+++ b/forwarder/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients, which submit messages over HTTP."""
+"""Serves the connections of clients, which submit messages over HTTP."""
--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -1,8 +1,8 @@
-"""When what is read now may have arrived.
+"""Estimates when data that is read now arrived in the kernel.
 
-The time of a request counts from its last byte, which lies in the kernel until it is read: while the event loop is
-busy, the process stands still, or nothing is accepted. The earliest moment at which it may have come is known: the
-loop's poll before did not report it. Times are nanoseconds of the monotonic clock.
+The remaining time of a request counts from the arrival of its last byte. That byte waits in the kernel while the event
+loop is busy, the process is stalled or the connection has not been accepted. The time of the last poll that did not
+report the data is a lower bound for its arrival. Times are nanoseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from forwarder.runtime.descriptor_watch import RetryingEpoll
 
 NO_WAIT_S = 0.0
-OVERSLEPT_NS = 20_000_000
-"""A poll that returns so long after its time-out did not wait for that: the process stood still in it."""
+MAX_OVERSLEEP_NS = 20_000_000
+"""A poll that returns later than this after its time-out was delayed because the process was stalled."""
 
 
 class TimedSelector(selectors.EpollSelector):
-    """An epoll that knows since when what it has just reported may have been there.
+    """An epoll selector that records the earliest possible arrival of the events it has just reported.
 
     Attributes:
-        returned_ns: when the last poll returned.
-        earliest_ns: the earliest time at which what it reported may have come.
+        returned_ns: time at which the last poll returned.
+        earliest_ns: earliest time at which the events that it reported may have arrived.
     """
 
     _selector_cls = RetryingEpoll
@@ -36,10 +36,10 @@
         self.earliest_ns = self.returned_ns
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns what is ready, as the base class does.
+        """Returns the descriptors that are ready, as the base class does.
 
-        What lies there already is asked for first, without a wait. How long a poll took does not tell whether it
-        waited: a process that loses the processor in one takes long too.
+        Polls first without waiting, to find events that are already pending. The duration of a poll alone does not show
+        whether it waited: it is also long if the process loses the processor during the poll.
         """
         previous_ns = self.returned_ns
         unwatched_since_ns = self._selector.unwatched_since_ns
@@ -47,85 +47,85 @@
         self.returned_ns = time.monotonic_ns()
         self.earliest_ns = previous_ns
         if not ready and (timeout is None or timeout > NO_WAIT_S):
-            began_ns = self.returned_ns
+            started_ns = self.returned_ns
             ready = super().select(timeout)
             self.returned_ns = time.monotonic_ns()
-            self.earliest_ns = earliest_ns(began_ns, self.returned_ns, timeout)
+            self.earliest_ns = earliest_poll_arrival_ns(started_ns, self.returned_ns, timeout)
         if unwatched_since_ns is not None:
             self.earliest_ns = min(self.earliest_ns, unwatched_since_ns)
         return ready
 
 
-def earliest_ns(began_ns: int, returned_ns: int, timeout_s: float | None) -> int:
-    """Returns the earliest arrival of what a poll reports that has found nothing as it began.
+def earliest_poll_arrival_ns(started_ns: int, returned_ns: int, timeout_s: float | None) -> int:
+    """Returns the earliest possible arrival of events reported by a poll that had found no event when it started.
 
     Args:
-        began_ns: when the poll began.
-        returned_ns: when the poll returned.
-        timeout_s: the poll's time-out; None for none.
+        started_ns: time at which the poll started.
+        returned_ns: time at which the poll returned.
+        timeout_s: time-out of the poll; None if it had none.
     """
-    waited_ns = returned_ns - began_ns
-    if timeout_s is not None and waited_ns > max(0.0, timeout_s) * 1e9 + OVERSLEPT_NS:
-        return began_ns
+    waited_ns = returned_ns - started_ns
+    if timeout_s is not None and waited_ns > max(0.0, timeout_s) * 1e9 + MAX_OVERSLEEP_NS:
+        return started_ns
     return returned_ns
 
 
 def event_loop() -> asyncio.SelectorEventLoop:
-    """Returns the event loop that a forwarder runs on."""
+    """Creates the event loop on which a forwarder runs."""
     return asyncio.SelectorEventLoop(TimedSelector())
 
 
-def waited_us() -> int:
-    """Returns how long what is read now may have waited in the kernel, in microseconds.
+def max_kernel_wait_us() -> int:
+    """Returns the longest time, in microseconds, that data read now may have waited in the kernel.
 
-    It is 0 on an event loop that cannot tell.
+    Returns 0 on an event loop that does not record arrival times.
     """
-    selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public way to it
+    selector = getattr(asyncio.get_running_loop(), "_selector", None)  # asyncio has no public access to the selector
     if not isinstance(selector, TimedSelector):
         return 0
     return max(0, time.monotonic_ns() - selector.earliest_ns) // 1000
 
 
 class ArrivalEstimate:
-    """Since when what is read now from one connection may have been there.
+    """Estimates the earliest arrival of the data that is read from one connection.
 
     Args:
-        unread_since_us: since when something may lie unread of which the event loop could not tell.
+        unread_since_us: time since which data may have waited unread while the event loop did not watch the connection.
     """
 
     def __init__(self, unread_since_us: int) -> None:
         self.unread_since_us: int | None = unread_since_us
-        """None while the event loop could tell of all that came."""
+        """None while the event loop has reported all data that arrived."""
 
-    def readable(self, now_us: int) -> None:
-        """Something is about to be read. Should that fail, it lies there until the next time."""
+    def note_readable(self, now_us: int) -> None:
+        """Notes that data is about to be read. If the read fails, the data stays in the kernel until the next read."""
         if self.unread_since_us is None:
-            self.unread_since_us = now_us - waited_us()
+            self.unread_since_us = now_us - max_kernel_wait_us()
 
-    def take(self, now_us: int) -> int:
-        """Returns the earliest arrival of what is read now. What is read next has come after this."""
-        arrived_us = now_us - waited_us()
+    def take_arrival_us(self, now_us: int) -> int:
+        """Returns the earliest arrival of the data read now. Data of the next read counts as having arrived later."""
+        arrived_us = now_us - max_kernel_wait_us()
         if self.unread_since_us is not None:
             arrived_us = min(arrived_us, self.unread_since_us)
             self.unread_since_us = None
         return arrived_us
 
-    def reading_paused(self, now_us: int) -> None:
-        """The event loop does not watch the connection from now on."""
+    def note_reading_paused(self, now_us: int) -> None:
+        """Notes that the event loop stops watching the connection now."""
         self.unread_since_us = now_us
 
-    def reading_begins(self, is_reading: Callable[[], bool]) -> None:
-        """The event loop watches the connection from its next poll on.
+    def note_reading_started(self, is_reading: Callable[[], bool]) -> None:
+        """Notes that the event loop watches the connection from its next poll on.
 
-        The next turn begins with that poll, and what it reports is read in that turn. What a later one reports has come
-        since.
+        The next loop iteration begins with that poll and reads the data that it reports. Data reported by a later poll
+        has arrived after it.
 
         Args:
-            is_reading: returns whether the connection is watched still.
+            is_reading: returns whether the connection is still watched.
         """
         loop = asyncio.get_running_loop()
-        loop.call_soon(loop.call_soon, self._polled, is_reading)
+        loop.call_soon(loop.call_soon, self._note_first_poll, is_reading)
 
-    def _polled(self, is_reading: Callable[[], bool]) -> None:
+    def _note_first_poll(self, is_reading: Callable[[], bool]) -> None:
         if is_reading():
             self.unread_since_us = None
--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads its requests, and answers them one at a time in the order in which they came."""
+"""One client's connection: reads requests and answers them one at a time, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from forwarder.runtime.retrying_socket import RetryingSocket
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-MAX_PIPELINED_REQUESTS = 8  # requests that wait on one connection before no more is read from it
-CLIENT_TIMEOUT_US = 400_000  # a client that has no answer by then closes its connection (PROTOCOL)
-READ_LATE_US = 100_000  # a request that may have lain in the kernel for so long is counted as read late
-LINGER_S = 1.0  # a connection that sent what cannot be read is closed so long after its answer
+MAX_PIPELINED_REQUESTS = 8  # requests that may wait on one connection; reading pauses at this number
+CLIENT_TIMEOUT_US = 400_000  # a client without an answer after this time closes its connection (PROTOCOL)
+READ_LATE_THRESHOLD_US = 100_000  # a request that may have waited longer in the kernel is counted as read late
+MALFORMED_REQUEST_LINGER_S = 1.0  # delay between the answer to a malformed request and the close of its connection
 
 
 class ConnectionOwner(Protocol):
-    """The server, as its connections see it."""
+    """The part of the server that its connections use."""
 
     reasons: ReasonCounts
     clock: Callable[[], int]
@@ -36,29 +36,29 @@
     closed: bool
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """A connection begins."""
+        """Adds a connection that was opened."""
 
     def connection_used(self, connection: ClientConnection) -> None:
-        """Something was read from a connection, or written to it."""
+        """Notes that data was read from a connection or written to it."""
 
     def connection_closing(self, connection: ClientConnection) -> None:
-        """A connection is closed here, and its descriptor is not free yet."""
+        """Notes that this side closes a connection whose descriptor is not free yet."""
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """A connection's descriptor is free."""
+        """Removes a connection whose descriptor is free."""
 
     def handle(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Answers a request, now or later."""
+        """Answers a request, immediately or later."""
 
 
 class ClientConnection(asyncio.BufferedProtocol):
     """A client's connection.
 
     Args:
-        server: the server that it belongs to.
-        sock: its socket; None where answers that cannot leave are not to be undone.
-        handed_over: what the process before described of it by `describe`; None for a new one.
-        accept_delay_us: how long it may have waited to be accepted, and its first request with it.
+        server: the server to which the connection belongs.
+        sock: the socket; None if answers that cannot be sent need no undoing.
+        handed_over: the record that the previous process made of the connection with `describe`; None for a new one.
+        accept_delay_us: longest time that the connection, and its first request, may have waited for the accept.
     """
 
     def __init__(
@@ -70,36 +70,36 @@
     ) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
-        self.parser = RequestParser(self._continue)
+        self.parser = RequestParser(self._send_continue)
         self.waiting: deque[ClientRequest] = deque()
-        """Complete requests that are not being answered yet."""
+        """Complete requests whose processing has not begun."""
         self.current_request: ClientRequest | None = None
         self.on_withdrawn: Callable[[], None] | None = None
-        """Is called if the client gives up the current request."""
+        """Called if the client gives up the current request."""
         now_us = server.clock()
         self.opened_us = now_us
         self.last_used_us = now_us
         self.has_sent_request = False
-        self._last_id = ""
-        """Of the message that was submitted on it last."""
+        self._last_message_id = ""
+        """Id of the message that was submitted last on this connection."""
         self.writing_paused = False
-        """Whether the client does not read its answers."""
+        """Whether writing is paused because the client does not read its answers."""
         self._unsent = UnsentAnswers(sock)
         self._handed_over = handed_over
         self.peer_ended = False
-        # No client waits for longer than its time-out, so what is open now is no older than that.
+        # No client waits longer than its time-out, so a connection that is still open has waited no longer than that.
         self._arrivals = ArrivalEstimate(now_us - min(accept_delay_us, CLIENT_TIMEOUT_US))
 
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to serve the client; called by the event loop."""
+        """Starts to serve the client; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.server.connection_opened(self)
         if self._handed_over is not None:
             self._restore(self._handed_over)
-        self._arrivals.reading_begins(self._is_reading)
+        self._arrivals.note_reading_started(self._is_reading)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Withdraws the current request; called by the event loop."""
@@ -110,9 +110,10 @@
         self.parser.release()
 
     def eof_received(self) -> bool:
-        """Withdraws the current request: a client that ends its side does not wait; called by the event loop.
+        """Withdraws the current request, since a client that closes its sending side no longer waits for the answer.
 
-        What it may still read is a rejection. An answer of which nothing has left is undone, and does not leave.
+        The client may still read a rejection. An answer of which no byte has been sent is undone and never sent. Called
+        by the event loop.
         """
         self.peer_ended = True
         if self._unsent.undo():
@@ -125,35 +126,35 @@
         return False
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Returns where to put what is read; called by the event loop."""
-        self._arrivals.readable(self.server.clock())
+        """Returns the buffer for the next read; called by the event loop."""
+        self._arrivals.note_readable(self.server.clock())
         return self.server.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Reads from the buffer; called by the event loop."""
+        """Processes the data in the read buffer; called by the event loop."""
         self.data_received(bytes(self.server.read_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Reads requests, and begins to answer them."""
+        """Parses requests and starts to answer them."""
         self.last_used_us = self.server.clock()
-        arrived_us = self._arrivals.take(self.last_used_us)
+        arrived_us = self._arrivals.take_arrival_us(self.last_used_us)
         if self.parser.is_broken:
             return
         requests = self.parser.feed(data, arrived_us)
         self.waiting.extend(requests)
-        if any(request.method for request in requests):  # one that cannot be read has none
+        if any(request.method for request in requests):  # a malformed request has no method
             self.has_sent_request = True
-        if requests and self.last_used_us - arrived_us > READ_LATE_US:
+        if requests and self.last_used_us - arrived_us > READ_LATE_THRESHOLD_US:
             self.server.reasons.note(Subject.READ_LATE, "it lay in the kernel", requests[-1].message_id)
         self.server.connection_used(self)
         self._answer_next()
 
     def pause_writing(self) -> None:
-        """Stops reading from a client that does not read its answers, so that they do not pile up."""
+        """Stops reading from a client that does not read its answers, so that they do not accumulate in memory."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
-        """Goes on with a client that has read its answers; called by the event loop."""
+        """Continues with a client that has read its answers; called by the event loop."""
         self.writing_paused = False
         self.last_used_us = self.server.clock()
         self.server.connection_used(self)
@@ -162,19 +163,19 @@
     # State
 
     def is_idle(self) -> bool:
-        """Returns whether it is between requests."""
+        """Returns whether the connection is between requests."""
         return self.current_request is None and self.parser.partial is None and not self.waiting
 
     def is_closed(self) -> bool:
-        """Returns whether it is closed, or about to be."""
+        """Returns whether the connection is closed or closing."""
         return self.transport is None or self.transport.is_closing()
 
     def has_unsent_answers(self) -> bool:
-        """Returns whether the client has not taken all of its answers yet."""
+        """Returns whether some bytes of answers are not yet handed to the kernel."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def awaits_buffers(self) -> bool:
-        """Returns whether an answer on which a message depends could not begin to leave, for want of buffers here."""
+        """Returns whether a lack of kernel buffers on this machine delays an answer on which a message depends."""
         return not self.is_closed() and self._unsent.await_buffers()
 
     # Answering
@@ -182,13 +183,13 @@
     def answer(
         self, status: HTTPStatus, text: str = "", on_unsent: Callable[[], None] | None = None, **headers: str
     ) -> None:
-        """Answers the current request, and goes on with the next in the event loop's next turn.
+        """Answers the current request and continues with the next one in the next iteration of the event loop.
 
         Args:
-            status: the status.
+            status: the HTTP status.
             text: the body, one line.
-            on_unsent: is called if the client goes before the first byte of the answer has left.
-            headers: further headers; an underscore in a name stands for a hyphen.
+            on_unsent: called if the client disconnects before the first byte of the answer was sent.
+            headers: additional headers; an underscore in a name stands for a hyphen.
         """
         request = self.current_request
         self.current_request = None
@@ -203,22 +204,22 @@
         self.server.connection_used(self)
         loop = asyncio.get_running_loop()
         if self.parser.is_broken and not self.waiting:
-            # The client may still be sending: closed now, it would be reset before it has read its answer.
+            # The client may still be sending: an immediate close would reset the connection before it reads the answer.
             if self.transport.can_write_eof():
                 self.transport.write_eof()
-            loop.call_later(LINGER_S, self.close, "an unreadable request was answered")
+            loop.call_later(MALFORMED_REQUEST_LINGER_S, self.close, "an unreadable request was answered")
         elif not keep_alive and not self.waiting:
             self.close("answered, and not kept alive")
         elif not self.peer_ended:
             loop.call_soon(self._answer_next)
 
     def answer_waiting(self) -> None:
-        """Goes on with what was read already, without waiting for the event loop's next turn."""
+        """Processes the requests that were already read, without waiting for the next iteration of the event loop."""
         while self.current_request is None and self.waiting and not self.writing_paused:
             self._answer_next()
 
     def answer_unread(self, status: HTTPStatus, text: str, arrived_us: int) -> None:
-        """Answers a request that is partly read; nothing more is read from the connection."""
+        """Answers a request that was read in part; nothing more is read from the connection."""
         self.parser.abandon()
         self.current_request = ClientRequest(arrived_us, keep_alive=False)
         self.answer(status, text)
@@ -226,7 +227,7 @@
     # Closing
 
     def close(self, reason: str = "on demand") -> None:
-        """Closes it once its answers have been sent. `reason` is counted and logged."""
+        """Closes the connection once its answers have been sent. `reason` is counted and logged."""
         if self.is_closed():
             return
         if self.current_request is not None and not self.server.closed:
@@ -240,13 +241,13 @@
         self.transport.close()
 
     def abort(self, reason: str = "on demand") -> None:
-        """Closes it at once; answers that are not sent yet are lost."""
+        """Closes the connection immediately; answers that are not yet sent are lost."""
         if self.transport is not None:
             self._note_closing(reason)
             self.transport.abort()
 
     def evict(self, reason: str) -> None:
-        """Closes it to make room; a request that is partly read is rejected."""
+        """Closes the connection to make room; a request that was read in part is rejected."""
         if self.parser.partial is not None:
             self.answer_unread(HTTPStatus.SERVICE_UNAVAILABLE, reason, self.last_used_us)
         self.close(reason)
@@ -262,7 +263,7 @@
             self.parser.partial.arrived_us = handed_over.request_began_us
         self.last_used_us = handed_over.last_used_us
         if handed_over.handed_over_at_us is not None:
-            self._arrivals.reading_paused(handed_over.handed_over_at_us)
+            self._arrivals.note_reading_paused(handed_over.handed_over_at_us)
         self.server.connection_used(self)
 
     # Internal steps
@@ -273,22 +274,22 @@
     def _answer_next(self) -> None:
         while self.current_request is None and self.waiting and self.transport is not None and not self.writing_paused:
             self.current_request = self.waiting.popleft()
-            self._last_id = self.current_request.message_id
+            self._last_message_id = self.current_request.message_id
             self.server.handle(self, self.current_request)
         if self.transport is not None and not self.transport.is_closing():
             self._limit_reading(self.transport)
 
     def _limit_reading(self, transport: asyncio.Transport) -> None:
-        """Reads no further while too many requests wait, or their answers are not read."""
+        """Pauses reading while too many requests wait or the client does not read its answers."""
         if self.writing_paused or len(self.waiting) >= MAX_PIPELINED_REQUESTS:
             if transport.is_reading():
-                self._arrivals.reading_paused(self.server.clock())
+                self._arrivals.note_reading_paused(self.server.clock())
             transport.pause_reading()
         elif not transport.is_reading():
             transport.resume_reading()
-            self._arrivals.reading_begins(self._is_reading)
+            self._arrivals.note_reading_started(self._is_reading)
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         if self.transport is not None and self.current_request is None:
             self.transport.write(CONTINUE)
             self._unsent.note(len(CONTINUE), None)
@@ -303,7 +304,7 @@
         assert self.transport is not None
         self.server.connection_closing(self)
         peer = self.transport.get_extra_info("peername")
-        self.server.reasons.note(Subject.CLIENT_CLOSED, reason, f"{peer} after id={self._last_id or '-'}")
+        self.server.reasons.note(Subject.CLIENT_CLOSED, reason, f"{peer} after id={self._last_message_id or '-'}")
 
 
 def _render_answer(
@@ -324,7 +325,7 @@
 
 
 def describe(connection: ClientConnection) -> ClientRecord | None:
-    """Returns what another process needs to go on with a connection; None where it cannot."""
+    """Returns the record with which another process can continue a connection; None if it cannot be handed over."""
     parser, transport = connection.parser, connection.transport
     assert transport is not None
     partial = parser.partial
@@ -349,21 +350,21 @@
 
 
 def disconnected(waiting: Mapping[str, ClientConnection]) -> list[str]:
-    """Returns the ids of those messages that wait for an answer whose client has ended its side or the connection.
+    """Returns the ids of waiting messages whose clients have closed their sending side or the connection.
 
-    The end may lie in the kernel unread: after an event loop that stood still, a request and its client's end are both
-    there. One system call for all; where it fails, a message is accepted that its client may have given up, which does
-    no harm.
+    The end of the connection may wait unread in the kernel: after a stall of the event loop, the kernel may hold both a
+    request and the end that followed it. One system call checks all connections. If it fails, a message is accepted
+    that its client may have given up, which does no harm.
 
     Args:
-        waiting: the connections of the messages, by id.
+        waiting: connections of the messages that wait for an answer, by message id.
     """
-    ends = select.poll()
+    hangup_poll = select.poll()
     ids = {}
     for message_id, connection in waiting.items():
         if not connection.is_closed():
             descriptor = fileno(connection.transport)
             ids[descriptor] = message_id
-            ends.register(descriptor, select.POLLRDHUP)
-    unread = [ids[descriptor] for descriptor, _ in ready_now(ends) or ()] if ids else []
-    return [message_id for message_id, connection in waiting.items() if connection.is_closed()] + unread
+            hangup_poll.register(descriptor, select.POLLRDHUP)
+    unread_ids = [ids[descriptor] for descriptor, _ in ready_now(hangup_poll) or ()] if ids else []
+    return [message_id for message_id, connection in waiting.items() if connection.is_closed()] + unread_ids
--- a/forwarder/clients/eviction_order.py
+++ b/forwarder/clients/eviction_order.py
@@ -1,4 +1,4 @@
-"""The order in which clients' connections are closed to make room for others, kept up to date with each use."""
+"""The order in which client connections are closed to make room for others, updated with each use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EvictableConnection(Protocol):
-    """What the order goes by. Times are microseconds of the forwarder's clock."""
+    """The attributes that determine the order. Times are microseconds of the forwarder's clock."""
 
     opened_us: int
     last_used_us: int
@@ -19,22 +19,22 @@
 
 
 class EvictionOrder(Generic[Connection]):
-    """Connections by how soon they are closed to make room.
+    """Orders connections by how soon they are closed to make room.
 
-    First come those without a complete request that are not quite new, the oldest at the front; then those that have
-    sent one, the one whose last use was longest ago at the front; then the new ones.
+    Connections without a complete request that are no longer new come first, the oldest of them at the front. Then come
+    those that have sent a request, the least recently used at the front, and last the new ones.
 
     Attributes:
-        looks: how many connections were ever proposed.
+        proposed_count: number of connections proposed since the start.
     """
 
     def __init__(self) -> None:
-        self.looks = 0
+        self.proposed_count = 0
         self._without_request: OrderedDict[Connection, None] = OrderedDict()
         self._by_last_use: OrderedDict[Connection, None] = OrderedDict()
 
     def note_use(self, connection: Connection) -> None:
-        """Adds a connection, or notes that it was used just now."""
+        """Adds a connection, or notes that it was just used."""
         if connection.has_sent_request:
             self._without_request.pop(connection, None)
             self._by_last_use[connection] = None
@@ -43,30 +43,31 @@
             self._without_request.setdefault(connection)
 
     def discard(self, connection: Connection) -> None:
-        """Forgets a connection, if it is among them."""
+        """Removes a connection if it is present."""
         self._without_request.pop(connection, None)
         self._by_last_use.pop(connection, None)
 
     def sort(self) -> None:
-        """Puts connections that were handed over, in whatever order, into the order of their last uses."""
+        """Sorts connections by their last use, since a hand-over adds them in no particular order."""
         self._by_last_use = OrderedDict.fromkeys(sorted(self._by_last_use, key=lambda each: each.last_used_us))
 
-    def propose(self, new_since_us: int, max_looks: int) -> Iterator[Connection]:
-        """Proposes connections to be closed, in their order.
+    def propose(self, new_since_us: int, max_proposals: int) -> Iterator[Connection]:
+        """Proposes connections to close, in order.
 
-        A proposed one goes to the back of its kind: what cannot be closed now is not proposed again before all others.
+        A proposed connection moves to the back of its queue, so that one that cannot be closed now is proposed again
+        only after all others.
 
         Args:
-            new_since_us: those opened at this time or later are new.
-            max_looks: how many to propose at most.
+            new_since_us: connections opened at this time or later are new.
+            max_proposals: maximum number of connections to propose.
         """
-        kinds = ((self._without_request, new_since_us), (self._by_last_use, None), (self._without_request, None))
-        for kind, opened_before_us in kinds:
-            for _ in range(min(max_looks, len(kind))):
-                connection = next(iter(kind), None)
+        queues = ((self._without_request, new_since_us), (self._by_last_use, None), (self._without_request, None))
+        for queue, opened_before_us in queues:
+            for _ in range(min(max_proposals, len(queue))):
+                connection = next(iter(queue), None)
                 if connection is None or (opened_before_us is not None and connection.opened_us >= opened_before_us):
                     break
-                kind.move_to_end(connection)
-                max_looks -= 1
-                self.looks += 1
+                queue.move_to_end(connection)
+                max_proposals -= 1
+                self.proposed_count += 1
                 yield connection
--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets that can be handed over: every connection taken out of their queue is known at any moment."""
+"""Listening sockets that can be handed over, since every connection accepted from them is known at any time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from forwarder.clients.arrival_time import waited_us
+from forwarder.clients.arrival_time import max_kernel_wait_us
 from forwarder.config.config import Address
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
 from forwarder.runtime.descriptor_watch import ready_now
@@ -22,11 +22,11 @@
 
 BIND_TIMEOUT_S = 5.0
 BIND_RETRY_INTERVAL_S = 0.05
-MAX_ACCEPTS = 64  # connections accepted in one turn of the event loop
-FIRST_FAILURE_PAUSE_S = 0.005  # how long nothing is accepted after a failure; doubled while it goes on failing
-MAX_FAILURE_PAUSE_S = 0.04  # short of what a client waits for its answer (PROTOCOL: 0.4 s)
-TRIES_IN_A_TURN = 3  # of accept, before a pause
-FULL_PAUSE_S = 0.002  # and while no connection is free: a closed one is gone in the event loop's next turn
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one iteration of the event loop
+FIRST_FAILURE_PAUSE_S = 0.005  # duration of the pause after a failed accept; doubled with each further failure
+MAX_FAILURE_PAUSE_S = 0.04  # well below the time that a client waits for its answer (PROTOCOL: 0.4 s)
+MAX_FAILURES_PER_TURN = 3  # failed accepts in one iteration of the event loop before a pause
+NO_SLOT_PAUSE_S = 0.002  # duration of the pause without a free slot; a close takes one event loop iteration to free one
 ERRORS_OF_ONE_CONNECTION = frozenset(
     {
         errno.ECONNABORTED,
@@ -44,16 +44,16 @@
         errno.EINTR,
     }
 )
-"""Errors of accept(2) that are about the connection that was waiting, and not about this process."""
+"""Errors of accept(2) that concern the waiting connection and not this process."""
 UNKNOWN_TIME_S = 0.0
-"""By the loop's clock, before anything that counts."""
+"""Time of the loop's clock that precedes every relevant event."""
 LINGER_RESET = struct.pack("ii", 1, 0)
 LINGER_DEFAULT = struct.pack("ii", 0, 0)
 log = logging.getLogger("forwarder.listen")
 
 
 class SocketOptions(Protocol):
-    """A socket, or what asyncio gives in the place of one."""
+    """A socket, or the object that asyncio provides in its place."""
 
     def setsockopt(self, level: int, option: int, value: bytes, /) -> object:
         """Sets an option of the socket."""
@@ -62,24 +62,26 @@
 async def bind(
     address: Address, timeout_s: float = BIND_TIMEOUT_S, in_use_timeout_s: float | None = None
 ) -> socket.socket:
-    """Returns a socket that is bound to an address, and does not listen yet.
+    """Returns a socket that is bound to an address and does not listen yet.
 
-    Failures are retried for some time: the process before may still have the address, or no socket may be had.
+    Failures are retried for a limited time: the previous process may still hold the address, or the system may be
+    unable to create a socket.
 
     Args:
-        address: where to listen.
-        timeout_s: how long failures are retried.
-        in_use_timeout_s: how long an address is waited for that another process has; None for as long.
+        address: the address to bind.
+        timeout_s: how long to retry after failures.
+        in_use_timeout_s: how long to retry while another process uses the address; None for `timeout_s`.
 
     Raises:
-        OSError: the address cannot be had in time.
+        OSError: the address could not be bound in time.
     """
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     while True:
         sock = None
         try:
-            sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)  # else asyncio sets no TCP_NODELAY
+            # Without the explicit protocol number, asyncio would not set TCP_NODELAY.
+            sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((address.host.strip("[]"), address.port))
             return sock
@@ -87,36 +89,36 @@
             if sock is not None:
                 sock.close()
             is_in_use = error.errno == errno.EADDRINUSE
-            patience_s = in_use_timeout_s if is_in_use and in_use_timeout_s is not None else timeout_s
-            if time.monotonic() - began_s > patience_s:
+            retry_timeout_s = in_use_timeout_s if is_in_use and in_use_timeout_s is not None else timeout_s
+            if time.monotonic() - started_s > retry_timeout_s:
                 raise
         await asyncio.sleep(BIND_RETRY_INTERVAL_S)
 
 
 def fileno(transport: asyncio.BaseTransport | None) -> int:
-    """Returns the descriptor of a connection that is open."""
+    """Returns the descriptor of an open connection."""
     assert transport is not None
     return int(transport.get_extra_info("socket").fileno())
 
 
 def descriptor(transport: asyncio.BaseTransport | None) -> int:
-    """Returns the descriptor of a connection; -1 where it has none, or none any more."""
+    """Returns the descriptor of a connection; -1 if it has none or was closed."""
     sock = None if transport is None else transport.get_extra_info("socket")
     return -1 if sock is None else int(sock.fileno())
 
 
 def reset_on_close(sock: SocketOptions, reset: bool) -> None:
-    """Chooses whether closing a connection resets it, also as this process dies.
+    """Sets whether closing a connection resets it, including the close at the death of this process.
 
-    A reset drops what is in the send buffer. Without it the kernel goes on to send that after the close.
+    A reset discards the send buffer. Without a reset, the kernel continues to send the buffer after the close.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET if reset else LINGER_DEFAULT)
 
 
 def unread(transports: Iterable[asyncio.BaseTransport | None]) -> set[int]:
-    """Returns the descriptors of those connections on which bytes or an end wait in the kernel.
+    """Returns the descriptors of the connections on which data or an end of stream waits in the kernel.
 
-    One system call for all; where the kernel cannot tell, all count as such.
+    One system call checks all connections. If it fails, all descriptors are returned.
     """
     poll = select.poll()
     descriptors = {number for number in map(descriptor, transports) if number >= 0}
@@ -127,25 +129,25 @@
 
 
 def unlimited_slots() -> int:
-    """Returns as many free slots as one turn of the event loop can use."""
-    return MAX_ACCEPTS
+    """Returns as many free slots as one iteration of the event loop can use."""
+    return MAX_ACCEPTS_PER_TURN
 
 
 class Listener:
-    """Accepts connections.
+    """Accepts connections on a listening socket.
 
     Args:
         sock: a bound socket.
-        backlog: how many connections may wait to be accepted.
-        make_protocol: makes what serves a connection, from its socket and how long it may have waited until then, in
-            microseconds.
-        free_slots: returns how many more connections there may be now.
-        on_failure: is told each error of accept that is not about the connection that was waiting.
-        reserve: helps where the process has no descriptor left; None for no help.
-        handed_over: whether the socket has listened in another process, so that connections may have waited for long.
+        backlog: maximum number of connections that wait for their accept.
+        make_protocol: creates the protocol of a connection from its socket and from the longest time that it may have
+            waited so far, in microseconds.
+        free_slots: returns how many more connections may be accepted now.
+        on_failure: called with each error of accept that does not concern the waiting connection alone.
+        reserve: frees a descriptor if the process has none left; None for no reserve.
+        handed_over: whether the socket has listened in another process, so that connections may have waited for longer.
 
     Attributes:
-        attaching: the connections that are accepted and have no protocol yet.
+        attaching: the accepted connections that have no protocol yet, with the tasks that attach one.
     """
 
     def __init__(
@@ -167,7 +169,7 @@
         self.accepting = FailureSpan(log, "accept")
         self._failure_pause_s = FIRST_FAILURE_PAUSE_S
         self._queued_since_s: float | None = UNKNOWN_TIME_S if handed_over else None
-        """Since when connections may lie in the kernel's queue; None once it was found empty."""
+        """Time since which connections may wait in the kernel's queue; None once the queue was found empty."""
         self._queue_poll = select.poll()
         self._queue_poll.register(self.sock, select.POLLIN)
         self.sock.setblocking(False)
@@ -175,7 +177,7 @@
         self._resume()
 
     def address(self) -> Address:
-        """Returns the address on which it listens."""
+        """Returns the address on which the socket listens."""
         return Address(*self.sock.getsockname()[:2])
 
     def close(self) -> None:
@@ -185,15 +187,15 @@
             self.sock.close()
 
     async def attach(self, sock: RetryingSocket, queued_since_s: float) -> None:
-        """Serves a connection that was accepted.
+        """Attaches a protocol to an accepted connection.
 
         Args:
-            sock: the connection.
-            queued_since_s: since when, by the loop's clock, it may have waited.
+            sock: the socket of the connection.
+            queued_since_s: time of the loop's clock since which the connection may have waited.
         """
         loop = asyncio.get_running_loop()
         try:
-            await loop.connect_accepted_socket(lambda: self.make_protocol(sock, _passed_us(queued_since_s)), sock)
+            await loop.connect_accepted_socket(lambda: self.make_protocol(sock, _elapsed_us(queued_since_s)), sock)
         except OSError as error:
             log.info("connection lost before it was served: reason=%s", error)
             sock.close()
@@ -205,20 +207,20 @@
             asyncio.get_running_loop().add_reader(self.sock, self._accept)
 
     def _pause(self, pause_s: float) -> None:
-        """Accepts nothing for some time; connections wait in the kernel."""
+        """Stops accepting for some time; connections wait in the kernel meanwhile."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.sock)
         loop.call_later(pause_s, self._resume)
 
     def _accept(self) -> None:
         if self._queued_since_s is None:
-            self._queued_since_s = asyncio.get_running_loop().time() - waited_us() / SECOND_US
+            self._queued_since_s = asyncio.get_running_loop().time() - max_kernel_wait_us() / SECOND_US
         free_slots = self.free_slots()
         if free_slots <= 0:
-            self._pause(FULL_PAUSE_S)
+            self._pause(NO_SLOT_PAUSE_S)
             return
         failures = 0
-        for _ in range(min(MAX_ACCEPTS, free_slots)):
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, free_slots)):
             try:
                 accepted = self._accept_one()
             except BlockingIOError:
@@ -229,23 +231,23 @@
                     continue
                 self._note_failure(error)
                 failures += 1
-                if failures < TRIES_IN_A_TURN and not self._is_short_of_descriptors():
+                if failures < MAX_FAILURES_PER_TURN and not self._is_short_of_descriptors():
                     continue
                 self._pause(self._failure_pause_s)
                 self._failure_pause_s = min(2 * self._failure_pause_s, MAX_FAILURE_PAUSE_S)
                 return
             self._attach_accepted(accepted, self._queued_since_s)
             if self._is_short_of_descriptors():
-                return  # what was closed instead is free in the event loop's next turn
+                return  # the connection closed in exchange frees its descriptor in the next iteration of the event loop
         if ready_now(self._queue_poll) == []:
             self._queued_since_s = None
 
     def _accept_one(self) -> socket.socket:
-        """Takes a connection out of the queue.
+        """Accepts one connection from the kernel's queue.
 
         Raises:
-            BlockingIOError: none waits.
-            OSError: none can be accepted just now, or the one that waited has failed.
+            BlockingIOError: the queue is empty.
+            OSError: no connection can be accepted now, or the waiting connection has failed.
         """
         accepted, _ = self.sock.accept() if self.reserve is None else self.reserve.allocate(self.sock.accept)
         self.accepting.worked()
@@ -261,12 +263,12 @@
         self.attaching[sock] = asyncio.get_running_loop().create_task(self.attach(sock, queued_since_s))
 
     def _note_failure(self, error: OSError) -> None:
-        """What is short is the whole machine's, or the reserve has helped already: the next try may well work."""
+        """Reports a failed accept. A retry may succeed: either the whole machine is short or the reserve has helped."""
         self.accepting.failed(error)
         if self.on_failure is not None:
             self.on_failure(error)
 
 
-def _passed_us(since_s: float) -> int:
-    """Returns the microseconds that have passed since a time of the loop's clock."""
+def _elapsed_us(since_s: float) -> int:
+    """Returns the microseconds elapsed since a time of the loop's clock."""
     return int((asyncio.get_running_loop().time() - since_s) * SECOND_US)
--- a/forwarder/clients/request_parser.py
+++ b/forwarder/clients/request_parser.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one client's connection from its bytes; does no input or output itself."""
+"""Parses the requests of one client's connection from bytes; performs no I/O itself."""
 
 from __future__ import annotations
 
@@ -17,16 +17,15 @@
 
 
 class RequestParser:
-    """Reads one request after the other.
+    """Parses one request after the other.
 
     Args:
-        on_expect_continue: is called where a client waits for leave to send a request's body.
+        on_expect_continue: called if a client waits for `100 Continue` before it sends the body of a request.
 
     Attributes:
-        partial: the request whose end has not come yet, or None.
-        partial_bytes: the bytes of that request, if no other request shared a read with it; else empty.
-        is_broken: whether something came that cannot be read, so that nothing that follows can be trusted to begin
-            where it seems to.
+        partial: the request whose end has not arrived yet, or None.
+        partial_bytes: the bytes of that request, if no other request shared a read with it; otherwise empty.
+        is_broken: whether malformed data has arrived, after which the start of the next request is unknown.
     """
 
     def __init__(self, on_expect_continue: Callable[[], None]) -> None:
@@ -40,19 +39,19 @@
         self._complete: list[ClientRequest] = []
 
     def release(self) -> None:
-        """Drops what refers back to this parser and its owner, so that they are freed without the cyclic collector."""
+        """Drops references back to this parser and its owner, so that both are freed without the cyclic collector."""
         del self._parser
         del self._on_expect_continue
 
     def feed(self, data: bytes, arrived_us: int) -> list[ClientRequest]:
-        """Reads the next bytes of the connection.
+        """Parses the next bytes of the connection.
 
         Args:
             data: the bytes.
-            arrived_us: when they may have arrived, at the earliest.
+            arrived_us: earliest time at which they may have arrived.
 
         Returns:
-            The requests that are complete now. One that cannot be read is the last, and holds its error.
+            The requests that are now complete. A malformed request comes last and holds its error.
         """
         was_between_requests = self.partial is None
         self._arrived_us = arrived_us
@@ -62,7 +61,7 @@
             pass
         except (httptools.HttpParserError, BadRequestError) as error:
             self.abandon()
-            bad_request = _unreadable(error).with_traceback(None)  # the frames would refer back to this parser
+            bad_request = _to_bad_request(error).with_traceback(None)  # its frames refer back to this parser
             self._complete.append(ClientRequest(arrived_us, keep_alive=False, error=bad_request))
         complete = self._complete
         self._complete = []
@@ -73,19 +72,19 @@
         return complete
 
     def abandon(self) -> None:
-        """Reads no more from this connection: the request that is partly read will not be completed."""
+        """Stops parsing this connection; the request that was read in part will not be completed."""
         self.is_broken = True
         self.partial = None
 
     # Called by httptools
 
     def on_message_begin(self) -> None:
-        """Begins a request; called by the parser."""
+        """Starts a request; called by the parser."""
         self.partial = ClientRequest(self._arrived_us)
         self._header_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Adds a part of the path; called by the parser."""
+        """Appends a part of the path; called by the parser."""
         self._count_header_bytes(len(url))
         if self.partial is not None:
             self.partial.path += url.decode("latin-1")
@@ -102,7 +101,7 @@
         headers[lower_name] = value.decode("latin-1").strip()
 
     def on_headers_complete(self) -> None:
-        """Checks the stated length of the body; called by the parser."""
+        """Checks the declared length of the body; called by the parser."""
         if self.partial is None:
             return
         length = self.partial.headers.get("content-length", "0")
@@ -112,7 +111,7 @@
             self._on_expect_continue()
 
     def on_body(self, body: bytes) -> None:
-        """Adds a part of the body; called by the parser."""
+        """Appends a part of the body; called by the parser."""
         if self.partial is None:
             return
         if len(self.partial.body) + len(body) > MAX_BODY_BYTES:
@@ -134,8 +133,8 @@
             raise BadRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the header is too large")
 
 
-def _unreadable(error: httptools.HttpParserError | BadRequestError) -> BadRequestError:
-    """Returns what the client is told; an error of a callback comes as the context of the parser's own."""
+def _to_bad_request(error: httptools.HttpParserError | BadRequestError) -> BadRequestError:
+    """Returns the error to report to the client; the parser raises its own error with that of a callback as context."""
     cause = error.__context__ if isinstance(error.__context__, BadRequestError) else error
     if isinstance(cause, BadRequestError):
         return cause
--- a/forwarder/clients/submission.py
+++ b/forwarder/clients/submission.py
@@ -1,4 +1,4 @@
-"""What clients send: one HTTP request, and the message that it submits (PROTOCOL)."""
+"""HTTP requests of clients and the messages that they submit (PROTOCOL)."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class BadRequestError(ForwarderError):
-    """A request cannot be accepted as it is.
+    """A request is malformed or invalid.
 
     Attributes:
-        status: the status that its client is answered.
-        text: what is wrong with it, as its client is told.
+        status: the HTTP status of the answer.
+        text: the error text in the answer.
     """
 
     def __init__(self, status: HTTPStatus, text: str) -> None:
@@ -32,49 +32,49 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """An HTTP request of a client, as far as it has been read."""
+    """An HTTP request of a client, as far as it has been parsed."""
 
     arrived_us: int
-    """When its first byte may have arrived, at the earliest."""
+    """Earliest time at which its first byte may have arrived."""
     method: str = ""
     path: str = ""
     keep_alive: bool = True
     headers: dict[str, str] = field(default_factory=dict)
-    """By their names in lower case."""
+    """Header values by lower-case name."""
     body: bytearray = field(default_factory=bytearray)
     error: BadRequestError | None = None
-    """What is wrong with its form, if anything."""
+    """Set if the request is malformed."""
 
     @property
     def route(self) -> str:
-        """Its path without the query."""
+        """The path without the query."""
         return self.path.partition("?")[0]
 
     @property
     def message_id(self) -> str:
-        """The id of the message that it submits, as its client states it; empty if it states none."""
+        """The id of the submitted message as given by the client; empty if it gave none."""
         return self.headers.get("x-correlation-id", "")
 
 
 @dataclass(slots=True)
 class Submission:
-    """A well-formed message that a client has submitted, and that is not accepted yet."""
+    """A valid message that a client has submitted and that is not yet accepted."""
 
     id: str
     message_class: MessageClass
     destination: int
     due_us: int
-    """Its deadline."""
+    """The deadline of the message."""
     key: str | None
     tenant: str | None
     resent: bool
     body: bytes
     idempotency_key: str | None = None
-    """By which endpoints recognize a repeat; passed on as it came."""
+    """Key by which endpoints recognize a repeated message; passed on unchanged."""
 
 
 def parse_submission(request: ClientRequest, settings: Settings) -> Submission:
-    """Reads the message that a request submits.
+    """Parses and validates the message that a request submits.
 
     Raises:
         BadRequestError: the request is not a valid submission.
@@ -139,7 +139,7 @@
 
 
 def _is_printable(text: str, max_length: int) -> bool:
-    """Returns whether a header's value can be stored, and passed on as it came."""
+    """Returns whether a header value can be stored and passed on unchanged."""
     return len(text) <= max_length and text.isascii() and text.isprintable()
 
 
--- a/forwarder/clients/unsent_answers.py
+++ b/forwarder/clients/unsent_answers.py
@@ -1,4 +1,4 @@
-"""Answers that wait for their socket: what is undone if a client goes before the first byte of one has left."""
+"""Tracks answers of which no byte has been sent, so that they can be undone if the client disconnects first."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 
 @dataclass(frozen=True, slots=True)
 class UnsentAnswer:
-    """An answer that was written to its connection and has not begun to leave."""
+    """An answer that was written to its connection and of which no byte has been sent."""
 
     first_byte: int
-    """Its place among all bytes that were written to the connection."""
+    """Offset of its first byte among all bytes written to the connection."""
     undo: Callable[[], None]
 
 
 class UnsentAnswers:
-    """The answers of one connection, in their order.
+    """The answers of one connection, in the order of their writing.
 
     Args:
-        sock: the connection's socket, which counts what has left; None where nothing is to be undone.
+        sock: the connection's socket, which counts the bytes sent; None if no answer needs to be undone.
     """
 
     def __init__(self, sock: RetryingSocket | None) -> None:
         self._sock = sock
         self._written_bytes = 0
-        self._waiting: deque[UnsentAnswer] = deque()
+        self._tracked: deque[UnsentAnswer] = deque()
 
     def note(self, size: int, undo: Callable[[], None] | None) -> None:
-        """Takes note of an answer that was just written.
+        """Records an answer that was just written.
 
         Args:
-            size: its length in bytes.
-            undo: is called if it never begins to leave; None for nothing.
+            size: length of the answer in bytes.
+            undo: called if no byte of the answer is ever sent; None if nothing needs to be undone.
         """
         first_byte = self._written_bytes
         self._written_bytes += size
         if undo is not None and self._sock is not None and self._sock.sent_bytes <= first_byte:
-            self._waiting.append(UnsentAnswer(first_byte, undo))
+            self._tracked.append(UnsentAnswer(first_byte, undo))
 
     def await_buffers(self) -> bool:
-        """Returns whether an answer that would have to be undone waits for buffers here, and not for its peer."""
+        """Returns whether an answer with an undo callback waits for this machine's buffers and not for its client."""
         is_short = self._sock is not None and self._sock.is_short_of_buffers
-        return is_short and any(self._is_unsent(each) for each in self._waiting)
+        return is_short and any(self._is_unsent(each) for each in self._tracked)
 
     def undo(self) -> bool:
-        """Undoes the answers of which no byte has left; returns whether there were any. They must not leave after."""
-        waiting, self._waiting = self._waiting, deque()
-        unsent = [each for each in waiting if self._is_unsent(each)]
+        """Undoes the answers of which no byte was sent; returns whether there were any. They must not be sent later."""
+        tracked, self._tracked = self._tracked, deque()
+        unsent = [each for each in tracked if self._is_unsent(each)]
         for answer in unsent:
             answer.undo()
         return bool(unsent)
--- a/forwarder/endpoints/__init__.py
+++ b/forwarder/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Connections and calls to endpoints."""
+"""Manages connections to endpoints and the calls on them."""
--- a/forwarder/endpoints/call.py
+++ b/forwarder/endpoints/call.py
@@ -1,4 +1,4 @@
-"""The records of a call to an endpoint: its messages, its state while it is in flight, and how it ended."""
+"""Data types for a call to an endpoint: its messages, its state while in flight and its result."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt of one message."""
+    """Identifies one attempt of one message."""
 
     message_id: str
     attempt: int
 
 
 class LimitScopeKey(NamedTuple):
-    """Names what shares a rate limit: a whole destination, or one endpoint of it."""
+    """Identifies the scope of a rate limit: a whole destination or one of its endpoints."""
 
     destination: int
     endpoint: int
-    """The endpoint's number; `ALL_ENDPOINTS` where the whole destination shares the limit."""
+    """Number of the endpoint; `ALL_ENDPOINTS` if the whole destination shares the limit."""
 
 
 ALL_ENDPOINTS = -1
@@ -40,21 +40,21 @@
     key: str | None
     body: bytes
     timeout_at_us: int
-    """When its attempt times out, if it is alone in its call."""
+    """Time at which the attempt times out if the call carries no other message."""
     due_us: int
-    """Its deadline: by then the message must have its end."""
+    """The deadline, by which the message must have ended."""
     idempotency_key: str | None = None
     send_before_us: int = NEVER_US
-    """It may not be sent at this time or later."""
+    """Time from which the message may no longer be sent."""
 
     @property
     def batch_key(self) -> str | None:
-        """Its key in a call with several messages: endpoints recognize repeats by it."""
+        """The key in a call with several messages, by which endpoints recognize repeated messages."""
         return self.idempotency_key or self.key
 
     @property
     def attempt_key(self) -> AttemptKey:
-        """The name of its attempt."""
+        """The key of the attempt."""
         return AttemptKey(self.id, self.attempt)
 
 
@@ -71,14 +71,14 @@
     timeout_timer: asyncio.TimerHandle | None = None
     stall_timer: asyncio.TimerHandle | None = None
     written: bool = False
-    """Whether the last byte of the request was handed to the socket: from then on the call may have run."""
+    """Whether the last byte of the request was handed to the socket, after which the call may have run."""
     batched: bool = False
     """Whether the request was written in the form for several messages."""
     open_items: dict[str, CallItem] = field(default_factory=dict)
     """The messages whose attempts have not ended, by id."""
 
     def cancel_timers(self) -> None:
-        """Stops waiting for the time-out, and for an answer that has stalled."""
+        """Cancels the time-out timer and the timer for a stalled answer."""
         for timer in (self.timeout_timer, self.stall_timer):
             if timer is not None:
                 timer.cancel()
@@ -88,10 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How an attempt of one message ended."""
+    """The result of one attempt of a message."""
 
     outcome: Outcome
     is_final: bool = False
-    """Whether the endpoint has said that the message is over, and may not be sent again."""
+    """Whether the endpoint has reported that the message has ended and may not be sent again."""
     retry_after_us: int = 0
-    """How long the endpoint asked to be left alone; 0 where it did not."""
+    """Duration of the Retry-After in the answer; 0 if there was none."""
--- a/forwarder/endpoints/call_outcome.py
+++ b/forwarder/endpoints/call_outcome.py
@@ -1,4 +1,4 @@
-"""Decides from an endpoint's answer, or from its lack, how the attempts of a call ended (PROTOCOL)."""
+"""Determines the results of a call's attempts from the endpoint's answer or its absence (PROTOCOL)."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     "expired": Outcome.NOT_SENT,
     "no_more": Outcome.NOT_SENT,
 }
-"""The outcome for each state in the answer to a batch call."""
+"""The outcome for each message state in the answer to a batch call."""
 FINAL_BATCH_STATE = "expired"
 log = logging.getLogger("forwarder.client")
 
 
 def result_of_answer(reader: ResponseReader, endpoint: int) -> CallResult:
-    """Returns the result that a complete answer's status stands for, for all messages of its call."""
+    """Returns the result of all messages of a call from the status of its complete answer."""
     status = reader.status
     if status == 200:
         return CallResult(Outcome.DELIVERED)
@@ -43,7 +43,7 @@
 ) -> list[tuple[CallItem, CallResult]]:
     """Returns the result of each message from the body of a complete answer to a batch call.
 
-    A message that the answer does not mention has failed: it may have run.
+    A message that the answer does not mention counts as failed, since it may have run.
     """
     retry_after_us = parse_retry_after_us(reader.headers) or 0
     states = _batch_states(reader.body, endpoint)
@@ -56,10 +56,11 @@
 
 
 def outcome_of_broken_answer(call: EndpointCall, reader: ResponseReader) -> Outcome:
-    """Returns the outcome of a call whose answer is cut, malformed or missing.
+    """Returns the outcome of a call whose answer is truncated, malformed or missing.
 
-    A first line with status 200 is a delivery though the rest is cut. Of a batch call only the complete answer counts.
-    Nothing else that is cut or malformed is believed, not even a rejection: the call may have run.
+    A status line with status 200 counts as a delivery even if the rest is truncated, except for a batch call, which
+    needs the complete answer. No other truncated or malformed answer is trusted, not even a rejection, because the call
+    may have run.
     """
     if reader.says_ok() and not call.batched:
         return Outcome.DELIVERED
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -1,7 +1,7 @@
 """One connection to an endpoint, which carries one call at a time.
 
-Whether a call may have run is known by whether its last byte was handed to the socket. So every byte is written here,
-and no library below keeps bytes back or sends them again.
+A call may have run only if its last byte was handed to the socket. For this reason, this module writes every byte
+itself and uses no library that would buffer bytes or send them again.
 """
 
 from __future__ import annotations
@@ -22,63 +22,63 @@
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.retrying_socket import TRANSIENT_ERRORS, RetryingSocket
 
-GIVEN_UP_S = 0.1  # how long an answer that crosses the end of its call is waited for (PROTOCOL: an end is due in 0.3 s)
-PENDING_READ_TRIES = 3  # of the last read of a connection, where buffers are short
+GIVEN_UP_S = 0.1  # wait for an answer in transit as its call is given up (PROTOCOL: an end is due within 0.3 s)
+PENDING_READ_TRIES = 3  # tries of the last read of a connection while kernel buffers are short
 UNREQUESTED_DATA = "bytes or an end that nothing asked for"
 log = logging.getLogger("forwarder.client")
 
 
 class SendResult(enum.Enum):
-    """What became of a request that was to be written on a connection."""
+    """Result of writing a request to a connection."""
 
     WRITTEN = enum.auto()
-    """It was handed to the socket, or waits for room there."""
+    """The request was handed to the socket or waits for space in its buffer."""
     CONNECTION_DEAD = enum.auto()
-    """No byte has left: the connection had ended, or something had come on it that nothing asked for."""
+    """No byte was sent: the connection had ended or had received data that answers no request."""
     NOT_SENT = enum.auto()
-    """No byte has left: this machine could not look at the connection, or not send on it. It is as it was."""
+    """No byte was sent: this machine could not poll the connection or send on it. The connection is unchanged."""
 
 
 class CallObserver(Protocol):
-    """Is told what becomes of the call on a connection."""
+    """Receives the events of the call on a connection."""
 
     def answer_progressed(self, call: EndpointCall) -> None:
-        """A part of the answer has come."""
+        """Handles the arrival of a part of the answer."""
 
     def answer_ended(self, call: EndpointCall, reader: ResponseReader, broken: bool = False) -> None:
-        """The answer is complete, or `broken`: it will not be."""
+        """Handles the end of the answer; it is complete, or incomplete for good if `broken`."""
 
     def connection_broke(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
-        """The connection has ended before the answer was complete. `given_up`: why the forwarder ended it itself."""
+        """Handles the end of the connection before a complete answer. `given_up`: outcome if the forwarder gave up."""
 
 
 class ConnectionOwner(Protocol):
-    """Keeps connections that carry no call."""
+    """Keeps idle connections."""
 
     reasons: ReasonCounts
 
     @property
     def in_flight(self) -> CallObserver:
-        """Who is told what becomes of calls."""
+        """The observer of calls."""
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keeps a connection whose call is answered for the next one."""
+        """Keeps a connection whose call was answered, for the next call."""
 
     def connection_ended(self, connection: EndpointConnection) -> None:
-        """A connection is closed and can be forgotten."""
+        """Removes a connection that is closed."""
 
 
 class EndpointConnection(asyncio.Protocol):
     """A connection to an endpoint, with at most one call on it.
 
-    While a call is in flight, closing the connection resets it: what is still in the send buffer must not arrive once
-    the call has ended here.
+    Closing the connection while a call is in flight resets it, so that data in the send buffer does not arrive after
+    the call has ended in the forwarder.
 
     Args:
-        owner: the pool that the connection belongs to.
-        sock: its socket.
-        call: the call that another process has written on it, if any.
-        received: what that process has read of the call's answer.
+        owner: the pool to which the connection belongs.
+        sock: the socket.
+        call: the call that the previous process has written on the connection, if any.
+        received: the part of the answer to that call that the previous process has read.
     """
 
     def __init__(
@@ -90,21 +90,21 @@
         self.current_call = call
         self.given_up: Outcome | None = None
         self.received = bytearray(received)
-        """What has come of the answer that is being read."""
+        """The received part of the answer that is being read."""
         self.transport: asyncio.Transport | None = None
         self.reader = ResponseReader()
         self._answered = call is None
-        """Whether no call is in flight, so that its end says nothing about one."""
-        self._unread = select.poll()
+        """Whether no call is in flight, so that the end of the connection concerns none."""
+        self._unread_poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to use the connection; called by the event loop."""
+        """Starts to use the connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
-        transport.set_write_buffer_limits(0)  # so that resume_writing says that the last byte was handed over
+        transport.set_write_buffer_limits(0)  # resume_writing then means that the last byte was handed over
         self.transport = transport
         self._reset_on_close(True)
         if transport.get_extra_info("socket") is not None:
-            self._unread.register(fileno(transport), select.POLLIN)
+            self._unread_poll.register(fileno(transport), select.POLLIN)
         if self.current_call is not None:
             self.current_call.connection = self
             if self.received:
@@ -116,12 +116,12 @@
             self.current_call.written = True
 
     def data_received(self, data: bytes) -> None:
-        """Reads a part of an answer; called by the event loop."""
+        """Processes a part of an answer; called by the event loop."""
         self.received += data
         self._read(data)
 
     def eof_received(self) -> bool:
-        """Reads the endpoint's end of the connection, which may complete an answer; called by the event loop."""
+        """Processes the end of the endpoint's stream, which may complete an answer; called by the event loop."""
         if self.current_call is not None:
             self.reader.end()
             if self.reader.complete:
@@ -135,20 +135,21 @@
         self.reader.release()
 
     def is_closing(self) -> bool:
-        """Returns whether the connection is closed, or about to be."""
+        """Returns whether the connection is closed or closing."""
         return self.transport is None or self.transport.is_closing()
 
     def is_ending(self) -> bool:
-        """Returns whether the event loop ends the connection in its next turn, whatever is done to it before."""
+        """Returns whether the event loop will end the connection in its next iteration in any case."""
         return self.transport is None or (self.transport.is_closing() and not self.transport.get_write_buffer_size())
 
     def send(self, call: EndpointCall, request: bytes) -> SendResult:
-        """Writes the request of a call, unless bytes or an end wait in the kernel.
+        """Writes the request of a call unless data or an end of stream waits in the kernel.
 
-        Read after a call is written, they would be taken for its answer, or for the end of a call that never arrived.
+        If it were read after the request was written, such data would be taken for the answer, and such an end for the
+        loss of a call that may have run, although the call never reached the endpoint.
         """
         assert self.transport is not None
-        unread = ready_now(self._unread)
+        unread = ready_now(self._unread_poll)
         if unread is None:
             return SendResult.NOT_SENT
         if unread:
@@ -177,8 +178,8 @@
     def give_up(self, outcome: Outcome) -> None:
         """Stops waiting for the answer to the call in flight.
 
-        Its sending side is closed now, and the connection a little later. The call ends with the connection and not
-        before: an answer that crosses was written by the endpoint, so the Retry-After that it holds counts.
+        Closes the sending side of the connection now and the connection shortly later. The call ends only with the
+        connection: the endpoint may already have written an answer, whose Retry-After must be respected.
         """
         if self.given_up is not None:
             return
@@ -192,7 +193,7 @@
         call.timeout_timer = asyncio.get_running_loop().call_later(GIVEN_UP_S, self.close, reason)
 
     def settle(self) -> None:
-        """Ends the call of a connection that is closed, or about to be; what has come counts, read or not."""
+        """Ends the call of a connection that is closed or closing, after processing all received data, read or not."""
         if self.current_call is not None and (data := read_pending(self.transport)):
             self._read(data)
         call = self.current_call
@@ -205,7 +206,7 @@
             )
 
     def close(self, reason: str = "on demand") -> None:
-        """Closes the connection at once, by a reset if a call is in flight. `reason` is counted and logged."""
+        """Closes the connection immediately, with a reset if a call is in flight. `reason` is counted and logged."""
         if self.transport is None:
             return
         peer = str(self.transport.get_extra_info("peername"))
@@ -245,23 +246,23 @@
     def _reset_on_close(self, reset: bool) -> None:
         sock = None if self.transport is None else self.transport.get_extra_info("socket")
         if sock is not None:
-            with suppress(OSError):  # the socket is closed already
+            with suppress(OSError):  # the socket is already closed
                 reset_on_close(sock, reset)
 
 
 def read_pending(transport: asyncio.Transport | None) -> bytes:
-    """Returns what waits in the kernel on a connection; nothing where it cannot be read any more."""
+    """Returns the data of a connection that waits in the kernel; empty if it can no longer be read."""
     sock = None if transport is None else transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return b""
-    borrowed = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
+    borrowed_sock = socket.socket(sock.family, sock.type, sock.proto, fileno=sock.fileno())
     try:
         for _ in range(PENDING_READ_TRIES):
             try:
-                return borrowed.recv(2 * MAX_BODY_BYTES)
+                return borrowed_sock.recv(2 * MAX_BODY_BYTES)
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRORS:
                     break
         return b""
     finally:
-        borrowed.detach()
+        borrowed_sock.detach()
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery has listed: by name as on the wire, by number as in the decisions."""
+"""The endpoints listed by discovery, known by name on the wire and by number in the decision core."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from forwarder.decisions.settings import DestinationKind
 from forwarder.endpoints.call import ALL_ENDPOINTS, LimitScopeKey
 
-MAX_ENDPOINTS = 2000  # numbers remembered at most, those of endpoints that are not listed any more among them
+MAX_ENDPOINTS = 2000  # maximum of remembered numbers, including those of endpoints that are no longer listed
 
 
 class EndpointTable:
-    """The listed endpoints, and the numbers by which the decisions know them.
+    """The listed endpoints and their numbers in the decision core.
 
     Args:
-        kinds: the kinds of endpoints, by the settings.
-        numbers: the numbers of endpoints, by name, of the process which this one takes over from.
-        destinations: the destinations that that process has ever seen listed.
+        kinds: the kinds of endpoints in the settings.
+        numbers: the numbers of endpoints by name, as handed over by the previous process.
+        destinations: all destinations that the previous process has seen listed.
     """
 
     def __init__(
@@ -26,21 +26,21 @@
     ) -> None:
         self.apply_settings(kinds)
         self.endpoints: dict[str, ListedEndpoint] = {}
-        """Those that are listed now, by name."""
+        """The endpoints that are listed now, by name."""
         self.numbers = dict(numbers)
         self.names = {number: name for name, number in self.numbers.items()}
         self.destinations = set(destinations)
-        """All that were ever listed."""
+        """All destinations that were ever listed."""
         self._unlisted = dict.fromkeys(self.numbers)
-        """The names with a number that are not listed, the one that left the list first at the front."""
+        """The numbered names that are not listed, in the order in which they left the list."""
         self._newest_number = max(self.names, default=0)
 
     def apply_settings(self, kinds: Iterable[DestinationKind]) -> None:
-        """Uses the kinds of new settings from now on."""
+        """Applies the kinds of new settings."""
         self.kinds = {kind.name: kind for kind in kinds}
 
     def apply(self, endpoint_list: EndpointList) -> None:
-        """Follows a list: all of it, or the changes since the version before."""
+        """Applies an endpoint list, which is complete or holds the changes since the previous version."""
         if endpoint_list.is_complete:
             self._unlisted.update(dict.fromkeys(name for name in self.endpoints if name in self.numbers))
             self.endpoints = {}
@@ -55,9 +55,9 @@
                 self._unlisted[endpoint.name] = None
 
     def number(self, name: str, keep: Container[str] = ()) -> int:
-        """Returns the number of an endpoint; a new name gets a new number.
+        """Returns the number of an endpoint and assigns one to a new name.
 
-        Where too many are known, the one that left the list first is forgotten, but none of `keep`.
+        If too many names are known, the name that left the list first is forgotten; names in `keep` are retained.
         """
         if name not in self.numbers:
             if len(self.numbers) >= MAX_ENDPOINTS:
@@ -70,11 +70,11 @@
         return self.numbers[name]
 
     def entries(self, endpoints: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
-        """Returns endpoints in the form that the decisions read; `keep` as for `number`."""
+        """Returns endpoints in the form that the decision core reads; `keep` as for `number`."""
         return tuple(endpoint.entry(self.number(endpoint.name, keep)) for endpoint in endpoints)
 
     def serving(self, disabled: Container[str]) -> dict[int, Address]:
-        """Returns the addresses of those that may get new calls, without those that operators have disabled."""
+        """Returns the addresses of endpoints that may get new calls, without those disabled by operators."""
         return {
             self.number(endpoint.name, disabled): endpoint.address
             for endpoint in self.endpoints.values()
@@ -82,15 +82,15 @@
         }
 
     def endpoint(self, number: int) -> ListedEndpoint | None:
-        """Returns the endpoint of that number, if it is listed."""
+        """Returns the endpoint with a number; None if it is not listed."""
         return self.endpoints.get(self.names.get(number, ""))
 
     def kind(self, endpoint: ListedEndpoint) -> DestinationKind:
-        """Returns the settings for an endpoint's kind; the defaults where they do not name it."""
+        """Returns the settings of an endpoint's kind; the defaults if the settings do not name the kind."""
         return self.kinds.get(str(endpoint.raw.get("class")), DestinationKind(""))
 
     def limit_scope(self, endpoint: ListedEndpoint) -> LimitScopeKey:
-        """Returns what shares a Retry-After with an endpoint: all of its destination, or itself alone."""
+        """Returns the scope of an endpoint's Retry-After: its whole destination or the endpoint alone."""
         has_own_scope = self.kind(endpoint).separate_routes
         return LimitScopeKey(endpoint.destination, self.number(endpoint.name) if has_own_scope else ALL_ENDPOINTS)
 
--- a/forwarder/endpoints/idle_connections.py
+++ b/forwarder/endpoints/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for further calls and closed before the endpoints would reset them."""
+"""Idle connections to endpoints, kept for later calls and closed before the endpoints reset them."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
     Args:
         clock: the forwarder's clock, in microseconds.
-        supervisor: runs the sweep of those that have been idle for too long.
+        supervisor: runs the periodic sweep that closes connections after the idle time-out.
 
     Attributes:
-        timeout_us: how long a connection is kept; 0 for not at all.
+        timeout_us: how long an idle connection is kept; 0 to keep none.
     """
 
     def __init__(self, clock: Callable[[], int], supervisor: Supervisor) -> None:
@@ -27,30 +27,30 @@
         self.supervisor = supervisor
         self.timeout_us = 0
         self.by_endpoint: dict[int, list[EndpointConnection]] = {}
-        self.sweeping: RepeatingTimer | None = None
+        self.sweep_timer: RepeatingTimer | None = None
 
     def add(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keeps a connection, or closes it where enough are kept."""
+        """Keeps a connection, or closes it if the endpoint already has enough idle ones."""
         idle = self.by_endpoint.setdefault(endpoint, [])
         if self.timeout_us <= 0 or len(idle) >= MAX_IDLE_PER_ENDPOINT:
             connection.close("enough idle ones are kept")
             return
         connection.idle_since_us = self.clock()
         idle.append(connection)
-        if self.sweeping is None:
-            self.sweeping = self.supervisor.repeat("sweep of idle connections", SWEEP_INTERVAL_S, self._sweep)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.supervisor.repeat("sweep of idle connections", SWEEP_INTERVAL_S, self._sweep)
 
     def put_back(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keeps a connection that was taken out and not used; it has been idle for as long as before."""
+        """Returns an unused connection to the pool; its idle time continues."""
         self.by_endpoint.setdefault(endpoint, []).append(connection)
 
     def pop(self, endpoint: int) -> EndpointConnection | None:
-        """Takes out the connection to an endpoint that was used last; None where there is none."""
+        """Removes and returns the most recently used connection to an endpoint; None if there is none."""
         idle = self.by_endpoint.get(endpoint)
         return idle.pop() if idle else None
 
     def remove(self, connection: EndpointConnection) -> None:
-        """Forgets a connection, if it is among them."""
+        """Removes a connection if it is present."""
         for idle in self.by_endpoint.values():
             if connection in idle:
                 idle.remove(connection)
@@ -61,7 +61,7 @@
             connection.close(reason)
 
     def close_longest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest; returns whether there was one."""
+        """Closes the connection with the longest idle time; returns whether there was one."""
         idle = [
             (connection.idle_since_us, index, endpoint)
             for endpoint, connections in self.by_endpoint.items()
@@ -74,17 +74,17 @@
         return True
 
     def _sweep(self) -> None:
-        """Closes connections that have been idle for too long; stops when none is left."""
-        oldest_us = self.clock() - self.timeout_us
+        """Closes connections after the idle time-out; ends the periodic sweep when no connection is left."""
+        idle_since_limit_us = self.clock() - self.timeout_us
         for endpoint, idle in list(self.by_endpoint.items()):
             for connection in idle:
-                if connection.idle_since_us < oldest_us:
+                if connection.idle_since_us < idle_since_limit_us:
                     connection.close("idle too long")
-            kept = [each for each in idle if each.idle_since_us >= oldest_us and not each.is_closing()]
+            kept = [each for each in idle if each.idle_since_us >= idle_since_limit_us and not each.is_closing()]
             if kept:
                 self.by_endpoint[endpoint] = kept
             else:
                 del self.by_endpoint[endpoint]
-        if not self.by_endpoint and self.sweeping is not None:
-            self.sweeping.cancel()
-            self.sweeping = None
+        if not self.by_endpoint and self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+            self.sweep_timer = None
--- a/forwarder/endpoints/in_flight_calls.py
+++ b/forwarder/endpoints/in_flight_calls.py
@@ -1,4 +1,4 @@
-"""The calls in flight: their time-outs, and the end of each message's attempt."""
+"""Tracks the calls in flight, their time-outs and the end of each message's attempt."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from forwarder.protocol.http1 import ResponseReader, parse_load_report
 from forwarder.units import SECOND_US
 
-ANSWER_STALL_S = 0.25  # an answer that has begun and does not go on for so long is taken for broken
-DELIVERY_MARGIN_US = 40_000  # a delivery that is heard so shortly before its message's deadline may not count
-TIMER_MARGIN_S = 0.001  # an event loop's timers may be a little early
+ANSWER_STALL_S = 0.25  # a partial answer counts as broken after this time without progress
+DELIVERY_MARGIN_US = 40_000  # a delivery reported within this time before the deadline may not count
+TIMER_MARGIN_S = 0.001  # the event loop's timers may fire slightly early
 
 AttemptSink = Callable[[AttemptEnded], None]
 
 
 class InFlightCalls:
-    """All calls that have not ended, by the attempts that they carry.
+    """All calls that have not ended, indexed by the attempts that they carry.
 
     Each attempt ends exactly once, by an `AttemptEnded` event.
 
     Args:
         clock: the forwarder's clock, in microseconds.
-        sink: takes the end of each attempt.
-        retry_after: where the Retry-After of answers is recorded.
+        sink: receives the end of each attempt.
+        retry_after: records the Retry-After of answers.
     """
 
     def __init__(self, clock: Callable[[], int], sink: AttemptSink, retry_after: RetryAfterTable) -> None:
@@ -40,7 +40,7 @@
         self.by_attempt: dict[AttemptKey, EndpointCall] = {}
 
     def add(self, call: EndpointCall) -> None:
-        """Takes over a call with all of its messages."""
+        """Adds a call with all of its messages."""
         self.count += 1
         for item in call.items:
             call.open_items[item.id] = item
@@ -51,18 +51,18 @@
         return {id(call): call for call in self.by_attempt.values()}.values()
 
     def has_unread_answer(self, limit_scope: LimitScopeKey) -> bool:
-        """Returns whether an answer of a limit scope has come that this machine cannot read just now."""
+        """Returns whether this machine cannot currently read an answer that has arrived from a limit scope."""
         return any(
             call.connection is not None and call.connection.sock.is_unreadable and call.limit_scope == limit_scope
             for call in self.by_attempt.values()
         )
 
     def start_timeout(self, call: EndpointCall) -> None:
-        """Starts the time-out of a call anew, for those of its messages that are open.
+        """Restarts the time-out of a call for its open messages.
 
-        A call is given up by closing its connection, for all its messages or for none: while it carries one that has
-        ended here, that one may not be sent again, nor the next of its key. So all wait for the last of them, but not
-        past the deadline of any.
+        A call is given up by closing its connection, which affects all its messages. While the call still carries a
+        message that has ended in the forwarder, neither that message nor the next one of its key may be sent. The call
+        therefore times out with the last of its messages, but not after the deadline of any.
         """
         if call.timeout_timer is not None:
             call.timeout_timer.cancel()
@@ -76,7 +76,7 @@
             call.timeout_timer = loop.call_later(delay_s + TIMER_MARGIN_S, self.timed_out, call)
 
     def timed_out(self, call: EndpointCall) -> None:
-        """Gives up a call whose time is over."""
+        """Gives up a call that has timed out."""
         self._give_up(call, list(call.open_items.values()), Outcome.TIMED_OUT)
 
     def cancel(self, message_id: str, attempt: int) -> None:
@@ -86,18 +86,18 @@
             self._give_up(call, [call.open_items[message_id]], Outcome.CANCELED)
 
     def answer_progressed(self, call: EndpointCall) -> None:
-        """A part of an answer has come: the rest has to follow soon."""
+        """Restarts the stall timer after a part of an answer has arrived."""
         if call.stall_timer is not None:
             call.stall_timer.cancel()
         call.stall_timer = asyncio.get_running_loop().call_later(ANSWER_STALL_S, self.answer_stalled, call)
 
     def answer_stalled(self, call: EndpointCall) -> None:
-        """The rest of an answer does not come: take it for broken, so that its slot is free for other calls."""
+        """Treats a stalled answer as broken, so that its slot becomes free for other calls."""
         if call.connection is not None:
             call.connection.close("answer stands still")
 
     def answer_ended(self, call: EndpointCall, reader: ResponseReader, broken: bool = False) -> None:
-        """An answer is complete, or `broken`: it will not be."""
+        """Ends the call of an answer that is complete, or incomplete for good if `broken`."""
         call.cancel_timers()
         report = parse_load_report(reader.headers, self.report_fields)
         if broken:
@@ -109,9 +109,9 @@
             self.finish(call, result_of_answer(reader, call.endpoint), report)
 
     def connection_broke(self, call: EndpointCall, reader: ResponseReader, given_up: Outcome | None) -> None:
-        """The connection of a call has ended before its answer was complete, by itself or as the call was given up.
+        """Ends a call whose connection ended before the answer was complete, also if the call was given up.
 
-        A call that has timed out while the rest of a delivery did not come is a delivery.
+        A call that has timed out counts as a delivery if its incomplete answer reports one.
         """
         is_delivery = given_up is Outcome.TIMED_OUT and reader.says_ok() and not call.batched
         if given_up is None or is_delivery:
@@ -122,7 +122,7 @@
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
 
     def finish(self, call: EndpointCall, result: CallResult, report: LoadReport | None = None) -> None:
-        """Ends a call with the same result for all messages that are open."""
+        """Ends a call with the same result for all its open messages."""
         for item in list(call.open_items.values()):
             self.end_item(call, item, result, report)
         self._detach(call)
@@ -151,10 +151,10 @@
         )
 
     def _is_final(self, item: CallItem, result: CallResult) -> bool:
-        """Returns whether a message is surely over.
+        """Returns whether a message has ended for certain.
 
-        Its time began when its client sent it, a little before it was read here: a delivery that is heard at the end of
-        that time may have come too late to count, and its message still needs an end.
+        Its time begins when the client sends it, shortly before the forwarder reads it. A delivery reported close to
+        the deadline may therefore be too late to count, and the message still needs an end.
         """
         if result.outcome is Outcome.DELIVERED:
             return self.clock() < item.due_us - DELIVERY_MARGIN_US
@@ -163,8 +163,8 @@
     def _give_up(self, call: EndpointCall, items: list[CallItem], outcome: Outcome) -> None:
         """Stops waiting for some messages of a call.
 
-        With none left its connection is closed: a late answer must not be taken for the next call's. A call whose
-        connection is ending already has its outcome by that, in the event loop's next turn.
+        If no message is left, closes the connection, so that a late answer is not taken for that of the next call. If
+        the connection is already ending, the call gets its outcome from that in the next iteration of the event loop.
         """
         if call.connection is not None and call.connection.is_ending():
             return
@@ -180,7 +180,7 @@
 
     @staticmethod
     def _detach(call: EndpointCall) -> None:
-        """Stops the timers of a call that has ended, and closes the connection that it was on."""
+        """Cancels the timers of a call that has ended and closes its connection."""
         call.cancel_timers()
         if call.connection is not None:
             connection = call.connection
--- a/forwarder/endpoints/local_errors.py
+++ b/forwarder/endpoints/local_errors.py
@@ -1,4 +1,4 @@
-"""Socket errors that are caused by this machine."""
+"""Socket errors caused by this machine."""
 
 from __future__ import annotations
 
@@ -21,4 +21,4 @@
         errno.EINTR,
     }
 )
-"""Errors of socket(2) and connect(2) that say nothing about the peer."""
+"""Errors of socket(2) and connect(2) that are not caused by the peer."""
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to endpoints: connects, keeps idle connections for further calls, and hands them over."""
+"""The pool of connections to endpoints: opens connections, keeps idle ones for later calls, and hands them over."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
 from forwarder.runtime.supervisor import Supervisor
 from forwarder.units import SECOND_US
 
-IDLE_MARGIN_US = 700_000  # an idle connection is closed so long before its endpoint would reset it
+IDLE_MARGIN_US = 700_000  # time by which an idle connection is closed before its endpoint would reset it
 DEFAULT_IDLE_TIMEOUT_US = 60 * SECOND_US
 DEFAULT_CONNECT_TIMEOUT_US = SECOND_US
 MIN_CONNECT_TIMEOUT_S = 0.001
 
 
 class ConnectionPool:
-    """All connections to all endpoints, and the calls that are in flight on them.
+    """All connections to endpoints and the calls in flight on them.
 
     Args:
         clock: the forwarder's clock, in microseconds.
-        sink: takes the end of each attempt.
-        report_fields: the names of the fields that load reports hold.
+        sink: receives the end of each attempt.
+        report_fields: names of the fields in load reports.
         idle_timeout_us: how long endpoints keep an idle connection; 0 for the default.
-        connect_timeout_us: how long connecting may take; 0 for the default.
-        max_connections: the greatest number of connections, those that are being made among them.
+        connect_timeout_us: time-out of a connect; 0 for the default.
+        max_connections: maximum number of connections, including those being established.
         reasons: counts why connections were closed and calls held back.
-        invariants: says whether a message may be sent; without it only the route is checked.
-        supervisor: runs the sweep, and counts unexpected errors.
+        invariants: decides whether a message may be sent; None to check only the route.
+        supervisor: runs the periodic sweep and counts unexpected errors.
 
     Attributes:
-        descriptor_reserve: helps where the process has no descriptor left; None for no help.
+        descriptor_reserve: frees a descriptor if the process has none left; None for no reserve.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         self.in_flight = InFlightCalls(clock, sink, self.retry_after)
         self.checks = CallChecks(clock, self.in_flight, invariants)
         self.addresses: dict[int, Address] = {}
-        """The endpoints that may be called, by number."""
+        """Addresses of the endpoints that may be called, by number."""
         self.connections: set[EndpointConnection] = set()
         self.descriptor_reserve: DescriptorReserve | None = None
         self.idle = IdleConnections(clock, self.supervisor)
@@ -84,27 +84,27 @@
 
     @property
     def calls_in_flight(self) -> int:
-        """How many calls have not ended."""
+        """Number of calls that have not ended."""
         return self.in_flight.count
 
     @property
     def report_fields(self) -> tuple[str, ...]:
-        """The names of the fields that load reports hold."""
+        """Names of the fields in load reports."""
         return self.in_flight.report_fields
 
     @property
     def idle_timeout_us(self) -> int:
-        """How long an idle connection is kept; 0 for not at all."""
+        """How long an idle connection is kept; 0 to keep none."""
         return self.idle.timeout_us
 
     def apply_settings(self, report_fields: tuple[str, ...], idle_timeout_us: int, connect_timeout_us: int) -> None:
-        """Uses new settings from now on."""
+        """Applies new settings."""
         self.in_flight.report_fields = report_fields
         self.idle.timeout_us = max(0, (idle_timeout_us or DEFAULT_IDLE_TIMEOUT_US) - IDLE_MARGIN_US)
         self.connect_timeout_us = connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US
 
     def update_addresses(self, addresses: dict[int, Address]) -> None:
-        """Uses a new list of endpoints. One that has left it gets no new call and keeps no idle connection."""
+        """Applies a new set of addresses. A removed endpoint gets no new call, and its idle connections are closed."""
         for endpoint, old_address in self.addresses.items():
             if addresses.get(endpoint) != old_address:
                 self.close_idle(endpoint, "not listed any more")
@@ -113,7 +113,7 @@
     # Calls
 
     def start(self, call: EndpointCall) -> None:
-        """Sends a call, on an idle connection or on a new one."""
+        """Sends a call on an idle connection or on a new one."""
         self.in_flight.add(call)
         self.in_flight.start_timeout(call)
         address = self.addresses.get(call.endpoint)
@@ -136,11 +136,11 @@
         self.in_flight.cancel(message_id, attempt)
 
     def finish(self, call: EndpointCall, result: CallResult) -> None:
-        """Ends a call with the same result for all messages that are open."""
+        """Ends a call with the same result for all its open messages."""
         self.in_flight.finish(call, result)
 
     def _send_on_idle(self, call: EndpointCall) -> bool:
-        """Sends a call on an idle connection. Returns False where there is none that can be used."""
+        """Sends a call on an idle connection. Returns False if there is no usable one."""
         while (connection := self.idle.pop(call.endpoint)) is not None:
             if connection.is_closing():
                 continue
@@ -153,29 +153,29 @@
         return False
 
     def _hold_back_unsent(self, call: EndpointCall) -> None:
-        """Ends a call that this machine could not send on its connection: that says nothing of the endpoint."""
+        """Ends a call that this machine could not send, as a local failure that does not count against the endpoint."""
         self.reasons.note(Subject.HELD_BACK, "call: this machine could not send it", call.items[0].id)
         self.finish(call, CallResult(Outcome.LOCAL_FAILURE))
 
     async def _connect_guarded(self, call: EndpointCall, address: Address) -> None:
-        """Connects and sends a call; an unexpected error ends the call, so that its slot is free."""
+        """Connects and sends a call; an unexpected error ends the call, so that its slot becomes free."""
         if not await self.supervisor.guarded("connect", self._connect_and_send(call, address)):
             self.finish(call, CallResult(Outcome.LOCAL_FAILURE if call.connection is None else Outcome.RESET))
 
     async def _connect_and_send(self, call: EndpointCall, address: Address) -> None:
-        began_us = self.clock()
-        timeout_us = min(self.connect_timeout_us, call.timeout_at_us - began_us)
+        started_us = self.clock()
+        timeout_us = min(self.connect_timeout_us, call.timeout_at_us - started_us)
         try:
             async with asyncio.timeout(max(MIN_CONNECT_TIMEOUT_S, timeout_us / SECOND_US)):
                 connection = await connect(partial(EndpointConnection, self), address, self.descriptor_reserve)
         except OSError as error:
-            outcome = outcome_of_connect_error(error, self.clock() - began_us, timeout_us)
+            outcome = outcome_of_connect_error(error, self.clock() - started_us, timeout_us)
             if outcome is Outcome.LOCAL_FAILURE:
                 self.reasons.note(Subject.HELD_BACK, f"call: {error.strerror or 'stood still'}", call.items[0].id)
             self.finish(call, CallResult(outcome))
             return
         self.connections.add(connection)
-        self._end_denied(call, address)  # the list, a Retry-After or the time may have changed meanwhile
+        self._end_denied(call, address)  # the list, the Retry-After or the time may have changed since
         if connection.is_closing():
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
         elif self.addresses.get(call.endpoint) != address:
@@ -194,7 +194,7 @@
             self.keep_idle(connection, call.endpoint)
 
     def _end_denied(self, call: EndpointCall, address: Address) -> None:
-        """Ends the attempts of those messages of a call to this address that may not be sent now."""
+        """Ends the attempts of the messages of a call to this address that may not be sent now."""
         self.checks.end_denied(call, is_listed=self.addresses.get(call.endpoint) == address)
 
     def _render(self, call: EndpointCall) -> bytes:
@@ -204,7 +204,7 @@
     # Connections
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keeps a connection for the next call to its endpoint, or closes it where enough are kept."""
+        """Keeps a connection for the next call to its endpoint; closes it if it is not needed or no longer listed."""
         if endpoint in self.addresses:
             self.idle.add(connection, endpoint)
         else:
@@ -215,21 +215,21 @@
         self.idle.close_all_to(endpoint, reason)
 
     def connection_ended(self, connection: EndpointConnection) -> None:
-        """Forgets a connection that is closed."""
+        """Removes a connection that is closed."""
         self.connections.discard(connection)
         self.idle.remove(connection)
 
     def close(self) -> None:
-        """Closes all connections, as the process ends."""
+        """Closes all connections because the process exits."""
         for connection in list(self.connections):
             connection.close("the process ends")
 
     # Hand-over to another process
 
     def settle(self) -> None:
-        """Ends the calls whose connections are given up or closing now, not in the event loop's next turn.
+        """Ends the calls whose connections are given up or closing, without waiting for the event loop.
 
-        After a hand-over the next turn never comes.
+        After a hand-over, the event loop of this process has no next iteration.
         """
         ending = [each for each in self.connections if each.is_closing() or each.given_up is not None]
         for connection in ending:
@@ -237,27 +237,27 @@
             connection.settle()
 
     def hand_over(self) -> tuple[PoolRecord, list[EndpointConnection]]:
-        """Returns what is in flight and what is idle, and the connections that go along.
+        """Returns the records of calls in flight and idle connections, and the connections to hand over.
 
-        A call whose last byte is not written yet goes without its connection: it will never run.
+        A call whose last byte is not yet written is handed over without its connection, since it will never run.
         """
         connections: list[EndpointConnection] = []
         calls = [_describe_call(call, connections) for call in self.in_flight.calls()]
         idle = [
             _describe_idle(connection, endpoint, connections)
-            for endpoint, held in self.idle.by_endpoint.items()
-            for connection in held
+            for endpoint, idle_connections in self.idle.by_endpoint.items()
+            for connection in idle_connections
             if not connection.is_closing()
         ]
         return PoolRecord(tuple(calls), tuple(idle), self.retry_after.entries()), connections
 
     async def adopt(self, call: EndpointCall, sock: socket.socket | None, received: bytes) -> None:
-        """Goes on waiting for the answer to a call of the process before.
+        """Continues to wait for the answer to a call of the previous process.
 
         Args:
             call: the call.
-            sock: its connection; None where it was not written, so that it never ran.
-            received: what was read of its answer.
+            sock: the connection; None if the call was not written, so that it never ran.
+            received: the part of the answer that was read.
 
         Raises:
             OSError: the connection cannot be used.
@@ -271,7 +271,7 @@
         self.in_flight.start_timeout(call)
 
     async def adopt_idle(self, endpoint: int, sock: socket.socket, idle_since_us: int) -> None:
-        """Keeps an idle connection of the process before.
+        """Keeps an idle connection of the previous process.
 
         Raises:
             OSError: the connection cannot be used.
@@ -284,10 +284,10 @@
     async def _attach(
         self, sock: socket.socket, call: EndpointCall | None = None, received: bytes = b""
     ) -> EndpointConnection:
-        patient = RetryingSocket.of(sock)
-        patient.setblocking(False)
+        retrying_sock = RetryingSocket.of(sock)
+        retrying_sock.setblocking(False)
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: EndpointConnection(self, patient, call, received), sock=patient
+            lambda: EndpointConnection(self, retrying_sock, call, received), sock=retrying_sock
         )
         if not connection.is_closing():
             self.connections.add(connection)
@@ -295,7 +295,7 @@
 
 
 def _describe_call(call: EndpointCall, connections: list[EndpointConnection]) -> CallRecord:
-    """Returns what another process needs to wait for a call's answer; its connection is added to `connections`."""
+    """Returns the record of a call for another process; the call's connection is added to `connections`."""
     index = NO_CONNECTION
     if call.connection is not None and call.written and not call.connection.is_closing():
         index = len(connections)
@@ -314,6 +314,6 @@
 def _describe_idle(
     connection: EndpointConnection, endpoint: int, connections: list[EndpointConnection]
 ) -> IdleConnectionRecord:
-    """Returns what another process needs to keep a connection, which is added to `connections`."""
+    """Returns the record of an idle connection for another process; the connection is added to `connections`."""
     connections.append(connection)
     return IdleConnectionRecord(len(connections) - 1, endpoint, connection.idle_since_us)
--- a/forwarder/endpoints/request_rendering.py
+++ b/forwarder/endpoints/request_rendering.py
@@ -1,4 +1,4 @@
-"""Renders the HTTP request of a call. The names of headers, paths and JSON keys are the platform's (PROTOCOL)."""
+"""Renders the HTTP request of a call. The platform defines the headers, paths and JSON keys (PROTOCOL)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from forwarder.endpoints.call import CallItem, EndpointCall
 from forwarder.protocol.http1 import MAX_BODY_BYTES, render_request
 
-ITEM_OVERHEAD_BYTES = 64  # at least what JSON adds to one message
+ITEM_OVERHEAD_BYTES = 64  # upper bound of the bytes that JSON adds to one message
 
 
 def render_call(call: EndpointCall, address: Address, now_us: int) -> bytes:
@@ -26,7 +26,7 @@
 
 
 def fits_in_batch(items: Sequence[CallItem], added: CallItem) -> bool:
-    """Returns whether the body of a batch call stays within what endpoints accept with one more message."""
+    """Returns whether the body of a batch call with one more message stays within the size that endpoints accept."""
     return sum(map(_batched_size, [*items, added])) <= MAX_BODY_BYTES
 
 
--- a/forwarder/endpoints/retry_after.py
+++ b/forwarder/endpoints/retry_after.py
@@ -1,4 +1,4 @@
-"""Until when rate-limit scopes have asked to be left alone."""
+"""Records until when the Retry-After of each limit scope is in force."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from forwarder.endpoints.call import LimitScopeKey
 
-MAX_SCOPES = 1000  # remembered before those whose time has passed are dropped
+MAX_SCOPES = 1000  # number of recorded scopes above which expired ones are dropped
 
 
 class RetryAfterTable:
-    """The ends of all Retry-After times that endpoints have asked for, by rate-limit scope.
+    """The end of the Retry-After that endpoints have sent, by limit scope.
 
     Args:
         clock: the forwarder's clock, in microseconds.
@@ -21,23 +21,23 @@
         self._until_us: dict[LimitScopeKey, int] = {}
 
     def note(self, scope: LimitScopeKey, retry_after_us: int) -> None:
-        """Records that a scope is to be left alone from now on, also by calls that are not written yet.
+        """Records a Retry-After of a scope, which from now on also applies to calls that are not yet written.
 
-        An earlier request to wait for longer stays in force.
+        An earlier Retry-After that ends later stays in force.
         """
         now_us = self._clock()
         if len(self._until_us) > MAX_SCOPES:
-            self._until_us = {known: end_us for known, end_us in self._until_us.items() if end_us > now_us}
+            self._until_us = {key: until_us for key, until_us in self._until_us.items() if until_us > now_us}
         self._until_us[scope] = max(now_us + retry_after_us, self.until_us(scope))
 
     def until_us(self, scope: LimitScopeKey) -> int:
-        """Returns until when a scope is to be left alone; 0 where it never asked for that."""
+        """Returns the end of a scope's Retry-After; 0 if it has sent none."""
         return self._until_us.get(scope, 0)
 
     def entries(self) -> tuple[tuple[LimitScopeKey, int], ...]:
-        """Returns each scope with the time until which it is to be left alone."""
+        """Returns each scope with the end of its Retry-After."""
         return tuple(self._until_us.items())
 
     def restore(self, entries: Iterable[tuple[tuple[int, int], int]]) -> None:
-        """Replaces all entries by those of the process before, as `entries` returned them."""
+        """Replaces all entries by those that `entries` returned in the previous process."""
         self._until_us = {LimitScopeKey(*scope): until_us for scope, until_us in entries}
--- a/tests/clients/test_arrival_estimate.py
+++ b/tests/clients/test_arrival_estimate.py
@@ -13,10 +13,10 @@
 def test_what_the_first_poll_reports_may_have_come_while_the_connection_was_queued() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
-        estimate.reading_begins(lambda: True)
+        estimate.note_reading_started(lambda: True)
         await asyncio.sleep(0)
-        assert estimate.take(NOW_US) == QUEUED_SINCE_US
-        assert estimate.take(NOW_US) == NOW_US
+        assert estimate.take_arrival_us(NOW_US) == QUEUED_SINCE_US
+        assert estimate.take_arrival_us(NOW_US) == NOW_US
 
     asyncio.run(scene())
 
@@ -24,10 +24,10 @@
 def test_what_a_later_poll_reports_has_come_since() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
-        estimate.reading_begins(lambda: True)
+        estimate.note_reading_started(lambda: True)
         for _ in range(3):
             await asyncio.sleep(0)
-        assert estimate.take(NOW_US) == NOW_US
+        assert estimate.take_arrival_us(NOW_US) == NOW_US
 
     asyncio.run(scene())
 
@@ -35,9 +35,9 @@
 def test_a_poll_tells_nothing_of_a_connection_that_is_not_read() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
-        estimate.reading_begins(lambda: False)
+        estimate.note_reading_started(lambda: False)
         for _ in range(3):
             await asyncio.sleep(0)
-        assert estimate.take(NOW_US) == QUEUED_SINCE_US
+        assert estimate.take_arrival_us(NOW_US) == QUEUED_SINCE_US
 
     asyncio.run(scene())
--- a/tests/clients/test_eviction_order.py
+++ b/tests/clients/test_eviction_order.py
@@ -10,7 +10,7 @@
 
 from forwarder.clients.eviction_order import EvictionOrder
 from forwarder.clients.listener import bind
-from forwarder.clients.server import MAX_EVICTION_LOOKS, ClientServer
+from forwarder.clients.server import MAX_EVICTION_PROPOSALS, ClientServer
 from forwarder.config.config import Address
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
@@ -30,8 +30,8 @@
     has_sent_request: bool = False
 
 
-def names(order: EvictionOrder[FakeConnection], max_looks: int = 100) -> str:
-    return "".join(each.name for each in order.propose(NEW_SINCE_US, max_looks))
+def names(order: EvictionOrder[FakeConnection], max_proposals: int = 100) -> str:
+    return "".join(each.name for each in order.propose(NEW_SINCE_US, max_proposals))
 
 
 def test_silent_ones_go_first_then_those_idle_for_longest_then_new_ones() -> None:
@@ -52,7 +52,7 @@
         order.note_use(FakeConnection(name, 0, has_sent_request=True))
     assert names(order, 2) == "ab"
     assert names(order, 2) == "cd"
-    assert order.looks == 4
+    assert order.proposed_count == 4
 
 
 def test_handed_over_ones_are_sorted_by_their_last_use() -> None:
@@ -79,7 +79,7 @@
     for client in clients:
         client.close()
     server.close()
-    return server.eviction_order.looks
+    return server.eviction_order.proposed_count
 
 
 def test_an_eviction_looks_at_no_more_connections_where_more_are_open() -> None:
@@ -103,9 +103,9 @@
                 await asyncio.sleep(0.01)
         for client in clients:
             client.send(b"GET /up HTTP/1.1\r\n\r\n")
-        looks = server.eviction_order.looks
+        looks = server.eviction_order.proposed_count
         server.evict_for_descriptor()
-        assert server.eviction_order.looks - looks <= MAX_EVICTION_LOOKS
+        assert server.eviction_order.proposed_count - looks <= MAX_EVICTION_PROPOSALS
         assert not server.closing
         for client in clients:
             client.close()
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -152,7 +152,7 @@
         await peer.wait_until(lambda: peer.closed == 1)
         assert [end.outcome for end in ends] == [Outcome.DELIVERED]
         assert not pool.idle.by_endpoint
-        assert not pool.idle.sweeping
+        assert not pool.idle.sweep_timer
 
     asyncio.run(scene())
 
