--- a/forwarder/endpoints/retry_after.py
+++ b/forwarder/endpoints/retry_after.py
@@ -27,7 +27,7 @@
         """
         now_us = self._clock()
         if len(self._until_us) > MAX_SCOPES:
-            self._until_us = {key: until_us for key, until_us in self._until_us.items() if until_us > now_us}
+            self._until_us = {key: end_us for key, end_us in self._until_us.items() if end_us > now_us}
         self._until_us[scope] = max(now_us + retry_after_us, self.until_us(scope))
 
     def until_us(self, scope: LimitScopeKey) -> int:
--- a/tests/clients/peers.py
+++ b/tests/clients/peers.py
@@ -1,4 +1,4 @@
-"""Clients that send much, for the tests of their connections and of the server."""
+"""A client that floods the server with requests, for the tests of client connections and of the server."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from forwarder.clients.submission import Submission
 from forwarder.config.config import Address
 
-ONE_OF_FLOOD = 54
+FLOOD_REQUEST_BYTES = 54
 
 
 FLOOD = b"POST /nowhere HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n" * 200_000
-"""10 MB: more than all buffers on the way hold."""
+"""About 10 MB, more than all buffers between client and server hold."""
 
 
-MAX_UNREAD = 1 << 20
+MAX_UNREAD_ANSWER_BYTES = 1 << 20
 
 
-async def flood_server(server: ClientServer) -> tuple[socket.socket, ClientConnection, asyncio.Task[None]]:
-    """A client in the middle of sending a flood, and its door, which has stopped to read it."""
+async def start_flood(server: ClientServer) -> tuple[socket.socket, ClientConnection, asyncio.Task[None]]:
+    """Returns a flooding client's socket, the server's connection, which has paused reading, and the sending task."""
     loop = asyncio.get_running_loop()
     server.listen(await bind(Address("127.0.0.1", 0)))
     assert server.listener is not None
@@ -37,9 +37,9 @@
     assert connection.transport is not None
     while connection.transport.is_reading() and not sending.done():
         await asyncio.sleep(0.005)
-        assert connection.transport.get_write_buffer_size() < MAX_UNREAD
+        assert connection.transport.get_write_buffer_size() < MAX_UNREAD_ANSWER_BYTES
     return sock, connection, sending
 
 
 def reject_all(submission: Submission, connection: ClientConnection) -> None:
-    raise AssertionError("nothing of a flood is a message")
+    raise AssertionError("a request of the flood was taken for a submission")
--- a/tests/clients/test_arrival_estimate.py
+++ b/tests/clients/test_arrival_estimate.py
@@ -1,4 +1,4 @@
-"""What one connection's arrival estimate says before, in and after the first poll that watches it."""
+"""Tests the arrival estimate of a connection before, during and after the first poll that watches it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 NOW_US = 500
 
 
-def test_what_the_first_poll_reports_may_have_come_while_the_connection_was_queued() -> None:
+def test_data_of_the_first_poll_may_have_arrived_while_the_connection_was_queued() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
         estimate.note_reading_started(lambda: True)
@@ -21,7 +21,7 @@
     asyncio.run(scene())
 
 
-def test_what_a_later_poll_reports_has_come_since() -> None:
+def test_data_of_a_later_poll_counts_as_just_arrived() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
         estimate.note_reading_started(lambda: True)
@@ -32,7 +32,7 @@
     asyncio.run(scene())
 
 
-def test_a_poll_tells_nothing_of_a_connection_that_is_not_read() -> None:
+def test_a_poll_does_not_count_for_a_connection_that_is_not_read() -> None:
     async def scene() -> None:
         estimate = ArrivalEstimate(QUEUED_SINCE_US)
         estimate.note_reading_started(lambda: False)
--- a/tests/clients/test_arrival_time.py
+++ b/tests/clients/test_arrival_time.py
@@ -1,4 +1,4 @@
-"""Since when the time of a request counts, while the process is slow."""
+"""Tests from when the remaining time of a request counts while the process is slow."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from tests.sockets import PATIENCE
 
 MAX_CONNECTIONS = 8
-CROWD = 80
+CONNECTIONS_AHEAD = 80
 REQUESTS = 10
-TURN_S = 0.02
+ITERATION_S = 0.02
 TIME_LEFT_S = 12.0
 TOLERANCE_US = 2_000
-"""Between the moment at which a request is written, and the test's reading of the clock."""
+"""Largest allowed difference between the write of a request and the test's reading of the clock."""
 
 
 class SlowLoop:
-    """Makes every turn of the event loop take some time."""
+    """Makes every iteration of the event loop last at least ITERATION_S."""
 
     def __init__(self) -> None:
         self.is_slow = True
-        asyncio.get_running_loop().call_soon(self._hold_up)
+        asyncio.get_running_loop().call_soon(self._block)
 
-    def _hold_up(self) -> None:
+    def _block(self) -> None:
         if self.is_slow:
-            time.sleep(TURN_S)
-            asyncio.get_running_loop().call_soon(self._hold_up)
+            time.sleep(ITERATION_S)
+            asyncio.get_running_loop().call_soon(self._block)
 
 
 def connect(address: tuple[str, int]) -> socket.socket:
@@ -50,22 +50,22 @@
     return sock
 
 
-def test_the_time_of_a_request_goes_on_while_a_crowd_is_before_it_in_the_queue() -> None:
-    """Guards against `lost`: a request that had waited for its accept was given that much time too much."""
+def test_the_time_of_a_request_counts_while_many_connections_are_ahead_of_it_in_the_queue() -> None:
+    """Guards against `lost`: the time that a connection waited for its accept was added to the request's deadline."""
 
     async def scene() -> None:
         clock = Clock()
-        read: list[tuple[Submission, int]] = []
+        submissions: list[tuple[Submission, int]] = []
 
         def on_submission(submission: Submission, connection: ClientConnection) -> None:
-            read.append((submission, clock()))
+            submissions.append((submission, clock()))
             connection.answer(HTTPStatus.ACCEPTED)
 
         server = ClientServer(parse_settings(SETTINGS), clock, MAX_CONNECTIONS, on_submission)
         sock = await bind(Address("127.0.0.1", 0))
         server.listen(sock)
         address = sock.getsockname()
-        crowd = [connect(address) for _ in range(CROWD)]
+        connections_ahead = [connect(address) for _ in range(CONNECTIONS_AHEAD)]
         clients = []
         sent_us = {}
         for number in range(REQUESTS):
@@ -74,14 +74,16 @@
             sent_us[f"m{number}"] = clock()
         slow_loop = SlowLoop()
         async with asyncio.timeout(PATIENCE):
-            while len(read) < REQUESTS:
+            while len(submissions) < REQUESTS:
                 await asyncio.sleep(0)
         slow_loop.is_slow = False
-        assert max(read_us - sent_us[submission.id] for submission, read_us in read) > 4 * TURN_S * SECOND_US
-        for submission, read_us in read:
-            sent_at_the_earliest_us = max(sent_us[submission.id], read_us - CLIENT_TIMEOUT_US)
-            assert submission.due_us <= sent_at_the_earliest_us + TIME_LEFT_S * SECOND_US + TOLERANCE_US
-        for each in crowd + clients:
+        assert (
+            max(read_us - sent_us[submission.id] for submission, read_us in submissions) > 4 * ITERATION_S * SECOND_US
+        )
+        for submission, read_us in submissions:
+            earliest_sent_us = max(sent_us[submission.id], read_us - CLIENT_TIMEOUT_US)
+            assert submission.due_us <= earliest_sent_us + TIME_LEFT_S * SECOND_US + TOLERANCE_US
+        for each in connections_ahead + clients:
             each.close()
         server.close()
 
@@ -90,8 +92,8 @@
 
 
 @pytest.mark.parametrize("was_accepted", [False, True], ids=["queued", "accepted"])
-def test_the_time_of_a_request_goes_on_while_its_connection_is_handed_over(was_accepted: bool) -> None:
-    """Guards against `lost`: what another process had not served yet was taken for just come."""
+def test_the_time_of_a_request_counts_while_its_connection_is_handed_over(was_accepted: bool) -> None:
+    """Guards against `lost`: a request on a handed-over connection that was not yet served counted as just arrived."""
 
     async def scene() -> None:
         clock = Clock()
@@ -121,8 +123,8 @@
         runner.run(scene())
 
 
-def test_the_time_of_a_request_goes_on_between_the_accept_of_its_connection_and_its_first_turn() -> None:
-    """Guards against `lost`: the turns of the event loop between accept and the first read were not counted."""
+def test_the_time_of_a_request_counts_between_the_accept_of_its_connection_and_the_first_read() -> None:
+    """Guards against `lost`: the iterations of the event loop between accept and first read were not counted."""
 
     async def scene() -> None:
         clock = Clock()
@@ -140,7 +142,7 @@
             while not submitted:
                 await asyncio.sleep(0)
         slow_loop.is_slow = False
-        assert clock() - sent_us > 2 * TURN_S * SECOND_US
+        assert clock() - sent_us > 2 * ITERATION_S * SECOND_US
         assert submitted[0].due_us <= sent_us + TIME_LEFT_S * SECOND_US + TOLERANCE_US
         client.close()
         server.close()
@@ -149,8 +151,8 @@
         runner.run(scene())
 
 
-def test_a_request_long_after_a_pause_is_not_taken_for_one_of_the_pause() -> None:
-    """Guards against a request refused as late that came long after its connection was read again."""
+def test_a_request_long_after_a_pause_does_not_count_as_arrived_during_the_pause() -> None:
+    """Guards against a wrong rejection as late: a request arrived long after reading from its connection resumed."""
 
     async def scene() -> None:
         clock = Clock()
@@ -182,25 +184,25 @@
 
 
 @pytest.mark.parametrize("timeout_s", [0.0, 1.0, None])
-def test_what_lay_there_as_a_poll_began_is_no_younger_though_the_poll_was_held_up(timeout_s: float | None) -> None:
-    """Guards against a request given too much time: a poll that lost the processor was taken for one that waited."""
+def test_data_present_at_the_start_of_a_delayed_poll_does_not_count_as_arrived_later(timeout_s: float | None) -> None:
+    """Guards against a deadline that is too late: a poll that lost the processor was taken for one that waited."""
     selector = TimedSelector()
-    ours, other = socket.socketpair()
-    selector.register(ours, selectors.EVENT_READ)
+    reader, writer = socket.socketpair()
+    selector.register(reader, selectors.EVENT_READ)
     poll = selector._selector.poll
 
-    def held_up(*arguments: float) -> list[tuple[int, int]]:
+    def delayed_poll(*arguments: float) -> list[tuple[int, int]]:
         ready = poll(*arguments)
         time.sleep(0.005)
         return ready
 
     selector.select(0.0)
-    selector._selector.poll = held_up  # type: ignore[method-assign]
-    other.send(b"x")
+    selector._selector.poll = delayed_poll  # type: ignore[method-assign]
+    writer.send(b"x")
     sent_ns = time.monotonic_ns()
-    time.sleep(TURN_S)
+    time.sleep(ITERATION_S)
     assert selector.select(timeout_s)
     assert selector.earliest_ns <= sent_ns
     selector.close()
-    ours.close()
-    other.close()
+    reader.close()
+    writer.close()
--- a/tests/clients/test_client_connection.py
+++ b/tests/clients/test_client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: floods, withdrawals, and one answer for each request."""
+"""Tests one client's connection: floods, withdrawals, and one answer for each request."""
 
 from __future__ import annotations
 
@@ -18,26 +18,29 @@
 from forwarder.config.config import Address
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
-from tests.clients.peers import FLOOD, ONE_OF_FLOOD, flood_server, reject_all
+from tests.clients.peers import FLOOD, FLOOD_REQUEST_BYTES, reject_all, start_flood
 from tests.engine_scene import RecordingTransport, play_with_platform
 from tests.nodes import SETTINGS, message
 from tests.platforms import Platform
 from tests.sockets import Skewed
 
 
-def test_a_flood_is_read_no_faster_than_its_answers_are() -> None:
-    """Answers to a client that reads none piled up in memory, as much as it sent. Nothing is lost by the pause."""
+def test_a_flood_is_read_no_faster_than_its_answers_are_read() -> None:
+    """Guards against unbounded memory use: answers to a client that read none accumulated with each request.
+
+    Also checks that no request is lost by the pause in reading.
+    """
 
     async def scene(platform: Platform) -> None:
         server = ClientServer(parse_settings(SETTINGS), Skewed(), 10, reject_all)
-        sock, connection, sending = await flood_server(server)
+        sock, connection, sending = await start_flood(server)
         assert not sending.done()
         assert not connection.is_closed()
         loop = asyncio.get_running_loop()
-        got = b""
+        received = b""
         answered = 0
         while answered < FLOOD.count(b"POST"):
-            *whole, got = (got + await loop.sock_recv(sock, 1 << 20)).split(b"HTTP/1.1 404")
+            *whole, received = (received + await loop.sock_recv(sock, 1 << 20)).split(b"HTTP/1.1 404")
             answered += len(whole)
         await sending
         sock.close()
@@ -47,11 +50,11 @@
 
 
 @pytest.mark.parametrize("floods", [1, 5])
-def test_a_flood_holds_no_other_client_up_for_longer_than_a_piece_of_it_takes(floods: int) -> None:
-    """All that they sent and its request lie in the kernel.
+def test_a_flood_delays_other_clients_by_no_more_than_the_handling_of_one_read(floods: int) -> None:
+    """Guards against delayed answers while the data of several floods waits in the kernel together with a request.
 
-    One read took up to 256 KB of a flood, some thousand requests answered in one turn of the loop, and clients wait for
-    0.4 s.
+    One read took up to 256 KB of a flood, and the event loop answered some thousand requests in one iteration, while
+    clients wait only 0.4 s.
     """
 
     async def scene(platform: Platform) -> None:
@@ -75,7 +78,7 @@
         )
         while "/up" not in handled:
             await asyncio.sleep(0)
-        assert handled.index("/up") <= 2 * floods * (READ_BUFFER_BYTES // ONE_OF_FLOOD + 1)
+        assert handled.index("/up") <= 2 * floods * (READ_BUFFER_BYTES // FLOOD_REQUEST_BYTES + 1)
         for sock in clients:
             sock.close()
         server.close()
@@ -112,7 +115,7 @@
 
 
 class ClientModel:
-    """A client's connection, beside a plain model of the answers that it still needs."""
+    """A client's connection together with a simple model of the answers that it still needs."""
 
     def __init__(self) -> None:
         self.submitted: list[tuple[str, ClientConnection]] = []
@@ -126,14 +129,14 @@
         """Whether half a request has been sent."""
         self.is_open = True
         self.is_readable = True
-        """Whether all that was sent could be read."""
+        """Whether all requests sent so far were well-formed."""
 
     def on_submission(self, submission: Submission, connection: ClientConnection) -> None:
-        """Keeps a message for a later answer."""
+        """Records a message for a later answer."""
         self.submitted.append((submission.id, connection))
 
     async def play(self, step: str) -> None:
-        """Plays one step, if it can be played now."""
+        """Performs one step if it is possible in the current state."""
         request = message(f"m{self.requested}")
         if step in ("message", "rest") and self.is_partial == (step == "rest"):
             self.connection.data_received(request[20:] if self.is_partial else request)
@@ -148,7 +151,7 @@
         elif step == "answer" and len(self.submitted) > self.answered:
             await self.answer()
         elif step == "let go":
-            self.let_go()
+            self.close_idle()
         elif step == "gone":
             self.connection.connection_lost(None)
             self.is_open = False
@@ -157,19 +160,19 @@
             self.is_open = False
 
     async def answer(self) -> None:
-        """Answers the oldest message without an answer."""
+        """Answers the oldest unanswered message."""
         self.submitted[self.answered][1].answer(HTTPStatus.ACCEPTED)
         self.answered += 1
         await asyncio.sleep(0)
 
-    def let_go(self) -> None:
-        """Sends idle clients away, which must close the connection if it is idle and not new."""
+    def close_idle(self) -> None:
+        """Closes idle connections, which must include this one if it is idle and not new."""
         is_idle = len(self.submitted) == self.answered == self.requested and not self.is_partial
         self.server.close_idle_connections()
         assert self.transport.closed == (is_idle and self.connection.has_sent_request)
 
     async def end(self) -> None:
-        """Answers what is left, and checks that each complete request was handed on and answered once, in its order."""
+        """Answers remaining messages; checks that each whole request was passed on and answered once, in order."""
         assert len(self.submitted) <= self.answered + 1  # one at a time
         while self.is_open and not self.transport.closed and len(self.submitted) > self.answered:
             await self.answer()
@@ -181,9 +184,9 @@
 @profile(derandomize=True, max_examples=150, deadline=None)
 @given(steps=st.lists(st.sampled_from(CLIENT_STEPS), max_size=14))
 def test_a_clients_connection_owes_each_whole_request_one_answer(steps: list[str]) -> None:
-    """In their order, as long as it may.
+    """Checks that requests are answered once and in order while the connection is open.
 
-    Nothing that comes after the close, after junk or after the client's end is handed on, and nobody is answered twice.
+    Requests after the close, after malformed data or after the end of the client's stream are not passed on.
     """
 
     async def run() -> None:
--- a/tests/clients/test_request_parser.py
+++ b/tests/clients/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Requests as they come in pieces, without a connection."""
+"""Tests the parsing of requests that arrive in pieces, without a connection."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from tests.nodes import message
 
 
-def make_parser(continued: list[str] | None = None) -> RequestParser:
-    """A parser that adds a line to `continued` where a client waits for leave to go on."""
-    calls = [] if continued is None else continued
+def make_parser(continue_requests: list[str] | None = None) -> RequestParser:
+    """Returns a parser that appends to `continue_requests` if a client waits for `100 Continue`."""
+    calls = [] if continue_requests is None else continue_requests
     return RequestParser(lambda: calls.append("continue"))
 
 
@@ -23,10 +23,10 @@
     data = message("m", body=b"hello")
     pieces = [data[start : start + size] for start in range(0, len(data), size)]
 
-    found = [parser.feed(piece, 1000 + number) for number, piece in enumerate(pieces)]
+    parsed = [parser.feed(piece, 1000 + number) for number, piece in enumerate(pieces)]
 
-    assert [len(requests) for requests in found] == [0] * (len(pieces) - 1) + [1]
-    (request,) = found[-1]
+    assert [len(requests) for requests in parsed] == [0] * (len(pieces) - 1) + [1]
+    (request,) = parsed[-1]
     assert (request.method, request.route, bytes(request.body)) == ("POST", "/order", b"hello")
     assert request.headers["x-correlation-id"] == "m"
     assert request.arrived_us == 1000
@@ -34,7 +34,7 @@
     assert request.error is None
 
 
-def test_requests_of_one_read_come_in_their_order() -> None:
+def test_requests_of_one_read_are_returned_in_order() -> None:
     requests = make_parser().feed(message("a") + message("b"), 0)
 
     assert [request.headers["x-correlation-id"] for request in requests] == ["a", "b"]
@@ -75,16 +75,16 @@
         ),
     ],
 )
-def test_what_cannot_be_read_is_the_last_request(data: bytes, status: HTTPStatus) -> None:
+def test_a_malformed_request_is_the_last_one(data: bytes, status: HTTPStatus) -> None:
     parser = make_parser()
 
-    complete, unreadable = parser.feed(message("a") + data, 0)
+    complete, malformed = parser.feed(message("a") + data, 0)
 
     assert complete.error is None
-    assert unreadable.error is not None
-    assert unreadable.error.status is status
-    assert not unreadable.method
-    assert not unreadable.keep_alive
+    assert malformed.error is not None
+    assert malformed.error.status is status
+    assert not malformed.method
+    assert not malformed.keep_alive
     assert parser.is_broken
     assert parser.partial is None
 
@@ -100,11 +100,11 @@
     assert not parser.is_broken
 
 
-def test_leave_to_go_on_is_asked_for_before_the_body() -> None:
-    continued: list[str] = []
-    parser = make_parser(continued)
+def test_continue_is_requested_before_the_body() -> None:
+    continue_requests: list[str] = []
+    parser = make_parser(continue_requests)
     data = message("m", Expect="100-continue")
 
     parser.feed(data[:-1], 0)
 
-    assert continued == ["continue"]
+    assert continue_requests == ["continue"]
--- a/tests/clients/test_server.py
+++ b/tests/clients/test_server.py
@@ -1,4 +1,4 @@
-"""Which connections the server closes, and what becomes of the requests on them."""
+"""Tests which connections the server closes and what happens to the requests on them."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from forwarder.config.config import Address
 from forwarder.protocol.settings_format import parse_settings
 from forwarder.storage.clock import Clock
-from tests.clients.peers import flood_server, reject_all
+from tests.clients.peers import reject_all, start_flood
 from tests.engine_scene import play_with_platform
 from tests.nodes import SETTINGS, message
 from tests.platforms import Platform
 from tests.sockets import Skewed
 
 
-def test_a_client_that_reads_nothing_loses_its_connection() -> None:
-    """It held its socket for ever: a close in order waits until all is read."""
+def test_the_connection_of_a_client_that_reads_no_answers_is_closed() -> None:
+    """Guards against a socket held forever: an orderly close waits until the client has read all answers."""
 
     async def scene(platform: Platform) -> None:
         clock = Skewed()
         server = ClientServer(parse_settings(SETTINGS), clock, 10, reject_all)
-        sock, _, sending = await flood_server(server)
+        sock, _, sending = await start_flood(server)
         clock.until(clock() + STALL_TIMEOUT_US + 1)
         while server.connections:
             await asyncio.sleep(0.005)
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /order HTTP/1.1\r\nHost: x\r\n", message("m", body=b"abc")[:-1]])
 def test_a_peer_that_sends_no_complete_request_is_closed_and_a_client_stays(sent: bytes) -> None:
-    """They filled the table of connections, and clients' own were closed for them."""
+    """Guards against such peers using up the connection limit, so that connections of clients were closed for them."""
 
     async def scene() -> None:
         clock = Skewed()
@@ -55,7 +55,7 @@
         await client[0].readuntil(b"up\n")
         peer = await asyncio.open_connection("127.0.0.1", port)
         peer[1].write(sent)
-        while len(server.connections) < 2 or (sent and all(d.parser.partial is None for d in server.connections)):
+        while len(server.connections) < 2 or (sent and all(each.parser.partial is None for each in server.connections)):
             await asyncio.sleep(0.01)
         clock.skew = 2_100_000
         async with asyncio.timeout(20):
@@ -68,7 +68,7 @@
     asyncio.run(scene())
 
 
-def test_too_many_clients_cost_the_one_idle_longest() -> None:
+def test_a_connection_above_the_limit_closes_the_longest_idle_one() -> None:
     async def scene() -> None:
         server = ClientServer(parse_settings(SETTINGS), Clock(), 2, lambda submitted, connection: None)
         server.listen(await bind(Address("127.0.0.1", 0)))
@@ -88,9 +88,10 @@
 @pytest.mark.parametrize("sent", ["before the close", "after the close"])
 @pytest.mark.parametrize("ending", ["drain", "exit", "too many"])
 def test_a_request_that_crosses_the_close_is_answered_or_never_accepted(ending: str, sent: str) -> None:
-    """One that lies unread in the kernel keeps its connection open, unless the process ends.
+    """A request that waits unread in the kernel keeps its connection open unless the process exits.
 
-    One that comes later is never taken on: its client hears an end with no answer, and sends it once more elsewhere.
+    A later request is never accepted: its client sees the connection end without an answer and sends the request again
+    to another forwarder.
     """
 
     async def scene(platform: Platform) -> None:
--- a/tests/clients/test_small_answers.py
+++ b/tests/clients/test_small_answers.py
@@ -1,4 +1,4 @@
-"""Answers to requests that came together, on connections that end behind them."""
+"""Tests answers to requests that arrived together on a connection that is closed after them."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from tests.nodes import SETTINGS
 from tests.sockets import PATIENCE
 
-UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-LAST = b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+LAST_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 EXCHANGES = 40
-"""After so many a client's kernel acknowledges late, since it expects to send something itself."""
+"""Number of exchanges after which the client's kernel delays acknowledgements, since it expects to send data itself."""
 
 
 def exchange(sock: socket.socket) -> None:
-    sock.sendall(UP)
+    sock.sendall(REQUEST)
     assert b"200 OK" in sock.recv(4096)
 
 
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize("together", [2, 4])
-def test_answers_reach_a_client_whose_connection_is_reset_behind_them(together: int) -> None:
-    """Guards against `lost`: small answers that the kernel held back went with the reset of a close."""
+def test_answers_reach_a_client_whose_connection_is_reset_after_them(together: int) -> None:
+    """Guards against `lost`: a reset at the close discarded small answers that the kernel had held back."""
 
     async def scene() -> None:
         server = ClientServer(parse_settings(SETTINGS), Clock(), 10, reject_all)
@@ -53,13 +53,13 @@
         (connection,) = server.connections
         assert connection.transport is not None
         connection.transport.pause_reading()
-        client.sendall(UP * (together - 1) + LAST)
+        client.sendall(REQUEST * (together - 1) + LAST_REQUEST)
         await asyncio.sleep(0.1)
-        taken = server.read_buffer[: len(UP) * (together - 1) + len(LAST)]
-        client_bytes = connection.transport.get_extra_info("socket")._sock.recv_into(taken)
-        client.sendall(UP)  # it is never read: the connection is closed behind the last answer
+        buffer = server.read_buffer[: len(REQUEST) * (together - 1) + len(LAST_REQUEST)]
+        received_bytes = connection.transport.get_extra_info("socket")._sock.recv_into(buffer)
+        client.sendall(REQUEST)  # never read: the connection is closed after the last answer
         await asyncio.sleep(0.05)
-        connection.buffer_updated(client_bytes)
+        connection.buffer_updated(received_bytes)
         answers = await asyncio.to_thread(read_to_end, client)
         assert len(re.findall(rb"HTTP/1.1 200", answers)) == together
         client.close()
--- a/tests/clients/test_submission.py
+++ b/tests/clients/test_submission.py
@@ -1,4 +1,4 @@
-"""What is not a well-formed submission, with the whole program."""
+"""Tests the answers to invalid submissions, with the whole program."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 ]
 
 
-def test_bad_requests_have_plain_answers_and_harm_nobody(tmp_path: Path) -> None:
+def test_bad_requests_are_rejected_and_do_not_affect_other_clients(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
-        peer = await start_endpoint(platform, always(OK))
+        endpoint = await start_endpoint(platform, always(OK))
         node = await start_node(folder, platform)
         for data, status in BAD_REQUESTS:
             client = await node.client()
@@ -45,6 +45,6 @@
         client = await node.client()
         client.writer.write(message("p1") + message("p2", body=b"x" * 65_536))
         assert [(await client.answer())[0], (await client.answer())[0]] == [202, 202]
-        assert {r.headers["x-correlation-id"] for r in await peer.wait_for_requests(2)} == {"p1", "p2"}
+        assert {request.headers["x-correlation-id"] for request in await endpoint.wait_for_requests(2)} == {"p1", "p2"}
 
     play(scene, tmp_path)
--- a/tests/endpoints/peers.py
+++ b/tests/endpoints/peers.py
@@ -1,4 +1,4 @@
-"""Endpoints, connections and calls for the tests of the pool."""
+"""Endpoints, transports and calls for the tests of the connection pool."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FullSocket:
-    """The socket of a stand-in for a transport: it takes nothing at once, so that the transport is written to."""
+    """A socket for a fake transport. It accepts no bytes, so that all data is written to the transport."""
 
     is_short_of_buffers = False
     is_unreadable = False
@@ -38,7 +38,7 @@
 
 
 class HalfWrittenTransport(asyncio.Transport):
-    """A transport whose peer takes no more."""
+    """A transport whose peer accepts no more data."""
 
     def write(self, data: object) -> None:
         pass
@@ -57,7 +57,7 @@
 
 
 class DeadTransport(HalfWrittenTransport):
-    """A transport whose peer reset it while it was idle: the write finds that out."""
+    """A transport that its peer has reset while it was idle, which the next write detects."""
 
     dead = False
 
@@ -77,7 +77,7 @@
 
 
 class SocketEndpoint:
-    """A target of plain sockets: what it sends is in the forwarder's kernel when `send` returns."""
+    """An endpoint of plain sockets: the data that it sends is in the forwarder's kernel when `send` returns."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -88,15 +88,19 @@
         return Address(*self.listener.getsockname())
 
     def pool(self, ends: list[AttemptEnded]) -> ConnectionPool:
-        """A pool whose target 1 this is."""
+        """Returns a pool whose endpoint 1 is this one."""
         pool = ConnectionPool(Skewed(), ends.append, (), 60 * SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: self.address})
         return pool
 
-    async def carry(self, pool: ConnectionPool, name: str) -> socket.socket:
-        """Start a call, which must come on a new connection, and return that."""
-        far = pool.clock() + TIME_LEFT_US
-        pool.start(EndpointCall(1, LimitScopeKey(7, -1), pool.clock(), [CallItem(name, 0, None, b"x", far, far)]))
+    async def start_call(self, pool: ConnectionPool, name: str) -> socket.socket:
+        """Starts a call, which must arrive on a new connection, and returns the endpoint's socket of it."""
+        deadline_us = pool.clock() + TIME_LEFT_US
+        pool.start(
+            EndpointCall(
+                1, LimitScopeKey(7, -1), pool.clock(), [CallItem(name, 0, None, b"x", deadline_us, deadline_us)]
+            )
+        )
         sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         sock.setblocking(False)
         assert b"X-Correlation-Id: " + name.encode() in await self.request(sock)
@@ -104,12 +108,12 @@
 
     @staticmethod
     async def request(sock: socket.socket) -> bytes:
-        got = b""
-        while not is_whole_request(got):
-            more = await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
-            assert more, got
-            got += more
-        return got
+        received = b""
+        while not is_whole_request(received):
+            data = await asyncio.get_running_loop().sock_recv(sock, 1 << 16)
+            assert data, received
+            received += data
+        return received
 
     @staticmethod
     def reset(sock: socket.socket) -> None:
--- a/tests/endpoints/test_call_outcome.py
+++ b/tests/endpoints/test_call_outcome.py
@@ -1,4 +1,4 @@
-"""What an endpoint's answer means for its messages, with the whole program."""
+"""Tests the outcome of messages for each answer of an endpoint, mostly with the whole program."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.sockets import OK, Answer, Peer, Request, always, free_port
 
 
-def test_a_retry_after_with_the_results_of_a_batch_binds_whatever_they_are() -> None:
+def test_a_retry_after_in_the_answer_to_a_batch_applies_whatever_the_results() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
 
@@ -44,7 +44,7 @@
     asyncio.run(scene())
 
 
-def test_refused_connection_never_ran_and_a_broken_one_may_have(tmp_path: Path) -> None:
+def test_a_call_on_a_refused_connection_never_ran_and_one_on_a_broken_connection_may_have(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         port = free_port()
         platform.add_endpoint("s1", port)
@@ -70,7 +70,7 @@
     ],
 )
 def test_a_rejection_that_cannot_be_read_may_have_run(tmp_path: Path, cut: bytes) -> None:
-    """Believed, it had what must not run twice sent once more."""
+    """Guards against a second run of a message that must not run twice: a truncated rejection was trusted."""
 
     async def scene(platform: Platform, folder: Path) -> None:
         async def answer(request: Any) -> None:
@@ -85,7 +85,7 @@
     play(scene, tmp_path)
 
 
-def test_garbled_rest_after_a_first_line_with_200_is_a_delivery(tmp_path: Path) -> None:
+def test_a_malformed_rest_after_a_status_line_with_200_is_a_delivery(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         async def answer(request: Any) -> bytes:
             if received_ids(request.peer)[-1] == "m":
@@ -106,7 +106,7 @@
     "garbage",
     [b"\x16\x03\x01 not http\r\n\r\n", b"HTTP/1.1 2x0 ?\r\n\r\n", b"HTTP/1.1 500 No\r\nContent-Length: zz\r\n\r\n"],
 )
-def test_garbage_from_an_endpoint_is_an_outcome(tmp_path: Path, garbage: bytes) -> None:
+def test_a_malformed_answer_of_an_endpoint_ends_the_call_with_an_outcome(tmp_path: Path, garbage: bytes) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(garbage, OK))
         node = await start_node(folder, platform)
@@ -118,7 +118,7 @@
     play(scene, tmp_path)
 
 
-def test_first_line_with_200_is_a_delivery_though_the_rest_is_cut(tmp_path: Path) -> None:
+def test_a_status_line_with_200_is_a_delivery_though_the_rest_is_truncated(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         async def cut(request: Any) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
@@ -135,7 +135,7 @@
     play(scene, tmp_path)
 
 
-def test_expired_spent_and_over_slots_each_have_their_outcome(tmp_path: Path) -> None:
+def test_the_statuses_410_504_and_503_over_slots_each_have_their_outcome(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(Answer(410), Answer(503, {"X-Over-Slots": "1"}), OK))
         node = await start_node(folder, platform)
@@ -152,7 +152,7 @@
     play(scene, tmp_path)
 
 
-def test_a_retry_after_binds_all_messages_of_the_destination(tmp_path: Path) -> None:
+def test_a_retry_after_applies_to_all_messages_of_the_destination(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         times: list[float] = []
 
--- a/tests/endpoints/test_connection.py
+++ b/tests/endpoints/test_connection.py
@@ -1,4 +1,4 @@
-"""What becomes of a call by what its connection reads, or by its end."""
+"""Tests the outcome of a call for the data that its connection reads and for the end of the connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.sockets import PATIENCE, Peer, Request
 
 
-def test_connection_that_breaks_before_the_last_byte_is_written_never_ran() -> None:
+def test_a_call_whose_connection_breaks_before_its_last_byte_is_written_never_ran() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         pool = make_pool(ends)
@@ -42,7 +42,7 @@
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
-    """AcceptedMessage for broken, a batch that was delivered in whole was taken for one that may have run."""
+    """Guards against a wrong outcome: a fully delivered batch was taken for a broken call that may have run."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
@@ -80,17 +80,17 @@
     asyncio.run(scene())
 
 
-def test_an_answer_in_pieces_is_waited_for() -> None:
+def test_the_rest_of_an_answer_in_pieces_is_awaited() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
 
-        async def pieces(request: Request) -> None:
+        async def send_in_pieces(request: Request) -> None:
             for byte in b"HTTP/1.1 429 No\r\nX-RateLimit-Wait-Ms: 700\r\nContent-Length: 2\r\n\r\nab":
                 request.writer.write(bytes([byte]))
                 await asyncio.sleep(0.01)
             await asyncio.sleep(3600)
 
-        peer = await Peer(pieces).start()
+        peer = await Peer(send_in_pieces).start()
         pool = make_pool(ends)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         pool.start(make_call(Clock(), "m", 60_000_000))
@@ -105,14 +105,18 @@
 
 
 @pytest.mark.parametrize("crossing", ["half a line", "a second answer", "an end", "a reset"])
-def test_a_call_does_not_take_a_connection_on_which_something_has_come(crossing: str) -> None:
-    """The answer to no call was taken for the next one's; an end, for a call that may have run."""
+def test_a_call_does_not_use_a_connection_with_pending_input(crossing: str) -> None:
+    """Guards against two wrong outcomes from input that was pending before the call.
+
+    Unrequested data was taken for the answer to the next call, and an end of stream for the loss of a call that may
+    have run.
+    """
 
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
-        wire = SocketEndpoint()
-        pool = wire.pool(ends)
-        first = await wire.carry(pool, "a")
+        endpoint = SocketEndpoint()
+        pool = endpoint.pool(ends)
+        first = await endpoint.start_call(pool, "a")
         first.send(OK_ANSWER)
         while not ends:
             await asyncio.sleep(0.005)
@@ -123,8 +127,8 @@
         elif crossing == "an end":
             first.shutdown(socket.SHUT_WR)
         else:
-            wire.reset(first)
-        second = await wire.carry(pool, "b")
+            endpoint.reset(first)
+        second = await endpoint.start_call(pool, "b")
         assert len(ends) == 1
         second.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
         while len(ends) < 2:
@@ -147,19 +151,19 @@
 
 @pytest.mark.parametrize("broken", ["reset", "end"])
 @pytest.mark.parametrize(("answer", "outcome"), CUT_ANSWERS)
-def test_an_answer_that_breaks_off_is_believed_by_its_first_line_only(
+def test_the_status_line_alone_decides_the_outcome_of_a_truncated_answer(
     broken: str, answer: bytes, outcome: Outcome
 ) -> None:
-    """Reset or ended after the call's last byte, within its answer, and after the answer's last byte.
+    """Resets or ends the connection after the last byte of the call, within the answer and after its last byte.
 
-    A reset may take bytes along that the forwarder has not read; then as much is believed as came.
+    A reset may discard bytes that the forwarder has not read; the outcome then depends on the bytes that were read.
     """
 
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
-        wire = SocketEndpoint()
-        pool = wire.pool(ends)
-        sock = await wire.carry(pool, "a")
+        endpoint = SocketEndpoint()
+        pool = endpoint.pool(ends)
+        sock = await endpoint.start_call(pool, "a")
         if answer:
             sock.send(answer)
             while not ends and not any(
@@ -167,7 +171,7 @@
             ):
                 await asyncio.sleep(0.002)
         if broken == "reset":
-            wire.reset(sock)
+            endpoint.reset(sock)
         else:
             sock.close()
         while not ends:
--- a/tests/endpoints/test_endpoint_table.py
+++ b/tests/endpoints/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The numbers of endpoints, and those that may be called."""
+"""Tests the numbers of endpoints and the selection of those that may be called."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from forwarder.endpoints.endpoint_table import MAX_ENDPOINTS, EndpointTable
 
 
-class CountedNames(dict[str, int]):
-    """Numbers by name, and how often somebody goes through all of them."""
+class IterationCountingDict(dict[str, int]):
+    """Endpoint numbers by name that count how often all of them are iterated."""
 
-    scans = 0
+    iterations = 0
 
     def __iter__(self) -> Iterator[str]:
-        self.scans += 1
+        self.iterations += 1
         return super().__iter__()
 
 
@@ -23,9 +23,9 @@
     return parse_endpoint_list({"seq": seq, "whole": whole, "hosts": hosts})
 
 
-def test_a_change_of_one_endpoint_goes_through_no_others() -> None:
+def test_a_change_of_one_endpoint_does_not_iterate_over_all() -> None:
     table = EndpointTable((), {}, ())
-    table.numbers = counted = CountedNames()
+    table.numbers = counting_numbers = IterationCountingDict()
     names = [f"s{n}" for n in range(3200)]
     table.apply(endpoint_list(1, names, whole=True))
     assert len(table.serving(())) == len(names)
@@ -33,10 +33,10 @@
         table.apply(endpoint_list(2 + n, [names[n]], health="draining"))
         table.entries(table.endpoints.values())
     assert len(table.serving(())) == len(names) - 20
-    assert counted.scans == 0
+    assert counting_numbers.iterations == 0
 
 
-def test_endpoints_replaced_for_months_are_forgotten_and_none_that_is_listed_or_kept() -> None:
+def test_replaced_endpoints_are_forgotten_but_none_that_is_listed_or_kept() -> None:
     table = EndpointTable((), {}, ())
     kept = table.number("banned")
     for n in range(3000):
--- a/tests/endpoints/test_idle_connections.py
+++ b/tests/endpoints/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are kept, and which are closed."""
+"""Tests which idle connections are kept and which are closed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClosableTransport(HalfWrittenTransport):
-    """A transport that knows whether it was closed."""
+    """A transport that records whether it was closed."""
 
     closed = False
 
@@ -34,7 +34,7 @@
     return idle
 
 
-def test_the_connection_that_was_used_last_is_taken_first() -> None:
+def test_the_most_recently_used_connection_is_taken_first() -> None:
     async def scene() -> None:
         idle = make_idle_connections([0])
         first, second = make_connection(), make_connection()
@@ -47,7 +47,7 @@
     asyncio.run(scene())
 
 
-def test_no_more_than_a_few_are_kept_for_each_endpoint() -> None:
+def test_a_limited_number_of_connections_is_kept_for_each_endpoint() -> None:
     async def scene() -> None:
         idle = make_idle_connections([0])
         connections = [make_connection() for _ in range(MAX_IDLE_PER_ENDPOINT + 1)]
@@ -60,7 +60,7 @@
     asyncio.run(scene())
 
 
-def test_the_one_that_has_been_idle_for_longest_makes_room() -> None:
+def test_the_connection_with_the_longest_idle_time_is_closed_to_make_room() -> None:
     async def scene() -> None:
         now_us = [0]
         idle = make_idle_connections(now_us)
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -1,4 +1,4 @@
-"""The time-outs of calls, and the one end of each attempt."""
+"""Tests the time-outs of calls and that each attempt ends once."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from tests.sockets import OK, PATIENCE, Answer, Peer, Request, Skewed, hang
 
 
-def test_a_delivery_within_the_margin_is_given_up_at_once() -> None:
-    """A delivery that may not count is heard within the time in which the unsent drop ends a message."""
+def test_a_message_delivered_within_the_margin_is_given_up_immediately() -> None:
+    """Checks that a delivery that may not count leaves too little time before the deadline for another call."""
     assert DELIVERY_MARGIN_US <= MIN_RECHECK_US
 
 
 @pytest.mark.parametrize(
-    ("before_us", "over"),
+    ("before_us", "is_final"),
     [
         (2 * SECOND_US, True),
         (DELIVERY_MARGIN_US + 5_000, True),
@@ -42,8 +42,8 @@
         (-1_000, False),
     ],
 )
-def test_a_delivery_heard_at_the_end_of_its_time_is_not_surely_one(before_us: int, over: bool) -> None:
-    """Its time began when the client sent it, which was before it was read: the platform may have counted it out."""
+def test_a_delivery_reported_close_to_the_deadline_is_not_final(before_us: int, is_final: bool) -> None:
+    """A message's time begins when its client sends it, before it is read; the platform may have counted it as late."""
 
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
@@ -60,13 +60,13 @@
         pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [CallItem("m", 0, None, b"x", due, due)]))
         while not ends:
             await asyncio.sleep(0.005)
-        assert [(end.outcome, end.is_final) for end in ends] == [(Outcome.DELIVERED, over)]
+        assert [(end.outcome, end.is_final) for end in ends] == [(Outcome.DELIVERED, is_final)]
         pool.close()
 
     play_with_platform(scene)
 
 
-def test_time_out_closes_its_connection_and_frees_its_call() -> None:
+def test_a_time_out_closes_the_connection_and_ends_the_call() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(hang).start()
@@ -88,7 +88,7 @@
         pool.start(make_call(Clock(), "n"))
         await peer.wait_for_requests(2)
         pool.cancel("n", 0)
-        while len(ends) < 2:  # told as its connection is gone
+        while len(ends) < 2:  # reported when its connection has ended
             await asyncio.sleep(0.01)
         assert ends[1].outcome is Outcome.CANCELED
         assert pool.calls_in_flight == 0
@@ -107,17 +107,17 @@
         (b"HTTP/1.1 503 No\r\nContent-Length: 5\r\n\r\nab", Outcome.UNREADABLE),
     ],
 )
-def test_an_answer_that_stalls_holds_no_slot(begun: bytes, outcome: Outcome) -> None:
-    """The connection stays open, and the call has a minute."""
+def test_a_stalled_answer_occupies_no_slot(begun: bytes, outcome: Outcome) -> None:
+    """The endpoint keeps the connection open, and the time-out of the call is one minute."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
 
-        async def quiet(request: Request) -> None:
+        async def stall(request: Request) -> None:
             request.writer.write(begun)
             await asyncio.sleep(3600)
 
-        peer = await Peer(quiet).start()
+        peer = await Peer(stall).start()
         pool = make_pool(ends)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         pool.start(make_call(Clock(), "m", 60_000_000))
@@ -133,14 +133,14 @@
 
 
 def test_no_message_of_a_call_times_out_while_the_call_still_carries_it() -> None:
-    """Told that it had, the module sent it a second time beside the first."""
+    """Guards against a duplicate: the decision core sent a message again while the first call still carried it."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
-        free = asyncio.Event()
+        release = asyncio.Event()
 
         async def slow(request: Request) -> Answer:
-            await free.wait()
+            await release.wait()
             states = [{"id": x["id"], "state": "accepted"} for x in json.loads(request.body)]
             return Answer(200, body=json.dumps(states).encode())
 
@@ -161,7 +161,7 @@
         await peer.wait_for_requests(1)
         await asyncio.sleep(0.2)
         assert not ends
-        free.set()
+        release.set()
         while pool.calls_in_flight:
             await asyncio.sleep(0.01)
         assert [(end.message_id, end.outcome) for end in ends] == [
@@ -173,8 +173,11 @@
     asyncio.run(scene())
 
 
-def test_no_call_carries_a_message_past_its_time() -> None:
-    """Its end was told while the call was still out, and the next of its key went beside it."""
+def test_no_call_carries_a_message_past_its_deadline() -> None:
+    """Guards against a broken key order: the end of a message was reported while its call was still in flight.
+
+    The next message of its key was then sent concurrently.
+    """
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
@@ -229,21 +232,21 @@
         (b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", Outcome.REJECTED),
     ],
 )
-def test_an_answer_that_crosses_the_giving_up_of_its_call_counts(
+def test_an_answer_in_transit_when_its_call_is_given_up_counts(
     answer: bytes, outcome: Outcome, how: str, crossing: str
 ) -> None:
-    """It lies in the kernel as its call is given up, or comes before the connection is closed.
+    """Checks an answer that waits in the kernel when its call is given up, or arrives before the connection is closed.
 
-    The wait that it tells counts as told, and a delivery is one.
+    Its Retry-After applies, and a delivery counts as one.
     """
 
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
-        wire = SocketEndpoint()
-        pool = wire.pool(ends)
-        sock = await wire.carry(pool, "a")
+        endpoint = SocketEndpoint()
+        pool = endpoint.pool(ends)
+        sock = await endpoint.start_call(pool, "a")
         (call,) = pool.in_flight.by_attempt.values()
-        give_up, alone = GIVE_UPS[how]
+        give_up, outcome_without_answer = GIVE_UPS[how]
         if crossing == "split" or how == "quiet":
             sock.send(answer[:9])
             while call.connection is not None and not call.connection.received:
@@ -256,7 +259,7 @@
             sock.send(rest)
         while not ends:
             await asyncio.sleep(0.002)
-        assert [end.outcome for end in ends] == [alone if crossing == "never" else outcome]
+        assert [end.outcome for end in ends] == [outcome_without_answer if crossing == "never" else outcome]
         has_retry_after = crossing != "never" and answer == REJECTION
         assert ends[0].retry_after_us == (WAIT_MS * 1000 if has_retry_after else 0)
         assert bool(pool.retry_after.entries()) == has_retry_after
@@ -280,7 +283,7 @@
 
 
 def expected_end(answer: bytes, came: int, how: str) -> Outcome:
-    """What one call's end is, by the pages: of an answer of which so many bytes came before it ended so."""
+    """Returns the specified outcome of a call that is ended by `how` after `came` bytes of its answer have arrived."""
     if came == len(answer):
         return ANSWERS[answer]
     if how == "cancel":
@@ -339,7 +342,7 @@
 
 @pytest.mark.parametrize("ending", ["answer stalls", "endpoint ends"])
 def test_giving_up_one_message_does_not_change_the_outcome_of_a_call_that_is_ending(ending: str) -> None:
-    """Guards against a wrong outcome: a batch call had ended, and a cancellation came in the same turn of the loop."""
+    """Guards against a wrong outcome: a batch call was ending, and a cancellation came in the same loop iteration."""
     ends: list[AttemptEnded] = []
 
     async def run() -> None:
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -1,4 +1,4 @@
-"""Which connection a call takes, and what may still be sent when it has one."""
+"""Tests which connection a call uses and which messages may still be sent once it is established."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.sockets import OK, Answer, Peer, Request, Skewed, always
 
 
-def test_send_that_waits_for_its_connection_never_reaches_an_endpoint_drained_meanwhile() -> None:
+def test_a_call_that_waits_for_its_connection_is_not_sent_to_an_endpoint_removed_meanwhile() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
@@ -39,7 +39,7 @@
     asyncio.run(scene())
 
 
-def test_send_that_waits_for_its_connection_heeds_a_retry_after_that_comes_meanwhile() -> None:
+def test_a_call_that_waits_for_its_connection_respects_a_retry_after_received_meanwhile() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(Answer(429, {"X-RateLimit-Wait-Ms": "60000"}), OK)).start()
@@ -60,10 +60,10 @@
     asyncio.run(scene())
 
 
-def test_what_may_not_be_sent_any_more_stays_when_its_connection_comes_up() -> None:
-    """A third of the connections may come up late.
+def test_a_message_that_may_no_longer_be_sent_is_not_sent_when_its_connection_is_established() -> None:
+    """Guards against a repeat that was sent after the window in which endpoints drop repeats.
 
-    A repeat left after the window in which endpoints drop it. What else is in the call goes.
+    A third of the connections may be established late. The other messages of the call are sent.
     """
 
     async def scene(platform: Platform) -> None:
@@ -72,19 +72,21 @@
         now = clock()
 
         async def accept(request: Request) -> Answer:
-            many = json.loads(request.body) if request.path == "/hook/batch" else []
-            return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in many]).encode())
+            entries = json.loads(request.body) if request.path == "/hook/batch" else []
+            return Answer(200, body=json.dumps([{"id": x["id"], "state": "accepted"} for x in entries]).encode())
 
         peer = await Peer(accept).start()
         pool = ConnectionPool(clock, ends.append, (), SECOND_US, SECOND_US, 10)
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
-        far = now + TIME_LEFT_US
+        deadline_us = now + TIME_LEFT_US
         for alone in (True, False):
-            late = CallItem(f"late-{alone}", 0, None, b"x", far, far, send_before_us=clock() + SECOND_US)
-            others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
+            late = CallItem(
+                f"late-{alone}", 0, None, b"x", deadline_us, deadline_us, send_before_us=clock() + SECOND_US
+            )
+            others = [] if alone else [CallItem(name, 0, None, b"x", deadline_us, deadline_us) for name in "ab"]
             pool.close_idle(1)
             pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
-            clock.until(clock() + SECOND_US)  # the dial has not begun yet
+            clock.until(clock() + SECOND_US)  # the connect has not started yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(end.message_id, end.outcome) for end in ends] == [
@@ -99,8 +101,8 @@
     play_with_platform(scene)
 
 
-def test_a_call_that_finds_its_connection_dead_takes_another() -> None:
-    """It counted as written, so that what must not run twice was lost though not a byte had left."""
+def test_a_call_that_finds_its_connection_dead_uses_another() -> None:
+    """Guards against a lost message that must not run twice: its call counted as written, but no byte was sent."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
@@ -122,7 +124,7 @@
     asyncio.run(scene())
 
 
-def test_connections_are_used_again_and_closed_on_demand() -> None:
+def test_connections_are_reused_and_closed_on_demand() -> None:
     async def scene() -> None:
         ends: list[AttemptEnded] = []
         peer = await Peer(always(OK)).start()
@@ -140,8 +142,8 @@
     asyncio.run(scene())
 
 
-def test_idle_connection_is_closed_before_its_endpoint_would() -> None:
-    """The module closes some by itself; the pool must close what it leaves."""
+def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it() -> None:
+    """The decision core closes some idle connections itself; the pool must close the others."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
@@ -159,27 +161,27 @@
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_call_that_is_given_up_is_not_handed_over(answered: bool) -> None:
-    """The process that takes over would take it for one that never ran, and send its message again."""
+    """Otherwise the new process would assume that the call never ran and send its message again."""
 
     async def scene(platform: Platform) -> None:
         ends: list[AttemptEnded] = []
-        wire = SocketEndpoint()
-        pool = wire.pool(ends)
-        sock = await wire.carry(pool, "a")
+        endpoint = SocketEndpoint()
+        pool = endpoint.pool(ends)
+        sock = await endpoint.start_call(pool, "a")
         pool.in_flight.timed_out(*pool.in_flight.by_attempt.values())
         if answered:
             sock.send(OK_ANSWER)
         pool.settle()
-        record, going = pool.hand_over()
+        record, connections = pool.hand_over()
         assert record.calls == ()
-        assert going == []
+        assert connections == []
         assert [end.outcome for end in ends] == [Outcome.DELIVERED if answered else Outcome.TIMED_OUT]
 
     play_with_platform(scene)
 
 
-def test_a_connect_whose_time_passed_while_the_process_stood_still_says_nothing_of_its_endpoint() -> None:
-    """Guards against an outage, and a used attempt, that a standstill of this process has made."""
+def test_a_connect_that_timed_out_during_a_stall_of_the_process_does_not_count_against_its_endpoint() -> None:
+    """Guards against an outage and a used attempt that were caused by a stall of this process."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
@@ -188,7 +190,7 @@
         pool.update_addresses({1: Address("127.0.0.1", peer.port)})
         pool.start(make_call(pool.clock, "m"))
         await asyncio.sleep(0)
-        time.sleep(pool.connect_timeout_us / 1_000_000 + 0.3)  # noqa: ASYNC251 - the process stands still
+        time.sleep(pool.connect_timeout_us / 1_000_000 + 0.3)  # noqa: ASYNC251 - stalls the process
         async with asyncio.timeout(20):
             while not ends:
                 await asyncio.sleep(0.005)
--- a/tests/endpoints/test_retry_after.py
+++ b/tests/endpoints/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Until when rate-limit scopes are left alone."""
+"""Tests until when the Retry-After of limit scopes is in force."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 SCOPE = LimitScopeKey(7, ALL_ENDPOINTS)
 
 
-def test_a_scope_is_left_alone_from_the_answer_on() -> None:
+def test_a_retry_after_applies_from_the_time_of_the_answer() -> None:
     table = RetryAfterTable(lambda: 1000)
 
     table.note(SCOPE, 500)
@@ -17,7 +17,7 @@
     assert table.until_us(LimitScopeKey(7, 1)) == 0
 
 
-def test_a_shorter_time_does_not_replace_a_longer_one() -> None:
+def test_a_retry_after_that_ends_earlier_does_not_replace_a_later_one() -> None:
     table = RetryAfterTable(lambda: 1000)
 
     table.note(SCOPE, 500)
@@ -26,7 +26,7 @@
     assert table.until_us(SCOPE) == 1500
 
 
-def test_scopes_whose_time_has_passed_are_dropped_where_there_are_many() -> None:
+def test_expired_scopes_are_dropped_above_the_limit() -> None:
     now_us = [0]
     table = RetryAfterTable(lambda: now_us[0])
     for destination in range(MAX_SCOPES + 1):
@@ -38,7 +38,7 @@
     assert table.entries() == ((SCOPE, 20),)
 
 
-def test_entries_are_restored_by_another_process() -> None:
+def test_entries_are_restored_from_those_of_another_process() -> None:
     table, other = RetryAfterTable(lambda: 0), RetryAfterTable(lambda: 0)
     table.note(SCOPE, 500)
 
