--- a/forwarder/endpoints/idle_connections.py
+++ b/forwarder/endpoints/idle_connections.py
@@ -8,7 +8,7 @@
 from forwarder.runtime.supervisor import RepeatingTimer, Supervisor
 
 SWEEP_INTERVAL_S = 0.2
-MAX_IDLE_PER_ENDPOINT = 4  # some endpoints accept few connections, idle ones among them
+MAX_IDLE_PER_ENDPOINT = 4  # some endpoints accept few connections, including idle ones
 
 
 class IdleConnections:
