--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -22,7 +22,7 @@
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.retrying_socket import TRANSIENT_ERRORS, RetryingSocket
 
-GIVEN_UP_S = 0.1  # wait for an answer in transit as its call is given up (PROTOCOL: an end is due within 0.3 s)
+GIVE_UP_GRACE_S = 0.1  # wait for an answer in transit as its call is given up (PROTOCOL: an end is due within 0.3 s)
 PENDING_READ_TRIES = 3  # tries of the last read of a connection while kernel buffers are short
 UNREQUESTED_DATA = "bytes or an end that nothing asked for"
 log = logging.getLogger("forwarder.client")
@@ -190,7 +190,7 @@
             self.close(reason)
             return
         self.transport.write_eof()
-        call.timeout_timer = asyncio.get_running_loop().call_later(GIVEN_UP_S, self.close, reason)
+        call.timeout_timer = asyncio.get_running_loop().call_later(GIVE_UP_GRACE_S, self.close, reason)
 
     def settle(self) -> None:
         """Ends the call of a connection that is closed or closing, after processing all received data, read or not."""
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -17,7 +17,7 @@
 from forwarder.config.config import Address, ConfigError, EndpointList, load_config
 from forwarder.discovery.endpoint_list_watch import EndpointListWatch
 from forwarder.discovery.notifier import RETRY_PAUSES_S, Notifier, render_notices
-from forwarder.endpoints.connection import GIVEN_UP_S
+from forwarder.endpoints.connection import GIVE_UP_GRACE_S
 from forwarder.protocol.http1 import MAX_BODY_BYTES
 from forwarder.runtime.ownership import LOCK_OPEN_TIMEOUT_S
 from forwarder.runtime.supervisor import Supervisor
@@ -279,7 +279,7 @@
 
 def test_a_post_that_fails_is_made_again_within_what_an_end_may_be_late() -> None:
     """A message without its end is lost 0.3 s after its time, and a given-up call takes 0.1 s of that (PROTOCOL)."""
-    assert GIVEN_UP_S + max(RETRY_PAUSES_S) <= 0.2
+    assert GIVE_UP_GRACE_S + max(RETRY_PAUSES_S) <= 0.2
 
 
 def test_a_post_of_notices_stays_within_what_a_body_may_hold() -> None:
