--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -115,7 +115,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET if reset else LINGER_DEFAULT)
 
 
-def unread(transports: Iterable[asyncio.BaseTransport | None]) -> set[int]:
+def descriptors_with_input(transports: Iterable[asyncio.BaseTransport | None]) -> set[int]:
     """Returns the descriptors of the connections on which data or an end of stream waits in the kernel.
 
     One system call checks all connections. If it fails, all descriptors are returned.
--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -10,7 +10,7 @@
 
 from forwarder.clients.client_connection import CLIENT_TIMEOUT_US, ClientConnection
 from forwarder.clients.eviction_order import EvictionOrder
-from forwarder.clients.listener import Listener, descriptor, unread
+from forwarder.clients.listener import Listener, descriptor, descriptors_with_input
 from forwarder.clients.submission import BadRequestError, ClientRequest, Submission, parse_submission
 from forwarder.decisions.settings import Settings
 from forwarder.runtime.descriptor_reserve import DescriptorReserve
@@ -202,7 +202,10 @@
     def _with_unread_input(connections: Iterable[ClientConnection]) -> set[ClientConnection]:
         """Returns the connections with data or an end waiting in the kernel; closing one could lose a request."""
         by_descriptor = {descriptor(each.transport): each for each in connections if not each.is_closed()}
-        return {by_descriptor[number] for number in unread(each.transport for each in by_descriptor.values())}
+        return {
+            by_descriptor[number]
+            for number in descriptors_with_input(each.transport for each in by_descriptor.values())
+        }
 
     # Closing
 
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from forwarder.clients.listener import unread
+from forwarder.clients.listener import descriptors_with_input
 from forwarder.config.config import Address
 from forwarder.endpoints.local_errors import LOCAL_ERRORS
 from forwarder.protocol.http1 import MAX_ENDPOINT_LIST_BYTES, BadResponseError, ResponseReader, render_request
@@ -102,7 +102,7 @@
         """Returns whether a part of an answer has come that whoever made the request has not seen yet."""
         if self.answer is None:
             return False
-        return self.answer.done() or (self.is_usable() and bool(unread([self.transport])))
+        return self.answer.done() or (self.is_usable() and bool(descriptors_with_input([self.transport])))
 
     def close(self) -> None:
         """Closes the connection at once."""
