--- a/tests/lab/test_gossip.py
+++ b/tests/lab/test_gossip.py
@@ -93,7 +93,7 @@
 def test_a_fleet_whose_folders_are_all_new_does_not_wait_for_long(tmp_path: Path) -> None:
     async def steps(fleet: FleetView) -> None:
         async def all_have_continued() -> bool:
-            return all("the folder was new or lost" in n.read_log() for n in fleet.testbed.forwarders.values())
+            return all("the state folder is new or was lost" in n.read_log() for n in fleet.testbed.forwarders.values())
 
         await fleet.until(all_have_continued)
         await asyncio.sleep(2.0)
