--- a/tests/decisions/test_availability.py
+++ b/tests/decisions/test_availability.py
@@ -11,10 +11,10 @@
 from tests.scripts import MS, S, ask, end, sends, started
 
 
-def test_nothing_is_sent_until_the_awaited_list_is_there() -> None:
+def test_nothing_is_sent_until_the_awaited_list_arrives() -> None:
     dispatcher = started(ONE_ENDPOINT)
     assert not sends(dispatcher.handle(0, [EndpointListAwaited(2 * S), ask("m")]))
-    assert dispatcher.availability.destination_opening(10) == (2 * S, HoldReason.STARTING)
+    assert dispatcher.availability.destination_availability(10) == (2 * S, HoldReason.STARTING)
 
     actions = dispatcher.handle(S, [EndpointListReceived(EndpointListKind.CHANGES)])
 
@@ -28,27 +28,27 @@
     dispatcher.handle(MS, [end(send, Outcome.LOCAL_FAILURE)])
 
     until_us = MS + LOCAL_FAILURE_BACKOFF_US
-    assert dispatcher.availability.destination_opening(11) == (until_us, HoldReason.LOCAL_FAILURE)
+    assert dispatcher.availability.destination_availability(11) == (until_us, HoldReason.LOCAL_FAILURE)
 
 
-def test_of_several_endpoints_the_one_that_opens_first_counts() -> None:
+def test_a_destination_is_available_with_its_first_available_endpoint() -> None:
     dispatcher = started()
     first, second = (dispatcher.endpoints[number] for number in (4, 5))
     first.limit_scope.retry_after_until_us = 3 * S
     second.limit_scope.backoff_until_us = 2 * S
 
-    assert dispatcher.availability.destination_opening(12) == (2 * S, HoldReason.BACKOFF)
+    assert dispatcher.availability.destination_availability(12) == (2 * S, HoldReason.BACKOFF)
     second.limit_scope.in_flight = 1
-    assert dispatcher.availability.destination_opening(12) == (3 * S, HoldReason.RETRY_AFTER)
+    assert dispatcher.availability.destination_availability(12) == (3 * S, HoldReason.RETRY_AFTER)
     first.limit_scope.in_flight = 1
-    assert dispatcher.availability.destination_opening(12) == (NEVER_US, HoldReason.CONCURRENCY_WINDOW)
+    assert dispatcher.availability.destination_availability(12) == (NEVER_US, HoldReason.CONCURRENCY_WINDOW)
 
 
-def test_the_hold_reason_that_ends_last_is_named() -> None:
+def test_the_pacing_reason_that_ends_last_is_returned() -> None:
     dispatcher = started(ONE_ENDPOINT)
     scope = dispatcher.endpoints[1].limit_scope
     scope.retry_after_until_us = S
     scope.backoff_until_us = 3 * S
     scope.next_call_at_us = 2 * S
 
-    assert dispatcher.availability.pacing_opening(dispatcher.endpoints[1]) == (3 * S, HoldReason.BACKOFF)
+    assert dispatcher.availability.pacing_availability(dispatcher.endpoints[1]) == (3 * S, HoldReason.BACKOFF)
