--- a/lab/fault_injection.py
+++ b/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries the schedule of faults out."""
+"""Injects the faults of a run's schedule."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 
 class FaultInjector:
-    """Injects every fault of the plan at its moment."""
+    """Injects every fault of the plan at its scheduled time."""
 
     def __init__(self, testbed: Testbed) -> None:
         self.event_log = testbed.event_log
         self.schedule = testbed.plan.schedule
         self.process_faults = ProcessFaults(testbed)
         self.handlers = {**self.process_faults.handlers, **PartyFaults(testbed).handlers}
-        self.injecting: list[asyncio.Task[None]] = []
-        self.copying: list[asyncio.Task[None]] = []
+        self.fault_tasks: list[asyncio.Task[None]] = []
+        self.copy_tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin with the schedule."""
+        """Start to inject the scheduled faults."""
         loop = asyncio.get_running_loop()
-        self.injecting = [loop.create_task(self._inject(step)) for step in self.schedule]
-        self.copying = [
+        self.fault_tasks = [loop.create_task(self._inject(step)) for step in self.schedule]
+        self.copy_tasks = [
             loop.create_task(self.process_faults.copy_folders(step))
             for step in self.schedule
             if step.fault.folder == "old"
         ]
 
     async def wait_for_copies(self) -> None:
-        """Wait until every folder is kept that a fault will set back to."""
-        await asyncio.gather(*self.copying)
+        """Wait until every state folder that a fault will restore has been copied."""
+        await asyncio.gather(*self.copy_tasks)
 
     def is_done(self) -> bool:
-        """Whether all faults were injected and healed."""
-        return all(task.done() for task in self.injecting)
+        """Whether all faults have been injected and healed."""
+        return all(task.done() for task in self.fault_tasks)
 
     def finish(self) -> None:
-        """End what is under way. Raises what went wrong in a fault: that is the lab's failure, and no result."""
-        for task in self.injecting:
+        """Cancel faults that have not ended, and raise any error of a fault: that is a failure of the lab itself."""
+        for task in self.fault_tasks:
             if task.done():
                 task.result()
             else:
--- a/lab/forwarder_config.py
+++ b/lab/forwarder_config.py
@@ -1,4 +1,4 @@
-"""The forwarders' configuration file. The pages' names are mapped here alone."""
+"""The forwarders' configuration file. Only this module maps its field names to the lab's names."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class Allowances(msgspec.Struct, rename={"connection_idle_us": "conn_idle_us", "may_notify": "may_tell"}):
-    """What a forwarder may do."""
+    """Features that a forwarder may use, and their limits."""
 
     connection_idle_us: int
     dial_timeout_us: int
     max_attempts: int
     max_open: int
-    """Messages that it may hold."""
+    """Maximum number of messages that have not ended."""
     max_retry_after_us: int
     retry_after: bool
     may_cancel: bool
@@ -48,7 +48,7 @@
         "key_backoff_us": "key_rest_us",
     },
 ):
-    """The figures of the rules."""
+    """The limits and times of the protocol's rules."""
 
     answer_grace_us: int
     drain_grace_us: int
@@ -63,11 +63,11 @@
 class FleetInfo(
     msgspec.Struct, frozen=True, rename={"batch_sizes": "kind_batch", "rejection_price": "turned_away_price"}
 ):
-    """What a forwarder knows of endpoints by their kind."""
+    """Properties of the endpoints. Lists have one entry per endpoint kind."""
 
     slots: int
     batch_sizes: list[int]
-    """Messages in one call, by kind."""
+    """Maximum number of messages in one call."""
     routes_apart: list[bool]
     rejection_price: float
 
@@ -83,7 +83,7 @@
         "in_order": "by_arrival",
     },
 ):
-    """One class of messages."""
+    """A message class."""
 
     name: str
     latency_objective_us: int
@@ -112,7 +112,7 @@
         "load_reports": "telemetry",
     },
 ):
-    """The settings, as the simulator's first message has them."""
+    """The settings, in the form of the simulator's first message."""
 
     forwarders: int
     discovery: str
@@ -126,7 +126,7 @@
 
 
 class ResourceLimits(msgspec.Struct, frozen=True):
-    """What a forwarder's process may use."""
+    """Resource limits of a forwarder process."""
 
     cores: float
     memory_mb: int
@@ -135,7 +135,7 @@
 
 
 class ForwarderConfig(msgspec.Struct, rename={"admin": "control"}):
-    """A configuration file. Addresses are host:port."""
+    """The content of a configuration file. Addresses have the form host:port."""
 
     name: str
     listen: str
@@ -148,7 +148,7 @@
 
 
 def make_settings(plan: Plan) -> ForwarderSettings:
-    """Return the settings that all forwarders of a plan have, but for the size of the fleet that each believes in."""
+    """Return the settings of a plan's forwarders, which differ only in the fleet size that each of them assumes."""
     scenario = plan.scenario
     reports_limits = scenario.endpoints.tells_limits
     return ForwarderSettings(
--- a/lab/forwarder_process.py
+++ b/lab/forwarder_process.py
@@ -1,4 +1,4 @@
-"""The forwarders' processes: started as deployed, signalled, sampled, and ended by their own ids."""
+"""The forwarder processes of the lab: starts them as deployed, and signals, samples and ends them by their pids."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 from lab.state_folder import StateFolder
 
 KILL_AFTER_S = 3.7
-"""SIGKILL follows SIGTERM no sooner (PROTOCOL)."""
+"""Shortest time from SIGTERM to SIGKILL (PROTOCOL)."""
 FULL_DISK_SPARE_BYTES = 64
-"""A full disk takes so much more."""
+"""Bytes that may still be appended to the largest file once the disk is full."""
 ADMIN_TIMEOUT_S = 5.0
 END_POLL_S = 0.02
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 SHIM_SCRIPT = Path(__file__).resolve().parent / "shim.py"
 STAT_USER_TICKS = 11
-"""A field of /proc/PID/stat behind the command's name, as the next two."""
+"""Index among the fields of /proc/PID/stat that follow the command name, like the next two."""
 STAT_SYSTEM_TICKS = 12
 STAT_RESIDENT_PAGES = 21
 
 
 class ProcessSample(msgspec.Struct, frozen=True, rename={"memory_bytes": "memory", "disk_bytes": "disk"}):
-    """One look at a process. Processor time in seconds since its start."""
+    """The resource usage of a process at one time. The processor time is in seconds since the process started."""
 
     at_s: float
     node: str
@@ -51,36 +51,36 @@
 
 @dataclass(slots=True, eq=False)
 class ForwarderProcess:
-    """One forwarder: its folder, its configuration, and the process that is up now, if any."""
+    """One forwarder: its folder, its configuration and its running process, if there is one."""
 
     name: str
     root: Path
-    """Holds its configuration, its log and its state folder."""
+    """Contains its configuration, its log and its state folder."""
     program: Path
-    """The checkout that it runs from."""
+    """The checkout that the process runs from."""
     config: ForwarderConfig
     event_log: EventLog
     launcher: Launcher
     admin_address: Address
     extensions: str | None = None
-    """The text of its extensions file, if it has one."""
+    """The content of its extensions file; None without one."""
     clock_skew_s: float = 0.0
     failures: list[Failure] = field(default_factory=list)
-    """System calls that fail now."""
+    """The system calls that currently fail."""
     is_shimmed: bool = False
-    """It runs with the calls that the schedule makes fail."""
+    """Whether the process runs under the shim, which lets system calls fail and skews the wall clock."""
     process: Process | None = None
-    former: Process | None = None
-    """The one before, while another takes over from it."""
+    previous_process: Process | None = None
+    """The process that `process` is taking over from, during an upgrade."""
     may_start: bool = True
     starts: int = 0
     crashes: int = 0
     discovery_moves: int = 0
-    """How often discovery has moved for it."""
+    """Number of times that the address of its discovery has changed."""
     started_at_s: float = 0.0
-    """By the loop's clock; `terminated_at_s` likewise."""
+    """In the event loop's time, as `terminated_at_s`."""
     terminated_at_s: float | None = None
-    """When SIGTERM was sent; None while it was not."""
+    """When SIGTERM was sent to the current process; None before that."""
     state: StateFolder = field(init=False)
 
     def __post_init__(self) -> None:
@@ -88,32 +88,32 @@
 
     @property
     def log_path(self) -> Path:
-        """The file that its output goes to."""
+        """The file that the process's output is appended to."""
         return self.root / "log"
 
     @property
     def config_path(self) -> Path:
-        """Its configuration file."""
+        """The configuration file."""
         return self.root / "config.json"
 
     @property
     def extensions_path(self) -> Path:
-        """Its extensions file."""
+        """The extensions file."""
         return self.root / "parts.toml"
 
     @property
     def control_path(self) -> Path:
-        """The file that tells the shim which calls fail."""
+        """The control file of the shim."""
         return self.root / "control.json"
 
     def read_log(self) -> str:
-        """Return what it has logged."""
+        """Return the process's output so far."""
         return self.log_path.read_text(errors="replace")
 
     # Files
 
     def write_files(self) -> None:
-        """Write its configuration, and make its state folder."""
+        """Create the state folder, and write the configuration, extensions and control files."""
         self.state.path.mkdir(parents=True)
         self.config_path.write_text(self._encoded_config())
         if self.extensions is not None:
@@ -121,35 +121,38 @@
         self.write_shim_control()
 
     def write_config(self) -> None:
-        """Put the configuration in the old one's place."""
-        spare = self.root / "config.json.new"
-        spare.write_text(self._encoded_config())
-        os.replace(spare, self.config_path)
+        """Replace the configuration file atomically."""
+        new_path = self.root / "config.json.new"
+        new_path.write_text(self._encoded_config())
+        os.replace(new_path, self.config_path)
 
     def _encoded_config(self) -> str:
         return json.dumps(msgspec.to_builtins(self.config))
 
     def write_shim_control(self) -> None:
-        """Say which calls fail from now on, and how far the wall clock is off; while it runs too."""
+        """Write the failing calls and the clock skew for the shim, which also reads them while the process runs."""
         Control(self.clock_skew_s, self.failures).write(self.control_path)
 
     # Starting
 
     async def start(self) -> None:
-        """Start it on what its folder holds, unless it is up or may not start. Each start has a seed of its own."""
+        """Start a process on the current state folder, unless one is running or none may start.
+
+        Each start gets its own seed.
+        """
         if self.process is None and self.may_start:
             await self._start()
 
     async def upgrade(self, program: Path | None = None) -> None:
-        """Start another process on the folder of the one that is up: it takes over, and the first ends by itself.
+        """Start another process on the same state folder: it takes over from the running one, which then exits.
 
         Args:
-            program: The checkout that the new process runs from, if it is another.
+            program: The checkout that the new process runs from; None for the same checkout.
         """
         if self.process is None:
             return
         self.program = program or self.program
-        self.former = self.process
+        self.previous_process = self.process
         self.event_log.note(EventKind.PROCESS_UPGRADED, node=self.name)
         await self._start()
 
@@ -187,23 +190,23 @@
     # Ending
 
     def _on_end(self, start: int, exit_status: int) -> None:
-        if start < self.starts and self.former is not None:
-            self.former.close()
-            self.former = None
+        if start < self.starts and self.previous_process is not None:
+            self.previous_process.close()
+            self.previous_process = None
         elif self.process is not None:
             self.process.close()
-            self.process = self.former  # one that could not take over leaves the one before
-            self.former = None
+            self.process = self.previous_process  # if the new process could not take over, the previous one goes on
+            self.previous_process = None
         crashed = exit_status not in (0, -signal.SIGKILL, -signal.SIGTERM)
         self.crashes += crashed
         state = "crashed" if crashed else ""
         self.event_log.note(EventKind.PROCESS_ENDED, node=self.name, status=exit_status, state=state)
 
-    def signal(self, sign: int) -> None:
-        """Send a signal to this process alone, by its own id."""
-        for process in (self.process, self.former):
+    def signal(self, signal_number: int) -> None:
+        """Send a signal to the current process, and during an upgrade to the previous one as well."""
+        for process in (self.process, self.previous_process):
             if process is not None:
-                process.send(sign)
+                process.send_signal(signal_number)
 
     def kill(self) -> None:
         """Send SIGKILL."""
@@ -218,22 +221,22 @@
         self.event_log.note(EventKind.PROCESS_TERMINATED, node=self.name)
 
     async def kill_and_wait(self) -> None:
-        """Send SIGKILL, and wait until it has ended."""
+        """Send SIGKILL, and wait until the process has ended."""
         if self.process is not None:
             self.kill()
             await self.wait_for_end()
 
     async def terminate_and_wait(self) -> None:
-        """Send SIGTERM, and SIGKILL when its time is over; wait until it has ended."""
+        """Send SIGTERM, then SIGKILL after `KILL_AFTER_S`, and wait until the process has ended."""
         if self.process is not None:
             self.terminate()
             await self.wait_for_end(kill_when_late=True)
 
     async def wait_for_end(self, kill_when_late: bool = False) -> None:
-        """Wait until a process that was signalled has ended.
+        """Wait until the current process has ended.
 
         Args:
-            kill_when_late: Whether SIGKILL is sent when the time after SIGTERM is over.
+            kill_when_late: Whether to send SIGKILL `KILL_AFTER_S` after SIGTERM.
         """
         loop = asyncio.get_running_loop()
         process = self.process
@@ -248,14 +251,14 @@
 
     # The state folder
 
-    def damage_folder(self, kind: str, mark_s: float, rng: random.Random) -> None:
-        """Lose or damage the state folder while no process has it (`StateFolder.damage`)."""
+    def damage_folder(self, kind: str, fault_at_s: float, rng: random.Random) -> None:
+        """Lose, restore or damage the state folder while no process uses it (`StateFolder.damage`)."""
         if kind != "kept":
             self.event_log.note(EventKind.STATE_FOLDER_CHANGED, node=self.name, state=kind)
-        self.state.damage(kind, mark_s, rng)
+        self.state.damage(kind, fault_at_s, rng)
 
     def set_disk_full(self, is_full: bool) -> None:
-        """Limit the size of its files to where they are now; or lift the limit."""
+        """Limit the size of the process's files to the size of the largest one now, or remove the limit."""
         if self.process is None:
             return
         _, hard_limit = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
@@ -263,10 +266,10 @@
         soft_limit = full_limit if is_full else hard_limit
         resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
 
-    # Looking
+    # Observation
 
     def sample(self) -> ProcessSample | None:
-        """Return what it uses now; None while it is not up."""
+        """Return the current resource usage; None if no process is running."""
         if self.process is None:
             return None
         process_folder = Path(f"/proc/{self.process.pid}")
@@ -286,10 +289,10 @@
         )
 
     async def admin_call(self, line: str) -> str:
-        """Send a line to its admin interface, and return the answer.
+        """Send a command line to the admin interface, and return the answer.
 
         Raises:
-            OSError: It cannot be reached or does not answer.
+            OSError: The admin interface is unreachable or does not answer.
         """
         reader, writer = await asyncio.open_connection(*self.admin_address)
         try:
--- a/lab/launcher.py
+++ b/lab/launcher.py
@@ -1,10 +1,11 @@
-"""Starts and reaps the forwarders for the lab, in a process of its own.
+"""Starts and reaps the forwarder processes of the lab, in a separate process.
 
-While a process with many descriptors starts others, its own event loop stands still (60 ms for each, where six start at
-once), and the lab would be late. This process has no descriptors but its pipes. It also ends whatever it has started
-when the lab is gone, in whatever way.
+A process with many descriptors blocks its event loop while it spawns another (60 ms for each, if six are spawned at
+once), which would delay the lab. The launcher process has no descriptors but its pipes. It also kills every process
+that it spawned when the lab ends, however the lab ends.
 
-A line of JSON asks for a start; further lines tell that it has started and, later, that it has ended.
+Each line of JSON on standard input requests a process. Each line on standard output reports that a process has
+started, could not be started, or has ended.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 
 
 class StartRequest(msgspec.Struct, frozen=True):
-    """Asks for a process. `key` is the asker's, and comes back in the replies."""
+    """Requests a process. `key` is chosen by the requester and repeated in the replies."""
 
     key: int
     argv: list[str]
     cwd: str
     env: dict[str, str]
     log: str
-    """The file that its output is added to."""
+    """The file that the process's output is appended to."""
 
 
 class Reply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Tells that a process has started (`pid`), could not be started (`error`), or has ended (`code`)."""
+    """Reports that a process has started (`pid`), could not be started (`error`), or has ended (`code`)."""
 
     key: int
     pid: int = 0
@@ -47,18 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """A started process. Signals go to its descriptor, so never to another process that got its number."""
+    """A running process. Signals go to its pidfd, so they never reach another process that reuses its pid."""
 
     pid: int
     fd: int
-    """-1: it had ended before it could be had."""
+    """The pidfd; -1 if the process ended before its pidfd could be opened."""
 
-    def send(self, sign: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         """Send a signal, if the process has not ended."""
         if self.fd < 0:
             return
         with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self.fd, sign)
+            signal.pidfd_send_signal(self.fd, signal_number)
 
     def close(self) -> None:
         """Release the descriptor."""
@@ -67,17 +68,17 @@
 
 
 class Launcher:
-    """The lab's side."""
+    """The lab's side of the launcher."""
 
     def __init__(self) -> None:
         self.process: asyncio.subprocess.Process | None = None
-        self.reading: asyncio.Task[None] | None = None
-        self.starting: dict[int, asyncio.Future[int]] = {}
-        self.on_end: dict[int, Callable[[int], None]] = {}
+        self.reply_reader: asyncio.Task[None] | None = None
+        self.pending_starts: dict[int, asyncio.Future[int]] = {}
+        self.end_callbacks: dict[int, Callable[[int], None]] = {}
         self.last_key = 0
 
     async def open(self) -> None:
-        """Start the launcher's process."""
+        """Start the launcher process."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -88,7 +89,7 @@
             limit=MAX_LINE_BYTES,
             start_new_session=True,
         )
-        self.reading = asyncio.get_running_loop().create_task(self._read())
+        self.reply_reader = asyncio.get_running_loop().create_task(self._read_replies())
 
     async def start(
         self, argv: list[str], cwd: Path, env: dict[str, str], log: Path, on_end: Callable[[int], None]
@@ -97,48 +98,48 @@
 
         Args:
             argv: The command.
-            cwd: Its working directory.
-            env: Its whole environment.
-            log: The file that its output is added to.
-            on_end: Called with its exit status.
+            cwd: The process's working directory.
+            env: The process's whole environment.
+            log: The file that the process's output is appended to.
+            on_end: Called with the process's exit status.
 
         Raises:
-            OSError: It could not be started.
+            OSError: The process could not be started.
         """
         assert self.process is not None
         assert self.process.stdin is not None
         self.last_key += 1
         key = self.last_key
-        started: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self.starting[key] = started
-        self.on_end[key] = on_end
+        start_result: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self.pending_starts[key] = start_result
+        self.end_callbacks[key] = on_end
         request = StartRequest(key, argv, str(cwd), env, str(log))
         self.process.stdin.write(msgspec.json.encode(request) + b"\n")
-        pid = await started
+        pid = await start_result
         try:
             return Process(pid, os.pidfd_open(pid))
         except ProcessLookupError:
             return Process(pid, -1)
 
-    async def _read(self) -> None:
+    async def _read_replies(self) -> None:
         assert self.process is not None
         assert self.process.stdout is not None
         while line := await self.process.stdout.readline():
             reply = msgspec.json.decode(line, type=Reply)
-            if reply.code is not None:  # after whoever waits for its start has heard of that
-                asyncio.get_running_loop().call_soon(self.on_end.pop(reply.key), reply.code)
+            if reply.code is not None:  # deferred, so that the task that awaits the start runs first
+                asyncio.get_running_loop().call_soon(self.end_callbacks.pop(reply.key), reply.code)
             elif reply.error:
-                self.starting.pop(reply.key).set_exception(OSError(reply.error))
+                self.pending_starts.pop(reply.key).set_exception(OSError(reply.error))
             else:
-                self.starting.pop(reply.key).set_result(reply.pid)
+                self.pending_starts.pop(reply.key).set_result(reply.pid)
 
     async def close(self) -> None:
-        """End the launcher's process, and with it all that it has started."""
+        """End the launcher process, which kills every process that it spawned."""
         if self.process is not None and self.process.stdin is not None:
             self.process.stdin.close()
             await self.process.wait()
-        if self.reading is not None:
-            await self.reading
+        if self.reply_reader is not None:
+            await self.reply_reader
 
 
 def _write(reply: Reply) -> None:
@@ -160,14 +161,14 @@
 
 
 async def serve() -> None:
-    """Run the launcher's side, until its input ends."""
+    """Run the launcher process until its input ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     children: dict[int, subprocess.Popen[bytes]] = {}
 
     def reap(fd: int, key: int, child: subprocess.Popen[bytes]) -> None:
-        """Take the exit status of a child that has ended."""
+        """Reap a child that has ended, and report its exit status."""
         loop.remove_reader(fd)
         os.close(fd)
         del children[key]
--- a/lab/process_faults.py
+++ b/lab/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults that strike forwarders' processes: signals, upgrades, failing system calls, clocks, configurations."""
+"""Faults of forwarder processes: signals, upgrades, failing system calls, clock steps and new configurations."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from lab.testbed import Testbed
 
 FaultHandler = Callable[[ScheduledFault], Awaitable[None]]
-"""Carries one step of the schedule out, and returns when it is healed."""
-SLOW_SLICE_S = 0.04
-"""A slowed process is stopped for a part of every slice."""
-MOVED_DISCOVERY_CLOSES_S = 1.5
-"""Discovery's old address closes its connections so long after a forwarder was told the new one (TERMS)."""
-NO_RELOAD_BEFORE_S = 1.0
-"""No SIGHUP comes in a program's first second, nor before it is ready (TERMS)."""
-RELOAD_STEP_US = 1000
-"""Each new configuration raises the longest Retry-After by this."""
+"""Injects one scheduled fault, and returns once it is healed."""
+SLOWDOWN_SLICE_S = 0.04
+"""A slowed process is stopped for a running_share of each such slice of time."""
+OLD_DISCOVERY_CLOSE_DELAY_S = 1.5
+"""Time from a reload with a new discovery address until the connections to the old one are closed (TERMS)."""
+MIN_UPTIME_BEFORE_RELOAD_S = 1.0
+"""SIGHUP is sent only to a forwarder that is ready and has run for at least this time (TERMS)."""
+RETRY_AFTER_STEP_US = 1000
+"""Each new configuration raises the longest accepted Retry-After by this."""
 SIGNAL_SERIES = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
 SIGNAL_SPACING_S = (0.0, 0.3)
 
 
 class ProcessFaults:
-    """Strikes the forwarders of a testbed."""
+    """Injects faults into the forwarder processes of a testbed."""
 
     def __init__(self, testbed: Testbed) -> None:
         self.testbed = testbed
@@ -49,16 +49,16 @@
             "reload": self.reload,
             "signals": self.send_signals,
         }
-        """By the kind of a scenario's fault."""
+        """By the `kind` of a scenario's fault."""
 
-    def _struck(self, step: ScheduledFault) -> list[ForwarderProcess]:
+    def _targets(self, step: ScheduledFault) -> list[ForwarderProcess]:
         return [self.testbed.forwarders[name] for name in step.targets]
 
     # Restarts
 
     async def restart(self, step: ScheduledFault) -> None:
-        """End forwarders by SIGKILL (`kill`) or SIGTERM (`term`), and start them again."""
-        await asyncio.gather(*(self._restart(forwarder, step) for forwarder in self._struck(step)))
+        """End forwarders with SIGKILL (`kill`) or SIGTERM (`term`), and start them again."""
+        await asyncio.gather(*(self._restart(forwarder, step) for forwarder in self._targets(step)))
 
     async def _restart(self, forwarder: ForwarderProcess, step: ScheduledFault) -> None:
         fault = step.fault
@@ -81,17 +81,16 @@
         await forwarder.start()
 
     async def _kill_at_event(self, forwarder: ForwarderProcess, fault: Fault) -> None:
-        """Wait for an event of this forwarder's, and kill it before whoever saw it goes on, or soon after."""
+        """Wait for an event at the forwarder, then kill it before the event's observer continues, or soon after."""
         assert fault.on is not None
         killed = asyncio.Event()
 
         def kill() -> None:
-            """Kill it now."""
             forwarder.kill()
             killed.set()
 
         def on_event() -> None:
-            """Kill it within the fault's bound."""
+            """Kill the forwarder at once, or after a random delay of at most `within_ms`."""
             if fault.within_ms:
                 delay_s = self.rng.uniform(0.0, fault.within_ms / 1000)
                 self.testbed.loop.call_later(delay_s, kill)
@@ -102,93 +101,96 @@
         await killed.wait()
 
     async def copy_folders(self, step: ScheduledFault) -> None:
-        """Keep the state folders that a fault will set back to."""
+        """Copy the state folders that a fault will restore, `old_s` before it."""
         await asyncio.sleep(max(0.0, step.at_s - step.fault.old_s - self.event_log.clock()))
-        for forwarder in self._struck(step):
+        for forwarder in self._targets(step):
             forwarder.state.copy(step.at_s)
 
     async def upgrade(self, step: ScheduledFault) -> None:
-        """Let another process of the same program take over from each."""
-        await asyncio.gather(*(forwarder.upgrade() for forwarder in self._struck(step)))
+        """Start another process of the same program for each forwarder, which takes over from the running one."""
+        await asyncio.gather(*(forwarder.upgrade() for forwarder in self._targets(step)))
 
     # Processor time, disk and system calls
 
     async def stop(self, step: ScheduledFault) -> None:
-        """Stop processes, and let them go on."""
-        for forwarder in self._struck(step):
+        """Stop processes with SIGSTOP, and continue them with SIGCONT."""
+        for forwarder in self._targets(step):
             forwarder.signal(signal.SIGSTOP)
             self.event_log.note(EventKind.PROCESS_PAUSED, node=forwarder.name)
         await asyncio.sleep(step.fault.for_s or 0.0)
-        for forwarder in self._struck(step):
+        for forwarder in self._targets(step):
             forwarder.signal(signal.SIGCONT)
             self.event_log.note(EventKind.PROCESS_RESUMED, node=forwarder.name)
 
     async def slow_down(self, step: ScheduledFault) -> None:
-        """Give processes less processor time: each is stopped for a part of every slice."""
-        share = step.fault.times or 1.0
+        """Reduce the processor time of forwarders: they are stopped for a fraction of each slice."""
+        running_share = step.fault.times or 1.0
         end_s = self.testbed.loop.time() + (step.fault.for_s or 0.0)
         try:
             while self.testbed.loop.time() < end_s:
-                for sign, part in ((signal.SIGSTOP, 1 - share), (signal.SIGCONT, share)):
-                    for forwarder in self._struck(step):
-                        forwarder.signal(sign)
-                    await asyncio.sleep(part * SLOW_SLICE_S)
+                for signal_number, slice_share in (
+                    (signal.SIGSTOP, 1 - running_share),
+                    (signal.SIGCONT, running_share),
+                ):
+                    for forwarder in self._targets(step):
+                        forwarder.signal(signal_number)
+                    await asyncio.sleep(slice_share * SLOWDOWN_SLICE_S)
         finally:
-            for forwarder in self._struck(step):
+            for forwarder in self._targets(step):
                 forwarder.signal(signal.SIGCONT)
         self.event_log.note(EventKind.FAULT_HEALED)
 
     async def fill_disk(self, step: ScheduledFault) -> None:
-        """Let no file of the state folders grow."""
-        for forwarder in self._struck(step):
+        """Simulate full disks: the files of the forwarders cannot grow."""
+        for forwarder in self._targets(step):
             forwarder.set_disk_full(True)
         if step.fault.for_s is not None:
             await asyncio.sleep(step.fault.for_s)
-            for forwarder in self._struck(step):
+            for forwarder in self._targets(step):
                 forwarder.set_disk_full(False)
 
     async def fail_calls(self, step: ScheduledFault) -> None:
-        """Let chosen system calls fail for a while."""
+        """Let a system call fail in the forwarders until the fault ends."""
         fault = step.fault
         failure = Failure(fault.call or "", fault.errno, fault.rate)
-        for forwarder in self._struck(step):
+        for forwarder in self._targets(step):
             forwarder.failures.append(failure)
             forwarder.write_shim_control()
         await asyncio.sleep(fault.for_s or 0.0)
-        for forwarder in self._struck(step):
+        for forwarder in self._targets(step):
             forwarder.failures.remove(failure)
             forwarder.write_shim_control()
         self.event_log.note(EventKind.FAULT_HEALED)
 
     async def step_clock(self, step: ScheduledFault) -> None:
-        """Step the wall clocks while the forwarders run."""
-        for forwarder in self._struck(step):
+        """Step the forwarders' wall clocks while they run."""
+        for forwarder in self._targets(step):
             forwarder.clock_skew_s += step.fault.clock_s
             forwarder.write_shim_control()
 
     # Configurations and signals
 
     async def reload(self, step: ScheduledFault) -> None:
-        """Send SIGHUP with a new configuration: discovery moves, and the longest Retry-After changes."""
-        for forwarder in self._struck(step):
+        """Reload a configuration with SIGHUP: discovery's address and the longest accepted Retry-After change."""
+        for forwarder in self._targets(step):
             self._reload(forwarder)
-        await asyncio.sleep(MOVED_DISCOVERY_CLOSES_S)
+        await asyncio.sleep(OLD_DISCOVERY_CLOSE_DELAY_S)
 
     def _reload(self, forwarder: ForwarderProcess) -> None:
         uptime_s = self.testbed.loop.time() - forwarder.started_at_s
-        is_ready = self.testbed.front.forwarders[forwarder.name].is_up and uptime_s >= NO_RELOAD_BEFORE_S
+        is_ready = self.testbed.front.forwarders[forwarder.name].is_up and uptime_s >= MIN_UPTIME_BEFORE_RELOAD_S
         if forwarder.process is None or not is_ready:
-            return  # the platform sends no SIGHUP then
+            return  # the platform sends no SIGHUP in this state
         host, port = self._move_discovery(forwarder)
         allowed = forwarder.config.settings.allowed
-        allowed.max_retry_after_us = MAX_RETRY_AFTER_US + RELOAD_STEP_US * forwarder.discovery_moves
+        allowed.max_retry_after_us = MAX_RETRY_AFTER_US + RETRY_AFTER_STEP_US * forwarder.discovery_moves
         forwarder.config.discovery = f"{host}:{port}"
         forwarder.write_config()
         forwarder.signal(signal.SIGHUP)
         self.event_log.note(EventKind.PROCESS_RELOADED, node=forwarder.name)
 
     def _move_discovery(self, forwarder: ForwarderProcess) -> tuple[str, int]:
-        """Open discovery at another address for a forwarder, and let its old connections end soon."""
+        """Move a forwarder's discovery to another address, and close the old connections after a delay."""
         network = self.testbed.network
         link = (forwarder.name, DISCOVERY)
         old_listener = network.listeners[link]
@@ -199,23 +201,23 @@
         self.testbed.discovery.make_listener(forwarder.name, address).open()
         old_listener.close()
         for connection in old_connections:
-            self.testbed.loop.call_later(MOVED_DISCOVERY_CLOSES_S, connection.abort)
+            self.testbed.loop.call_later(OLD_DISCOVERY_CLOSE_DELAY_S, connection.abort)
         return address
 
     async def send_signals(self, step: ScheduledFault) -> None:
-        """Send signals in series, new configurations among them; SIGKILL at the page's earliest, and another start."""
-        await asyncio.gather(*(self._send_signals(forwarder, step.fault) for forwarder in self._struck(step)))
+        """Send reloads and SIGTERMs, then SIGKILL as early as PROTOCOL allows, and start the forwarders again."""
+        await asyncio.gather(*(self._send_signals(forwarder, step.fault) for forwarder in self._targets(step)))
 
     async def _send_signals(self, forwarder: ForwarderProcess, fault: Fault) -> None:
         is_terminated = False
-        for sign in SIGNAL_SERIES:
-            if sign == signal.SIGHUP:
+        for signal_number in SIGNAL_SERIES:
+            if signal_number == signal.SIGHUP:
                 self._reload(forwarder)
             elif not is_terminated:
                 forwarder.terminate()
                 is_terminated = True
             else:
-                forwarder.signal(sign)
+                forwarder.signal(signal_number)
             await asyncio.sleep(self.rng.uniform(*SIGNAL_SPACING_S))
         await forwarder.wait_for_end(kill_when_late=True)
         await asyncio.sleep(fault.back_s or 0.0)
--- a/lab/shim.py
+++ b/lab/shim.py
@@ -1,17 +1,23 @@
-"""Runs the forwarder with system calls that fail, come short, or see another time. Never imported by the program.
+"""Runs the forwarder with failing system calls, partial reads and writes, and a skewed wall clock.
+
+The forwarder never imports this module.
 
     python lab/shim.py CONTROL STATE [ARGUMENT ...]
 
-runs `python -m forwarder ARGUMENT ...` from the current folder. CONTROL is a file of JSON that may change at any time:
+runs `python -m forwarder ARGUMENT ...` in the current folder. CONTROL is a JSON file that may change at any time:
 
     {"clock_s": 3600.0, "failures": [{"call": "write", "errno": "ENOSPC", "share": 1.0}]}
 
-`clock_s` is added to the wall clock. Calls on files fail only where the file is in the folder STATE, `recv` and `send`
-only on connections that the program made itself, `endpoint-recv` and `endpoint-send` on those of them that do not lead
-to discovery, `client-recv` and `client-send` only on those that it accepted: there
-an error that is no passing shortage would be the client's loss. `epoll_ctl` fails where the loop begins to watch a
-descriptor, or watches it for something else; `poll` where a descriptor is looked at. `short` is no error: reads, writes
-and sends then carry a few bytes at a time. Needs no special rights: calls are replaced in the interpreter.
+- `clock_s` is added to the wall clock.
+- File calls fail only for files in the folder STATE.
+- `recv` and `send` fail only on connections that the program opened.
+- `endpoint-recv` and `endpoint-send` fail only on connections that the program opened, except those to discovery.
+- `client-recv` and `client-send` fail only on connections that the program accepted. They are separate calls, since an
+  error there that is not a temporary shortage loses the client's request.
+- `epoll_ctl` fails where the event loop registers a descriptor or changes its events, `poll` where it polls one.
+- `short` is not an error: reads, writes and sends transfer only a few bytes at a time.
+
+The shim needs no privileges, since it replaces the calls in the interpreter.
 """
 
 from __future__ import annotations
@@ -41,12 +47,12 @@
 Parameters = ParamSpec("Parameters")
 Returned = TypeVar("Returned")
 Target = int | str | os.PathLike[str]
-"""A descriptor or a path."""
+"""A file descriptor or a path."""
 CONTROL_POLL_S = 0.005
-"""The control file is read this often at most."""
+"""Shortest time between two checks of the control file."""
 FILE_CALLS = ("write", "pwrite", "open", "ftruncate", "replace", "unlink", "link", "fdatasync", "fsync", "close")
 READ_CALL = "read"
-"""Of a small file that is read as a whole: opening it counts as the call."""
+"""Reading a whole small file; the failure is raised when the file is opened for reading."""
 SOCKET_CALLS = (
     "socket",
     "accept",
@@ -61,65 +67,65 @@
 WATCH_CALLS = ("epoll_ctl", "poll")
 CALLS = (*FILE_CALLS, READ_CALL, *SOCKET_CALLS, *WATCH_CALLS, "short")
 MAX_SHORT_BYTES = 24
-"""Bytes that a read or write carries at most while it comes short."""
+"""Maximum size of a partial read or write."""
 WRITING_MODES = frozenset("wax+")
-"""Letters of a file's mode that mean writing."""
+"""Characters of an open mode that allow writing."""
 NS_PER_S = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Calls of one kind fail with this share of all, by chance."""
+    """A random share of the calls of one kind fails."""
 
     call: str
     """One of `CALLS`."""
     errno: str = "EIO"
-    """The error's name."""
+    """The symbolic name of the error."""
     share: float = 1.0
     file: str = ""
-    """Of calls on files: only where the file has this name; any file's, if empty."""
+    """For file calls: the name of the only file whose calls fail; empty for all files."""
 
 
 @dataclass(slots=True)
 class Control:
-    """What a control file asks for."""
+    """The content of a control file."""
 
     clock_s: float = 0.0
     failures: list[Failure] = field(default_factory=list)
 
     def write(self, path: Path) -> None:
-        """Write the file in the old one's place, so that no half of it is ever read."""
-        spare = path.with_name(f"{path.name}.new")
-        spare.write_text(json.dumps(asdict(self)))
-        os.replace(spare, path)
+        """Replace the file atomically, so that a reader never sees a partial one."""
+        new_path = path.with_name(f"{path.name}.new")
+        new_path.write_text(json.dumps(asdict(self)))
+        os.replace(new_path, path)
 
 
 class Shim:
-    """The replaced calls of this process."""
+    """Replaces system calls of this process with calls that may fail."""
 
     def __init__(self, control_path: Path, state: Path) -> None:
-        """Make a shim; `install` replaces the calls.
+        """Create a shim; `install` replaces the calls.
 
         Args:
             control_path: The control file.
-            state: The folder whose files' calls fail.
+            state: The folder to whose files the failures of file calls apply.
         """
         self.control_path = control_path
         self.state = str(state.resolve())
         self.rng = random.Random(os.getpid())
         self.control = Control()
-        self.polled_at_s = -1.0
+        self.last_poll_s = -1.0
         self.control_mtime_ns = 0
         self.real_stat = os.stat
         self.real_open = io.open
         self.real_monotonic = time.monotonic
 
     def current_control(self) -> Control:
-        """Return what is asked for now."""
+        """Return the current content of the control file."""
         now_s = self.real_monotonic()
-        if now_s - self.polled_at_s >= CONTROL_POLL_S:
-            self.polled_at_s = now_s
-            with contextlib.suppress(OSError):  # the file is not there yet
+        if now_s - self.last_poll_s >= CONTROL_POLL_S:
+            self.last_poll_s = now_s
+            with contextlib.suppress(OSError):  # the file does not exist yet
                 self._read_control()
         return self.control
 
@@ -129,41 +135,41 @@
             return
         with self.real_open(self.control_path) as file:
             fields = json.load(file)
-        self.control = Control(fields["clock_s"], [Failure(**each) for each in fields["failures"]])
+        self.control = Control(fields["clock_s"], [Failure(**entry) for entry in fields["failures"]])
         self.control_mtime_ns = mtime_ns
 
     def raise_if_failing(self, call: str, file: str = "") -> None:
-        """Fail a call, if it is to fail now.
+        """Raise the error of a call if the control file lets it fail and the random draw selects it.
 
         Raises:
-            OSError: With the error that the control file names.
+            OSError: The error that the control file names.
         """
         for failure in self.current_control().failures:
             if failure.call != call or failure.file not in ("", file):
                 continue
             if self.rng.random() < failure.share:
-                number = getattr(errno, failure.errno)
-                raise OSError(number, f"{os.strerror(number)} (lab)")
+                error_number = getattr(errno, failure.errno)
+                raise OSError(error_number, f"{os.strerror(error_number)} (lab)")
 
-    def shorten(self, size: int) -> int:
-        """Return how many of so many bytes go at once."""
+    def limit_size(self, size: int) -> int:
+        """Return how many of `size` bytes one read or write transfers."""
         for failure in self.current_control().failures:
             if failure.call == "short" and size > 1 and self.rng.random() < failure.share:
                 return self.rng.randrange(1, min(size, MAX_SHORT_BYTES) + 1)
         return size
 
     def name_in_state(self, target: Target) -> str | None:
-        """Return the name of a path or descriptor in the state folder, or of the folder itself; None elsewhere."""
+        """Return the file name of a target if it is the state folder or inside it, else None."""
         try:
             path = os.readlink(f"/proc/self/fd/{target}") if isinstance(target, int) else os.path.abspath(target)
         except (OSError, TypeError):
             return None
         return os.path.basename(path) if path == self.state or path.startswith(self.state + "/") else None
 
-    # Replacing
+    # Replacement of calls
 
     def install(self) -> None:
-        """Replace the calls of this process."""
+        """Replace the calls in this process."""
         for call in FILE_CALLS:
             setattr(os, call, self._replacement(call, getattr(os, call)))
         io.open = builtins.open = self._failing_open(io.open)  # type: ignore[assignment]
@@ -185,18 +191,18 @@
     def _failing_call(
         self, call: str, real: Callable[Concatenate[Target, Parameters], Returned]
     ) -> Callable[Concatenate[Target, Parameters], Returned]:
-        def replaced(target: Target, /, *args: Parameters.args, **kwargs: Parameters.kwargs) -> Returned:
-            """Fail before the real call."""
+        def failing_call(target: Target, /, *args: Parameters.args, **kwargs: Parameters.kwargs) -> Returned:
+            """Run the real call, unless it fails first."""
             file = self.name_in_state(target)
             if file is not None:
                 self.raise_if_failing(call, file)
             return real(target, *args, **kwargs)
 
-        return replaced
+        return failing_call
 
     def _failing_close(self, real: Callable[[int], object]) -> Callable[[int], None]:
         def close(descriptor: int) -> None:
-            """Fail after the real call: Linux frees the descriptor in any case."""
+            """Run the real call, then fail: Linux releases the descriptor even if close fails."""
             file = self.name_in_state(descriptor)
             real(descriptor)
             if file is not None:
@@ -206,19 +212,19 @@
 
     def _failing_write(self, real: Callable[[int, ReadableBuffer], Returned]) -> Callable[..., Returned]:
         def write(descriptor: int, data: ReadableBuffer) -> Returned:
-            """Fail before the real call, or write a part."""
+            """Write all or a part of the data, unless the call fails first."""
             file = self.name_in_state(descriptor)
             if file is None:
                 return real(descriptor, data)
             self.raise_if_failing("write", file)
             view = memoryview(data)
-            return real(descriptor, view[: self.shorten(len(view))])
+            return real(descriptor, view[: self.limit_size(len(view))])
 
         return write
 
     def _failing_open(self, real: Callable[..., object]) -> Callable[..., object]:
         def open_file(file: Target, mode: str = "r", *args: object, **kwargs: object) -> object:
-            """Fail before the real call."""
+            """Open the file, unless the call fails first."""
             name = self.name_in_state(file)
             if name is not None:
                 self.raise_if_failing("open" if WRITING_MODES.intersection(mode) else READ_CALL, name)
@@ -231,10 +237,10 @@
     """A socket whose calls may fail."""
 
     shim: ClassVar[Shim]
-    is_client = False
-    """The program made the connection itself."""
-    is_endpoint = False
-    """It made it, and not to discovery."""
+    is_outgoing = False
+    """Whether the program opened the connection."""
+    is_to_endpoint = False
+    """Whether the program opened the connection, and to an address other than discovery's."""
 
     def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:
         if fileno is None and family in (-1, socket.AF_INET):
@@ -247,41 +253,41 @@
         return super().accept()
 
     def connect(self, address: Address) -> None:
-        """Connect to another party."""
+        """Connect to an address."""
         if self.family == socket.AF_INET:
             self.shim.raise_if_failing("connect")
-            self.is_client = True
-            self.is_endpoint = address != discovery_address()
+            self.is_outgoing = True
+            self.is_to_endpoint = address != discovery_address()
         super().connect(address)
 
     def recv_into(self, buffer: WriteableBuffer, nbytes: int = 0, flags: int = 0) -> int:
-        """Read into a buffer, perhaps a part."""
+        """Read into a buffer; the read may be partial."""
         self._raise_if_recv_failing()
-        return super().recv_into(buffer, self.shim.shorten(nbytes or len(memoryview(buffer))), flags)
+        return super().recv_into(buffer, self.shim.limit_size(nbytes or len(memoryview(buffer))), flags)
 
     def recv(self, bufsize: int, flags: int = 0) -> bytes:
-        """Read, perhaps a part."""
-        if self.is_client:
+        """Read bytes; the read may be partial."""
+        if self.is_outgoing:
             self._raise_if_recv_failing()
-        return super().recv(self.shim.shorten(bufsize), flags)
+        return super().recv(self.shim.limit_size(bufsize), flags)
 
     def _raise_if_recv_failing(self) -> None:
-        if self.is_endpoint:
+        if self.is_to_endpoint:
             self.shim.raise_if_failing("endpoint-recv")
-        self.shim.raise_if_failing("recv" if self.is_client else "client-recv")
+        self.shim.raise_if_failing("recv" if self.is_outgoing else "client-recv")
 
     def send(self, data: ReadableBuffer, flags: int = 0) -> int:
-        """Write, perhaps a part."""
-        if self.is_endpoint:
+        """Write data; the write may be partial."""
+        if self.is_to_endpoint:
             self.shim.raise_if_failing("endpoint-send")
-        self.shim.raise_if_failing("send" if self.is_client else "client-send")
+        self.shim.raise_if_failing("send" if self.is_outgoing else "client-send")
         with memoryview(data) as view:
-            size = self.shim.shorten(len(view))
+            size = self.shim.limit_size(len(view))
             return super().send(data if size == len(view) else bytes(view[:size]), flags)
 
 
 class FailingEpoll:
-    """An epoll that may fail to watch a descriptor. The real class cannot be derived from."""
+    """An epoll object whose registrations may fail. The real class cannot be subclassed."""
 
     shim: ClassVar[Shim]
     real_class: ClassVar[type[select.epoll]] = select.epoll
@@ -294,18 +300,18 @@
         self.fileno = self.real.fileno
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watch a descriptor."""
+        """Register a descriptor."""
         self.shim.raise_if_failing("epoll_ctl")
         self.real.register(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Watch a descriptor for something else."""
+        """Change the events of a registered descriptor."""
         self.shim.raise_if_failing("epoll_ctl")
         self.real.modify(descriptor, events)
 
 
 class FailingPoll:
-    """A poll that may fail. The real class cannot be derived from."""
+    """A poll object whose polling may fail. The real class cannot be subclassed."""
 
     shim: ClassVar[Shim]
     make_real = staticmethod(select.poll)
@@ -316,13 +322,13 @@
         self.unregister = self.real.unregister
 
     def poll(self, timeout_ms: float | None = None) -> list[tuple[int, int]]:
-        """Look at the descriptors."""
+        """Poll the registered descriptors."""
         self.shim.raise_if_failing("poll")
         return self.real.poll(timeout_ms)
 
 
 def discovery_address() -> tuple[str, int] | None:
-    """Return where the configuration has discovery just now; None where it cannot be read."""
+    """Return discovery's address from the current configuration file; None if it cannot be read."""
     try:
         host, _, port = str(json.loads(Path(os.environ["LB_CONFIG"]).read_bytes())["discovery"]).rpartition(":")
         return host, int(port)
@@ -331,12 +337,12 @@
 
 
 def module_name(program: Path) -> str:
-    """Return the package that `python -m` runs in a checkout; until e0ee873 it had another name."""
+    """Return the package that `python -m` runs in a checkout. Up to commit e0ee873 it has another name."""
     return "forwarder" if (program / "forwarder").is_dir() else "lemonshunt"
 
 
 def main() -> None:
-    """Install the shim, and run the program as its own interpreter would."""
+    """Install the shim, and run the program as `python -m` would."""
     control_path, state = Path(sys.argv[1]), Path(sys.argv[2])
     program = module_name(Path.cwd())
     sys.argv = [program, *sys.argv[3:]]
--- a/lab/state_folder.py
+++ b/lab/state_folder.py
@@ -1,4 +1,4 @@
-"""A forwarder's state folder, and what a schedule does to it."""
+"""A forwarder's state folder, which faults of the schedule damage, remove or set back."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 from pathlib import Path
 
 MIN_DAMAGED_BYTES = 64
-"""Files up to this size are not damaged."""
+"""Only larger files are damaged."""
 BLOCK_BYTES = 512
 
 
 @dataclass(slots=True)
 class StateFolder:
-    """The folder that lasts over a forwarder's restarts."""
+    """The folder that a forwarder keeps across its restarts."""
 
     path: Path
     copies: dict[float, Path] = field(default_factory=dict)
-    """Former states of it, by the moment at which it is to be set back."""
+    """Copies of earlier states, by the time of the fault that restores them."""
 
-    def copy(self, mark_s: float) -> None:
-        """Keep the folder as it is now, to be set back to at `mark_s`."""
-        target = self.path.parent / f"copy-{mark_s:.3f}"
+    def copy(self, fault_at_s: float) -> None:
+        """Copy the folder, so that the fault at `fault_at_s` can restore its current state."""
+        copy_path = self.path.parent / f"copy-{fault_at_s:.3f}"
         shutil.copytree(
             self.path,
-            target,
+            copy_path,
             ignore=lambda _, names: [name for name in names if name.startswith("lock")],
             ignore_dangling_symlinks=True,
             copy_function=_copy_regular_file,
         )
-        self.copies[mark_s] = target
+        self.copies[fault_at_s] = copy_path
 
-    def damage(self, kind: str, mark_s: float, rng: random.Random) -> None:
-        """Lose or damage the folder, while no process has it.
+    def damage(self, kind: str, fault_at_s: float, rng: random.Random) -> None:
+        """Lose, restore or damage the folder while no process uses it.
 
         Args:
-            kind: As a scenario's `folder` has it; `kept` does nothing.
-            mark_s: Which copy an `old` folder is set back to.
-            rng: Draws where a file is damaged.
+            kind: A value of a fault's `folder` field; `kept` does nothing.
+            fault_at_s: The time of the fault, which selects the copy for `old`.
+            rng: Draws the offsets of the damage.
         """
         if kind == "kept":
             return
         if kind in ("lost", "old"):
-            self._replace(self.copies.get(mark_s) if kind == "old" else None)
+            self._replace(self.copies.get(fault_at_s) if kind == "old" else None)
             return
         for file in [file for file in self.path.iterdir() if file.is_file()]:
             if file.stat().st_size > MIN_DAMAGED_BYTES:
@@ -70,19 +70,19 @@
 
 
 def _damaged(data: bytes, kind: str, rng: random.Random) -> bytes:
-    """Return a file's content cut somewhere (`short`), or with a bit (`byte`) or 512 bytes (`block`) changed."""
+    """Return file content truncated (`short`), with one bit flipped (`byte`) or with 512 bytes zeroed (`block`)."""
     content = bytearray(data)
-    at = rng.randrange(len(content))
+    offset = rng.randrange(len(content))
     if kind == "short":
-        return bytes(content[:at])
+        return bytes(content[:offset])
     if kind == "byte":
-        content[at] ^= 1 << rng.randrange(8)
+        content[offset] ^= 1 << rng.randrange(8)
     else:
-        content[at : at + BLOCK_BYTES] = bytes(len(content[at : at + BLOCK_BYTES]))
+        content[offset : offset + BLOCK_BYTES] = bytes(len(content[offset : offset + BLOCK_BYTES]))
     return bytes(content)
 
 
-def _copy_regular_file(source: str, target: str) -> None:
-    """Copy a file. Sockets and locks are no state, and are passed over."""
+def _copy_regular_file(source: str, copy_path: str) -> None:
+    """Copy a regular file. Sockets and locks are not state and are skipped."""
     if Path(source).is_file():
-        shutil.copyfile(source, target)
+        shutil.copyfile(source, copy_path)
--- a/tests/lab/test_forwarder_config.py
+++ b/tests/lab/test_forwarder_config.py
@@ -1,4 +1,4 @@
-"""The forwarders can read the settings that the lab gives them."""
+"""Tests that the forwarder reads the settings that the lab writes."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from lab.forwarder_config import make_settings
 from tests.sockets import ROOT
 
-HERD = ROOT / "lab/scenarios/herd.toml"
+SCENARIO = ROOT / "lab/scenarios/herd.toml"
 
 
-@pytest.mark.parametrize(("name", "reported"), [("herd", True), ("untold", False)])
-def test_the_forwarder_reads_the_settings(name: str, reported: bool) -> None:
-    drawn = plan.make(scenario.load(HERD.with_name(f"{name}.toml"), 20, 1))
-    known = parse_settings(msgspec.to_builtins(make_settings(drawn)))
-    assert (known.forwarders, known.max_attempts, known.overload_window_us) == (20, 8, 2_000_000)
-    assert [c.name for c in known.classes] == ["statusvarsel", "refusjon"]
-    assert known.classes[1].in_order
-    assert known.weights_reported == drawn.scenario.endpoints.tells_limits == reported
+@pytest.mark.parametrize(("name", "reports_weights"), [("herd", True), ("untold", False)])
+def test_the_forwarder_reads_the_settings(name: str, reports_weights: bool) -> None:
+    run_plan = plan.make(scenario.load(SCENARIO.with_name(f"{name}.toml"), 20, 1))
+    settings = parse_settings(msgspec.to_builtins(make_settings(run_plan)))
+    assert (settings.forwarders, settings.max_attempts, settings.overload_window_us) == (20, 8, 2_000_000)
+    assert [message_class.name for message_class in settings.classes] == ["statusvarsel", "refusjon"]
+    assert settings.classes[1].in_order
+    assert settings.weights_reported == run_plan.scenario.endpoints.tells_limits == reports_weights
--- a/tests/lab/test_launcher.py
+++ b/tests/lab/test_launcher.py
@@ -1,4 +1,4 @@
-"""What the launcher starts ends with it."""
+"""Tests that processes end with the launcher that started them, and that it reports their exit statuses."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 SLEEP_SOURCE = "import time; time.sleep(60)"
 
 
-def test_what_the_launcher_started_ends_with_it_and_its_status_is_reported(tmp_path: Path) -> None:
+def test_the_launcher_reports_exit_statuses_and_ends_its_processes_when_it_closes(tmp_path: Path) -> None:
     exit_statuses: list[int] = []
 
-    async def scene() -> tuple[Process, Process, Process]:
+    async def run_processes() -> tuple[Process, Process, Process]:
         launcher = Launcher()
         await launcher.open()
 
@@ -34,15 +34,15 @@
         async with asyncio.timeout(PATIENCE):
             while exit_statuses != [3]:
                 await asyncio.sleep(0.01)
-            killed.send(signal.SIGKILL)
+            killed.send_signal(signal.SIGKILL)
             while exit_statuses != [3, -9]:
                 await asyncio.sleep(0.01)
-        killed.send(signal.SIGKILL)  # to one that has ended it is no harm
+        killed.send_signal(signal.SIGKILL)  # has no effect on a process that has ended
         with pytest.raises(OSError, match="No such file"):
             await launcher.start(["/no/such/program"], tmp_path, {}, tmp_path / "log", exit_statuses.append)
         await launcher.close()
         return ended, killed, running
 
-    for process in asyncio.run(scene()):
+    for process in asyncio.run(run_processes()):
         with pytest.raises(ProcessLookupError):
             os.kill(process.pid, 0)
--- a/tests/lab/test_shim.py
+++ b/tests/lab/test_shim.py
@@ -1,4 +1,4 @@
-"""Calls that fail by the shim leave nothing behind that the program alone would not."""
+"""Tests that injected failures have no side effects on the program, and apply only to the chosen connections."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @pytest.fixture
 def shim(tmp_path: Path) -> Shim:
-    made = Shim(tmp_path / "control.json", tmp_path)
-    FailingSocket.shim = made
-    return made
+    new_shim = Shim(tmp_path / "control.json", tmp_path)
+    FailingSocket.shim = new_shim
+    return new_shim
 
 
-def test_a_send_that_fails_holds_no_buffer_of_the_program(shim: Shim) -> None:
-    """Guards against BufferError in the program: the error's traceback kept a view of its buffer alive."""
+def test_a_failed_send_keeps_no_view_of_the_buffer(shim: Shim) -> None:
+    """Guards against a BufferError in the program: the error's traceback kept a view of its buffer alive."""
     shim.control.failures = [Failure("short", share=1.0)]
-    shim.polled_at_s = float("inf")
-    ours, other = socket.socketpair()
-    failing = FailingSocket(ours.family, ours.type, ours.proto, ours.detach())
-    other.close()
+    shim.last_poll_s = float("inf")
+    own_end, other_end = socket.socketpair()
+    failing = FailingSocket(own_end.family, own_end.type, own_end.proto, own_end.detach())
+    other_end.close()
     buffer = bytearray(b"x" * 1000)
     with pytest.raises(BrokenPipeError) as error:
         failing.send(buffer)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("to_discovery", [True, False])
-def test_failures_of_endpoint_connections_spare_those_to_discovery(
+def test_endpoint_failures_do_not_apply_to_discovery_connections(
     shim: Shim, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, to_discovery: bool
 ) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.create_server(("127.0.0.1", 0)) as discovery:
@@ -43,7 +43,7 @@
         failing = FailingSocket(socket.AF_INET, socket.SOCK_STREAM)
         failing.connect((discovery if to_discovery else listener).getsockname())
         shim.control.failures = [Failure("endpoint-send", "ENOBUFS")]
-        shim.polled_at_s = float("inf")
+        shim.last_poll_s = float("inf")
         if to_discovery:
             assert failing.send(b"x") == 1
         else:
