--- a/lab/harness/__init__.py
+++ b/lab/harness/__init__.py
@@ -1,5 +1,5 @@
-"""One forwarder without sockets: the real engine, decisions and journal between fakes that a test drives by hand.
+"""A forwarder without network connections: the real engine, decisions and journal, with fakes that a test controls.
 
-Time is the caller's, calls and notices are ended by the caller, and the folder is real (`forwarder`). Whatever the
-forwarder lets leave is checked at once against the rules, by what clients and the platform know (`oracle`).
+The test sets the time and ends calls and notices; the state folder is real (`forwarder`). Everything that the forwarder
+sends is checked at once against the rules, based on what clients, endpoints and the platform know (`oracle`).
 """
--- a/lab/harness/config.py
+++ b/lab/harness/config.py
@@ -1,4 +1,4 @@
-"""The configuration of the harness's forwarder, in the pages' names."""
+"""The configuration of the harness's forwarder, with the field names of the configuration file."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 DESTINATIONS = 2
 ENDPOINT_KINDS = ("plain", "lots")
 CLASSES = {"safe": "repeatable", "once": "once", "keyed": "by_key"}
-"""Each class and its effect. All keep the order of their keys."""
+"""The message classes and their effects. All classes deliver the messages of a key in order."""
 FIRST_PORT = 9000
 
 
 def destination_of(endpoint: int) -> int:
-    """Return the destination that an endpoint belongs to."""
+    """Return the number of the destination that an endpoint belongs to."""
     return 1 + endpoint % DESTINATIONS
 
 
 def endpoint_entry(number: int, health: str = "up") -> dict[str, Any]:
-    """Return an endpoint as discovery lists it."""
+    """Return an endpoint's entry in discovery's endpoint list."""
     return {
         "host": f"s{number}",
         "dial": f"127.0.0.1:{FIRST_PORT + number}",
@@ -38,7 +38,7 @@
 
 
 def write_config(folder: Path) -> Config:
-    """Write the configuration to a folder, and read it as the program does."""
+    """Write the configuration to a folder, and load it as the program does."""
     config = {
         "name": "n0",
         "seed": "5",
--- a/lab/harness/fakes.py
+++ b/lab/harness/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for what the engine talks to: a client's connection, the pool, the watch and the notices, the clock."""
+"""Fakes of the engine's dependencies: client connection, connection pool, endpoint list watch, notifier and clock."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 
 class HeldOwnership:
-    """Stands for the lock of a folder that no other process has."""
+    """The lock of a state folder that no other process uses."""
 
     has_lock = True
 
     def acquire(self) -> None:
-        """Nothing has to be done."""
+        """Do nothing: the lock is always held."""
 
 
 class OpenTransport:
-    """The transport of a client that stays."""
+    """The transport of a client that stays connected."""
 
     def __init__(self) -> None:
         self.sock, self.client = socket.socketpair()
 
     def get_extra_info(self, name: str) -> socket.socket | None:
-        """Return the socket, as asyncio's transports do."""
+        """Return the socket, as asyncio transports do."""
         return self.sock if name == "socket" else None
 
     def close(self) -> None:
-        """Release both sockets."""
+        """Close both sockets."""
         self.sock.close()
         self.client.close()
 
 
 @dataclass(slots=True)
 class FakeClientConnection:
-    """A client's connection, for one message."""
+    """The client connection of one message."""
 
     on_answer: Callable[[int], None]
     transport: OpenTransport
     on_withdrawn: Callable[[], None] | None = None
 
     def is_closed(self) -> bool:
-        """Whether the client has gone: this one stays."""
+        """Whether the client has closed the connection: never."""
         return False
 
     def answer(self, status: HTTPStatus, text: str = "", **headers: str) -> None:
-        """Pass the answer's status on."""
+        """Report the status of the answer."""
         self.on_answer(int(status))
 
 
 @dataclass(slots=True)
 class FakePool:
-    """Stands in for the pool of connections: calls are in flight until the test ends them."""
+    """A connection pool whose calls are in flight until the test ends them."""
 
     engine: Engine
     oracle: Oracle
@@ -74,20 +74,20 @@
         self.retry_after = RetryAfterTable(self.engine.clock)
 
     def update_addresses(self, addresses: Mapping[int, object]) -> None:
-        """Take the endpoints that may be called."""
+        """Set the endpoints that may be called."""
         self.addresses = addresses
 
     def start(self, call: EndpointCall) -> None:
-        """Start a call, as far as the invariants let its messages leave."""
+        """Start a call with those of its messages that the invariants allow to be sent."""
         self.calls_in_flight += 1
-        others = {message_id for message_id, _ in self.calls}
+        messages_in_flight = {message_id for message_id, _ in self.calls}
         for item in call.items:
             call.open_items[item.id] = item
             self.calls[item.attempt_key] = call
         for item in call.items:
             attempt = AttemptFacts(item.id, item.attempt, item.send_before_us, item.due_us)
             route = RouteFacts(call.endpoint in self.addresses, self.retry_after.until_us(call.limit_scope))
-            if self.engine.invariants.may_send(attempt, route, self.engine.clock(), others) is None:
+            if self.engine.invariants.may_send(attempt, route, self.engine.clock(), messages_in_flight) is None:
                 self.oracle.note_sent(item.id)
             else:
                 self._end_item(call, item, Outcome.NOT_SENT)
@@ -98,8 +98,8 @@
             self._end_item(call, item, result.outcome)
 
     def end(self, message_id: str, outcome: Outcome) -> None:
-        """Play the endpoint's answer to a message, or what stands for it."""
-        call = next(call for (message, _), call in self.calls.items() if message == message_id)
+        """End the attempt of a message with an outcome: the endpoint's answer, or the failure to get one."""
+        call = next(call for (open_id, _), call in self.calls.items() if open_id == message_id)
         self.oracle.note_outcome(message_id, outcome)
         self._end_item(call, call.open_items[message_id], outcome)
 
@@ -107,35 +107,35 @@
         del call.open_items[item.id]
         del self.calls[item.attempt_key]
         self.calls_in_flight -= not call.open_items
-        took_us = self.engine.clock() - call.sent_us
+        duration_us = self.engine.clock() - call.sent_us
         is_closed = outcome is Outcome.DELIVERED
-        self.engine.post(AttemptEnded(item.id, item.attempt, call.endpoint, outcome, took_us, is_closed))
+        self.engine.post(AttemptEnded(item.id, item.attempt, call.endpoint, outcome, duration_us, is_closed))
 
     def timed_out_messages(self) -> list[str]:
-        """Return the messages whose call the forwarder waits for no longer."""
+        """Return the ids of messages whose call has timed out at the forwarder."""
         now_us = self.engine.clock()
         items = [call.open_items[message_id] for (message_id, _), call in self.calls.items()]
         return [item.id for item in items if now_us >= min(item.timeout_at_us, item.due_us)]
 
-    def close_idle(self, target: int, reason: str = "") -> None:
+    def close_idle(self, endpoint: int, reason: str = "") -> None:
         """Do nothing: there are no idle connections."""
 
-    def cancel(self, message: str, attempt: int) -> None:
-        """Do nothing: the test ends calls."""
+    def cancel(self, message_id: str, attempt: int) -> None:
+        """Do nothing: the test ends the calls."""
 
     def settle(self) -> None:
-        """Do nothing: no call waits for the loop."""
+        """Do nothing: no call waits for the event loop."""
 
 
 class FakeWatch:
-    """Stands in for the watch and the notices, which the test works itself."""
+    """The endpoint list watch and the notifier: the test changes the list and sends the notices itself."""
 
     def has_unread_list(self) -> bool:
-        """Whether a list was received and not read yet: never."""
+        """Whether a received list has not been read yet: never."""
         return False
 
     def wake(self) -> None:
-        """Do nothing: there is no loop."""
+        """Do nothing: there is no event loop."""
 
     def subscribe(self) -> None:
         """Do nothing: the test changes the list."""
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True)
 class ManualClock:
-    """The engine's clock, which the test sets."""
+    """The engine's clock, set by the test."""
 
     now_us: int
     is_anchored: bool = True
@@ -153,4 +153,4 @@
         return self.now_us
 
     def store_anchor(self) -> None:
-        """Do nothing: the time outlasts the process anyhow."""
+        """Do nothing: the clock outlives the forwarder's processes."""
--- a/lab/harness/forwarder.py
+++ b/lab/harness/forwarder.py
@@ -1,4 +1,4 @@
-"""The harness: one forwarder over all its restarts and hand-overs, driven by hand."""
+"""The harness: one forwarder across its restarts and hand-overs, controlled by the test."""
 
 from __future__ import annotations
 
@@ -27,39 +27,39 @@
 
 START_US = 1_000 * SECOND_US
 UNUSED = object()
-"""Stands for what the engine never touches here."""
+"""Placeholder for arguments that the engine does not use in the harness."""
 OVERDUE_US = SECOND_US // 2
-"""So long after its deadline a message has its end, or one that only the platform has not heard of yet."""
+"""Latest time after its deadline at which a message must have ended, or have a notice that is still pending."""
 
 
 class ForwarderHarness:
-    """One forwarder over all its restarts."""
+    """One forwarder across its restarts and hand-overs."""
 
     def __init__(self, folder: Path) -> None:
-        """Start a forwarder on a new folder."""
+        """Start a forwarder on a new state folder."""
         (folder / "state").mkdir()
         self.clock = ManualClock(START_US)
         self.transport = OpenTransport()
         self.config = write_config(folder)
         self.oracle = Oracle(self.clock)
         self.busy_keys: set[str] = set()
-        """Keys whose last message has no answer yet: the next is submitted once it has."""
+        """Keys whose last message has no answer yet. The key's next message is submitted only after that answer."""
         self.unanswered: dict[str, FakeClientConnection] = {}
-        """The connections of messages that have no answer yet."""
+        """The client connections of messages without an answer."""
         self.list_version = 1
         self.start()
 
     # Processes
 
     def start(self) -> None:
-        """Begin a process, on what the folder holds."""
+        """Start a process on the current state folder."""
         self._begin(self._make_engine())
 
     def hand_over(self) -> bool:
-        """Let another process take over, with the calls that are in flight.
+        """Hand over to a new process, together with the calls that are in flight.
 
         Returns:
-            False where this one has to go on.
+            Whether the hand-over took place. If not, the old process continues.
         """
         old, old_pool = self.engine, self.pool
         old.handover_sender.settle()
@@ -74,8 +74,8 @@
             pool=PoolRecord(calls=(CallRecord(NO_CONNECTION, 0, (0, -1), 0, False, attempts, b""),)),
         )
         self._release_journal()
-        received = decode_description(encode_description(description))
-        new = self._make_engine(HandoverState(UNUSED, received, []))  # type: ignore[arg-type]
+        received_description = decode_description(encode_description(description))
+        new = self._make_engine(HandoverState(UNUSED, received_description, []))  # type: ignore[arg-type]
         self.pool.calls_in_flight = old_pool.calls_in_flight
         self.pool.calls = old_pool.calls
         self.pool.retry_after = old_pool.retry_after
@@ -102,7 +102,7 @@
         return engine
 
     def terminate(self) -> None:
-        """Play SIGTERM: nothing is sent from the freeze on, calls may end till then, and the process ends by itself."""
+        """Simulate SIGTERM: nothing more is sent, one call in flight is delivered, and the process ends by itself."""
         self.engine.loop.run_round()
         self.engine.run_state.is_frozen = True
         for message_id, _ in list(self.pool.calls)[:1]:
@@ -112,44 +112,44 @@
         self.kill()
 
     def kill(self) -> None:
-        """Play SIGKILL."""
+        """Simulate SIGKILL."""
         self.oracle.note_killed()
         self.busy_keys.clear()
         self.unanswered.clear()
         self._release_journal()
 
     def close(self) -> None:
-        """Release what the harness holds."""
+        """Close the sockets and the journal."""
         self.transport.close()
         self._release_journal()
 
     def _release_journal(self) -> None:
-        """Close the journal's descriptor, as the end of the process does."""
+        """Close the journal's descriptor, as happens when a process ends."""
         self.engine.store.files.journal.close()
 
     # Clients
 
     def submit(self, message_id: str, message_class: str, key: str, time_left_us: int) -> None:
-        """Submit a message."""
+        """Submit a message as a client."""
         due_us = self.clock.now_us + time_left_us
         self.oracle.messages[message_id] = MessageState(key, message_class, due_us)
         self.busy_keys.add(key)
 
         def on_answer(status: int) -> None:
-            """Note the answer of this message."""
+            """Record the answer to this message."""
             self.busy_keys.discard(key)
             self.unanswered.pop(message_id, None)
             self.oracle.note_answer(message_id, status)
 
-        known_class = next(each for each in self.config.settings.classes if each.name == message_class)
+        submitted_class = next(each for each in self.config.settings.classes if each.name == message_class)
         destination = 1 + len(message_id + key) % DESTINATIONS
-        submission = Submission(message_id, known_class, destination, due_us, key, None, False, message_id.encode())
+        submission = Submission(message_id, submitted_class, destination, due_us, key, None, False, message_id.encode())
         connection = FakeClientConnection(on_answer, self.transport)
         self.unanswered[message_id] = connection
         self.engine.intake.submit(submission, connection)  # type: ignore[arg-type]
 
     def withdraw(self, message_id: str) -> None:
-        """Let a client that has no answer yet close its connection."""
+        """Close the connection of a client that has no answer yet."""
         connection = self.unanswered.pop(message_id)
         self.busy_keys.discard(self.oracle.messages[message_id].key)
         self.oracle.note_withdrawn(message_id)
@@ -159,7 +159,7 @@
     # Time, discovery and the platform
 
     def pass_time(self, duration_us: int) -> None:
-        """Let time pass, let the calls end that are given up by then, and run a round of the engine."""
+        """Advance the clock, time out the calls that are due, and run a round of the engine."""
         self.clock.now_us += duration_us
         for message_id in self.pool.timed_out_messages():
             self.pool.end(message_id, Outcome.TIMED_OUT)
@@ -169,16 +169,16 @@
         self.engine.checks.end_overdue_messages()
 
     def change_endpoint(self, number: int, health: str) -> None:
-        """Let discovery tell that an endpoint is up, draining or removed."""
+        """Receive an endpoint's health from discovery: up, draining or removed."""
         self.list_version += 1
         changes = {"seq": self.list_version, "whole": False, "hosts": [endpoint_entry(number, health)]}
         self.engine.endpoint_lists.receive(parse_endpoint_list(changes))
 
     def send_notices(self, acknowledged: bool) -> None:
-        """Let the pending notices come to the platform.
+        """Deliver the pending notices to the platform.
 
         Args:
-            acknowledged: Whether its answer comes back.
+            acknowledged: Whether the forwarder receives the platform's answer.
         """
         notices = self.engine.pending_notices.pending_notices()
         for message_id, notice in notices.items():
@@ -187,11 +187,11 @@
             self.engine.pending_notices.acknowledge_notices([*notices])
 
     def overdue_messages(self) -> list[str]:
-        """Return accepted messages that are past their deadline, and have no end that was noticed or waits to be."""
-        latest_us = self.clock.now_us - OVERDUE_US
+        """Return the accepted messages that are overdue: they have not ended, and have no pending notice."""
+        overdue_before_us = self.clock.now_us - OVERDUE_US
         pending = self.engine.store.pending_notices
         return [
             message_id
             for message_id in self.oracle.pending_messages()
-            if self.oracle.messages[message_id].due_us < latest_us and message_id not in pending
+            if self.oracle.messages[message_id].due_us < overdue_before_us and message_id not in pending
         ]
--- a/lab/process_faults.py
+++ b/lab/process_faults.py
@@ -19,7 +19,7 @@
 FaultHandler = Callable[[ScheduledFault], Awaitable[None]]
 """Injects one scheduled fault, and returns once it is healed."""
 SLOWDOWN_SLICE_S = 0.04
-"""A slowed process is stopped for a running_share of each such slice of time."""
+"""A slowed process is stopped for a part of each such slice of time."""
 OLD_DISCOVERY_CLOSE_DELAY_S = 1.5
 """Time from a reload with a new discovery address until the connections to the old one are closed (TERMS)."""
 MIN_UPTIME_BEFORE_RELOAD_S = 1.0
