--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What the figures in docs/measurements.md were taken with. Each module is a program of its own."""
+"""Benchmarks behind the figures in docs/measurements.md. Each module can be run as a program."""
--- a/benchmarks/failing_accept.py
+++ b/benchmarks/failing_accept.py
@@ -1,9 +1,9 @@
-"""Time from a client's connect to its 202 while a share of the calls of accept fails, of two checkouts in turn.
+"""Compares the time from connecting to the 202 between two checkouts while a share of accept calls fails.
 
     python -m benchmarks.failing_accept OTHER [REQUESTS]
 
-A is the checkout in OTHER, B the one this runs in. Each request has a connection of its own; kept connections rest
-beside them. Prints median and 99th percentile for each share, and how many kept connections were closed.
+A is the checkout in OTHER, B is the working directory. Each request has its own connection; further connections stay
+open and idle. Prints the median and 99th percentile for each share, and how many idle connections were closed.
 """
 
 from __future__ import annotations
@@ -27,28 +27,28 @@
 ERROR = "ENOBUFS"
 DEFAULT_REQUESTS = 400
 INTERVAL_S = 0.01
-KEPT_CLIENTS = 6
+IDLE_CLIENTS = 6
 MAX_OPEN_MESSAGES = 5000
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The figures of one run. Times in milliseconds."""
+    """The results of one run. Times are in milliseconds."""
 
     median: float
     p99: float
     closed_kept: int
 
 
-async def submit_anew(node: Node, number: int, took_ms: list[float]) -> None:
-    """Submit one message on a connection of its own, and add the time to its answer."""
-    began_s = time.perf_counter()
+async def submit_on_new_connection(node: Node, number: int, latencies_ms: list[float]) -> None:
+    """Submit one message on a new connection, and append the time to its answer."""
+    start_s = time.perf_counter()
     await node.submit(f"m-{number}", "status")
-    took_ms.append((time.perf_counter() - began_s) * 1000)
+    latencies_ms.append((time.perf_counter() - start_s) * 1000)
 
 
 async def run(program: Path, share: float, requests: int) -> Figures:
-    """Measure one process of a checkout."""
+    """Measure one forwarder process of a checkout."""
     nodes.PROGRAM_ROOT = program
     with tempfile.TemporaryDirectory() as folder:
         platform = await Platform().start()
@@ -57,23 +57,23 @@
         node = Node(Path(folder), platform, max_open=MAX_OPEN_MESSAGES)
         await node.fail()
         await node.start()
-        kept = [await node.client() for _ in range(KEPT_CLIENTS)]
-        for number, client in enumerate(kept):
+        idle_clients = [await node.client() for _ in range(IDLE_CLIENTS)]
+        for number, client in enumerate(idle_clients):
             await client.submit(f"kept-{number}", "status")
         await node.fail(Failure("accept", ERROR, share))
-        took_ms: list[float] = []
+        latencies_ms: list[float] = []
         tasks = []
         for number in range(requests):
-            tasks.append(asyncio.create_task(submit_anew(node, number, took_ms)))
+            tasks.append(asyncio.create_task(submit_on_new_connection(node, number, latencies_ms)))
             await asyncio.sleep(INTERVAL_S)
         await asyncio.gather(*tasks)
-        closed_kept = sum(client.reader.at_eof() for client in kept)
+        closed_kept = sum(client.reader.at_eof() for client in idle_clients)
         await node.end()
-    return Figures(statistics.median(took_ms), percentile(took_ms, 99), closed_kept)
+    return Figures(statistics.median(latencies_ms), percentile(latencies_ms, 99), closed_kept)
 
 
 def main() -> None:
-    """Play both checkouts at each share, and print the figures."""
+    """Run both checkouts at each share, and print the results."""
     other = Path(sys.argv[1]).resolve()
     requests = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_REQUESTS
     for share in SHARES:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,9 @@
-"""From exec to the first 200 of /up, by step, on an empty, a usual and a full journal.
+"""Measures the steps from exec to the first 200 of /up, with an empty, a typical and a full journal.
 
     python -m benchmarks.start [RUNS]
 
-Steps, each by a process of its own so that they can be told apart: the interpreter alone, the program's imports (less
-the interpreter), reading the journal, and the rest up to the answer of /up. Times in milliseconds.
+The steps are measured separately: starting the interpreter, importing the program (less the time of the interpreter),
+reading the journal, and the rest until /up answers. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTimes:
-    """What one start took, in milliseconds."""
+    """The times of one start, in milliseconds."""
 
     read_ms: float
-    """Reading the journal alone."""
+    """Time to read the journal."""
     up_ms: float
-    """From exec to the first 200 of /up."""
+    """Time from exec to the first 200 of /up."""
 
 
 def fill(state: Path, held: int) -> None:
-    """Hold so many messages for a destination that nobody serves, and end twice as many."""
+    """Store up to `held` messages for a destination without endpoints, and accept and end up to twice as many."""
     store = MessageStore(state, DISK_BYTES).take_ownership()
     due_us = time.time_ns() // 1000 + HOUR_US
     for number in range(3 * held):
@@ -65,21 +65,21 @@
 
 
 def time_interpreter(source: str) -> float:
-    """Return how long a new interpreter takes for a line of source, in milliseconds."""
-    began_s = time.perf_counter()
+    """Return the time in milliseconds that a new interpreter takes to run a line of source."""
+    start_s = time.perf_counter()
     subprocess.run([sys.executable, "-c", source], cwd=ROOT, check=True)
-    return (time.perf_counter() - began_s) * 1000
+    return (time.perf_counter() - start_s) * 1000
 
 
 async def time_until_up(node: Node) -> float:
-    """Start a forwarder, and return the time until /up has answered 200, in milliseconds."""
-    began_s = time.perf_counter()
-    starting = asyncio.create_task(node.start(ready=False))
+    """Start a forwarder, and return the time in milliseconds until /up answers 200."""
+    start_s = time.perf_counter()
+    start_task = asyncio.create_task(node.start(ready=False))
     while not await _is_up(node):
         await asyncio.sleep(POLL_S)
-    took_ms = (time.perf_counter() - began_s) * 1000
-    await starting
-    return took_ms
+    up_ms = (time.perf_counter() - start_s) * 1000
+    await start_task
+    return up_ms
 
 
 async def _is_up(node: Node) -> bool:
@@ -94,40 +94,40 @@
 
 
 async def time_start(folder: Path, held: int) -> StartTimes:
-    """Time the reading of the journal in this process, and a whole start."""
+    """Measure reading the journal in this process, and then a complete start."""
     platform = await Platform().start()
     node = Node(folder, platform, disk_mb=DISK_MB)
     state = folder / "state"
     if held:
         fill(state, held)
-    began_s = time.perf_counter()
+    start_s = time.perf_counter()
     MessageStore(state, DISK_BYTES)
-    read_ms = (time.perf_counter() - began_s) * 1000
+    read_ms = (time.perf_counter() - start_s) * 1000
     up_ms = await time_until_up(node)
     await node.end()
     return StartTimes(read_ms, up_ms)
 
 
 def main() -> None:
-    """Print the time of each step."""
+    """Run the benchmark, and print the time of each step."""
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_RUNS
     import_program = "import forwarder.__main__"
-    time_interpreter(import_program)  # compiled files are there from here on
+    time_interpreter(import_program)  # creates the bytecode files
     interpreter_ms = [time_interpreter("pass") for _ in range(runs)]
-    usual_interpreter_ms = statistics.median(interpreter_ms)
-    imports_ms = [time_interpreter(import_program) - usual_interpreter_ms for _ in range(runs)]
-    print(f"the interpreter {format_range(interpreter_ms)}; imports {format_range(imports_ms)}")
+    median_interpreter_ms = statistics.median(interpreter_ms)
+    imports_ms = [time_interpreter(import_program) - median_interpreter_ms for _ in range(runs)]
+    print(f"interpreter {format_range(interpreter_ms)}; imports {format_range(imports_ms)}")
     for name, held in HELD_MESSAGES.items():
         starts = []
         for _ in range(runs):
             with tempfile.TemporaryDirectory() as folder:
                 starts.append(asyncio.run(time_start(Path(folder), held)))
-        known_ms = usual_interpreter_ms + statistics.median(imports_ms)
+        known_ms = median_interpreter_ms + statistics.median(imports_ms)
         rest_ms = [start.up_ms - start.read_ms - known_ms for start in starts]
         print(
-            f"{name}: to /up {format_range([start.up_ms for start in starts])}; "
+            f"{name}: time to /up {format_range([start.up_ms for start in starts])}; "
             f"reading the journal {format_range([start.read_ms for start in starts])}; "
-            f"the rest {format_range(rest_ms)}",
+            f"remaining time {format_range(rest_ms)}",
             flush=True,
         )
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,8 +1,8 @@
-"""What the store costs: time and memory of a start, the longest stop of the loop, bytes on disk for each message.
+"""Measures the store: time and memory of recovery, the longest time that it blocks, and bytes on disk per message.
 
     PYTHONPATH=CHECKOUT python benchmarks/store.py recovery|turnover [RUNS]
 
-Checkouts can be compared as far as their stores have the same methods.
+Checkouts can be compared if their stores have the methods used here.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 DEFAULT_RUNS = 5
 MESSAGE_CLASS = MessageClass("safe", 10**6, 10**7)
 DISK_BYTES = 200_000_000
-DUE_US = 10**15
+DEADLINE_US = 10**15
 DESTINATIONS = 20
 BODY = b"x" * 400
 FLUSH_EVERY = 20
@@ -36,23 +36,23 @@
 TURNOVER = 20_000
 DISK_SAMPLE_EVERY = 500
 RECOVERY_PROCESS = "one"
-"""Names the benchmark that a process of its own plays."""
+"""The command line argument with which a child process runs one recovery."""
 
 
 def message_id(number: int) -> str:
-    """Return the id of a message."""
+    """Return the id of the message with this number."""
     return f"message-{number:08d}"
 
 
 def accept(store: MessageStore, number: int) -> None:
     """Accept a message, and record its first attempt."""
-    message = AcceptedMessage(message_id(number), MESSAGE_CLASS, number % DESTINATIONS, DUE_US, None, None, BODY)
+    message = AcceptedMessage(message_id(number), MESSAGE_CLASS, number % DESTINATIONS, DEADLINE_US, None, None, BODY)
     store.accept(message)
     store.record_attempt(store.messages[message.id], 0, 50, "s1")
 
 
 def format_values(name: str, values: list[float], digits: int) -> str:
-    """Return a name with median, least and most of its values."""
+    """Return a name with the median, minimum and maximum of its values."""
     return f"{name} {median(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
 
 
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """What a start on a folder took."""
+    """The cost of recovering a folder."""
 
     read_ms: float
     held: int
-    """Messages that were recovered."""
+    """Number of messages that were recovered."""
     peak_mb: float
-    """What the process's peak memory grew by."""
+    """Growth of the process's peak memory, in MB."""
 
 
 def fill(folder: Path, size: int) -> None:
-    """Accept messages, each with an attempt, until the files are that large; a fifth of them are over."""
+    """Accept messages with one attempt each until the files reach `size` bytes, and end a fifth of the messages."""
     store = MessageStore(folder, DISK_BYTES).take_ownership()
     number = 0
     while store.recovery_bytes < size:
@@ -85,31 +85,31 @@
 
 
 def recover(folder: Path) -> Recovery:
-    """Read a folder's journal; in a process of its own, whose peak memory it is."""
-    before_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    began_s = time.perf_counter()
+    """Recover a folder, and measure it. Runs in its own process, since it measures the growth of peak memory."""
+    initial_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    start_s = time.perf_counter()
     store = MessageStore(folder, DISK_BYTES)
-    read_ms = (time.perf_counter() - began_s) * 1000
+    read_ms = (time.perf_counter() - start_s) * 1000
     peak_kb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
-    return Recovery(read_ms, len(store.messages), (peak_kb - before_kb) / 1024)
+    return Recovery(read_ms, len(store.messages), (peak_kb - initial_kb) / 1024)
 
 
 def recover_in_process(folder: str) -> Recovery:
-    """Read a folder's journal in a new process."""
+    """Recover a folder in a new process."""
     command = [sys.executable, __file__, RECOVERY_PROCESS, folder]
     return Recovery(**json.loads(subprocess.run(command, check=True, capture_output=True).stdout))
 
 
 def recovery(runs: int) -> None:
-    """Starts on folders of growing size."""
+    """Measure the recovery of folders of increasing size, and print the results."""
     for size in JOURNAL_BYTES:
         with tempfile.TemporaryDirectory() as folder:
             fill(Path(folder), size)
-            found = [recover_in_process(folder) for _ in range(runs)]
+            results = [recover_in_process(folder) for _ in range(runs)]
         print(
-            f"{size / 1e6:6.2f} MB, {found[0].held} held: "
-            f"{format_values('ms', [each.read_ms for each in found], 1)}, "
-            f"{format_values('peak_mb', [each.peak_mb for each in found], 1)}",
+            f"{size / 1e6:6.2f} MB, {results[0].held} held: "
+            f"{format_values('ms', [result.read_ms for result in results], 1)}, "
+            f"{format_values('peak_mb', [result.peak_mb for result in results], 1)}",
             flush=True,
         )
 
@@ -119,49 +119,49 @@
 
 @dataclass(frozen=True, slots=True)
 class Turnover:
-    """What it took to accept and end messages while so many were held."""
+    """The cost of accepting and ending messages while a constant number is held."""
 
     longest_ms: float
     median_us: float
     cpu_us: float
-    """Processor time for each message."""
+    """Processor time per message, in microseconds."""
     disk_bytes: float
-    """Most bytes on disk for each message that is held."""
+    """Maximum number of bytes on disk per held message."""
 
 
 def turn_over(folder: Path, held: int) -> Turnover:
-    """Hold so many messages while 20,000 come and go."""
+    """Hold a number of messages while `TURNOVER` further messages are accepted and as many ended."""
     store = MessageStore(folder, DISK_BYTES).take_ownership()
     messages = held + TURNOVER
-    took_s = []
-    most_bytes = 0
-    began_cpu_s = time.process_time()
+    durations_s = []
+    max_bytes = 0
+    start_cpu_s = time.process_time()
     for number in range(messages):
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         accept(store, number)
         if number >= held:
             store.end_message(message_id(number - held))
         store.flush()
-        took_s.append(time.perf_counter() - began_s)
+        durations_s.append(time.perf_counter() - start_s)
         if number % DISK_SAMPLE_EVERY == 0:
-            most_bytes = max(most_bytes, sum(entry.stat().st_size for entry in os.scandir(folder)))
-    cpu_s = time.process_time() - began_cpu_s
+            max_bytes = max(max_bytes, sum(entry.stat().st_size for entry in os.scandir(folder)))
+    cpu_s = time.process_time() - start_cpu_s
     store.close()
-    return Turnover(max(took_s) * 1000, median(took_s) * 1e6, cpu_s / messages * 1e6, most_bytes / held)
+    return Turnover(max(durations_s) * 1000, median(durations_s) * 1e6, cpu_s / messages * 1e6, max_bytes / held)
 
 
 def turnover(runs: int) -> None:
-    """So many are held while 20,000 come and go; what each round of the store takes."""
+    """Measure the store's rounds while messages are held, for several numbers of them, and print the results."""
     for held in HELD_MESSAGES:
-        found = []
+        results = []
         for _ in range(runs):
             with tempfile.TemporaryDirectory() as folder:
-                found.append(turn_over(Path(folder), held))
+                results.append(turn_over(Path(folder), held))
         columns = {
-            "longest ms": [each.longest_ms for each in found],
-            "median us": [each.median_us for each in found],
-            "cpu us a message": [each.cpu_us for each in found],
-            "disk bytes each": [each.disk_bytes for each in found],
+            "longest ms": [result.longest_ms for result in results],
+            "median us": [result.median_us for result in results],
+            "cpu us per message": [result.cpu_us for result in results],
+            "disk bytes per held message": [result.disk_bytes for result in results],
         }
         row = ", ".join(format_values(name, values, 2) for name, values in columns.items())
         print(f"{held} held: {row}", flush=True)
@@ -171,7 +171,7 @@
 
 
 def main() -> None:
-    """Play the benchmark that the command line names."""
+    """Run the benchmark that the command line selects."""
     logging.disable(logging.CRITICAL)
     name = sys.argv[1]
     if name == RECOVERY_PROCESS:
