--- a/benchmarks/health.py
+++ b/benchmarks/health.py
@@ -1,8 +1,8 @@
-"""Measures outlier detection: how soon a fault is found, how many ejections are false, what they gain.
+"""Measures outlier detection: the time to detect a fault, the rate of false ejections, and the messages it saves.
 
     python -m benchmarks.health [detection|quiet|worth ...]
 
-The decisions are played by themselves, on a simulated clock: a call takes 100 ms, a quick failure 1 ms.
+Only the decisions run, on a simulated clock: a call takes 100 ms, one that fails with an error response 1 ms.
 """
 
 from __future__ import annotations
@@ -29,33 +29,33 @@
 from tests.decisions.test_outlier_detection import OUTLIER_SETTINGS
 from tests.scripts import MS, S, ask, settings
 
-PAIRS = 9
+SEEDS = 9
 DESTINATION = 10
 FAULTY_ENDPOINT = 1
 ENDPOINT_COUNTS = (2, 3, 8)
 CALL_US = 100 * MS
 FAILED_CALL_US = 1 * MS
-TIME_LEFT_US = 8 * S
-FLAP_US = 2 * S
+MESSAGE_TIMEOUT_US = 8 * S
+FAULT_INTERVAL_US = 2 * S
 DETECTION_S = 120.0
 NAME_WIDTH = 62
 
 OutcomeOf = Callable[[int, int, random.Random], Outcome]
-"""Gives the outcome of a call by its endpoint, the time in microseconds, and chance."""
+"""Returns the outcome of a call from its endpoint, the time in microseconds, and random draws."""
 
 
 class Run:
-    """One destination under messages that may not be repeated: what fails is lost."""
+    """One destination with messages that may be attempted only once: a call that fails loses its message."""
 
     def __init__(self, endpoints: int, detects: bool, seed: int, outcome_of: OutcomeOf, messages_per_s: float) -> None:
         """Make a run.
 
         Args:
-            endpoints: How many the destination has.
+            endpoints: The number of endpoints of the destination.
             detects: Whether outlier detection is on.
-            seed: Of the random draws.
-            outcome_of: What becomes of calls.
-            messages_per_s: The load.
+            seed: The seed of the random draws.
+            outcome_of: Decides the outcome of each call.
+            messages_per_s: The mean rate of submissions.
         """
         self.rng = random.Random(seed)
         self.outcome_of = outcome_of
@@ -73,16 +73,16 @@
         self.ejected_at_us: int | None = None
         self.attempts: Counter[str] = Counter()
         self.pending: list[tuple[int, int, Event]] = []
-        """A heap of events by time and number."""
+        """A heap of events, ordered by time in microseconds and then by number."""
         self.event_count = 0
 
     def schedule(self, at_us: int, event: Event) -> None:
-        """Let an event happen at a time."""
+        """Schedule an event."""
         self.event_count += 1
         heapq.heappush(self.pending, (at_us, self.event_count, event))
 
-    def play(self, seconds: float, until_ejected: bool = False) -> Run:
-        """Play so long, or until the first ejection. Returns itself."""
+    def run(self, seconds: float, until_ejected: bool = False) -> Run:
+        """Run for the given time, or until the first ejection, and return the run itself."""
         end_us = int(seconds * S)
         next_arrival_us = 0
         while self.now_us < end_us and not (until_ejected and self.ejected_at_us is not None):
@@ -99,7 +99,7 @@
 
     def _submit(self) -> None:
         self.submitted += 1
-        self.schedule(self.now_us, ask(f"m{self.submitted}", cls="once", due=self.now_us + TIME_LEFT_US))
+        self.schedule(self.now_us, ask(f"m{self.submitted}", cls="once", due=self.now_us + MESSAGE_TIMEOUT_US))
 
     def _due_events(self) -> list[Event]:
         events = []
@@ -127,23 +127,23 @@
 
 
 def always(outcome: Outcome) -> OutcomeOf:
-    """Return a faulty endpoint whose calls all have one outcome."""
+    """Give all calls to the faulty endpoint the same outcome."""
     return lambda endpoint, now_us, rng: outcome if endpoint == FAULTY_ENDPOINT else Outcome.DELIVERED
 
 
-def half_of_the_calls(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
-    """Let half of the faulty endpoint's calls fail."""
+def fail_half_of_calls(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
+    """Let each call to the faulty endpoint fail with a probability of one half."""
     return Outcome.FAILED if endpoint == FAULTY_ENDPOINT and rng.random() < 0.5 else Outcome.DELIVERED
 
 
-def flapping(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
-    """Let the faulty endpoint fail in every other interval."""
-    is_failing = endpoint == FAULTY_ENDPOINT and now_us // FLAP_US % 2 == 0
+def fail_every_other_interval(endpoint: int, now_us: int, rng: random.Random) -> Outcome:
+    """Let the faulty endpoint fail in every other interval of 2 s."""
+    is_failing = endpoint == FAULTY_ENDPOINT and now_us // FAULT_INTERVAL_US % 2 == 0
     return Outcome.FAILED if is_failing else Outcome.DELIVERED
 
 
-def noise(share: float) -> OutcomeOf:
-    """Return sound endpoints whose calls fail by chance."""
+def random_failures(share: float) -> OutcomeOf:
+    """Let the given share of calls fail at random, at every endpoint."""
     return lambda endpoint, now_us, rng: Outcome.FAILED if rng.random() < share else Outcome.DELIVERED
 
 
@@ -151,18 +151,17 @@
     "500 in 1 ms": always(Outcome.FAILED),
     "garbled answers": always(Outcome.UNREADABLE),
     "time-outs": always(Outcome.TIMED_OUT),
-    "half of the calls": half_of_the_calls,
-    "every other 2 s": flapping,
+    "half of the calls": fail_half_of_calls,
+    "every other 2 s": fail_every_other_interval,
 }
 
 
 def detection() -> None:
-    """Calls lost until the first ejection, and the time to it, passive alone."""
+    """Calls lost before the first ejection, and the time to it, with passive detection only."""
     for endpoints in ENDPOINT_COUNTS:
         for name, outcome_of in FAULTS.items():
             runs = [
-                Run(endpoints, True, seed, outcome_of, 20).play(DETECTION_S, until_ejected=True)
-                for seed in range(PAIRS)
+                Run(endpoints, True, seed, outcome_of, 20).run(DETECTION_S, until_ejected=True) for seed in range(SEEDS)
             ]
             times_s = [run.ejected_at_us / S for run in runs if run.ejected_at_us is not None]
             lost_calls = [run.lost_calls for run in runs if run.ejected_at_us is not None]
@@ -175,24 +174,26 @@
 
 
 def quiet() -> None:
-    """False ejections of three sound endpoints in an hour at 20 messages a second, by chance failures."""
+    """False ejections of three healthy endpoints in an hour at 20 messages a second, by the share of failed calls."""
     for share in (0.01, 0.05, 0.1):
-        count = sum(Run(3, True, seed, noise(share), 20).play(1200).detector.ejection_count for seed in range(3))
-        # The count is Poisson's; these bounds hold its mean with some 95%.
+        count = sum(
+            Run(3, True, seed, random_failures(share), 20).run(1200).detector.ejection_count for seed in range(3)
+        )
+        # The count follows a Poisson distribution: these bounds contain its mean with about 95% confidence.
         margin = 2 * (count + 1) ** 0.5
-        least = max(0.0, count + 1 - margin) if count else 0.0
-        most = count + 2 + margin
-        print(f"noise {share:4}: {count} false ejections, so {least:.0f} to {most:.0f}", flush=True)
+        lower = max(0.0, count + 1 - margin) if count else 0.0
+        upper = count + 2 + margin
+        print(f"failure share {share:4}: {count} false ejections, 95% interval {lower:.0f} to {upper:.0f}", flush=True)
 
 
 def worth() -> None:
-    """Share of messages lost with one endpoint that fails at once, on against off, in pairs by seed."""
+    """Share of messages lost with one endpoint that fails in 1 ms: outlier detection on and off, in pairs by seed."""
     for endpoints in ENDPOINT_COUNTS:
         for messages_per_s in (5, 20, 60):
             shares: defaultdict[str, list[float]] = defaultdict(list)
-            for seed in range(PAIRS):
+            for seed in range(SEEDS):
                 for name, detects in (("off", False), ("on", True)):
-                    run = Run(endpoints, detects, seed, FAULTS["500 in 1 ms"], messages_per_s).play(DETECTION_S)
+                    run = Run(endpoints, detects, seed, FAULTS["500 in 1 ms"], messages_per_s).run(DETECTION_S)
                     shares[name].append(100 * run.undelivered / run.submitted)
             for name in ("on", "off"):
                 label = f"one of {endpoints} fails, {messages_per_s} messages a second, {name}"
@@ -203,7 +204,7 @@
 
 
 def main() -> None:
-    """Play the benchmarks that the command line names, or all."""
+    """Run the benchmarks that the command line names, or all."""
     for name in sys.argv[1:] or list(BENCHMARKS):
         print(f"-- {name}: {BENCHMARKS[name].__doc__}")
         BENCHMARKS[name]()
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,10 +1,11 @@
-"""Membership in simulated time: how soon a death is known, false failures, traffic against size; and in real processes.
+"""Measures membership: detection of crashes, false failures, traffic, agreement and cost, by the size of the fleet.
 
     python -m benchmarks.members [deaths|loss|traffic|split|cost|real] [--sizes 12 40 200] [--seeds 5]
 
-The protocol and the codec are the real ones; datagrams take 0.2 to 2 ms. Times are of the defaults of `Timing`.
-`cost` is the processor time and memory of one forwarder among so many. `real` starts so many processes by the lab,
-kills one after the other without a word, and reads from the others' logs when they knew.
+All benchmarks but `real` run the real protocol in simulated time, with the default `Timing`; `loss` also runs it
+without Lifeguard's additions. A datagram takes 0.2 to 2 ms. `cost` measures the processor time and the memory of one
+forwarder in a fleet of each size. `real` starts a fleet of processes with the lab, kills one process after another with
+SIGKILL, and reads from the logs of the others when they detected it.
 """
 
 from __future__ import annotations
@@ -35,14 +36,14 @@
 from tests.sockets import ROOT
 
 MAX_JOINING = 300
-"""Larger fleets begin as if they had met already: a thousand that join at once are another question."""
-AGREE_TIMEOUT_US = 120 * SECOND_US
+"""In a larger fleet, all members know each other from the start: a thousand joins at once are not measured here."""
+AGREEMENT_TIMEOUT_US = 120 * SECOND_US
 SETTLE_US = 3 * SECOND_US
 DIGITS = 2
 
 
 def settled_fleet(size: int, seed: int, timing: Timing | None = None) -> Fleet:
-    """Return a fleet whose members agree on who is there."""
+    """Return a fleet whose members agree on which members are present."""
     fleet = Fleet(size, seed, timing)
     if size > MAX_JOINING:
         records = [member.view.members[member.view.name].record for member in fleet.members.values()]
@@ -50,7 +51,7 @@
             for record in records:
                 if record.name != member.view.name:
                     member.view.apply(record, Source.FULL_EXCHANGE, fleet.now)
-    fleet.until_agreed(AGREE_TIMEOUT_US, SECOND_US)
+    fleet.until_agreed(AGREEMENT_TIMEOUT_US, SECOND_US)
     fleet.run(SETTLE_US)
     return fleet
 
@@ -63,36 +64,40 @@
 
 
 @dataclass(slots=True)
-class KnownAfter:
-    """Seconds from deaths until they were known."""
+class DetectionTimes:
+    """Seconds from crashes until the other members detected them."""
 
     first_s: list[float] = field(default_factory=list)
     p99_s: list[float] = field(default_factory=list)
     last_s: list[float] = field(default_factory=list)
-    missing: int = 0
-    """Members that never knew."""
+    missed: int = 0
+    """Detections that are missing: one for each survivor that did not detect a crash."""
 
-    def add(self, knew_after_s: list[float]) -> None:
-        """Add one death, by when each member knew of it."""
-        self.first_s.append(min(knew_after_s))
-        self.p99_s.append(percentile(knew_after_s, 99))
-        self.last_s.append(max(knew_after_s))
+    def add(self, detected_after_s: list[float]) -> None:
+        """Add one crash.
+
+        Args:
+            detected_after_s: When each member detected it, in seconds after the crash.
+        """
+        self.first_s.append(min(detected_after_s))
+        self.p99_s.append(percentile(detected_after_s, 99))
+        self.last_s.append(max(detected_after_s))
 
 
 def deaths(sizes: list[int], seeds: int) -> None:
-    """From a silent death to the first that knows, the 99th percentile of all, and the last."""
+    """Time from a crash until the first member detects it, until 99% of the members have, and until the last has."""
     for size in sizes:
-        known = KnownAfter()
+        detection = DetectionTimes()
         for seed in range(seeds):
             fleet = settled_fleet(size, seed)
             fleet.detection_times_us.clear()
-            died_us = fleet.now
+            crashed_us = fleet.now
             fleet.stop(size - 1)
-            fleet.until_agreed(AGREE_TIMEOUT_US)
-            known.add([(at_us - died_us) / SECOND_US for at_us in fleet.detection_times_us[size - 1]])
+            fleet.until_agreed(AGREEMENT_TIMEOUT_US)
+            detection.add([(at_us - crashed_us) / SECOND_US for at_us in fleet.detection_times_us[size - 1]])
         print(
-            f"deaths, {size} members: first {_range(known.first_s)} s, 99% {_range(known.p99_s)}, "
-            f"last {_range(known.last_s)}",
+            f"deaths, {size} members: first {_range(detection.first_s)} s, 99% {_range(detection.p99_s)}, "
+            f"last {_range(detection.last_s)}",
             flush=True,
         )
 
@@ -101,23 +106,23 @@
 
 MAX_HEALTH_MULTIPLIER = failure_detector.MAX_HEALTH_MULTIPLIER
 WITHOUT_LIFEGUARD = replace(Timing(), max_suspicion_factor=1.0, confirmations=0, stall_us=1 << 60)
-STOPS = 10
-STOP_INTERVAL_US = 6 * SECOND_US
-STOPPED_SHARE = 10
-"""One in so many members is stopped."""
+PAUSE_ROUNDS = 10
+PAUSE_ROUND_US = 6 * SECOND_US
+MEMBERS_PER_PAUSED = 10
+"""One of this many members is paused."""
 
 
 @dataclass(frozen=True, slots=True)
 class Disturbance:
-    """What a fleet suffers."""
+    """The faults that a fleet runs under."""
 
     loss: float
     """Share of the datagrams that are lost."""
-    stops: bool
-    """A tenth of the members is stopped for 1 to 5 s, again and again."""
+    pauses: bool
+    """Whether a tenth of the members is paused repeatedly, for 1 to 5 s each time."""
 
     def __str__(self) -> str:
-        return f"{self.loss:.0%} lost, {'a tenth stops' if self.stops else 'none stops'}"
+        return f"{self.loss:.0%} lost, {'a tenth paused' if self.pauses else 'none paused'}"
 
 
 DISTURBANCES = (
@@ -130,16 +135,16 @@
 
 @dataclass(slots=True)
 class FalseFailures:
-    """Members that were declared failed and had not ended."""
+    """Members that were declared failed while they were running."""
 
     count: int = 0
-    not_stopped: int = 0
-    """Of them, those that were never stopped either."""
+    never_paused: int = 0
+    """Those among them that were never paused."""
     hours: float = 0.0
 
 
 def loss(sizes: list[int], seeds: int) -> None:
-    """False failures in an hour: with loss and with stops, with Lifeguard's additions and without."""
+    """False failures an hour under datagram loss and under pauses, with and without Lifeguard's additions."""
     for size in sizes:
         for name, timing, multiplier in (("with", Timing(), MAX_HEALTH_MULTIPLIER), ("without", WITHOUT_LIFEGUARD, 0)):
             failure_detector.MAX_HEALTH_MULTIPLIER = multiplier
@@ -150,7 +155,7 @@
                 print(
                     f"false failures, {size} members, {name} Lifeguard, {disturbance}: "
                     f"{found.count / found.hours:.0f} an hour, "
-                    f"{found.not_stopped / found.hours:.0f} of such as were not stopped",
+                    f"{found.never_paused / found.hours:.0f} of members that were never paused",
                     flush=True,
                 )
         failure_detector.MAX_HEALTH_MULTIPLIER = MAX_HEALTH_MULTIPLIER
@@ -160,14 +165,14 @@
     fleet.false_failures.clear()
     began_us = fleet.now
     fleet.loss = disturbance.loss
-    stopped = size // STOPPED_SHARE if disturbance.stops else 0
-    for _ in range(STOPS):
-        for number in range(stopped):
+    paused = size // MEMBERS_PER_PAUSED if disturbance.pauses else 0
+    for _ in range(PAUSE_ROUNDS):
+        for number in range(paused):
             fleet.pause(number, fleet.random.randrange(1, 6) * SECOND_US)
-        fleet.run(STOP_INTERVAL_US)
+        fleet.run(PAUSE_ROUND_US)
     failures = {(at_us // SECOND_US, member) for at_us, _, member in fleet.false_failures}
     found.count += len(failures)
-    found.not_stopped += sum(member >= stopped for _, member in failures)
+    found.never_paused += sum(member >= paused for _, member in failures)
     found.hours += (fleet.now - began_us) / SECOND_US / 3600
 
 
@@ -178,7 +183,7 @@
 
 
 def traffic(sizes: list[int], seeds: int) -> None:
-    """Datagrams that each sends in a second when nothing happens."""
+    """Datagrams that each member of a quiet fleet sends in a second."""
     for size in sizes:
         rates = []
         for seed in range(seeds):
@@ -187,21 +192,21 @@
             before = sum(fleet.sent.values())
             fleet.run(TRAFFIC_S * SECOND_US)
             rates.append((sum(fleet.sent.values()) - before) / size / TRAFFIC_S)
-        print(f"traffic, {size} members: {_range(rates)} datagrams a second each", flush=True)
+        print(f"traffic, {size} members: {_range(rates)} datagrams a second from each", flush=True)
 
 
 def split(sizes: list[int], seeds: int) -> None:
-    """From healing until all agree, after 30 s in halves; and from the start of all at once."""
+    """Time until all members agree, from their common start and from the end of a network partition of 30 s."""
     for size in sizes:
         healed_s = []
         started_s = []
         for seed in range(seeds):
             fleet = Fleet(size, seed)
-            started_s.append(fleet.until_agreed(AGREE_TIMEOUT_US) / SECOND_US)
+            started_s.append(fleet.until_agreed(AGREEMENT_TIMEOUT_US) / SECOND_US)
             fleet.split(set(range(size // 2)), set(range(size // 2, size)))
             fleet.run(SPLIT_US)
             fleet.heal()
-            healed_s.append(fleet.until_agreed(AGREE_TIMEOUT_US) / SECOND_US)
+            healed_s.append(fleet.until_agreed(AGREEMENT_TIMEOUT_US) / SECOND_US)
         print(
             f"split, {size} members: agree {_range(started_s)} s after a common start, "
             f"{_range(healed_s)} s after healing",
@@ -226,7 +231,7 @@
             member = LoneMember(size, seed)
             memory_mb.append(tracemalloc.get_traced_memory()[0] / 1e6)
             tracemalloc.stop()
-            core_percents.append(100 * member.play(COST_S) / COST_S)
+            core_percents.append(100 * member.run(COST_S) / COST_S)
         print(
             f"cost, {size} members: {_range(core_percents)} % of a core, {_range(memory_mb)} MB",
             flush=True,
@@ -234,7 +239,7 @@
 
 
 class LoneMember:
-    """One real member, whose peers are played."""
+    """One real member; this class answers for its peers."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.size = size
@@ -247,8 +252,11 @@
         for number in range(GOSSIP_RECORDS):
             self.protocol.state.gossip_store.add_own(0, RecordKind.EJECTED, f"endpoint-{number}")
 
-    def play(self, seconds: int) -> float:
-        """Return the processor time of its own part: probes that are answered, and as many probes of others."""
+    def run(self, seconds: int) -> float:
+        """Run the member, and return the processor time that it uses, in seconds.
+
+        Its probes are answered, and a random peer probes it once in each period. The time of the peers is not counted.
+        """
         protocol = self.protocol
         period_us = protocol.state.timing.period_us
         cpu_s = 0.0
@@ -260,7 +268,7 @@
             protocol.tick(now_us)
             sent = self._seal_outbox()
             cpu_s += time.process_time() - began_s
-            inbound = self._answers(sent)
+            inbound = self._acks(sent)
             if now_us >= next_probe_us:
                 next_probe_us += period_us
                 inbound.append(self._sealed_by_peer(f"n{protocol.state.random.randrange(1, self.size)}", "ping", 1))
@@ -272,14 +280,14 @@
         return cpu_s
 
     def _seal_outbox(self) -> list[tuple[tuple[str, int], Datagram]]:
-        """Seal all that is to be sent, as a forwarder does, and return it with its addresses."""
+        """Seal the datagrams that are to be sent, as a forwarder does, and return them with their addresses."""
         outbox = self.protocol.state.outbox
         for _, datagram in outbox:
             self.codec.seal(datagram)
         self.protocol.state.outbox = []
         return list(outbox)
 
-    def _answers(self, sent: list[tuple[tuple[str, int], Datagram]]) -> list[bytes]:
+    def _acks(self, sent: list[tuple[tuple[str, int], Datagram]]) -> list[bytes]:
         names = {member.record.address: name for name, member in self.protocol.view.members.items()}
         return [
             self._sealed_by_peer(names[address], "ack", datagram.request_number)
@@ -306,23 +314,23 @@
 
 # Real processes
 
-MEET_S = 8.0
-KNOWN_WITHIN_S = 10.0
+JOIN_S = 8.0
+DETECTION_WAIT_S = 10.0
 LOG_TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
 
 def real(sizes: list[int], seeds: int) -> None:
-    """From SIGKILL to the first process that says `failed` in its log, and to the last; `seeds` deaths."""
+    """Time from SIGKILL until the first survivor logs the failure, and until the last has; kills `seeds` processes."""
     for size in sizes:
-        known = asyncio.run(_kill_members(size, seeds))
+        detection = asyncio.run(_kill_members(size, seeds))
         print(
-            f"real, {size} processes, {seeds} deaths: first {_range(known.first_s)} s, "
-            f"last {_range(known.last_s)}, {known.missing} never",
+            f"real, {size} processes, {seeds} deaths: first {_range(detection.first_s)} s, "
+            f"last {_range(detection.last_s)}, {detection.missed} not detected",
             flush=True,
         )
 
 
-async def _kill_members(size: int, deaths: int) -> KnownAfter:
+async def _kill_members(size: int, kills: int) -> DetectionTimes:
     scenario = Scenario(
         "real",
         fleet=FleetSize(nodes=size, endpoints=6, destinations=3),
@@ -330,31 +338,31 @@
         time=Time(1.0, 600.0, 1.0),
     )
     extensions = (ROOT / "lab/parts/members.toml").read_text()
-    known = KnownAfter()
+    detection = DetectionTimes()
     with tempfile.TemporaryDirectory() as folder:
         (Path(folder) / "nodes").mkdir()
-        played = run.Run(plan.make(scenario), Path(folder), ROOT, extensions)
+        lab_run = run.Run(plan.make(scenario), Path(folder), ROOT, extensions)
         try:
-            await played.open()
-            await asyncio.sleep(MEET_S)
-            forwarders = played.testbed.forwarders
-            survivors = [forwarders[f"n{number}"] for number in range(size - deaths)]
-            for death in range(deaths):
-                victim = f"n{size - 1 - death}"
-                died = datetime.now()
+            await lab_run.open()
+            await asyncio.sleep(JOIN_S)
+            forwarders = lab_run.testbed.forwarders
+            survivors = [forwarders[f"n{number}"] for number in range(size - kills)]
+            for kill in range(kills):
+                victim = f"n{size - 1 - kill}"
+                killed_at = datetime.now()
                 await forwarders[victim].kill_and_wait()
-                await asyncio.sleep(KNOWN_WITHIN_S)
+                await asyncio.sleep(DETECTION_WAIT_S)
                 times = [_time_of_failure(survivor.read_log(), victim) for survivor in survivors]
-                knew_after_s = [(at - died).total_seconds() for at in times if at is not None]
-                known.add(knew_after_s)
-                known.missing += len(survivors) - len(knew_after_s)
+                detected_after_s = [(at - killed_at).total_seconds() for at in times if at is not None]
+                detection.add(detected_after_s)
+                detection.missed += len(survivors) - len(detected_after_s)
         finally:
-            await played.close()
-    return known
+            await lab_run.close()
+    return detection
 
 
 def _time_of_failure(log: str, name: str) -> datetime | None:
-    """Return when a forwarder's log says that a member has failed."""
+    """Return the time at which a forwarder logged that a member has failed; None if it did not."""
     found = re.search(rf"^(\S+ \S+) .*member {name} at \S+ is failed", log, re.M)
     return None if found is None else datetime.strptime(found[1], LOG_TIME_FORMAT)
 
@@ -370,7 +378,7 @@
 
 
 def main() -> None:
-    """Play the benchmark that the command line names."""
+    """Run the benchmark that the command line names."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.members", description=__doc__.splitlines()[0])
     parser.add_argument("what", choices=BENCHMARKS)
     parser.add_argument("--sizes", type=int, nargs="+", default=[12, 40])
