--- a/benchmarks/hold_reasons.py
+++ b/benchmarks/hold_reasons.py
@@ -1,9 +1,10 @@
-"""Adds up what held messages back over a whole fleet, from the forwarders' logs.
+"""Adds up the hold reasons of a whole fleet from the logs of its forwarders.
 
     python -m benchmarks.hold_reasons LOGS [--plot FILE]
 
-Prints the seconds held by reason between two state lines (each line has a forwarder's three largest), and the messages
-refused by destination and reason. LOGS is a folder of `*.log` files, or of folders with a `log` each.
+Prints two sums. One is the seconds that messages were held for each reason between two state lines; a state line has
+only the three largest reasons of its forwarder. The other is the number of refused messages for each destination and
+reason. LOGS is a folder of `*.log` files, or of folders that have a file `log` each.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 REASON = re.compile(r"([a-z' ]+?) ([\d.]+) s(?:; |$)")
 REFUSAL_LINE = re.compile(r"refused: \S+ for destination (\d+), held by: ([^;]+); (\d+) refused")
 INTERVAL_S = 5.0
-"""Between two state lines of a forwarder."""
+"""The time between two state lines of a forwarder."""
 MAX_REFUSAL_ROWS = 20
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """What was refused for which reason."""
+    """The destination and the hold reason of refused messages."""
 
     destination: int
     reason: str
@@ -33,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSums:
-    """The sums over all logs of a folder."""
+    """The sums over all logs in a folder."""
 
     held_s: list[Counter[str]] = field(default_factory=list)
-    """Seconds by reason, for each interval."""
+    """Seconds by hold reason, for each interval."""
     refused: Counter[Refusal] = field(default_factory=Counter)
-    """Messages."""
+    """Numbers of refused messages."""
 
 
 def parse_state_line(line: str) -> dict[str, float] | None:
-    """Return the seconds by reason that a state line has; None for any other line."""
+    """Return the seconds by hold reason in a state line; None for any other line."""
     match = STATE_LINE.search(line) if "state:" in line else None
     if match is None:
         return None
@@ -50,7 +51,7 @@
 
 
 def held_by_interval(lines: Iterable[str]) -> list[Counter[str]]:
-    """Return what one forwarder's log adds between each two of its state lines. A restart begins from nothing."""
+    """Return the seconds by hold reason between each two state lines of a forwarder; a restart resets the sums to 0."""
     intervals: list[Counter[str]] = []
     before: dict[str, float] = {}
     for line in lines:
@@ -65,7 +66,7 @@
 
 
 def count_refusals(lines: Iterable[str]) -> Counter[Refusal]:
-    """Return the messages that one forwarder's log says it refused."""
+    """Return the number of refused messages in the log of one forwarder."""
     refused: Counter[Refusal] = Counter()
     for line in lines:
         match = REFUSAL_LINE.search(line)
@@ -75,12 +76,12 @@
 
 
 def find_logs(folder: Path) -> list[Path]:
-    """Return the forwarders' logs of a folder, in order."""
+    """Return the log files of the forwarders in a folder, sorted by path."""
     return sorted([*folder.glob("*.log"), *folder.glob("*/log"), *folder.glob("nodes/*/log")])
 
 
-def add_up(folder: Path) -> FleetSums:
-    """Add all logs of a folder up."""
+def sum_logs(folder: Path) -> FleetSums:
+    """Return the sums over all logs in a folder."""
     sums = FleetSums()
     for path in find_logs(folder):
         lines = path.read_text(errors="replace").splitlines()
@@ -93,52 +94,52 @@
 
 
 def _reasons(held_s: list[Counter[str]]) -> list[str]:
-    """Return all reasons, the one with the most seconds first."""
+    """Return all hold reasons, the one with the most seconds first."""
     return [name for name, _ in sum(held_s, Counter[str]()).most_common()]
 
 
 def format_table(held_s: list[Counter[str]]) -> list[str]:
-    """Return a table with a row for each reason and a column for each interval."""
+    """Return the lines of a table with a row for each hold reason and a column for each interval."""
     head = f"{'seconds held by':<36}" + "".join(f"{index * INTERVAL_S:>8.0f} s" for index in range(len(held_s)))
     rows = [f"{name:<36}" + "".join(f"{interval[name]:>10.0f}" for interval in held_s) for name in _reasons(held_s)]
     return [head, *rows]
 
 
-def draw(held_s: list[Counter[str]], target: Path) -> None:
-    """Draw the seconds by reason. Needs matplotlib (requirements-lab.txt)."""
+def plot(held_s: list[Counter[str]], target: Path) -> None:
+    """Plot the seconds by hold reason. Needs matplotlib (requirements-lab.txt)."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     reasons = _reasons(held_s)
-    drawing, axis = pyplot.subplots(figsize=(10, 5), layout="constrained")
+    figure, axis = pyplot.subplots(figsize=(10, 5), layout="constrained")
     axis.stackplot(
         [index * INTERVAL_S for index in range(len(held_s))],
         *[[interval[name] for interval in held_s] for name in reasons],
         labels=reasons,
     )
     axis.set_xlabel("seconds")
-    axis.set_ylabel("seconds held, the whole fleet")
+    axis.set_ylabel("seconds held in the whole fleet")
     axis.legend(loc="upper left", fontsize="small")
-    drawing.savefig(target, dpi=90)
-    pyplot.close(drawing)
+    figure.savefig(target, dpi=90)
+    pyplot.close(figure)
 
 
 def main() -> None:
-    """Print the sums, and draw them if that is asked for."""
+    """Print the sums, and plot them with `--plot`."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.hold_reasons", description=__doc__.splitlines()[0])
     parser.add_argument("logs", type=Path)
     parser.add_argument("--plot", type=Path)
     arguments = parser.parse_args()
-    sums = add_up(arguments.logs)
+    sums = sum_logs(arguments.logs)
     if not sums.held_s:
         parser.error(f"no state lines in {arguments.logs}")
     print("\n".join(format_table(sums.held_s)))
     for refusal, count in sums.refused.most_common(MAX_REFUSAL_ROWS):
         print(f"refused {count:>6}  destination {refusal.destination}: {refusal.reason}")
     if arguments.plot is not None:
-        draw(sums.held_s, arguments.plot)
+        plot(sums.held_s, arguments.plot)
 
 
 if __name__ == "__main__":
--- a/benchmarks/streaming.py
+++ b/benchmarks/streaming.py
@@ -1,10 +1,10 @@
-"""Measures streaming on this machine: memory, time to the first byte, throughput, what messages feel of it.
+"""Measures streaming on this machine: memory, time to the first byte, throughput, and the effect on messages.
 
     python -m benchmarks.streaming [memory|speed|messages ...]
 
-Each question is played in interleaved pairs, with and without what is asked about; medians and spreads are
-printed. The endpoints and the clients are plain blocking sockets, the endpoints in a process of their own
-(`benchmarks.streaming_endpoint`).
+`speed` and `messages` run in interleaved pairs: through the forwarder and directly to the endpoint, or with streams and
+without. Medians and ranges are printed. The clients and the endpoint use plain blocking sockets; the endpoint runs in a
+separate process (`benchmarks.streaming_endpoint`).
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 MIB = 1 << 20
 PAIRS = 5
 NAME_WIDTH = 58
-SETTINGS_TABLE = {"memory_bytes": 16_000_000, "buffer_bytes": 65_536}
+STREAMING_SETTINGS = {"memory_bytes": 16_000_000, "buffer_bytes": 65_536}
 FIRST_DESTINATION = 7
 LAST_DESTINATION = 30
 MESSAGE_DESTINATION = 20
 BLOCKED_STREAMS = 12
 BLOCKED_S = 4.0
-MESSAGES = 60
-"""Of one part of a pair."""
+MESSAGES_PER_PART = 60
+"""Messages that are submitted in one half of a pair."""
 STREAM_BYTES = 64 * MIB
 THROUGHPUT_MIB = 512
 START_PAUSE_S = 0.05
@@ -61,30 +61,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """A forwarder with streaming, and the endpoint behind it."""
+    """A forwarder with streaming, and its endpoint."""
 
     node: Node
     streams: Address
-    """Where the forwarder takes streams."""
+    """The address at which the forwarder accepts streams."""
     endpoint: Address
     received: ReceivedMessages
+    """The messages that the endpoint has received."""
 
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """The seconds that a transfer took to the answer's first byte and to its last."""
+    """The time from the start of a request to the first and to the last byte of its response, in seconds."""
 
     first_byte_s: float
     last_byte_s: float
 
 
 def request(sock: socket.socket, method: str, size: int) -> Transfer:
-    """Send and read one request.
+    """Send one request and read its response.
 
     Args:
         sock: The connection.
         method: GET for a download, POST for an upload.
-        size: Bytes of the body that is sent or asked for.
+        size: The size in bytes of the body that is uploaded or downloaded.
     """
     began_s = time.perf_counter()
     is_download = method == "GET"
@@ -102,13 +103,13 @@
         data += sock.recv(READ_BYTES)
     head, _, body = data.partition(HEAD_END)
     assert b" 200 " in head.split(b"\r\n")[0], head
-    is_whole = discard(sock, (size if is_download else 0) - len(body))
-    assert is_whole, "cut"
+    is_complete = discard(sock, (size if is_download else 0) - len(body))
+    assert is_complete, "the connection ended before the end of the body"
     return Transfer(first_byte_s, time.perf_counter() - began_s)
 
 
 def transfer(address: Address, method: str, size: int) -> Transfer:
-    """Send and read one request on a connection of its own."""
+    """Send one request on a new connection and read its response."""
     with socket.create_connection(address) as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return request(sock, method, size)
@@ -116,7 +117,7 @@
 
 @contextlib.asynccontextmanager
 async def make_scene(slots: int = 32) -> AsyncIterator[Scene]:
-    """Start a forwarder and an endpoint, which stands for every destination from 7 to 30."""
+    """Start a forwarder and an endpoint that serves every destination from 7 to 30."""
     ready: SimpleQueue[int] = multiprocessing.SimpleQueue()
     received: ReceivedMessages = multiprocessing.SimpleQueue()
     process = multiprocessing.Process(target=serve_endpoint, args=(ready, received), daemon=True)
@@ -128,7 +129,7 @@
     for destination in range(FIRST_DESTINATION, LAST_DESTINATION + 1):
         platform.add_endpoint(f"s{destination}", port, block=destination)
     with tempfile.TemporaryDirectory() as folder:
-        node, stream_port = await start_streaming_node(Path(folder), platform, dict(SETTINGS_TABLE))
+        node, stream_port = await start_streaming_node(Path(folder), platform, dict(STREAMING_SETTINGS))
         try:
             yield Scene(node, (node.host, stream_port), ("127.0.0.1", port), received)
         finally:
@@ -137,7 +138,7 @@
 
 
 def peak_kb(node: Node) -> int:
-    """Return the most resident memory that a forwarder has had."""
+    """Return the peak resident memory of a forwarder, in kB."""
     status = Path(f"/proc/{node.process.pid}/status").read_text()
     return next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
 
@@ -146,7 +147,7 @@
 
 
 async def memory() -> None:
-    """Peak resident memory against the size of what passes, each in a new process."""
+    """Growth of the peak resident memory by the size of a transfer, each in a new process."""
     sizes = (1 * MIB, 100 * MIB, 1024 * MIB)
     growth_mb: defaultdict[tuple[str, int], list[float]] = defaultdict(list)
     for _ in range(PAIRS):
@@ -154,9 +155,9 @@
             for size in sizes:
                 growth_mb[(method, size)].append(await _transfer_growth_mb(method, size))
     for (method, size), values in growth_mb.items():
-        print_values(f"peak memory over that before, {method} {size // MIB} MiB", values, "MB", 2, NAME_WIDTH)
+        print_values(f"growth of peak memory, {method} {size // MIB} MiB", values, "MB", 2, NAME_WIDTH)
     blocked_mb = [await _blocked_growth_mb() for _ in range(PAIRS)]
-    print_values("peak memory over that before, 12 streams blocked both ways", blocked_mb, "MB", 2, NAME_WIDTH)
+    print_values("growth of peak memory, 12 streams blocked both ways", blocked_mb, "MB", 2, NAME_WIDTH)
 
 
 async def _transfer_growth_mb(method: str, size: int) -> float:
@@ -167,7 +168,7 @@
 
 
 async def _blocked_growth_mb() -> float:
-    """Return the growth under streams whose both ends send as much as is taken, and read nothing."""
+    """Return the growth with streams whose two ends send as much as the forwarder accepts and read nothing."""
     async with make_scene() as scene:
         before_kb = peak_kb(scene.node)
         blocked = [_open_blocked_stream(scene, number) for number in range(BLOCKED_STREAMS)]
@@ -198,9 +199,9 @@
 
 
 async def speed() -> None:
-    """Time to the first byte and throughput, through the forwarder and straight to the endpoint, in turn."""
+    """Time to the first byte and throughput, alternately through the forwarder and directly to the endpoint."""
     async with make_scene() as scene:
-        addresses = {"through": scene.streams, "straight": scene.endpoint}
+        addresses = {"forwarded": scene.streams, "direct": scene.endpoint}
         first_byte_ms: defaultdict[str, list[float]] = defaultdict(list)
         for _ in range(50 * PAIRS):
             for name, address in addresses.items():
@@ -220,9 +221,9 @@
         for name, address in addresses.items():
             took = await asyncio.to_thread(transfer, address, method, THROUGHPUT_MIB * MIB)
             took_s[name] = took.last_byte_s
-        shares.append(took_s["straight"] / took_s["through"])
-        rates_mib_s.append(THROUGHPUT_MIB / took_s["through"])
-    label = f"throughput of {method} as a share of that straight to the endpoint"
+        shares.append(took_s["direct"] / took_s["forwarded"])
+        rates_mib_s.append(THROUGHPUT_MIB / took_s["forwarded"])
+    label = f"throughput of {method}, forwarded relative to direct"
     print_values(label, shares, "", 2, NAME_WIDTH)
     print_values(f"throughput of {method}", rates_mib_s, "MiB/s", 0, NAME_WIDTH)
 
@@ -231,14 +232,14 @@
 
 
 async def messages() -> None:
-    """Time to 202 and to delivery of messages, with full streaming beside them and without, in turn."""
+    """Time from a submission to its 202 and to the delivery, alternately with continuous downloads and without."""
     async with make_scene() as scene:
         for streams in (1, 4, 12):
             await _measure_messages(scene, streams)
 
 
 class StreamLoad:
-    """Threads that download without end, each on a connection of its own."""
+    """Threads that download continuously, each on its own connection."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -246,7 +247,7 @@
         self.threads: list[threading.Thread] = []
 
     async def start(self, streams: int) -> None:
-        """Start so many, one after another."""
+        """Start this many threads, one after another, and wait a moment for a steady load."""
         self.stop.clear()
         self.threads = [threading.Thread(target=self._download) for _ in range(streams)]
         for thread in self.threads:
@@ -255,7 +256,7 @@
         await asyncio.sleep(SETTLE_S)
 
     async def end(self) -> None:
-        """End all of them."""
+        """Stop all threads and wait for their end."""
         self.stop.set()
         for thread in self.threads:
             await asyncio.to_thread(thread.join)
@@ -271,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentMessage:
-    """A message that was submitted: beside streams or not, and when."""
+    """A submitted message: its group, `with` or `without` streams, and the time of its submission."""
 
     group: str
     at_s: float
@@ -286,7 +287,7 @@
         group = "with" if part % 2 else "without"
         await load.start(streams if part % 2 else 0)
         client = await scene.node.client()
-        for number in range(MESSAGES):
+        for number in range(MESSAGES_PER_PART):
             message_id = f"{streams}-{part}-{number}"
             began_s = time.perf_counter()
             sent[message_id] = SentMessage(group, began_s)
@@ -316,7 +317,7 @@
 
 
 def main() -> None:
-    """Play the benchmarks that the command line names, or all."""
+    """Run the benchmarks that the command line names, or all."""
     print(f"{os.cpu_count()} cores, Python {sys.version.split()[0]}, host {own_host().rpartition('.')[0]}.x")
     for name in sys.argv[1:] or list(BENCHMARKS):
         print(f"-- {name}: {BENCHMARKS[name].__doc__}")
--- a/benchmarks/streaming_endpoint.py
+++ b/benchmarks/streaming_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint behind `benchmarks.streaming`: plain blocking sockets, a thread for each connection."""
+"""The endpoint of `benchmarks.streaming`: plain blocking sockets, with a thread for each connection."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 READ_BYTES = 65_536
 HEAD_END = b"\r\n\r\n"
 ENDLESS_BYTES = 1 << 40
-"""The length of a body that nobody reads to its end."""
+"""The content length of a body that is never sent completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedMessage:
-    """A message whose call came, and when."""
+    """A message that the endpoint has received, and the time at which it came."""
 
     message_id: str
     at_s: float
-    """By `time.perf_counter`, which all processes of a machine share."""
+    """Seconds by `time.perf_counter`, which all processes of a machine share."""
 
 
 ReceivedMessages = SimpleQueue[ReceivedMessage]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The parts of a request's head that matter here."""
+    """The parts of a request's head that the endpoint uses."""
 
     path: bytes
     content_length: int
@@ -49,7 +49,7 @@
 
 
 def discard(sock: socket.socket, size: int) -> bool:
-    """Read so many bytes. Returns whether all came."""
+    """Read and discard `size` bytes. Returns whether all of them came before the connection ended."""
     buffer = bytearray(len(BLOCK))
     while size > 0:
         received = sock.recv_into(buffer, min(size, len(buffer)))
@@ -60,14 +60,14 @@
 
 
 def serve_endpoint(ready: SimpleQueue[int], received: ReceivedMessages) -> None:
-    """Serve for ever.
+    """Serve until the process ends.
 
-    GET /N is answered with N bytes, /slow with bytes without end while nothing is read. What is sent otherwise is read,
-    and messages are answered at once.
+    GET /N is answered with N bytes. A request for /slow is answered with endless bytes, and its body is not read. Any
+    other request is read to its end and answered at once with an empty body; messages come at /hook.
 
     Args:
-        ready: Gets the port.
-        received: Gets each message.
+        ready: Receives the port on which the endpoint listens.
+        received: Receives each message.
     """
     server = socket.create_server(("127.0.0.1", 0), backlog=256)
     ready.put(server.getsockname()[1])
@@ -77,7 +77,7 @@
 
 
 def serve_connection(sock: socket.socket, received: ReceivedMessages) -> None:
-    """Answer the requests of one connection, until it ends."""
+    """Answer the requests of one connection until it ends."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     data = b""
     with sock, contextlib.suppress(OSError):
@@ -91,7 +91,7 @@
             data = b""
             head = parse_head(head_bytes)
             if head.path.startswith(b"/slow"):
-                _send_without_end(sock)
+                _send_endless_body(sock)
             if not discard(sock, head.content_length - len(body)):
                 return
             if head.path == b"/hook":
@@ -99,7 +99,7 @@
             _answer(sock, head.path)
 
 
-def _send_without_end(sock: socket.socket) -> None:
+def _send_endless_body(sock: socket.socket) -> None:
     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % ENDLESS_BYTES)
     with contextlib.suppress(OSError):
         while True:
--- a/tests/benchmarks/test_hold_reasons.py
+++ b/tests/benchmarks/test_hold_reasons.py
@@ -9,7 +9,7 @@
 
 
 def test_logs_of_a_fleet_are_added_up(tmp_path: Path) -> None:
-    """A restart begins from nothing; lines of other kinds are passed over."""
+    """A restart resets the sums to 0; lines of other kinds are ignored."""
     line = "2026 INFO forwarder.engine: state: serving; held by: "
     (tmp_path / "n0.log").write_text(
         "\n".join(
@@ -24,7 +24,7 @@
     )
     (tmp_path / "n1").mkdir()
     (tmp_path / "n1/log").write_text(line + "pace by our share of the limit 2.5 s\n" + line + "nothing")
-    sums = hold_reasons.add_up(tmp_path)
+    sums = hold_reasons.sum_logs(tmp_path)
     rows, refused = sums.held_s, sums.refused
     assert rows[0] == {"window": 1.0, "told wait": 0.5, "pace by our share of the limit": 2.5}
     assert rows[1]["window"] == 3.0
