--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""How the tests are shared out over processes, and which are known to fail."""
+"""Assigns the tests to xdist groups, and marks the tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """The lab's tests start many processes each, at addresses that are the lab's alone.
+    """Puts the tests of the lab into one group, and marks the listed tests as expected to fail.
 
-    One of them at a time. A test that is listed as known to fail runs, and its failure does not fail the run; one that
-    is listed as failing always fails it by passing.
+    Each test of the lab starts many processes, at addresses that only the lab uses: they must not run in parallel. A
+    listed test runs, but its failure does not fail the run. A test that is listed as failing always fails the run when
+    it passes.
     """
     listed = known_failures()
     for item in items:
         if item.path.is_relative_to(LAB_TESTS):
             item.add_marker(pytest.mark.xdist_group("lab"))
         for known in listed:
-            if known.names(item.nodeid):
+            if known.matches(item.nodeid):
                 is_strict = known.frequency is Frequency.ALWAYS
                 item.add_marker(pytest.mark.xfail(reason=known.describe(), strict=is_strict))
 
