--- a/tests/load.py
+++ b/tests/load.py
@@ -1,4 +1,4 @@
-"""A steady load of clients on a node: some keep their connections, others come anew."""
+"""A steady load of clients on a node: some keep their connections, others open one for each message."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass
 class Submitted:
-    """One request, and what came of it."""
+    """One submission and its answer. Times are those of the event loop, in seconds."""
 
     name: str
     begun_s: float
     status: int | None = None
-    """None while it has no answer, and for good where its connection ended without one."""
+    """The status of the answer; None while there is none, and if the connection ends without one."""
     answered_s: float = 0.0
 
 
@@ -31,8 +31,11 @@
     """Clients that submit messages of all classes until they are stopped.
 
     Attributes:
-        submitted: all requests by the message's name.
-        closed_kept: how many of the connections that clients keep were ended by the node.
+        left_s: the time left that each submission states, in seconds.
+        submitted: all submissions by message id.
+        closed_kept: the number of kept connections that ended without an answer.
+        running: the tasks of the clients.
+        is_stopped: whether the clients submit nothing more.
     """
 
     node: Node
@@ -43,24 +46,24 @@
     is_stopped: bool = False
 
     async def start(self) -> None:
-        """Opens the kept connections, and begins to submit."""
+        """Opens the kept connections and starts to submit."""
         for number in range(KEPT_CLIENTS):
             self._run(self._keep_submitting(number, await self.node.client()))
-        self._run(self._submit_anew())
+        self._run(self._keep_connecting())
 
     async def finish(self) -> None:
-        """Submits nothing more, and waits for the answers that are still to come."""
+        """Stops submitting, and waits until all submissions have ended."""
         self.is_stopped = True
         while self.running:
             await asyncio.gather(*self.running)
 
     def accepted(self) -> list[str]:
-        """Returns the messages that were answered with 202."""
-        return [each.name for each in self.submitted.values() if each.status == 202]
+        """Returns the ids of the messages that were answered with 202."""
+        return [request.name for request in self.submitted.values() if request.status == 202]
 
     def unanswered(self) -> list[str]:
-        """Returns the messages whose connection ended without an answer."""
-        return [each.name for each in self.submitted.values() if each.status is None]
+        """Returns the ids of the messages without an answer."""
+        return [request.name for request in self.submitted.values() if request.status is None]
 
     def _run(self, coroutine: object) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)  # type: ignore[arg-type]
@@ -76,7 +79,7 @@
             await asyncio.sleep(KEPT_CLIENT_INTERVAL_S)
         client.writer.close()
 
-    async def _submit_anew(self) -> None:
+    async def _keep_connecting(self) -> None:
         while not self.is_stopped:
             self._run(self._submit_on_new_connection())
             await asyncio.sleep(NEW_CLIENT_INTERVAL_S)
@@ -87,7 +90,7 @@
         client.writer.close()
 
     async def _submit(self, kind: str, client: Client) -> bool:
-        """Submits one message. Returns whether it was answered."""
+        """Submits one message, and returns whether it was answered."""
         loop = asyncio.get_running_loop()
         message_class = CLASSES[len(self.submitted) % len(CLASSES)]
         request = Submitted(f"{kind}-{message_class}-{len(self.submitted)}", loop.time())
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""The whole program on a folder of its own, and the clients that submit messages to it."""
+"""Runs the whole program in its own folder, and clients that submit messages to it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.sockets import PATIENCE, ROOT, free_port, free_ports, own_host, read_message
 
 PROGRAM_ROOT = ROOT
-"""The checkout whose program is run."""
+"""The checkout from which the program runs."""
 
 SETTINGS: dict[str, Any] = {
     "allowed": {
@@ -54,7 +54,15 @@
 
 
 class Node:
-    """The real program, on its folder."""
+    """A process of the program, with its folder.
+
+    Attributes:
+        folder: the folder of the configuration file and of the state folder.
+        port: the port for clients.
+        control: the port for operators.
+        log: the lines that the process has logged.
+        arguments: arguments of its command line.
+    """
 
     def __init__(
         self,
@@ -69,7 +77,7 @@
         self.port, self.control = free_ports(2, self.host)
         self.log: list[str] = []
         self.arguments: list[str] = []
-        self.shim: Control | None = None  # set: the program runs with calls that fail (lab/shim.py)
+        self.shim: Control | None = None  # if set, the program runs under lab/shim.py, which lets system calls fail
         (folder / "state").mkdir(exist_ok=True)
         settings = {**SETTINGS, "discovery": discovery, "allowed": {**SETTINGS["allowed"], **allowed}}
         config = {
@@ -85,25 +93,25 @@
         (folder / "config.json").write_text(json.dumps(config))
 
     def configure(self, **changes: Any) -> None:
-        """Changes keys of the configuration file, for the next start or SIGHUP."""
+        """Changes keys of the configuration file; the program reads it when it starts and on SIGHUP."""
         path = self.folder / "config.json"
         path.write_text(json.dumps(json.loads(path.read_text()) | changes))
 
     def successor(self) -> Node:
-        """Returns the process that will take over: on the same folder, with a control address of its own."""
+        """Returns the process that will take over: in the same folder, with another admin port."""
         other = copy.copy(self)
         other.log = []
         other.control = free_port(self.host)
         return other
 
     async def fail(self, *failures: Failure, clock_s: float = 0.0) -> None:
-        """Sets which system calls fail, and how far the wall clock is off; returns once the program heeds it."""
+        """Sets which system calls fail and the offset of the wall clock, and waits until the program has read this."""
         self.shim = Control(clock_s, list(failures))
         self.shim.write(self.folder / "control.json")
         await asyncio.sleep(4 * CONTROL_POLL_S)
 
     async def start(self, ready: bool = True) -> Node:
-        """Starts the program, and waits until it is ready unless told not to."""
+        """Starts the program, and waits until it serves clients if `ready` is set."""
         env = {
             **os.environ,
             "LB_CONFIG": str(self.folder / "config.json"),
@@ -134,7 +142,7 @@
             raise TimeoutError("".join(self.log)) from None
 
     async def read_log(self) -> None:
-        """Gathers the lines of the log until the program ends."""
+        """Collects the lines of the log until the program ends."""
         assert self.process.stderr is not None
         async for raw in self.process.stderr:
             self.log.append(raw.decode())
@@ -152,12 +160,12 @@
         return code
 
     async def restart(self, sign: int = signal.SIGKILL) -> None:
-        """Ends the program and starts it again on its folder."""
+        """Ends the program and starts it again in its folder."""
         await self.end(sign)
         await self.start()
 
     async def call(self, line: bytes) -> str:
-        """Makes an operator's call, and returns the answer to its end."""
+        """Sends one line to the admin interface, and returns the whole answer."""
         reader, writer = await asyncio.open_connection(self.host, self.control)
         writer.write(line)
         try:
@@ -167,11 +175,11 @@
             writer.close()
 
     async def client(self) -> Client:
-        """Returns a new connection of a client."""
+        """Opens a connection of a new client."""
         return Client(*await asyncio.open_connection(self.host, self.port))
 
     async def submit(self, name: str, cls: str = "order", **more: Any) -> tuple[int, dict[str, str]]:
-        """Submits a message on a connection of its own, and returns the status and headers of the answer."""
+        """Submits a message on a new connection, and returns the status and headers of the answer."""
         client = await self.client()
         try:
             return await client.submit(name, cls, **more)
@@ -187,7 +195,7 @@
         self.writer = writer
 
     async def answer(self) -> tuple[int, dict[str, str]]:
-        """Returns the status and headers of the next answer."""
+        """Reads the next answer, and returns its status and headers."""
         async with asyncio.timeout(PATIENCE):
             first, headers, _ = await read_message(self.reader)
         return int(first.split(" ")[1]), headers
@@ -203,7 +211,16 @@
 def message(
     name: str, cls: str = "order", left: str = "50", dest: object = 7, body: bytes = b"hello", **changes: str | None
 ) -> bytes:
-    """Returns the request that submits a message; a header is changed by its name with underscores, or left out."""
+    """Returns the request that submits a message.
+
+    Args:
+        name: the id of the message.
+        cls: its class.
+        left: the time left for its delivery, in seconds.
+        dest: its destination.
+        body: its body.
+        changes: headers to add or replace, with underscores for hyphens; None removes a header.
+    """
     headers: dict[str, str | None] = {
         "Host": "origin.svc",
         "X-Correlation-Id": name,
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -1,4 +1,4 @@
-"""Discovery and the place for notices, as a peer that a test controls."""
+"""A platform that a test controls: it serves discovery and accepts notices."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Platform(Peer):
-    """Discovery and the place for notices.
+    """A server of discovery and notices.
 
     Attributes:
-        version: the version of the endpoint list.
+        version: the current version of the endpoint list.
         endpoints: the entries of the list, by name.
-        changes: the entries that each version has changed.
-        notices: the notices that were posted.
-        accepts: whether notices are answered 204, else 503.
-        garbage: how many of the next polls are answered with garbage.
+        changes: the entries that changed, by the version that changed them.
+        notices: the notices that were received.
+        accepts: whether notices are answered with 204; otherwise with 503.
+        garbage: how many of the next polls are answered with malformed JSON.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self.garbage = 0
 
     def add_endpoint(self, name: str, port: int, block: int = 7, health: str = "up", kind: str = "plain") -> None:
-        """Adds an endpoint to the list, or replaces it; no watch hears of it."""
+        """Adds or replaces an endpoint in the list, without a new version and without an answer to waiting polls."""
         self.endpoints[name] = {
             "host": name,
             "dial": f"127.0.0.1:{port}",
@@ -49,16 +49,16 @@
         return {"seq": self.version, "whole": True, "hosts": list(self.endpoints.values())}
 
     async def change(self, name: str, health: str) -> None:
-        """Changes the health of an endpoint in a new version of the list, which watches hear of."""
+        """Changes the health of an endpoint in a new version of the list, and answers the waiting polls."""
         self.endpoints[name]["health"] = health
         self.version += 1
         self.changes[self.version] = [dict(self.endpoints[name])]
         await self.notify_all()
 
     async def answer(self, request: Request) -> Answer | bytes | None:
-        """Answers a post of notices or a poll of the list."""
+        """Answers a request that posts notices or polls the list."""
         if request.path == "/v1/notices":
-            return await self._take_notices(request)
+            return await self._accept_notices(request)
         if self.garbage:
             self.garbage -= 1
             return Answer(200, body=b'{"seq": "x", "hosts": [3')
@@ -66,16 +66,16 @@
         if since < 0:
             return Answer(200, body=json.dumps(self.listing()).encode())
         hold_s = int(request.path.partition("hold_ms=")[2] or 0) / 1000
-        return await self._answer_watch(since, hold_s)
+        return await self._answer_waiting_poll(since, hold_s)
 
-    async def _take_notices(self, request: Request) -> Answer:
+    async def _accept_notices(self, request: Request) -> Answer:
         if not self.accepts:
             return Answer(503)
         self.notices += [json.loads(line) for line in request.body.splitlines()]
         await self.notify_all()
         return Answer(204)
 
-    async def _answer_watch(self, since: int, hold_s: float) -> Answer:
+    async def _answer_waiting_poll(self, since: int, hold_s: float) -> Answer:
         async with self.changed:
             with suppress(TimeoutError):
                 async with asyncio.timeout(hold_s):
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,4 +1,4 @@
-"""Scenes for tests that run the whole program: a platform, endpoints and nodes that end with the scene."""
+"""Runs scenes for tests of the whole program: a platform, endpoints, and nodes that end with the scene."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 _scene_nodes: list[list[Node]] = []
-"""The nodes of each scene that is being played, the innermost last."""
+"""The nodes of each running scene, those of the innermost scene last."""
 
 
 def play(scene: Scene, folder: Path) -> None:
-    """Plays a scene with a platform, and ends the nodes that it has started."""
+    """Runs a scene with a new platform, and then ends the nodes that belong to the scene."""
 
     async def run() -> None:
         platform = Platform()
@@ -38,12 +38,12 @@
 
 
 def end_with_scene(node: Node) -> None:
-    """Ends a node with the scene that is being played."""
+    """Registers a node, which ends with the running scene."""
     _scene_nodes[-1].append(node)
 
 
 async def start_node(folder: Path, platform: Platform, **more: Any) -> Node:
-    """Starts a node, which ends with the scene."""
+    """Starts a node that ends with the scene."""
     node = Node(folder, platform, **more)
     await node.start()
     end_with_scene(node)
@@ -51,7 +51,7 @@
 
 
 async def start_shimmed(folder: Path, platform: Platform, *failures: Failure, **more: Any) -> Node:
-    """Starts a node whose system calls may fail, these from its start on; it ends with the scene."""
+    """Starts a node under lab/shim.py that ends with the scene; the given failures apply from its start."""
     node = Node(folder, platform, **more)
     end_with_scene(node)
     await node.fail(*failures)
@@ -59,12 +59,12 @@
 
 
 async def start_endpoint(platform: Platform, handler: Any, name: str = "s1", **more: Any) -> Peer:
-    """Starts an endpoint, and adds it to the platform's list."""
+    """Starts an endpoint, and adds it to the endpoint list of the platform."""
     peer = await Peer(handler).start()
     platform.add_endpoint(name, peer.port, **more)
     return peer
 
 
 def received_ids(peer: Peer) -> list[str]:
-    """Returns the message ids of the requests that an endpoint has received, in their order."""
+    """Returns the message ids of the requests that an endpoint has received, in the order of their arrival."""
     return [request.headers["x-correlation-id"] for request in peer.requests]
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -1,4 +1,4 @@
-"""Settings, endpoints and short names of events for tests that drive a dispatcher."""
+"""Settings, endpoints and short functions for events, for tests that drive a dispatcher."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings with a class of each effect and a kind of each sort, changed as given."""
+    """Returns settings with a message class of each effect and a destination kind of each sort, changed as given."""
     base: dict[str, Any] = {
         "slots": 8,
         "classes": (
@@ -63,28 +63,28 @@
 
 
 def started(entries: tuple[EndpointEntry, ...] = ENTRIES, **changes: Any) -> Dispatcher:
-    """A dispatcher that has its endpoint list."""
+    """Returns a dispatcher that has received its endpoint list; `changes` are changes of the settings."""
     dispatcher = Dispatcher(settings(**changes), 7, 0)
     dispatcher.handle(0, [EndpointListReceived(EndpointListKind.SAVED, entries)])
     return dispatcher
 
 
 def sends(actions: list[Action]) -> list[SendAttempt]:
-    """The attempts among some actions."""
+    """Returns the attempts among the actions."""
     return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 def finals(actions: list[Action]) -> list[RejectMessage | FailMessage]:
-    """The final answers among some actions."""
+    """Returns the actions that reject a message or let it fail for good."""
     return [action for action in actions if isinstance(action, RejectMessage | FailMessage)]
 
 
 def ask(name: str, dest: int = 10, cls: str = "safe", due: int = 6 * S, **more: Any) -> MessageArrived:
-    """A message that arrives."""
+    """Returns the event of a message that arrives."""
     return MessageArrived(name, dest, cls, due, **more)
 
 
 def end(send: SendAttempt, outcome: Outcome, attempt: int = 0, took: int = 100 * MS, **more: Any) -> AttemptEnded:
-    """The outcome of an attempt; only a delivery is final unless `closed` says otherwise."""
+    """Returns the event of an attempt that ends; only a delivery is final unless `closed` is given."""
     closed = more.pop("closed", outcome is Outcome.DELIVERED)
     return AttemptEnded(send.message_id, attempt, send.endpoint, outcome, took, is_final=closed, **more)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Loopback HTTP peers, free ports and a clock for the tests; each does just what a test tells it."""
+"""HTTP peers on loopback, free ports and a clock, all of them controlled by the tests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-PATIENCE = 20.0  # seconds that a test waits for an event before it fails; nothing asserts on speed
+PATIENCE = 20.0  # timeout in seconds for each event that a test waits for; no test asserts on speed
 
 
 @dataclass
 class Request:
-    """A request as a peer has received it, and where to answer it."""
+    """A request that a peer has received, and the connection on which to answer it."""
 
     method: str
     path: str
@@ -40,7 +40,7 @@
     body: bytes = b""
 
     def to_bytes(self) -> bytes:
-        """Returns the answer as it is on the wire."""
+        """Returns the bytes of the HTTP response."""
         lines = [
             f"HTTP/1.1 {self.status} X",
             f"Content-Length: {len(self.body)}",
@@ -50,7 +50,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Returns the first line, the headers and the body of an HTTP message."""
+    """Reads an HTTP message, and returns its first line, headers and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
     return head[0], headers, await reader.readexactly(int(headers.get("content-length", 0)))
@@ -60,24 +60,32 @@
 
 
 class Watched:
-    """What a test waits for changes of."""
+    """An object whose changes a test can wait for."""
 
     def __init__(self) -> None:
         self.changed = asyncio.Condition()
 
     async def notify_all(self) -> None:
-        """Says that something has changed."""
+        """Wakes the tasks that wait for a change."""
         async with self.changed:
             self.changed.notify_all()
 
     async def wait_until(self, test: Callable[[], bool]) -> None:
-        """Waits until a condition holds; it is looked at after each change."""
+        """Waits until a condition holds; it is checked after each change."""
         async with asyncio.timeout(PATIENCE), self.changed:
             await self.changed.wait_for(test)
 
 
 class Peer(Watched):
-    """An HTTP server. Its handler answers, gives raw bytes, or None to end the connection unanswered."""
+    """An HTTP server.
+
+    Attributes:
+        handler: returns an answer, raw bytes to send, or None to close the connection without an answer.
+        requests: the requests that were received.
+        closed: the number of connections that have ended.
+        writers: the open connections.
+        port: the port on which it listens; 0 before the first start.
+    """
 
     def __init__(self, handler: Handler) -> None:
         super().__init__()
@@ -88,18 +96,18 @@
         self.port = 0
 
     async def start(self) -> Self:
-        """Begins to serve, at the port that it had before if any."""
+        """Starts to serve; a restart uses the same port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def end_connections(self) -> None:
-        """Resets all connections, as a network or a crash does."""
+        """Resets all connections, as a network failure or a crash does."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     async def wait_for_requests(self, count: int) -> list[Request]:
-        """Waits until so many requests have come, and returns all of them."""
+        """Waits until at least `count` requests have come, and returns all of them."""
         await self.wait_until(lambda: len(self.requests) >= count)
         return self.requests
 
@@ -128,7 +136,7 @@
 
 
 def always(*answers: Answer | bytes | None) -> Handler:
-    """Returns a handler that gives these answers in turn, the last for ever."""
+    """Returns a handler that gives these answers in turn, and repeats the last one."""
     remaining = list(answers)
 
     async def handler(request: Request) -> Answer | bytes | None:
@@ -156,25 +164,26 @@
 
 
 class Skewed(Clock):
-    """A clock that a test puts forward."""
+    """A clock that a test can set."""
 
     skew = 0
+    """The difference to the real clock, in microseconds."""
 
     def __call__(self) -> int:
         return super().__call__() + self.skew
 
     def until(self, at_us: int) -> None:
-        """Puts it to a time."""
+        """Sets the clock to a time in microseconds."""
         self.skew += at_us - self()
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """Returns a port that is free just now."""
+    """Returns a port that is free at the moment."""
     return free_ports(1, host)[0]
 
 
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Returns ports that are free just now; had one after the other, two might be the same."""
+    """Returns distinct ports that are free at the moment; separate calls of `free_port` may return the same port."""
     listeners = [socket.create_server((host, 0)) for _ in range(count)]
     ports = [int(listener.getsockname()[1]) for listener in listeners]
     for listener in listeners:
@@ -183,7 +192,7 @@
 
 
 def own_host() -> str:
-    """Returns a loopback address of the caller's own: a port that is free there now is free later too."""
+    """Returns a loopback address for this caller alone, so that a port that is free there now stays free."""
     pid = os.getpid()
     return f"127.{1 + pid // 250 % 250}.{pid % 250}.{next(_host_numbers)}"
 
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -1,4 +1,4 @@
-"""What the module's readers were promised: its size, its head, and a README that runs."""
+"""Checks that the decisions have no side effects, and that the README's example and test command are correct."""
 
 import ast
 import contextlib
@@ -14,7 +14,7 @@
 
 
 def test_policy_files_are_pure() -> None:
-    """Events in, actions out: what decides reads no clock and touches no file, socket or log, nor what does."""
+    """Decisions turn events into actions: they use no clock, file, socket or log, and import no module that does."""
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     assert policy[0] == "forwarder/decisions/dispatcher.py"
     assert "forwarder/decisions/events.py" in (ROOT / policy[0]).read_text().splitlines()[0]
