--- a/tests/runtime/test_incident_pre_production.py
+++ b/tests/runtime/test_incident_pre_production.py
@@ -18,7 +18,7 @@
 from tests.nodes import Client, Node, message
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
-from tests.sockets import OK, Answer, Request, always, once
+from tests.sockets import OK, Answer, Request, always, answer_after
 
 DESCRIPTORS = 256  # as configured by Node
 IDLE_CLIENTS = 500  # below the listener's backlog
@@ -108,7 +108,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        drained = await start_endpoint(platform, once(free))
+        drained = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         await platform.wait_for_requests(2)  # its watch is waiting for a change
         for name in ("out", "held"):
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -14,7 +14,7 @@
 from tests.nodes import SETTINGS, Node
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
-from tests.sockets import OK, Answer, Peer, Request, Skewed, always, once
+from tests.sockets import OK, Answer, Peer, Request, Skewed, always, answer_after
 
 
 def test_delivers_unchanged_and_leaves_no_notice(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        peer = await start_endpoint(platform, once(free))
+        peer = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         for name in "abc":
             assert (await node.submit(name, "pay"))[0] == 202
--- a/tests/runtime/test_notices_in_time.py
+++ b/tests/runtime/test_notices_in_time.py
@@ -14,7 +14,7 @@
 from tests.nodes import Node, message
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node, start_shimmed
-from tests.sockets import Answer, Request, hang, once
+from tests.sockets import Answer, Request, answer_after, hang
 
 LOST_AFTER_S = 0.35
 """Time after its deadline at which a message without an end is lost (PROTOCOL: 300 ms, and 50 ms on sockets)."""
@@ -150,7 +150,7 @@
 
         platform.handler = slow
         free = asyncio.Event()
-        peer = await start_endpoint(platform, once(free))
+        peer = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         assert (await node.submit("first", "turn", left="1.0", X_Session_Key="k"))[0] == 202
         assert (await node.submit("second", "turn", left="9.0", X_Session_Key="k"))[0] == 202
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -9,7 +9,7 @@
 
 from tests.platforms import Platform
 from tests.scenes import play, start_endpoint, start_node
-from tests.sockets import OK, PATIENCE, always, hang, once
+from tests.sockets import OK, PATIENCE, always, answer_after, hang
 
 
 def test_after_sigterm_submissions_are_answered_and_the_journal_stays_intact(tmp_path: Path) -> None:
@@ -36,7 +36,7 @@
 def test_a_second_sigterm_has_no_effect(tmp_path: Path) -> None:
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        peer = await start_endpoint(platform, once(free))
+        peer = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         assert (await node.submit("out", "pay"))[0] == 202
         await peer.wait_for_requests(1)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -145,11 +145,11 @@
     return handler
 
 
-def once(free: asyncio.Event) -> Handler:
+def answer_after(event: asyncio.Event) -> Handler:
     """Returns a handler that answers as soon as an event is set."""
 
     async def handler(request: Request) -> Answer:
-        await free.wait()
+        await event.wait()
         return OK
 
     return handler
