--- a/tests/config/test_extensions_file.py
+++ b/tests/config/test_extensions_file.py
@@ -163,7 +163,7 @@
         await node.start(ready=False)
         async with asyncio.timeout(PATIENCE):
             assert await node.process.wait() == 2
-        await node.drain
+        await node.log_reader
         assert node.log == ["forwarder: parts: streaming.colour is unknown\n"]
 
     run(scene)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -127,7 +127,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, *program, *self.arguments, cwd=PROGRAM_ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
-        self.drain = asyncio.create_task(self.read_log())
+        self.log_reader = asyncio.create_task(self.read_log())
         self.ready = asyncio.Event()
         if ready:
             await self.until_ready()
@@ -155,7 +155,7 @@
             self.process.send_signal(sign)
         async with asyncio.timeout(PATIENCE):
             code = await self.process.wait()
-            await self.drain
+            await self.log_reader
         assert "Traceback" not in "".join(self.log), "".join(self.log)
         return code
 
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -69,7 +69,7 @@
             node.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(PATIENCE):
                 await node.process.wait()
-                await node.drain
+                await node.log_reader
         assert not any("engine: ready" in line for line in node.log)
         peer.handler = always(OK)
         await node.start()
--- a/tests/storage/test_recovery.py
+++ b/tests/storage/test_recovery.py
@@ -254,7 +254,7 @@
         await node.start(ready=False)
         async with asyncio.timeout(20):
             assert await node.process.wait() == 1
-            await node.drain
+            await node.log_reader
         assert "is the folder of n0, not of n7" in "".join(node.log)
 
     asyncio.run(scenario())
--- a/tests/streaming/test_lifecycle.py
+++ b/tests/streaming/test_lifecycle.py
@@ -93,7 +93,7 @@
                 await client.read_chunk()
         async with asyncio.timeout(PATIENCE):
             assert await node.process.wait() == 0
-        await node.drain
+        await node.log_reader
         assert any("streams were cut" in line for line in node.log) == (not ends)
 
     run_scenario(scenario, tmp_path)
