--- a/benchmarks/failing_accept.py
+++ b/benchmarks/failing_accept.py
@@ -55,12 +55,12 @@
         peer = await Peer(always(OK)).start()
         platform.add_endpoint("s1", peer.port)
         node = Node(Path(folder), platform, max_open=MAX_OPEN_MESSAGES)
-        await node.fail()
+        await node.set_failures()
         await node.start()
         kept = [await node.client() for _ in range(KEPT_CLIENTS)]
         for number, client in enumerate(kept):
             await client.submit(f"kept-{number}", "status")
-        await node.fail(Failure("accept", ERROR, share))
+        await node.set_failures(Failure("accept", ERROR, share))
         took_ms: list[float] = []
         tasks = []
         for number in range(requests):
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -104,7 +104,7 @@
         other.control = free_port(self.host)
         return other
 
-    async def fail(self, *failures: Failure, clock_s: float = 0.0) -> None:
+    async def set_failures(self, *failures: Failure, clock_s: float = 0.0) -> None:
         """Sets which system calls fail and the offset of the wall clock, and waits until the program has read this."""
         self.shim = Control(clock_s, list(failures))
         self.shim.write(self.folder / "control.json")
--- a/tests/runtime/test_busy_loop.py
+++ b/tests/runtime/test_busy_loop.py
@@ -30,13 +30,13 @@
         await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform)
         clients = [await node.client() for _ in range(CLIENTS)]
-        await node.fail(Failure(call, error))
+        await node.set_failures(Failure(call, error))
         began_cpu_s, began_s = processor_s(node.process.pid), time.monotonic()
         for number, client in enumerate(clients):
             client.writer.write(message(f"m{number}", "status"))
         await asyncio.sleep(FAILING_S)
         assert (processor_s(node.process.pid) - began_cpu_s) / (time.monotonic() - began_s) < MAX_CPU_SHARE
-        await node.fail()
+        await node.set_failures()
         for client in clients:
             assert (await client.answer())[0] == 202
 
--- a/tests/runtime/test_failing_send.py
+++ b/tests/runtime/test_failing_send.py
@@ -57,9 +57,9 @@
         load = SteadyLoad(node)
         await load.start()
         await asyncio.sleep(BEFORE_FAILURE_S)
-        await node.fail(Failure(call, error, share))
+        await node.set_failures(Failure(call, error, share))
         await asyncio.sleep(FAILING_S)
-        await node.fail()
+        await node.set_failures()
         requests_before = len(peer.requests)
         await asyncio.sleep(RECOVERY_S)
         assert len(peer.requests) > requests_before, "endpoints have to be called again"
@@ -83,9 +83,9 @@
         load = SteadyLoad(node)
         await load.start()
         await asyncio.sleep(BEFORE_FAILURE_S)
-        await node.fail(Failure("short", share=0.7), Failure("send", "ENOBUFS", 0.7))
+        await node.set_failures(Failure("short", share=0.7), Failure("send", "ENOBUFS", 0.7))
         await asyncio.sleep(FAILING_S)
-        await node.fail()
+        await node.set_failures()
         await load.finish()
         accepted = load.accepted()
         await peer.wait_until(lambda: set(received_ids(peer)) >= set(accepted))
@@ -120,7 +120,7 @@
         node = await start_shimmed(folder, platform)
         for number in range(20):  # enlarges the concurrency window
             assert (await node.submit(f"before-{number}", "status"))[0] == 202
-        await node.fail(Failure("endpoint-recv", error))
+        await node.set_failures(Failure("endpoint-recv", error))
         for number in range(2):  # their answers stay unread too, and these calls time out before the next one
             assert (await node.submit(f"first-{number}", "status"))[0] == 202
         await asyncio.sleep(0.4)
@@ -132,7 +132,7 @@
         for number in range(3):
             assert (await node.submit(f"later-{number}", "status"))[0] == 202
         await asyncio.sleep(WAIT_S / 2)
-        await node.fail()
+        await node.set_failures()
         async with asyncio.timeout(PATIENCE):
             while len(arrived_at_s) < 3:
                 await asyncio.sleep(0.01)
--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -39,7 +39,7 @@
         node = await start_with_failures(folder, platform)
         statuses = await submit_all(node, [f"m{n}" for n in range(20)], body=LARGE_BODY)
         assert set(statuses.values()) == {202}
-        await node.fail(Failure("open", "ENOSPC"))
+        await node.set_failures(Failure("open", "ENOSPC"))
         clients = [node.submit(f"n{n}", "status", body=LARGE_BODY) for n in range(20)]
         statuses |= {f"n{n}": status for n, (status, _) in enumerate(await asyncio.gather(*clients))}
         async with asyncio.timeout(PATIENCE):
@@ -47,7 +47,7 @@
                 statuses |= await submit_all(node, [f"o{len(statuses)}"])
         rejected = {name for name, status in statuses.items() if status == 503}
         await node.end()
-        await node.fail()
+        await node.set_failures()
         await node.start()
         await peer.wait_until(lambda: statuses.keys() - rejected <= set(received_ids(peer)))
         await asyncio.sleep(0.5)
@@ -148,7 +148,7 @@
             node = node.successor()
             end_with_scene(node)
             await node.start()
-        await node.fail(Failure(call, "ENOBUFS", 0.5))
+        await node.set_failures(Failure(call, "ENOBUFS", 0.5))
         names = [f"m{n}" for n in range(20)]
         assert {(await client.submit(name, "status"))[0] for name in names[:10]} == {202}
         assert set((await submit_all(node, names[10:])).values()) == {202}
@@ -227,10 +227,10 @@
         assert (await node.submit("held", "status", left="6"))[0] == 202
         await peer.wait_for_requests(1)
         await node.end()
-        await node.fail(Failure("read", "EIO", file="clock"), clock_s=step_s)
+        await node.set_failures(Failure("read", "EIO", file="clock"), clock_s=step_s)
         starting = asyncio.create_task(node.start())
         await asyncio.sleep(1.0)
-        await node.fail(clock_s=step_s)
+        await node.set_failures(clock_s=step_s)
         await starting
         await platform.wait_for_notice("held")
         assert 3.0 < asyncio.get_running_loop().time() - submitted_s < 8.0
@@ -336,7 +336,7 @@
     async def scene(platform: Platform, folder: Path) -> None:
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
-        await node.fail(Failure("epoll_ctl", error, 0.5))
+        await node.set_failures(Failure("epoll_ctl", error, 0.5))
         names = [f"m{n}" for n in range(20)]
         responses = await asyncio.gather(*(node.submit(name, "pay") for name in names))
         assert [status for status, _ in responses] == [202] * len(names)
@@ -354,10 +354,10 @@
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
         assert (await node.submit("before", "status"))[0] == 202
-        await node.fail(Failure("poll", "ENOMEM"))
+        await node.set_failures(Failure("poll", "ENOMEM"))
         during = asyncio.create_task(node.submit("during", "status"))
         await asyncio.sleep(0.3)
-        await node.fail()
+        await node.set_failures()
         assert (await during)[0] in (202, 503)
         assert (await node.submit("after", "status"))[0] == 202
         await peer.wait_until(lambda: {"before", "after"} <= set(received_ids(peer)))
--- a/tests/runtime/test_incident_pre_production.py
+++ b/tests/runtime/test_incident_pre_production.py
@@ -136,10 +136,10 @@
     async def scene(platform: Platform, folder: Path) -> None:
         node = Node(folder, platform)
         end_with_scene(node)
-        await node.fail(Failure("socket", "ENFILE"))
+        await node.set_failures(Failure("socket", "ENFILE"))
         await node.start(ready=False)
         await asyncio.sleep(1.5)
-        await node.fail()
+        await node.set_failures()
         await node.until_ready()
 
     play(scene, tmp_path)
--- a/tests/runtime/test_local_failures.py
+++ b/tests/runtime/test_local_failures.py
@@ -57,11 +57,11 @@
         accepted_before = len(await clients.accepted())
         await peer.wait_until(lambda: len(peer.requests) == accepted_before)
         closed = peer.closed
-        await node.fail(Failure(call, FAILURES[call]))
+        await node.set_failures(Failure(call, FAILURES[call]))
         await clients.submit_for(FAILING_S)
         if call == "poll" and kept:
             assert peer.closed == closed, "a failed poll must not close an idle connection"
-        await node.fail()
+        await node.set_failures()
         accepted = await clients.accepted()
         assert len(accepted) > accepted_before
         await peer.wait_until(lambda: set(received_ids(peer)) >= set(accepted))
--- a/tests/runtime/test_missing_lock.py
+++ b/tests/runtime/test_missing_lock.py
@@ -37,7 +37,7 @@
     """Starts a node whose folder cannot be opened. Returns once it serves in spite of that."""
     node = Node(folder, platform)
     end_with_scene(node)
-    await node.fail(Failure("open", "EIO"))
+    await node.set_failures(Failure("open", "EIO"))
     return await node.start()
 
 
@@ -53,7 +53,7 @@
         assert not [file.name for file in (folder / "state").iterdir() if file.name != "lock"], (
             "nothing may be written without the lock"
         )
-        await node.fail()
+        await node.set_failures()
         await asyncio.sleep(RECOVERY_S)
         assert is_locked(folder)
         assert (await node.submit("with", "status"))[0] == 202
@@ -81,7 +81,7 @@
         end_with_scene(new)
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(failing_s)
-        await node.fail()
+        await node.set_failures()
         async with asyncio.timeout(PATIENCE):
             await starting
         assert (await new.submit("upgraded", "status"))[0] == 202
--- a/tests/runtime/test_notices_in_time.py
+++ b/tests/runtime/test_notices_in_time.py
@@ -76,9 +76,9 @@
             await node.start()
             ready_s = time.monotonic()
         await asyncio.sleep(0.3)
-        await node.fail(Failure("socket", "ENFILE", share))
+        await node.set_failures(Failure("socket", "ENFILE", share))
         await asyncio.sleep(FAILING_S)
-        await node.fail()
+        await node.set_failures()
         await platform.wait_until(lambda: len(platform.notices) >= len(due_s))
         bound_s = {name: max(due + LOST_AFTER_S, ready_s + RESTART_GRACE_S) for name, due in due_s.items()}
         late = {name: times.arrived_s[name] - due_s[name] for name in due_s if times.arrived_s[name] > bound_s[name]}
@@ -95,7 +95,7 @@
         times = NoticeTimes(platform)
         node = await start_shimmed(folder, platform)
         due_s = await submit_all(node)
-        await node.fail(Failure("socket", "ENFILE"))
+        await node.set_failures(Failure("socket", "ENFILE"))
         new = node.successor()
         end_with_scene(new)
         await new.start()
@@ -124,7 +124,7 @@
             target = await Platform().start()
             node.configure(discovery=f"127.0.0.1:{target.port}")
         times = NoticeTimes(target)
-        await node.fail(Failure("socket", "ENFILE"))
+        await node.set_failures(Failure("socket", "ENFILE"))
         if moves:
             node.process.send_signal(signal.SIGHUP)
         else:
@@ -172,11 +172,11 @@
         node = await start_shimmed(folder, platform)
         client = await node.client()
         assert (await client.submit("before", "status"))[0] == 202
-        await node.fail(Failure("client-recv", error))
+        await node.set_failures(Failure("client-recv", error))
         sent_s = time.monotonic()
         client.writer.write(message("late", "status", left="1.2"))
         await asyncio.sleep(0.8)
-        await node.fail()
+        await node.set_failures()
         status, _ = await client.answer()
         if status == 202:
             await platform.wait_for_notice("late")
--- a/tests/runtime/test_system_faults.py
+++ b/tests/runtime/test_system_faults.py
@@ -37,7 +37,7 @@
     """Starts the program with the given failures in effect from the start."""
     node = Node(folder, platform)
     end_with_scene(node)
-    await node.fail(*failures, clock_s=clock_s)
+    await node.set_failures(*failures, clock_s=clock_s)
     return await node.start()
 
 
@@ -62,10 +62,10 @@
         node = await start_with_failures(folder, platform)
         assert (await submit_all(node, ["before"])) == {"before": 202}
         await peer.wait_for_requests(1)
-        await node.fail(*FULL_DISK)
+        await node.set_failures(*FULL_DISK)
         refused = await submit_all(node, ["a", "b", "c"])
         assert set(refused.values()) == {503}, refused
-        await node.fail()
+        await node.set_failures()
         accepted = await submit_until_accepted(node)  # nothing is held, so no other work triggers a write
         await peer.wait_for_requests(2)
         await node.restart()
@@ -84,10 +84,10 @@
         node = await start_with_failures(folder, platform)
         assert (await node.submit("long", cls, left="50"))[0] == 202
         await peer.wait_for_requests(1)
-        await node.fail(*FULL_DISK)
+        await node.set_failures(*FULL_DISK)
         await asyncio.sleep(1.5)
         assert len(peer.requests) == (2 if is_sent else 1)
-        await node.fail()
+        await node.set_failures()
         await peer.wait_for_requests(2)
         assert received_ids(peer) == ["long", "long"]
         assert not platform.notices
@@ -103,7 +103,7 @@
         submitted_at_s = time.monotonic()
         assert (await node.submit("held", "pay", left="2.5"))[0] == 202
         await peer.wait_for_requests(1)
-        await node.fail(*FULL_DISK)
+        await node.set_failures(*FULL_DISK)
         await platform.wait_for_notice("held")
         assert time.monotonic() - submitted_at_s > 0  # the notice arrived; the lab's rules limit its delay
 
@@ -124,16 +124,16 @@
         node = await start_with_failures(folder, platform, *((failure,) if moment == "start" else ()))
         if moment == "service":
             statuses = await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2)], body=LARGE_BODY)
-            await node.fail(failure)
+            await node.set_failures(failure)
             statuses |= await submit_all(node, [f"m{n}" for n in range(MESSAGES // 2, MESSAGES)], body=LARGE_BODY)
         else:
             statuses = await submit_all(node, [f"m{n}" for n in range(5)])
         if moment == "end":
-            await node.fail(failure)
+            await node.set_failures(failure)
             await node.end(signal.SIGTERM)
         else:
             await node.end()
-        await node.fail()
+        await node.set_failures()
         await node.start()
         accepted = {name for name, status in statuses.items() if status == 202}
         assert set(statuses.values()) <= {202, 503}
@@ -160,10 +160,10 @@
         await peer.wait_for_requests(2)
         rejected_at_s = time.monotonic()
         if running:
-            await node.fail(clock_s=steps[1])
+            await node.set_failures(clock_s=steps[1])
         else:
             await node.end()
-            await node.fail(clock_s=steps[1])
+            await node.set_failures(clock_s=steps[1])
             await node.start()
         await peer.wait_for_requests(3)
         assert not running or time.monotonic() - rejected_at_s > 1.4
@@ -185,12 +185,12 @@
         peer = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
         await platform.wait_for_requests(2)  # the watch of the endpoint list is established
-        await node.fail(Failure(call, error))
+        await node.set_failures(Failure(call, error))
         assert (await node.submit("held", "pay"))[0] == 202
         await asyncio.sleep(1.0)  # long enough for six attempts, the maximum
         assert not peer.requests
         assert not platform.notices
-        await node.fail()
+        await node.set_failures()
         await peer.wait_for_requests(1)
         assert "in outage" not in "".join(node.log)
 
@@ -304,7 +304,7 @@
         drained = await start_endpoint(platform, always(OK))
         node = await start_with_failures(folder, platform)
         await platform.wait_for_requests(2)
-        await node.fail(*FULL_DISK)
+        await node.set_failures(*FULL_DISK)
         other = await start_endpoint(platform, always(OK), "s2")
         platform.changes[platform.version + 1] = [dict(platform.endpoints["s2"])]
         platform.endpoints["s1"]["health"] = "draining"
@@ -325,7 +325,7 @@
         end_with_scene(new)
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(1.5)
-        await node.fail()
+        await node.set_failures()
         await starting
         assert (await new.submit("m", "status"))[0] == 202
         await asyncio.sleep(0.3)
@@ -351,11 +351,11 @@
         node = await start_with_failures(folder, platform)
         new = node.successor()
         end_with_scene(new)
-        await node.fail(Failure(call, "EIO"))
+        await node.set_failures(Failure(call, "EIO"))
         new.shim = node.shim
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(for_s)
-        await node.fail()
+        await node.set_failures()
         await starting
         assert (await new.submit("m", "status"))[0] == 202
         await peer.wait_for_requests(1)
--- a/tests/runtime/test_unsent_answers.py
+++ b/tests/runtime/test_unsent_answers.py
@@ -42,7 +42,7 @@
         node = await start_shimmed(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
         await peer.wait_for_requests(1)  # no calls to its destination from here on
-        await node.fail(Failure("client-send", error))
+        await node.set_failures(Failure("client-send", error))
         clients = {message_class: await node.client() for message_class in CLASSES}
         for message_class, client in clients.items():
             client.writer.write(message(f"unheard-{message_class}", message_class, X_Session_Key="k"))
@@ -53,7 +53,7 @@
             end()
         await asyncio.sleep(FAILING_S)
         assert (processor_s(node.process.pid) - start_cpu_s) / (time.monotonic() - start_s) < MAX_CPU_SHARE
-        await node.fail()
+        await node.set_failures()
         assert (await node.submit("next", "turn", X_Session_Key="k"))[0] == 202
         await peer.wait_until(lambda: "next" in received_ids(peer))
         await asyncio.sleep(1.0)
@@ -74,12 +74,12 @@
         node = await start_shimmed(folder, platform)
         assert (await node.submit("held", "status"))[0] == 202
         await peer.wait_for_requests(1)
-        await node.fail(Failure("client-send", "ENOMEM"))
+        await node.set_failures(Failure("client-send", "ENOMEM"))
         client = await node.client()
         client.writer.write(message("unheard", "status"))
         await asyncio.sleep(CLIENT_TIMEOUT_S / 2)
         await node.end(signal.SIGTERM)
-        await node.fail()
+        await node.set_failures()
         await node.start()
         await peer.wait_for_requests(2)
         await asyncio.sleep(1.0)
@@ -100,7 +100,7 @@
         client = await node.client()
         client.writer.write(message("heard", "status"))
         await asyncio.sleep(CLIENT_TIMEOUT_S / 2)
-        await node.fail()
+        await node.set_failures()
         async with asyncio.timeout(CLIENT_TIMEOUT_S / 2):
             assert (await client.answer())[0] == 202
         await peer.wait_for_requests(1)
@@ -115,14 +115,14 @@
         await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform)
         client = await node.client()
-        await node.fail(Failure("client-send", "ENOMEM"))
+        await node.set_failures(Failure("client-send", "ENOMEM"))
         client.writer.write(message("heard", "status"))
         new = node.successor()
         new.shim = None
         end_with_scene(new)
         starting = asyncio.create_task(new.start())
         await asyncio.sleep(1.5)  # by then it has requested the hand-over several times
-        await node.fail()
+        await node.set_failures()
         assert (await client.answer())[0] == 202
         await starting
         assert await node.process.wait() == 0
--- a/tests/runtime/test_watch_after_failure.py
+++ b/tests/runtime/test_watch_after_failure.py
@@ -34,11 +34,11 @@
         await start_endpoint(platform, always(OK))
         node = await start_shimmed(folder, platform)
         await platform.wait_for_requests(2)
-        await node.fail(Failure(call, error))
+        await node.set_failures(Failure(call, error))
         await abort_connections(platform)
         await asyncio.sleep(FAILING_S)
         polls = len(platform.requests)
-        await node.fail()
+        await node.set_failures()
         failure_ended_s = time.monotonic()
         await platform.wait_for_requests(polls + 1)
         assert time.monotonic() - failure_ended_s < RECOVERY_S
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -54,7 +54,7 @@
     """Starts a node under lab/shim.py that ends with the scene; the given failures apply from its start."""
     node = Node(folder, platform, **more)
     end_with_scene(node)
-    await node.fail(*failures)
+    await node.set_failures(*failures)
     return await node.start()
 
 
