--- a/tests/clients/test_server.py
+++ b/tests/clients/test_server.py
@@ -29,7 +29,7 @@
         clock = Skewed()
         server = ClientServer(parse_settings(SETTINGS), clock, 10, reject_all)
         sock, _, sending = await flood_server(server)
-        clock.until(clock() + STALL_TIMEOUT_US + 1)
+        clock.set_time(clock() + STALL_TIMEOUT_US + 1)
         while server.connections:
             await asyncio.sleep(0.005)
         with pytest.raises(ConnectionError):
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -51,7 +51,7 @@
         due = clock() + TIME_LEFT_US
 
         async def answer(request: Request) -> Answer:
-            clock.until(due - before_us)
+            clock.set_time(due - before_us)
             return OK
 
         peer = await Peer(answer).start()
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -84,7 +84,7 @@
             others = [] if alone else [CallItem(name, 0, None, b"x", far, far) for name in "ab"]
             pool.close_idle(1)
             pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
-            clock.until(clock() + SECOND_US)  # the dial has not begun yet
+            clock.set_time(clock() + SECOND_US)  # the dial has not begun yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(end.message_id, end.outcome) for end in ends] == [
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -91,7 +91,7 @@
     async def scene(platform: Platform) -> None:
         async def answer(request: Request) -> Answer:
             if request.headers["x-correlation-id"] == "late":
-                running.clock.until(due_us - 1_000)
+                running.clock.set_time(due_us - 1_000)
             return OK
 
         peer = await Peer(answer).start()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -172,7 +172,7 @@
     def __call__(self) -> int:
         return super().__call__() + self.skew
 
-    def until(self, at_us: int) -> None:
+    def set_time(self, at_us: int) -> None:
         """Sets the clock to a time in microseconds."""
         self.skew += at_us - self()
 
