--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -51,7 +51,7 @@
         due = clock() + TIME_LEFT_US
 
         async def answer(request: Request) -> Answer:
-            clock.until(due - before_us)
+            clock.set_time(due - before_us)
             return OK
 
         peer = await Peer(answer).start()
