--- a/forwarder/decisions/endpoint_table.py
+++ b/forwarder/decisions/endpoint_table.py
@@ -86,7 +86,7 @@
         self.rebuild_index()
 
     def unlisted_endpoint(self, endpoint_id: int, destination: int) -> Endpoint:
-        """Returns a record, for a call in flight only, of its endpoint that has left the list in the meantime."""
+        """Returns a record of an endpoint that has left the list, for use only by a call that is still in flight."""
         return Endpoint(endpoint_id, destination, "", 0.0, self._scope(destination, SHARED_SCOPE), serving=False)
 
     def unavailable_reason(self, destination: int) -> HoldReason:
--- a/forwarder/decisions/fleet_messages.py
+++ b/forwarder/decisions/fleet_messages.py
@@ -30,7 +30,7 @@
     alive: frozenset[str]
     left: frozenset[str] = frozenset()
     stale: bool = False
-    """No forwarder has answered since the start or since this process was suspended."""
+    """No forwarder has answered since the start, or since this process was last stalled."""
     has_rival: bool = False
     """Another process uses the name of this forwarder and keeps it."""
 
@@ -89,7 +89,9 @@
     """Announces a Retry-After that this forwarder received for a limit scope."""
 
     limit_scope: tuple[int, int]
+    """Destination and endpoint; -1 for all endpoints."""
     until_us: int
+    """End of the wait."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/forwarder/decisions/fleet_quota.py
+++ b/forwarder/decisions/fleet_quota.py
@@ -74,7 +74,7 @@
     def update(self, now_us: int, view: FleetView) -> None:
         """Applies a view.
 
-        A change in who is absent, or a suspension of this process, restarts the waiting times that it affects.
+        A change in who is absent, or a stall of this process, restarts the waiting times that it affects.
         """
         self.view = view
         self.known |= view.alive | view.left
--- a/forwarder/decisions/gossip_extension.py
+++ b/forwarder/decisions/gossip_extension.py
@@ -30,9 +30,10 @@
 MAX_SUSPECTED_SHARE = 0.25
 """Fraction of the destinations whose endpoints the reports of a single forwarder may make suspect."""
 HOLDING_GRACE_US = 2 * SECOND_US
-"""Time after the last held message for which a forwarder still counts as a holder."""
+"""Time after a message was last held or in flight for which this forwarder still counts as a holder."""
 UNPROVEN_FACTOR = 2.0
-"""A forwarder that is not proven to be alive gets a part of only the evenly divided half of a budget."""
+"""Multiplies the divisor of a forwarder that is not proven to be alive: only half of a budget is divided evenly among
+all forwarders, and it gets no part of the other half."""
 NEVER_EJECTED = -1
 NOT_RECOVERING = -1
 ALL_ROUTES = -1
--- a/forwarder/decisions/retry_policy.py
+++ b/forwarder/decisions/retry_policy.py
@@ -25,7 +25,7 @@
         """Returns the time before which an attempt has to be sent.
 
         A message that may have run has until the end of its retry window if it has an idempotency key. If it must run
-        at most once, the time is 0: no further attempt is allowed.
+        at most once, the time is 0: no further attempt is allowed. For all other messages the time is NEVER_US.
         """
         effect = message.message_class.effect
         if message.maybe_ran_at_us < 0 or effect is Effect.REPEATABLE:
--- a/forwarder/decisions/settings.py
+++ b/forwarder/decisions/settings.py
@@ -108,7 +108,7 @@
     drain_grace_us: int = 0
     """Time after the start of an endpoint's drain from which nothing may be sent to it."""
     list_poll_within_us: int = 0
-    """A forwarder that has not polled for this long counts as informed of the earlier list."""
+    """Time after which a forwarder counts as informed of a listed endpoint, even if it has not polled the list."""
     overload_factor: float = 0.0
     """An endpoint in slow start fails again if it receives this many times its capacity."""
     overload_window_us: int = 0
--- a/forwarder/membership/gossip_store.py
+++ b/forwarder/membership/gossip_store.py
@@ -3,8 +3,8 @@
 Records describe ejections, Retry-After waits, disabled endpoints, and which forwarder holds messages for which
 endpoint. Each record has its observer, a number that counts from the observer's start, and an age. Datagrams carry the
 age and not a time, because clocks differ. A forwarder that passes a record on adds the time for which it has kept it,
-so forwarding never makes a record younger; of two copies, the older age is kept. Only the observer can renew a record,
-under a new number. A record past its kind's maximum age is dropped and not passed on.
+so forwarding never makes a record younger; of two copies, the greater age is kept. Only the observer can renew a
+record, under a new number. A record past its kind's maximum age is dropped and not passed on.
 
 Records are piggybacked on membership datagrams (SWIM 4.1), after the changes of members; records sent least often go
 first. The number of records is bounded for each observer and in total; records beyond that are dropped and counted.
--- a/forwarder/storage/capacity.py
+++ b/forwarder/storage/capacity.py
@@ -11,7 +11,7 @@
 EJECTION_BYTES = 100
 ENDPOINT_NAME_BYTES = 60
 ENDED_ID_OVERHEAD_BYTES = 3
-"""Two quotes and a comma around each id."""
+"""Each id is stored with two quotes and a comma."""
 
 
 class StateSizes:
