--- a/forwarder/decisions/availability.py
+++ b/forwarder/decisions/availability.py
@@ -82,14 +82,14 @@
         return available_at_us, reason
 
     def endpoint_availability(self, endpoint: Endpoint) -> tuple[int, HoldReason | None]:
-        """Returns when an endpoint accepts a message, in a new or a forming call, and what holds it until then."""
+        """Returns when an endpoint accepts a message, in a new or an unfilled call, and what holds it until then."""
         now_us = self.context.now_us
         startup_wait_until_us = max(self.peers_queried_until_us, self.list_awaited_until_us)
         if now_us < startup_wait_until_us:
             return startup_wait_until_us, HoldReason.STARTING
         if now_us < self.local_backoff_until_us:
             return self.local_backoff_until_us, HoldReason.LOCAL_FAILURE
-        call = self.calls.forming.get(endpoint.id)
+        call = self.calls.unfilled_calls.get(endpoint.id)
         if call is None or call.batch_size >= endpoint.max_batch:
             capacity_reason = self.limits.hold_reason(endpoint)
             if capacity_reason is not None:
--- a/forwarder/decisions/call_tracker.py
+++ b/forwarder/decisions/call_tracker.py
@@ -28,19 +28,19 @@
         self.idle_connections = idle_connections
         self.attempts: dict[tuple[str, int], Attempt] = {}
         """The attempts in flight, by message id and attempt number."""
-        self.forming: dict[int, Call] = {}
+        self.unfilled_calls: dict[int, Call] = {}
         """The newest call of this round, by endpoint; messages may join it up to the endpoint's maximum batch."""
         self.ended: list[Call] = []
         """The calls that ended in this round."""
 
     def begin_round(self) -> None:
-        """Clears the forming and ended calls of the previous round."""
-        self.forming = {}
+        """Clears the unfilled and ended calls of the previous round."""
+        self.unfilled_calls = {}
         self.ended = []
 
     def any_forming(self) -> bool:
         """Returns whether a call of this round has capacity for another message."""
-        return any(call.batch_size < call.endpoint.max_batch for call in self.forming.values())
+        return any(call.batch_size < call.endpoint.max_batch for call in self.unfilled_calls.values())
 
     def start(self, endpoint: Endpoint, max_interval_us: float) -> Call:
         """Starts a call for messages or a stream.
--- a/forwarder/decisions/release.py
+++ b/forwarder/decisions/release.py
@@ -85,14 +85,14 @@
     def _preference(self, message: Message, endpoint: Endpoint) -> tuple[float, ...]:
         """Returns the sort key of an endpoint; the smallest key is the best.
 
-        Preferred, in this order: not ejected, not the endpoint of the last failed attempt, with a forming call, with a
-        low zone fee, with a low error rate, with few calls in flight.
+        Preferred, in this order: not ejected, not the endpoint of the last failed attempt, with an unfilled call, with
+        a low zone fee, with a low error rate, with few calls in flight.
         """
         zone_fee = self.context.settings.zone_fees.get(endpoint.zone, 0.0) if endpoint.separate_route else 0.0
         return (
             endpoint.ejected_at_us >= 0 and endpoint.recovering_since_us < 0,
             endpoint.id == message.avoid_endpoint,
-            endpoint.id not in self.calls.forming,
+            endpoint.id not in self.calls.unfilled_calls,
             zone_fee,
             endpoint.error_rate,
             endpoint.in_flight,
@@ -100,9 +100,9 @@
         )
 
     def _send_attempt(self, message: Message, endpoint: Endpoint) -> None:
-        call = self.calls.forming.get(endpoint.id)
+        call = self.calls.unfilled_calls.get(endpoint.id)
         if call is None or call.batch_size >= endpoint.max_batch:
-            call = self.calls.forming[endpoint.id] = self._start_call(message, endpoint)
+            call = self.calls.unfilled_calls[endpoint.id] = self._start_call(message, endpoint)
         self.key_queues.start_attempt(message)
         self.calls.add_attempt(message, call, message.attempts)
         self.messages.stop_holding(message)
