--- a/forwarder/decisions/call_tracker.py
+++ b/forwarder/decisions/call_tracker.py
@@ -38,7 +38,7 @@
         self.unfilled_calls = {}
         self.ended = []
 
-    def any_forming(self) -> bool:
+    def has_unfilled_call(self) -> bool:
         """Returns whether a call of this round has capacity for another message."""
         return any(call.batch_size < call.endpoint.max_batch for call in self.unfilled_calls.values())
 
--- a/forwarder/decisions/release_order.py
+++ b/forwarder/decisions/release_order.py
@@ -45,7 +45,7 @@
             for message in by_destination[destination].values()
         )
         start = 0
-        while start < len(order) and (self.limits.has_free_slot() or self.calls.any_forming()):
+        while start < len(order) and (self.limits.has_free_slot() or self.calls.has_unfilled_call()):
             over_quota, due_us, _, _ = order[start]
             group_us = DEADLINE_GROUP_SHARE * max(0, due_us - self.context.now_us)
             last = (over_quota, due_us + group_us, self.messages.accepted_count, 0)
