--- a/forwarder/decisions/backoff.py
+++ b/forwarder/decisions/backoff.py
@@ -6,10 +6,10 @@
 from forwarder.decisions.records import LimitScope
 
 MIN_BACKOFF_US = 150_000
-"""Shortest backoff per MAX_SMALL_FLEET forwarders."""
+"""Shortest backoff before jitter, multiplied by the size of the fleet in whole multiples of MAX_SMALL_FLEET."""
 
 MAX_BACKOFF_US = 1_500_000
-"""Longest backoff per MAX_SMALL_FLEET forwarders. Limited so that it does not prolong an outage by much."""
+"""Longest backoff, multiplied in the same way. Limited so that it does not prolong an outage by much."""
 
 BACKOFF_FACTOR = 4
 """Multiplies the backoff on each further rejection."""
--- a/forwarder/membership/gossip_store.py
+++ b/forwarder/membership/gossip_store.py
@@ -215,7 +215,11 @@
                 self._store(record)
 
     def _remember_former(self, record: GossipRecord) -> None:
-        """Keeps a received record of this forwarder, if it was made before the current start."""
+        """Keeps a received record of this forwarder from an earlier start.
+
+        A record that this start has not made counts as one whatever its start number, because a forwarder that has lost
+        its state folder counts its starts from 1 again.
+        """
         if record.start_number >= self.start_number and record.key in self.records:
             return
         known = self.own_former_records.get(record.key)
--- a/forwarder/membership/settings.py
+++ b/forwarder/membership/settings.py
@@ -122,8 +122,8 @@
     suspicion_periods = timing.suspicion_factor * timing.max_suspicion_factor
     detect_s = period_s * (2 + suspicion_periods * max(MIN_LOG_SIZE, math.log10(forwarders)))
     notify_s = table.number("told_s", period_s * 2 * math.log2(forwarders + 1), period_s, 3600.0)
-    # The default leaves enough time after a restart for this forwarder to be detected, to learn of all members, and for
-    # all members to learn of it, before a lease from before the restart ends.
+    # With the default, a lease from before a restart lasts until this forwarder has been detected, has learned of all
+    # members, and all members have learned of it.
     settle_s = table.number("settle_s", 3 * detect_s + notify_s, detect_s, 3600.0)
     if notify_s > settle_s:
         raise table.error("told_s", f"is {notify_s}, more than settle_s, {settle_s}")
--- a/forwarder/storage/durability.py
+++ b/forwarder/storage/durability.py
@@ -196,7 +196,7 @@
             log.error("journal: final sync failed: %s", error)
 
     def sync_now(self) -> bool:
-        """Syncs on the calling thread and calls all waiting callbacks; returns whether the sync succeeded."""
+        """Syncs or rewrites on the calling thread and calls all waiting callbacks; returns whether that succeeded."""
         last_written = self.last_written
         try:
             if self.may_lack_records:
--- a/forwarder/storage/lease.py
+++ b/forwarder/storage/lease.py
@@ -86,7 +86,7 @@
         return self.clock() + remaining_us if 0 < remaining_us <= max_remaining_us else 0
 
     def renew(self, end_us: int) -> None:
-        """Writes the end if it has changed enough. A failed write is logged; only the lease is lost after a restart."""
+        """Writes the end if it has changed enough. Logs the first failure; only the lease is lost after a restart."""
         if not self.boot_id or self.end_us <= end_us < self.end_us + RENEW_INTERVAL_US:
             return
         self.end_us = end_us
--- a/tests/decisions/test_order_model.py
+++ b/tests/decisions/test_order_model.py
@@ -1,7 +1,7 @@
 """A state machine test of the real engine with random events and restarts, checked against an oracle.
 
 The messages of a key must be sent in order, and no message may be sent after its end, for any sequence of rejections,
-local failures, notices, failing writes and restarts. The source of KeyOrder determines the examples.
+local failures, notices, failing writes and restarts. Hypothesis derives the examples from the source of KeyOrder.
 """
 
 from __future__ import annotations
