--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -49,7 +49,10 @@
 
 
 class HolderSimulation:
-    """Simulates forwarders of which some hold messages for one cold endpoint; announcements take up to NOTIFY_US."""
+    """Simulates forwarders of which some hold messages for one endpoint in slow start.
+
+    An announcement takes up to NOTIFY_US to reach the others.
+    """
 
     def __init__(self, size: int, seed: int, notify_us: int = NOTIFY_US) -> None:
         self.random, self.now, self.size = random.Random(seed), 0, size
@@ -108,7 +111,7 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 8, 20, 60])
-def test_the_shares_of_a_cold_endpoints_budget_add_up_to_at_most_the_whole(size: int) -> None:
+def test_the_shares_of_a_slow_start_budget_add_up_to_at_most_the_whole(size: int) -> None:
     for seed in range(12):
         assert max(budget_totals(size, seed)) <= 1 + 1e-9
 
