--- a/forwarder/decisions/outlier_detection.py
+++ b/forwarder/decisions/outlier_detection.py
@@ -73,6 +73,7 @@
     ejection_us: int
     """Length of the first ejection, before jitter; each further one is twice as long."""
     max_ejection_us: int
+    """Longest ejection, before jitter. After this time without a new verdict, the first length applies again."""
     retry_us: int
     """Time without calls after which an endpoint that failed, but is not ejected, is called again."""
     trial_calls: int
