--- a/forwarder/decisions/stream_routing.py
+++ b/forwarder/decisions/stream_routing.py
@@ -148,12 +148,14 @@
     def _route_or_reject(self, request: StreamRequested) -> None:
         dispatcher = self.dispatcher
         endpoints = dispatcher.endpoints_by_destination.get(request.destination, [])
-        available_at_us = {endpoint.id: self.endpoint_available_at_us(endpoint) for endpoint in endpoints}
-        available = [endpoint for endpoint in endpoints if available_at_us[endpoint.id] <= dispatcher.now_us]
+        available_at_us_by_endpoint = {endpoint.id: self.endpoint_available_at_us(endpoint) for endpoint in endpoints}
+        available = [
+            endpoint for endpoint in endpoints if available_at_us_by_endpoint[endpoint.id] <= dispatcher.now_us
+        ]
         if available:
             self.start_stream(request, min(available, key=lambda endpoint: self.preference(request, endpoint)))
         else:
-            dispatcher.actions.append(RejectStream(request.stream, self.retry_after_us(available_at_us)))
+            dispatcher.actions.append(RejectStream(request.stream, self.retry_after_us(available_at_us_by_endpoint)))
 
     def endpoint_available_at_us(self, endpoint: Endpoint) -> int:
         """Returns when an endpoint takes one more stream, in microseconds; NEVER_US if this depends on an event."""
@@ -200,14 +202,14 @@
         scope.streams_in_flight += 1
         dispatcher.actions.append(RouteStream(request.stream, endpoint.id))
 
-    def retry_after_us(self, available_at_us: dict[int, int]) -> int:
+    def retry_after_us(self, available_at_us_by_endpoint: dict[int, int]) -> int:
         """Returns the Retry-After of a rejected stream: the time until an endpoint takes one, if that is known.
 
         Args:
-            available_at_us: when each endpoint takes one more stream, by endpoint.
+            available_at_us_by_endpoint: when each endpoint takes one more stream, in microseconds.
         """
         dispatcher = self.dispatcher
-        known_us = [at_us for at_us in available_at_us.values() if at_us < NEVER_US]
+        known_us = [at_us for at_us in available_at_us_by_endpoint.values() if at_us < NEVER_US]
         earliest_us = min(known_us, default=dispatcher.now_us) - dispatcher.now_us
         wait_us = max(MIN_RETRY_AFTER_US, earliest_us) * dispatcher.random.uniform(*RETRY_AFTER_JITTER)
         return int(min(wait_us, dispatcher.settings.max_retry_after_us or wait_us))
