--- a/lab/endpoint_model.py
+++ b/lab/endpoint_model.py
@@ -15,7 +15,7 @@
 BURST_S = 0.5
 """The burst of a rate limit, as the time in which the limit earns it."""
 REPORT_MAX_AGE_S = 0.4
-"""Maximum age of a reported remaining limit (the brief: 230 to 960 ms)."""
+"""Maximum age of a reported remaining limit; the platform's description gives 230 to 960 ms."""
 FEW_CALLS = 30
 """Below this number of calls, the allowance for random variation is wider (BENCH)."""
 INFORMED_SHARE = 2 / 3
@@ -147,7 +147,11 @@
     """Calls that wait for a slot."""
     recent_calls: deque[RecentCall] = field(default_factory=deque)
     informed_nodes: set[str] = field(default_factory=set)
-    """Forwarders whose connection broke during the outage or whose call was refused during warm-up."""
+    """Forwarders that know of the outage.
+
+    During the outage, a connection of theirs broke or a client submitted a message for the destination to them; or a
+    call of theirs was refused during the warm-up.
+    """
     worst_budget_ratio: float = 0.0
     """Maximum ratio of the calls in a window of the warm-up to the budget of that window."""
 
--- a/lab/front.py
+++ b/lab/front.py
@@ -14,7 +14,7 @@
 from lab.plan import Plan
 
 DRAIN_CONNECT_S = (0.2, 0.4)
-"""How long new connections still come after the first poll that is not answered 200 (PROTOCOL)."""
+"""How long new connections still come after the first poll answered with a status other than 200 (PROTOCOL)."""
 POLL_TIMEOUT_S = 1.0
 SILENT_CONNECT_S = 3600.0
 """Duration of a connection attempt to a silent forwarder: longer than any timeout of a caller."""
--- a/lab/metrics.py
+++ b/lab/metrics.py
@@ -42,6 +42,7 @@
     }
 )
 KILL_EVENTS = frozenset({EventKind.PROCESS_KILLED, EventKind.PROCESS_TERMINATED})
+"""The events of SIGKILL and SIGTERM; "killed" means either of them in this module."""
 
 
 class Weight(IntEnum):
@@ -164,7 +165,11 @@
 
 
 def time_until_all_up(events: Iterable[Event], fault_s: float) -> float | None:
-    """Return the time from a fault until all forwarders killed since then were ready again; None if one stays down."""
+    """Return the time from a fault until all forwarders killed since then were ready again.
+
+    Returns:
+        Seconds, or None if no forwarder was killed or one stays down.
+    """
     is_down: dict[str, bool] = {}
     last_ready_s = None
     for event in events:
@@ -243,7 +248,10 @@
 
 
 def latencies(events: Iterable[Event], begin: EventKind, end: EventKind) -> Metrics:
-    """Return statistics of the time between two kinds of events with the same id, in milliseconds."""
+    """Return the count, median, 99th percentile and maximum of the times between two kinds of events with the same id.
+
+    The times are in milliseconds. The result is empty if there are none.
+    """
     histogram = HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
     began_s: dict[str, float] = {}
     for event in events:
--- a/lab/plan.py
+++ b/lab/plan.py
@@ -53,7 +53,7 @@
     limit_per_s: float
     """Calls per second from all forwarders together; 0 if only its capacity limits it."""
     retry_after_share: float
-    """Share of its refusals that have a Retry-After."""
+    """Share of the refusals above its rate limit that have a Retry-After."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
     arrivals: tuple[Arrival, ...]
     schedule: tuple[ScheduledFault, ...]
     clock_skews_s: tuple[float, ...]
-    """The offset of each forwarder's wall clock."""
+    """The offset of each forwarder's wall clock, in seconds."""
     believed_fleet_sizes: tuple[int, ...]
     """The number of forwarders in each forwarder's settings."""
 
--- a/lab/plots.py
+++ b/lab/plots.py
@@ -63,7 +63,7 @@
     for weight, label in ((Weight.IN_TIME, "in time"), (Weight.EARNED, "including late")):
         shares = [service.share(at_s, at_s + SHARE_WINDOW_S, weight) for at_s in times_s]
         axis.plot(times_s, shares, label=label)  # type: ignore[arg-type]
-    axis.set_ylabel("share of submitted weight")
+    axis.set_ylabel("share of arrived weight")
     axis.set_ylim(0, 1.05)
 
 
@@ -80,12 +80,12 @@
 def _draw_discovery(axis: Axes, events: Sequence[Event], end_s: float) -> None:
     _draw_steps(axis, events, EventKind.LIST_REQUESTED, end_s, "requests")
     refused = [event for event in events if event.status != 200]
-    _draw_steps(axis, refused, EventKind.LIST_REQUESTED, end_s, "refused requests")
+    _draw_steps(axis, refused, EventKind.LIST_REQUESTED, end_s, "refused or unanswered")
     axis.set_ylabel("discovery / s")
 
 
 def _draw_refusals(axis: Axes, events: Sequence[Event], end_s: float) -> None:
-    for status, label in ((429, "rate limited (429)"), (503, "overloaded (503)")):
+    for status, label in ((429, "429 with Retry-After"), (503, "503 without Retry-After")):
         refused = [event for event in events if event.status == status]
         _draw_steps(axis, refused, EventKind.CALL_ANSWERED, end_s, label)
     axis.set_ylabel("refused calls / s")
--- a/lab/result.py
+++ b/lab/result.py
@@ -43,7 +43,7 @@
     """Messages that were lost with a state folder that a fault removed or damaged."""
     metrics: Metrics
     lateness_ms: dict[str, float]
-    """Event loop lag of the lab."""
+    """Event loop lag of the lab, in milliseconds: median, 99th percentile and maximum."""
     costs: Costs
     link_events: dict[str, int]
     """Number of events on the links, by kind."""
@@ -81,7 +81,11 @@
 def sum_costs(
     forwarders: Sequence[ForwarderProcess], samples: Sequence[ProcessSample], exchange: DatagramExchange | None
 ) -> Costs:
-    """Return the forwarders' processor time and maximum memory, descriptors and disk space, and the lab's own usage."""
+    """Return what the forwarders and the lab used over the run, with the unit at the end of each name.
+
+    For the forwarders: mean and maximum processor time of a forwarder; maximum memory, descriptors and disk space of a
+    process; numbers of starts and crashes.
+    """
     lab_usage = resource.getrusage(resource.RUSAGE_SELF)
     cpu_by_node = _cpu_s_by_node(samples)
     cpu_s = [cpu_by_node.get(forwarder.name, 0.0) for forwarder in forwarders]
--- a/lab/rules.py
+++ b/lab/rules.py
@@ -324,7 +324,8 @@
 def check_not_overloaded(state: ObservedState, event: Event) -> Finding | None:
     """Check that a warming-up endpoint was not overloaded by forwarders that had seen it fail.
 
-    WIRE, rule 4, "Safe fail-back": the rule is broken if two thirds of the calls came from such forwarders.
+    WIRE, rule 4, "Safe fail-back": the rule is broken if at least two thirds of the calls came from such
+    forwarders.
     """
     if event.state != "pushed":
         return None
--- a/lab/run.py
+++ b/lab/run.py
@@ -66,7 +66,10 @@
         await self.testbed.open()
 
     async def execute(self) -> None:
-        """Apply the load and the fault schedule, and wait until the messages and faults in progress end."""
+        """Apply the load and the fault schedule, and wait until the messages and faults in progress end.
+
+        The wait ends at the latest `drain_s` after the load.
+        """
         testbed = self.testbed
         testbed.begin_load()
         self.sampler.start()
--- a/lab/soak.py
+++ b/lab/soak.py
@@ -88,7 +88,10 @@
 
 
 def _signals(rng: random.Random, at_s: float) -> Fault:
-    """Alternate SIGHUP (with new configurations) and SIGTERM, and send SIGKILL at the earliest permitted time."""
+    """Send SIGHUP three times, each with a new configuration, and SIGTERM after the first and the second.
+
+    If the process still runs then, SIGKILL follows at the earliest time that the platform permits.
+    """
     return Fault(at_s=at_s, kind="signals", share=rng.uniform(0.1, 0.4), back_s=rng.uniform(0.2, 1.0))
 
 
@@ -295,12 +298,16 @@
     last_s: float
     load_s: float
     late_ms: float
-    """Event loop lag of the lab above which a result does not count; the rules allow for the lag that was measured."""
+    """Event loop lag of the lab, in milliseconds, above which a result does not count.
+
+    The rules allow for the lag that was measured.
+    """
 
 
 LONG = ScheduleShape(faults=(8, 14), first_s=2.0, last_s=16.0, load_s=20.0, late_ms=400.0)
 SHORT = ScheduleShape(faults=(5, 8), first_s=1.0, last_s=6.0, load_s=8.0, late_ms=2000.0)
-"""For the check before every merge: its bound on the event loop lag allows for other load on the machine."""
+"""For the check before every merge: the bound on the event loop lag is so high that other load on the machine does not
+change the verdict."""
 
 
 def draw_scenario(seed: int, nodes: int, shape: ScheduleShape = LONG) -> Scenario:
--- a/lab/testbed.py
+++ b/lab/testbed.py
@@ -120,7 +120,7 @@
         return {name: (host_for(role, index), self.port + port_offset) for index, name in enumerate(self.plan.nodes)}
 
     def _on_submitted(self, node: str, destination: int) -> None:
-        """Record that a forwarder calls a destination, and so learns which of the destination's endpoints are down."""
+        """Record that a forwarder has a message for a destination, and so learns which of its endpoints are down."""
         for endpoint in self.endpoints.values():
             if endpoint.model.is_down and endpoint.model.spec.destination == destination:
                 endpoint.model.informed_nodes.add(node)
--- a/tests/lab/test_run.py
+++ b/tests/lab/test_run.py
@@ -140,7 +140,7 @@
 
 
 def test_unreported_limits_break_no_rule_and_service_continues(tmp_path: Path) -> None:
-    """Rate limits that sixteen forwarders use fully are halved, and a third of the forwarders is killed.
+    """Rate limits are halved under the load of sixteen forwarders, and a third of the forwarders is killed.
 
     All refusals have a Retry-After.
     """
