--- a/forwarder/clients/arrival_time.py
+++ b/forwarder/clients/arrival_time.py
@@ -1,8 +1,9 @@
 """Estimates when data that is read now arrived in the kernel.
 
-The remaining time of a request counts from the arrival of its last byte. That byte waits in the kernel while the event
-loop is busy, the process is stalled or the connection has not been accepted. The time of the last poll that did not
-report the data is a lower bound for its arrival. Times are nanoseconds of the monotonic clock.
+The remaining time of a request counts from the earliest time at which its first byte may have arrived. That byte waits
+in the kernel while the event loop is busy, the process is stalled or the connection has not been accepted. The time of
+the last poll that did not report the data is a lower bound for its arrival. Names that end in `_ns` are nanoseconds of
+the monotonic clock, and names that end in `_us` are microseconds of the forwarder's clock.
 """
 
 from __future__ import annotations
--- a/forwarder/clients/submission.py
+++ b/forwarder/clients/submission.py
@@ -1,4 +1,4 @@
-"""HTTP requests of clients and the messages that they submit (PROTOCOL)."""
+"""Submissions of clients: the path names the class, headers carry the metadata, and the body is the message."""
 
 from __future__ import annotations
 
--- a/forwarder/discovery/client.py
+++ b/forwarder/discovery/client.py
@@ -64,7 +64,7 @@
 
         After a cancellation or a time-out, the connection may be in the middle of an answer and must be closed. An
         answer that is complete when the wait ends counts even if the deadline has passed: the process may have been
-        suspended.
+        stalled.
 
         Args:
             data: the request.
--- a/forwarder/discovery/endpoint_list_watch.py
+++ b/forwarder/discovery/endpoint_list_watch.py
@@ -21,10 +21,10 @@
 NO_VERSION = -1
 FIRST_POLL_HOLD_MS = 1  # the first poll after a start is answered at once with the current state
 POLL_HOLD_MS = 20_000  # how long discovery may hold a poll while there is no change
-POLL_GRACE_S = 0.8  # an unanswered poll times out this long after its hold (PROTOCOL: a change counts 2 s after it)
-ANSWER_TIMEOUT_S = 2.5  # for the answer to a poll without a hold
+POLL_GRACE_S = 0.8  # from the hold to the time-out; a change counts as known 2 s after the hold (PROTOCOL)
+ANSWER_TIMEOUT_S = 2.5  # time-out of a poll without a hold
 FIRST_LIST_TIMEOUT_US = 2_000_000  # discovery answers a poll without a hold by then or never (PROTOCOL, Figures)
-LOCAL_RETRY_S = 0.1  # after a local failure
+LOCAL_RETRY_S = 0.1  # delay before the retry after a local failure; short, as discovery receives nothing of it
 MIN_POLL_INTERVAL_S = 0.1  # between polls without a change; the next must follow within 0.2 s (PROTOCOL)
 log = logging.getLogger("forwarder.discovery")
 
--- a/forwarder/discovery/notifier.py
+++ b/forwarder/discovery/notifier.py
@@ -203,7 +203,7 @@
                 self._post_succeeded(post, now_s - post.started_s)
 
     def _post_succeeded(self, post: Post, duration_s: float) -> None:
-        """Keeps the working connection, and adapts the repost delay to the duration of this post."""
+        """Keeps the working connection, and sets the repost delay to twice the duration of this post, within bounds."""
         self.posting.worked()
         self.spare.fill()
         self._repost_delay_s = min(max(FIRST_REPOST_S, 2 * duration_s), MAX_REPOST_S)
--- a/forwarder/endpoints/call_outcome.py
+++ b/forwarder/endpoints/call_outcome.py
@@ -1,4 +1,4 @@
-"""Determines the results of a call's attempts from the endpoint's answer or its absence (PROTOCOL)."""
+"""Determines the results of a call's attempts from the endpoint's answer or its absence, as PROTOCOL defines."""
 
 from __future__ import annotations
 
--- a/forwarder/endpoints/connection.py
+++ b/forwarder/endpoints/connection.py
@@ -22,7 +22,7 @@
 from forwarder.runtime.reason_counts import ReasonCounts, Subject
 from forwarder.runtime.retrying_socket import TRANSIENT_ERRORS, RetryingSocket
 
-GIVE_UP_GRACE_S = 0.1  # wait for an answer in transit as its call is given up (PROTOCOL: an end is due within 0.3 s)
+GIVE_UP_GRACE_S = 0.1  # wait for an answer in transit to a call that is given up; ends may be 0.3 s late (PROTOCOL)
 PENDING_READ_TRIES = 3  # tries of the last read of a connection while kernel buffers are short
 UNREQUESTED_DATA = "bytes or an end that nothing asked for"
 log = logging.getLogger("forwarder.client")
--- a/forwarder/endpoints/endpoint_table.py
+++ b/forwarder/endpoints/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints listed by discovery, known by name on the wire and by number in the decision core."""
+"""The endpoints listed by discovery, known by name on the wire and by number in the decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointTable:
-    """The listed endpoints and their numbers in the decision core.
+    """The listed endpoints and their numbers in the decisions.
 
     Args:
         kinds: the kinds of endpoints in the settings.
@@ -70,7 +70,7 @@
         return self.numbers[name]
 
     def entries(self, endpoints: Iterable[ListedEndpoint], keep: Container[str] = ()) -> tuple[EndpointEntry, ...]:
-        """Returns endpoints in the form that the decision core reads; `keep` as for `number`."""
+        """Returns endpoints in the form that the decisions read; `keep` as for `number`."""
         return tuple(endpoint.entry(self.number(endpoint.name, keep)) for endpoint in endpoints)
 
     def serving(self, disabled: Container[str]) -> dict[int, Address]:
--- a/forwarder/endpoints/pool.py
+++ b/forwarder/endpoints/pool.py
@@ -175,7 +175,7 @@
             self.finish(call, CallResult(outcome))
             return
         self.connections.add(connection)
-        self._end_denied(call, address)  # the list, the Retry-After or the time may have changed since
+        self._end_denied(call, address)  # the list or a Retry-After may have changed, or a deadline passed
         if connection.is_closing():
             self.finish(call, CallResult(Outcome.NO_CONNECTION))
         elif self.addresses.get(call.endpoint) != address:
@@ -204,7 +204,7 @@
     # Connections
 
     def keep_idle(self, connection: EndpointConnection, endpoint: int) -> None:
-        """Keeps a connection for the next call to its endpoint; closes it if it is not needed or no longer listed."""
+        """Keeps a connection for the next call to its endpoint; closes it if enough are idle or it is unlisted."""
         if endpoint in self.addresses:
             self.idle.add(connection, endpoint)
         else:
--- a/forwarder/endpoints/request_rendering.py
+++ b/forwarder/endpoints/request_rendering.py
@@ -10,7 +10,7 @@
 from forwarder.endpoints.call import CallItem, EndpointCall
 from forwarder.protocol.http1 import MAX_BODY_BYTES, render_request
 
-ITEM_OVERHEAD_BYTES = 64  # upper bound of the bytes that JSON adds to one message
+ITEM_OVERHEAD_BYTES = 64  # upper bound of the bytes that JSON adds to one message, without escapes in its id or key
 
 
 def render_call(call: EndpointCall, address: Address, now_us: int) -> bytes:
--- a/forwarder/runtime/decision_loop.py
+++ b/forwarder/runtime/decision_loop.py
@@ -104,7 +104,7 @@
     def _run_scheduled_round(self) -> None:
         """Runs a round, after the event loop has read any endpoint list that has already arrived.
 
-        After the process was suspended, an endpoint's drain may still be unread when events that would send to that
+        After the process was stalled, an endpoint's drain may still be unread when events that would send to that
         endpoint are already known.
         """
         if self._round_deferrals < MAX_ROUND_DEFERRALS and self.watch.has_unread_list():
@@ -159,7 +159,7 @@
         return decided
 
     def _handle_faults(self, now_us: int, actions: Sequence[Action], pending: PendingSubmissions) -> None:
-        """Rejects the submissions whose event an exception lost. The process goes on, since it holds other messages."""
+        """Rejects submissions lost in an exception. The process must not end, since it holds other messages."""
         for error in self.dispatcher.errors:
             self.supervisor.record_failure("decisions", error)
         self.set_timer(now_us + FAULT_RETRY_DELAY_US, "look")
@@ -183,7 +183,7 @@
                 log.info("%s", action.text)
 
     def _release(self, output: RoundOutput, is_recorded: bool) -> None:
-        """Releases the effects of a round whose records are written."""
+        """Releases the effects of a round after the write of its records has succeeded or failed."""
         self.effects.release(output, is_recorded)
         if self.store.pending_notices:
             self.notices.wake()
@@ -198,7 +198,10 @@
         asyncio.get_running_loop().call_later(delay_s, self._fire_timer, at_us, token)
 
     def _fire_timer(self, at_us: int, token: str) -> None:
-        """Posts the timer's event, but not before its time, as an event loop may: the dispatcher would set no other."""
+        """Posts the timer's event, or waits again if the event loop has fired early.
+
+        The dispatcher would not set another timer after an early event.
+        """
         if self.clock() < at_us:
             asyncio.get_running_loop().call_later(EARLY_TIMER_RETRY_S, self._fire_timer, at_us, token)
         else:
--- a/forwarder/runtime/handover_format.py
+++ b/forwarder/runtime/handover_format.py
@@ -37,7 +37,7 @@
     """Index among the endpoint connections, or `NO_CONNECTION`."""
     endpoint: int
     limit_scope: tuple[int, int]
-    """The destination and route to which a Retry-After applies."""
+    """Destination and endpoint number to which a Retry-After applies; `ALL_ENDPOINTS` for the whole destination."""
     sent_us: int
     batched: bool
     attempts: tuple[AttemptRecord, ...]
@@ -75,7 +75,7 @@
     handed_over_at_us: int | None
     """None if the previous process did not send it."""
     request_began_us: int
-    """When the first bytes of the request that is being read arrived; 0 between requests."""
+    """Earliest time at which the first byte of the request that is being read may have arrived; 0 between requests."""
     received: bytes
     """The bytes of that request that have been read."""
 
--- a/tests/discovery/test_endpoint_list_watch.py
+++ b/tests/discovery/test_endpoint_list_watch.py
@@ -202,10 +202,10 @@
 @profile(derandomize=True, max_examples=80, deadline=None)
 @given(steps=st.lists(st.sampled_from(WATCH_STEPS), min_size=1, max_size=10))
 def test_a_watch_knows_all_answers_in_any_order_of_steps(steps: list[str]) -> None:
-    """One poll at a time, from the version that is known; what fails is reported once and changes nothing.
+    """Checks that one poll is made at a time, from the known version; a failure is reported once and changes nothing.
 
-    A connection that breaks is replaced, for one poll as RECONNECT_PAUSES_S says. An answer of the old address that
-    crosses a move is not heard, and asked for again at the new one.
+    A broken connection is replaced, up to len(RECONNECT_PAUSES_S) times for one poll. An answer of the old address that
+    is still unread when the address changes is ignored, and the watch polls for it again at the new address.
     """
 
     async def run() -> None:
--- a/tests/endpoints/test_in_flight_calls.py
+++ b/tests/endpoints/test_in_flight_calls.py
@@ -133,7 +133,7 @@
 
 
 def test_no_message_of_a_call_times_out_while_the_call_still_carries_it() -> None:
-    """Guards against a duplicate: the decision core sent a message again while the first call still carried it."""
+    """Guards against a duplicate: the decisions sent a message again while the first call still carried it."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -143,7 +143,7 @@
 
 
 def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it() -> None:
-    """The decision core closes some idle connections itself; the pool must close the others."""
+    """The decisions close some idle connections; the pool must close the others."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
--- a/tests/runtime/test_failing_send.py
+++ b/tests/runtime/test_failing_send.py
@@ -1,4 +1,4 @@
-"""Runs the real program while sends to and reads from endpoints fail: each accepted message arrives exactly once."""
+"""Runs the real program while buffers for sends and reads of calls run out: each accepted message arrives once."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_incident_lost_and_order.py
+++ b/tests/runtime/test_incident_lost_and_order.py
@@ -264,7 +264,7 @@
 
 
 class SlowReader:
-    """An endpoint that reads only the start of the first call until statuses to go on; it answers all other calls."""
+    """An endpoint that reads the first call only in part until `read_rest_of_first`, and answers all other calls."""
 
     def __init__(self) -> None:
         self.first: asyncio.StreamReader | None = None
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -46,9 +46,9 @@
         assert (await node.submit("once", "pay"))[0] == 202
         assert (await platform.wait_for_notice("once"))["state"] == "failed"
         assert (await node.submit("spent", "status"))[0] == 202
-        told = await platform.wait_for_notice("spent")
-        assert told["state"] == "returned"
-        assert told["after_ms"] > 0
+        notice = await platform.wait_for_notice("spent")
+        assert notice["state"] == "returned"
+        assert notice["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
 
     play(scene, tmp_path)
