--- a/forwarder/clients/client_connection.py
+++ b/forwarder/clients/client_connection.py
@@ -260,7 +260,7 @@
         if handed_over.received:
             self.data_received(handed_over.received)
         if self.parser.partial is not None:
-            self.parser.partial.arrived_us = handed_over.request_began_us
+            self.parser.partial.arrived_us = handed_over.request_arrived_us
         self.last_used_us = handed_over.last_used_us
         if handed_over.handed_over_at_us is not None:
             self._arrivals.note_reading_paused(handed_over.handed_over_at_us)
@@ -344,7 +344,7 @@
         last_used_us=connection.last_used_us,
         has_sent_request=connection.has_sent_request,
         handed_over_at_us=connection.server.clock(),
-        request_began_us=0 if partial is None else partial.arrived_us,
+        request_arrived_us=0 if partial is None else partial.arrived_us,
         received=bytes(parser.partial_bytes),
     )
 
--- a/forwarder/runtime/handover_format.py
+++ b/forwarder/runtime/handover_format.py
@@ -74,7 +74,7 @@
     has_sent_request: bool
     handed_over_at_us: int | None
     """None if the previous process did not send it."""
-    request_began_us: int
+    request_arrived_us: int
     """Earliest time at which the first byte of the request that is being read may have arrived; 0 between requests."""
     received: bytes
     """The bytes of that request that have been read."""
@@ -227,7 +227,7 @@
         "used_us": state.last_used_us,
         "asked": state.has_sent_request,
         "handed_us": state.handed_over_at_us,
-        "came_us": state.request_began_us,
+        "came_us": state.request_arrived_us,
         "raw": _to_base64(state.received),
         "fd": client.descriptor,
     }
@@ -241,7 +241,7 @@
         last_used_us=stored["used_us"],
         has_sent_request=stored["asked"],
         handed_over_at_us=stored.get("handed_us"),
-        request_began_us=stored["came_us"],
+        request_arrived_us=stored["came_us"],
         received=base64.b64decode(stored["raw"]),
     )
     return HandedClient(stored["fd"], state)
