--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -22,7 +22,7 @@
 
 BIND_TIMEOUT_S = 5.0
 BIND_RETRY_INTERVAL_S = 0.05
-MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one iteration of the event loop
+MAX_ACCEPTS_PER_ITERATION = 64  # connections accepted in one iteration of the event loop
 FIRST_FAILURE_PAUSE_S = 0.005  # duration of the pause after a failed accept; doubled with each further failure
 MAX_FAILURE_PAUSE_S = 0.04  # well below the 0.4 s that a client waits for its answer (PROTOCOL)
 MAX_FAILURES_PER_TURN = 3  # failed accepts in one iteration of the event loop before a pause
@@ -130,7 +130,7 @@
 
 def unlimited_slots() -> int:
     """Returns as many free slots as one iteration of the event loop can use."""
-    return MAX_ACCEPTS_PER_TURN
+    return MAX_ACCEPTS_PER_ITERATION
 
 
 class Listener:
@@ -220,7 +220,7 @@
             self._pause(NO_SLOT_PAUSE_S)
             return
         failures = 0
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, free_slots)):
+        for _ in range(min(MAX_ACCEPTS_PER_ITERATION, free_slots)):
             try:
                 accepted = self._accept_one()
             except BlockingIOError:
