--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -25,7 +25,7 @@
 MAX_ACCEPTS_PER_ITERATION = 64  # connections accepted in one iteration of the event loop
 FIRST_FAILURE_PAUSE_S = 0.005  # duration of the pause after a failed accept; doubled with each further failure
 MAX_FAILURE_PAUSE_S = 0.04  # well below the 0.4 s that a client waits for its answer (PROTOCOL)
-MAX_FAILURES_PER_TURN = 3  # failed accepts in one iteration of the event loop before a pause
+MAX_FAILURES_PER_ITERATION = 3  # failed accepts in one iteration of the event loop before a pause
 NO_SLOT_PAUSE_S = 0.002  # duration of the pause without a free slot; a close takes one event loop iteration to free one
 ERRORS_OF_ONE_CONNECTION = frozenset(
     {
@@ -231,7 +231,7 @@
                     continue
                 self._note_failure(error)
                 failures += 1
-                if failures < MAX_FAILURES_PER_TURN and not self._is_short_of_descriptors():
+                if failures < MAX_FAILURES_PER_ITERATION and not self._is_short_of_descriptors():
                     continue
                 self._pause(self._failure_pause_s)
                 self._failure_pause_s = min(2 * self._failure_pause_s, MAX_FAILURE_PAUSE_S)
