--- a/forwarder/clients/listener.py
+++ b/forwarder/clients/listener.py
@@ -22,10 +22,10 @@
 
 BIND_TIMEOUT_S = 5.0
 BIND_RETRY_INTERVAL_S = 0.05
-MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one iteration of the event loop
+MAX_ACCEPTS_PER_ITERATION = 64  # connections accepted in one iteration of the event loop
 FIRST_FAILURE_PAUSE_S = 0.005  # duration of the pause after a failed accept; doubled with each further failure
-MAX_FAILURE_PAUSE_S = 0.04  # well below the time that a client waits for its answer (PROTOCOL: 0.4 s)
-MAX_FAILURES_PER_TURN = 3  # failed accepts in one iteration of the event loop before a pause
+MAX_FAILURE_PAUSE_S = 0.04  # well below the 0.4 s that a client waits for its answer (PROTOCOL)
+MAX_FAILURES_PER_ITERATION = 3  # failed accepts in one iteration of the event loop before a pause
 NO_SLOT_PAUSE_S = 0.002  # duration of the pause without a free slot; a close takes one event loop iteration to free one
 ERRORS_OF_ONE_CONNECTION = frozenset(
     {
@@ -130,7 +130,7 @@
 
 def unlimited_slots() -> int:
     """Returns as many free slots as one iteration of the event loop can use."""
-    return MAX_ACCEPTS_PER_TURN
+    return MAX_ACCEPTS_PER_ITERATION
 
 
 class Listener:
@@ -220,7 +220,7 @@
             self._pause(NO_SLOT_PAUSE_S)
             return
         failures = 0
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, free_slots)):
+        for _ in range(min(MAX_ACCEPTS_PER_ITERATION, free_slots)):
             try:
                 accepted = self._accept_one()
             except BlockingIOError:
@@ -231,7 +231,7 @@
                     continue
                 self._note_failure(error)
                 failures += 1
-                if failures < MAX_FAILURES_PER_TURN and not self._is_short_of_descriptors():
+                if failures < MAX_FAILURES_PER_ITERATION and not self._is_short_of_descriptors():
                     continue
                 self._pause(self._failure_pause_s)
                 self._failure_pause_s = min(2 * self._failure_pause_s, MAX_FAILURE_PAUSE_S)
