--- a/tests/lab/test_membership.py
+++ b/tests/lab/test_membership.py
@@ -202,7 +202,7 @@
         all_names, half = set(fleet.names), fleet.names[::2]
 
         async def handed_over() -> bool:
-            return all(node.former is None for node in fleet.testbed.forwarders.values())
+            return all(node.previous_process is None for node in fleet.testbed.forwarders.values())
 
         await fleet.until_agreed(all_names)
         for name in half:  # one after the other, with messages and calls in progress
