--- a/forwarder/clients/server.py
+++ b/forwarder/clients/server.py
@@ -20,7 +20,7 @@
 from forwarder.runtime.supervisor import Supervisor
 
 READ_BUFFER_BYTES = 16 * 1024  # maximum size of one read, so that a flood of requests does not delay other clients
-STALL_TIMEOUT_US = 2_000_000  # longest time without a request or with a partial one (PROTOCOL: 3 s)
+STALL_TIMEOUT_US = 2_000_000  # longest time without a request or with a partial one; an error or a close is due in 3 s
 MAX_OVERSHOOT = 16  # connections above the limit: a new one is accepted before another is closed for it
 MAX_EVICTION_PROPOSALS = 32  # connections checked to find one that may be closed to make room
 NEW_CONNECTION_US = 500_000  # how long a new connection may take to send its first request
