--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -196,7 +196,7 @@
 
 
 def split(sizes: list[int], seeds: int) -> None:
-    """Time until all members agree, from their common start and from the end of a network partition of 30 s."""
+    """Time until all members agree, from a common start and from the end of a partition into two halves for 30 s."""
     for size in sizes:
         healed_s = []
         started_s = []
--- a/lab/forwarder_process.py
+++ b/lab/forwarder_process.py
@@ -24,7 +24,7 @@
 from lab.state_folder import StateFolder
 
 KILL_AFTER_S = 3.7
-"""Shortest time from SIGTERM to SIGKILL (PROTOCOL)."""
+"""The platform sends SIGKILL to a process no earlier than this after SIGTERM; the lab sends it at this time."""
 FULL_DISK_SPARE_BYTES = 64
 """Bytes that may still be appended to the largest file once the disk is full."""
 ADMIN_TIMEOUT_S = 5.0
@@ -258,7 +258,10 @@
         self.state.damage(kind, fault_at_s, rng)
 
     def set_disk_full(self, is_full: bool) -> None:
-        """Limit the size of the process's files to the size of the largest one now, or remove the limit."""
+        """Limit the size of the files that the process writes, as a full disk does, or remove the limit.
+
+        The limit is the current size of the largest file in the state folder plus `FULL_DISK_SPARE_BYTES`.
+        """
         if self.process is None:
             return
         _, hard_limit = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
--- a/lab/harness/forwarder.py
+++ b/lab/harness/forwarder.py
@@ -29,7 +29,7 @@
 UNUSED = object()
 """Placeholder for arguments that the engine does not use in the harness."""
 OVERDUE_US = SECOND_US // 2
-"""Latest time after its deadline at which a message must have ended, or have a notice that is still pending."""
+"""Longest time after its deadline until a message must have ended or have a pending notice."""
 
 
 class ForwarderHarness:
@@ -102,7 +102,7 @@
         return engine
 
     def terminate(self) -> None:
-        """Simulate SIGTERM: nothing more is sent, one call in flight is delivered, and the process ends by itself."""
+        """Simulate SIGTERM: nothing more is sent, at most one attempt in flight succeeds, and the process exits."""
         self.engine.loop.run_round()
         self.engine.run_state.is_frozen = True
         for message_id, _ in list(self.pool.calls)[:1]:
@@ -187,7 +187,7 @@
             self.engine.pending_notices.acknowledge_notices([*notices])
 
     def overdue_messages(self) -> list[str]:
-        """Return the accepted messages that are overdue: they have not ended, and have no pending notice."""
+        """Return accepted messages that have neither ended nor a pending notice `OVERDUE_US` after their deadline."""
         overdue_before_us = self.clock.now_us - OVERDUE_US
         pending = self.engine.store.pending_notices
         return [
--- a/lab/process_faults.py
+++ b/lab/process_faults.py
@@ -21,9 +21,9 @@
 SLOWDOWN_SLICE_S = 0.04
 """A slowed process is stopped for a part of each such slice of time."""
 OLD_DISCOVERY_CLOSE_DELAY_S = 1.5
-"""Time from a reload with a new discovery address until the connections to the old one are closed (TERMS)."""
+"""The platform closes the connections to discovery's old address this long after SIGHUP announces a new address."""
 MIN_UPTIME_BEFORE_RELOAD_S = 1.0
-"""SIGHUP is sent only to a forwarder that is ready and has run for at least this time (TERMS)."""
+"""The platform sends SIGHUP only to a forwarder that is ready and was started at least this long ago."""
 RETRY_AFTER_STEP_US = 1000
 """Each new configuration raises the longest accepted Retry-After by this."""
 SIGNAL_SERIES = (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
@@ -101,7 +101,7 @@
         await killed.wait()
 
     async def copy_folders(self, step: ScheduledFault) -> None:
-        """Copy the state folders that a fault will restore, `old_s` before it."""
+        """Copy the state folders that a fault will restore, `old_s` seconds before the fault."""
         await asyncio.sleep(max(0.0, step.at_s - step.fault.old_s - self.event_log.clock()))
         for forwarder in self._targets(step):
             forwarder.state.copy(step.at_s)
@@ -123,7 +123,7 @@
             self.event_log.note(EventKind.PROCESS_RESUMED, node=forwarder.name)
 
     async def slow_down(self, step: ScheduledFault) -> None:
-        """Reduce the processor time of forwarders: they are stopped for a fraction of each slice."""
+        """Reduce the processor time of forwarders: they run only for the share `times` of each slice."""
         running_share = step.fault.times or 1.0
         end_s = self.testbed.loop.time() + (step.fault.for_s or 0.0)
         try:
@@ -141,7 +141,7 @@
         self.event_log.note(EventKind.FAULT_HEALED)
 
     async def fill_disk(self, step: ScheduledFault) -> None:
-        """Simulate full disks: the files of the forwarders cannot grow."""
+        """Simulate full disks, for `for_s` seconds or until the process ends (`ForwarderProcess.set_disk_full`)."""
         for forwarder in self._targets(step):
             forwarder.set_disk_full(True)
         if step.fault.for_s is not None:
@@ -205,7 +205,11 @@
         return address
 
     async def send_signals(self, step: ScheduledFault) -> None:
-        """Send reloads and SIGTERMs, then SIGKILL as early as PROTOCOL allows, and start the forwarders again."""
+        """Send SIGHUP, each with a new configuration, and SIGTERM in turn, and start the forwarders again afterwards.
+
+        SIGKILL ends a process that still runs `KILL_AFTER_S` after the first SIGTERM, the earliest time at which the
+        platform may send it.
+        """
         await asyncio.gather(*(self._send_signals(forwarder, step.fault) for forwarder in self._targets(step)))
 
     async def _send_signals(self, forwarder: ForwarderProcess, fault: Fault) -> None:
--- a/lab/shim.py
+++ b/lab/shim.py
@@ -8,7 +8,8 @@
 
     {"clock_s": 3600.0, "failures": [{"call": "write", "errno": "ENOSPC", "share": 1.0}]}
 
-- `clock_s` is added to the wall clock.
+- `clock_s`, in seconds, is added to the wall clock.
+- `share` is the probability that a call fails. `file` limits a failure of file calls to the files with this name.
 - File calls fail only for files in the folder STATE.
 - `recv` and `send` fail only on connections that the program opened.
 - `endpoint-recv` and `endpoint-send` fail only on connections that the program opened, except those to discovery.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,8 +15,8 @@
     """Puts the tests of the lab into one group, and marks the listed tests as expected to fail.
 
     Each test of the lab starts many processes, at addresses that only the lab uses: they must not run in parallel. A
-    listed test runs, but its failure does not fail the run. A test that is listed as failing always fails the run when
-    it passes.
+    listed test runs, but its failure does not fail the run. A test that is listed with the frequency `always` fails
+    the run when it passes.
     """
     listed = known_failures()
     for item in items:
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -105,7 +105,7 @@
         return other
 
     async def set_failures(self, *failures: Failure, clock_s: float = 0.0) -> None:
-        """Sets which system calls fail and the offset of the wall clock, and waits until the program has read this."""
+        """Sets which system calls fail and the offset of the wall clock; both apply to all calls after its return."""
         self.shim = Control(clock_s, list(failures))
         self.shim.write(self.folder / "control.json")
         await asyncio.sleep(4 * CONTROL_POLL_S)
--- a/tests/scripts.py
+++ b/tests/scripts.py
@@ -75,7 +75,7 @@
 
 
 def finals(actions: list[Action]) -> list[RejectMessage | FailMessage]:
-    """Returns the actions that reject a message or let it fail for good."""
+    """Returns the actions that reject a message or end it as failed."""
     return [action for action in actions if isinstance(action, RejectMessage | FailMessage)]
 
 
