--- a/forwarder/membership/gossip_store.py
+++ b/forwarder/membership/gossip_store.py
@@ -3,8 +3,8 @@
 Records describe ejections, Retry-After waits, disabled endpoints, and which forwarder holds messages for which
 endpoint. Each record has its observer, a number that counts from the observer's start, and an age. Datagrams carry the
 age and not a time, because clocks differ. A forwarder that passes a record on adds the time for which it has kept it,
-so forwarding never makes a record younger; of two copies, the older age is kept. Only the observer can renew a record,
-under a new number. A record past its kind's maximum age is dropped and not passed on.
+so forwarding never makes a record younger; of two copies, the greater age is kept. Only the observer can renew a
+record, under a new number. A record past its kind's maximum age is dropped and not passed on.
 
 Records are piggybacked on membership datagrams (SWIM 4.1), after the changes of members; records sent least often go
 first. The number of records is bounded for each observer and in total; records beyond that are dropped and counted.
@@ -215,7 +215,11 @@
                 self._store(record)
 
     def _remember_former(self, record: GossipRecord) -> None:
-        """Keeps a received record of this forwarder, if it was made before the current start."""
+        """Keeps a received record of this forwarder from an earlier start.
+
+        A record that this start has not made counts as one whatever its start number, because a forwarder that has lost
+        its state folder counts its starts from 1 again.
+        """
         if record.start_number >= self.start_number and record.key in self.records:
             return
         known = self.own_former_records.get(record.key)
--- a/tests/endpoints/test_pool.py
+++ b/tests/endpoints/test_pool.py
@@ -86,7 +86,7 @@
             others = [] if alone else [CallItem(name, 0, None, b"x", deadline_us, deadline_us) for name in "ab"]
             pool.close_idle(1)
             pool.start(EndpointCall(1, LimitScopeKey(7, -1), clock(), [late, *others]))
-            clock.until(clock() + SECOND_US)  # the connect has not started yet
+            clock.set_time(clock() + SECOND_US)  # the connect has not started yet
             while pool.calls_in_flight:
                 await asyncio.sleep(0.005)
         assert [(end.message_id, end.outcome) for end in ends] == [
@@ -143,7 +143,7 @@
 
 
 def test_an_idle_connection_is_closed_before_its_endpoint_would_close_it() -> None:
-    """The decision core closes some idle connections itself; the pool must close the others."""
+    """The decisions close some idle connections; the pool must close the others."""
 
     async def scene() -> None:
         ends: list[AttemptEnded] = []
--- a/tests/runtime/test_message_lifecycle.py
+++ b/tests/runtime/test_message_lifecycle.py
@@ -14,7 +14,7 @@
 from tests.nodes import SETTINGS, Node
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node
-from tests.sockets import OK, Answer, Peer, Request, Skewed, always, once
+from tests.sockets import OK, Answer, Peer, Request, Skewed, always, answer_after
 
 
 def test_delivers_unchanged_and_leaves_no_notice(tmp_path: Path) -> None:
@@ -46,9 +46,9 @@
         assert (await node.submit("once", "pay"))[0] == 202
         assert (await platform.wait_for_notice("once"))["state"] == "failed"
         assert (await node.submit("spent", "status"))[0] == 202
-        told = await platform.wait_for_notice("spent")
-        assert told["state"] == "returned"
-        assert told["after_ms"] > 0
+        notice = await platform.wait_for_notice("spent")
+        assert notice["state"] == "returned"
+        assert notice["after_ms"] > 0
         assert [n["id"] for n in platform.notices] == ["once", "spent"]
 
     play(scene, tmp_path)
@@ -91,7 +91,7 @@
     async def scene(platform: Platform) -> None:
         async def answer(request: Request) -> Answer:
             if request.headers["x-correlation-id"] == "late":
-                running.clock.until(due_us - 1_000)
+                running.clock.set_time(due_us - 1_000)
             return OK
 
         peer = await Peer(answer).start()
@@ -120,7 +120,7 @@
 
     async def scene(platform: Platform, folder: Path) -> None:
         free = asyncio.Event()
-        peer = await start_endpoint(platform, once(free))
+        peer = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         for name in "abc":
             assert (await node.submit(name, "pay"))[0] == 202
--- a/tests/runtime/test_notices_in_time.py
+++ b/tests/runtime/test_notices_in_time.py
@@ -14,13 +14,13 @@
 from tests.nodes import Node, message
 from tests.platforms import Platform
 from tests.scenes import end_with_scene, play, received_ids, start_endpoint, start_node, start_shimmed
-from tests.sockets import Answer, Request, hang, once
+from tests.sockets import Answer, Request, answer_after, hang
 
 LOST_AFTER_S = 0.35
 """Time after its deadline at which a message without an end is lost (PROTOCOL: 300 ms, and 50 ms on sockets)."""
 RESTART_GRACE_S = 1.5
 """Time after a restarted forwarder is ready before which no notice is overdue (PROTOCOL)."""
-MAX_RECOVERY_S = 1.0
+RECOVERY_S = 1.0
 """Maximum time from the end of a failure until service is restored."""
 CLASSES = ("order", "status", "turn", "pay")
 LEFT_S = (1.0, 1.4, 1.8, 2.2, 2.6)
@@ -76,9 +76,9 @@
             await node.start()
             ready_s = time.monotonic()
         await asyncio.sleep(0.3)
-        await node.fail(Failure("socket", "ENFILE", share))
+        await node.set_failures(Failure("socket", "ENFILE", share))
         await asyncio.sleep(FAILING_S)
-        await node.fail()
+        await node.set_failures()
         await platform.wait_until(lambda: len(platform.notices) >= len(due_s))
         bound_s = {name: max(due + LOST_AFTER_S, ready_s + RESTART_GRACE_S) for name, due in due_s.items()}
         late = {name: times.arrived_s[name] - due_s[name] for name in due_s if times.arrived_s[name] > bound_s[name]}
@@ -95,7 +95,7 @@
         times = NoticeTimes(platform)
         node = await start_shimmed(folder, platform)
         due_s = await submit_all(node)
-        await node.fail(Failure("socket", "ENFILE"))
+        await node.set_failures(Failure("socket", "ENFILE"))
         new = node.successor()
         end_with_scene(new)
         await new.start()
@@ -124,7 +124,7 @@
             target = await Platform().start()
             node.configure(discovery=f"127.0.0.1:{target.port}")
         times = NoticeTimes(target)
-        await node.fail(Failure("socket", "ENFILE"))
+        await node.set_failures(Failure("socket", "ENFILE"))
         if moves:
             node.process.send_signal(signal.SIGHUP)
         else:
@@ -150,13 +150,13 @@
 
         platform.handler = slow
         free = asyncio.Event()
-        peer = await start_endpoint(platform, once(free))
+        peer = await start_endpoint(platform, answer_after(free))
         node = await start_node(folder, platform)
         assert (await node.submit("first", "turn", left="1.0", X_Session_Key="k"))[0] == 202
         assert (await node.submit("second", "turn", left="9.0", X_Session_Key="k"))[0] == 202
         await platform.wait_for_notice("first")
         free.set()
-        async with asyncio.timeout(answers_after_s + MAX_RECOVERY_S):
+        async with asyncio.timeout(answers_after_s + RECOVERY_S):
             await peer.wait_until(lambda: "second" in received_ids(peer))
 
     play(scene, tmp_path)
@@ -172,11 +172,11 @@
         node = await start_shimmed(folder, platform)
         client = await node.client()
         assert (await client.submit("before", "status"))[0] == 202
-        await node.fail(Failure("client-recv", error))
+        await node.set_failures(Failure("client-recv", error))
         sent_s = time.monotonic()
         client.writer.write(message("late", "status", left="1.2"))
         await asyncio.sleep(0.8)
-        await node.fail()
+        await node.set_failures()
         status, _ = await client.answer()
         if status == 202:
             await platform.wait_for_notice("late")
